--- a/src/bookkeeping/replica.ts
+++ b/src/bookkeeping/replica.ts
@@ -1,5 +1,5 @@
 import type { Demand, MachineType } from "../protocol/model.js";
-import type { StoreEvent, StoreRow } from "../protocol/wire.js";
+import type { StoreEvent, StoreRow } from "../protocol/store-api.js";
 import {
 	type AbleRecord,
 	demandOf,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -2,9 +2,11 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import { keys, type TypesRecord } from "../bookkeeping/records.js";
 import { Replica } from "../bookkeeping/replica.js";
+import { MalformedMessageError } from "../protocol/checks.js";
 import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
 import type { OperatorSettings } from "../protocol/operator.js";
-import { asPeerMessage, type PeerMessage, unpackReport } from "../protocol/peer.js";
+import { unpackReport } from "../protocol/packed-report.js";
+import { claimedKind, type ForwardedReports, type PeerMessage, parsePeerMessage } from "../protocol/peer.js";
 import type { PlatformSettings } from "../protocol/settings.js";
 import { JobService } from "./job-service.js";
 import { Leader, tickMs } from "./leader.js";
@@ -44,6 +46,8 @@
 const apartMs = 3000;
 const leaderSilentMs = 1200;
 const strayTellMs = 100;
+/** More senders and kinds of malformed messages than this are not told apart. */
+const malformedKept = 200;
 
 /** One controller: the owner of its process's state. */
 export class Controller {
@@ -68,6 +72,8 @@
 	private readonly relay: Relay;
 	private readonly answers: AnswerBatches;
 	private strayTold = -Infinity;
+	/** Senders and kinds of messages that could not be read. */
+	private readonly malformedFrom = new Set<string>();
 
 	constructor(
 		private readonly platform: PlatformSettings,
@@ -316,7 +322,7 @@
 		});
 	}
 
-	private relayed(from: string, message: Extract<PeerMessage, { kind: "reports" }>): void {
+	private relayed(from: string, message: ForwardedReports): void {
 		const { epoch } = message;
 		const { leader } = this;
 		const leading = leader !== null && this.leadership.authority() === epoch;
@@ -347,8 +353,23 @@
 		return hearing && node === leader && this.ports.time.now() - at <= leaderSilentMs ? leader : null;
 	}
 
+	/** null: it can't be used. That is said once for each sender and kind: such messages come in numbers. */
+	private parsed(from: string, raw: unknown): PeerMessage | null {
+		try {
+			return parsePeerMessage(raw);
+		} catch (error) {
+			if (!(error instanceof MalformedMessageError)) throw error;
+			const kind = claimedKind(raw);
+			const source = `${from}/${kind}`;
+			if (this.malformedFrom.has(source)) return null;
+			if (this.malformedFrom.size < malformedKept) this.malformedFrom.add(source);
+			this.ports.log.error({ from, kind, err: error.message }, "malformed message from a controller");
+			return null;
+		}
+	}
+
 	peerMessage(from: string, raw: unknown): void {
-		const message = asPeerMessage(raw);
+		const message = this.parsed(from, raw);
 		if (!message) return;
 		this.mailbox.post(() => {
 			this.peerHeardAt = this.ports.time.now();
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -1,8 +1,8 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import { Machine, machineAllowed } from "../bookkeeping/machines.js";
+import type { RentRequest } from "../protocol/cloud-api.js";
 import type { ListedMachine, MachineType } from "../protocol/model.js";
 import type { OperatorSettings } from "../protocol/operator.js";
-import type { RentRequest } from "../protocol/wire.js";
 import { zoneRoom } from "./placing.js";
 import { CallFailed, type CloudPort, type Log, type TimePort } from "./ports.js";
 import {
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -15,21 +15,14 @@
 import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
 import type { OperatorSettings } from "../protocol/operator.js";
 import type { PeerMessage } from "../protocol/peer.js";
+import type { Grant, Placement, ViewMachine } from "../protocol/placement.js";
 import type { PlatformSettings } from "../protocol/settings.js";
-import type { StoreChange, StoreCondition } from "../protocol/wire.js";
+import type { StoreChange, StoreCondition } from "../protocol/store-api.js";
 import { Fleet } from "./fleet.js";
 import { drift } from "./leadership.js";
 import { servingOrder, starved } from "./ordering.js";
 import { placerOf } from "./parting.js";
-import {
-	type Grant,
-	type Placement,
-	placeable,
-	placeFirstFit,
-	sampled,
-	type ViewMachine,
-	zoneRoom,
-} from "./placing.js";
+import { placeable, placeFirstFit, sampled, zoneRoom } from "./placing.js";
 import {
 	CallFailed,
 	type CloudPort,
@@ -884,9 +877,9 @@
 		const asked = this.outstanding.get(from);
 		if (!asked || asked.cycle !== message.cycle) return;
 		this.outstanding.delete(from);
-		if (Array.isArray(message.placements)) this.issue(message.placements);
+		this.issue(message.placements);
 		// A placer that lags behind, or has missed a job, must not keep it from starting.
-		for (const id of message.unknown ?? []) {
+		for (const id of message.unknown) {
 			const job = this.tables.jobs.get(id);
 			if (job) job.placedHereUntil = now + placedHereMs;
 			this.tables.changed = true;
--- a/src/coordination/leadership.ts
+++ b/src/coordination/leadership.ts
@@ -1,6 +1,6 @@
 import { keys, type LeaderRecord } from "../bookkeeping/records.js";
 import type { Versioned } from "../bookkeeping/replica.js";
-import type { Cancellation, PeerMessage } from "../protocol/peer.js";
+import type { CampaignPromise, Cancellation, LeadershipMessage, PromiseRequest } from "../protocol/peer.js";
 import { CallFailed, type Log, type StorePort, type TimePort } from "./ports.js";
 
 export interface LeadershipSettings {
@@ -76,7 +76,7 @@
 			won(epoch: number): void;
 			lost(epoch: number, why: string): void;
 			/** To every other controller. */
-			tell(message: PeerMessage): void;
+			tell(message: LeadershipMessage): void;
 			/** Steady time up to which the local copy holds every change of the store, and its epoch. */
 			knownAt(): number;
 			knownEpoch(): number;
@@ -124,7 +124,7 @@
 		this.promisedUntil = -Infinity;
 	}
 
-	message(from: string, message: PeerMessage): void {
+	message(from: string, message: LeadershipMessage): void {
 		const now = this.time.now();
 		if (message.kind === "who") {
 			this.hooks.tell({
@@ -144,7 +144,7 @@
 		else if (message.kind === "promise") this.promised(from, message, now);
 	}
 
-	private promised(from: string, message: Extract<PeerMessage, { kind: "promise" }>, now: number): void {
+	private promised(from: string, message: CampaignPromise, now: number): void {
 		// What it names is so, however old the message is, and is carried out before anything is counted.
 		if (message.cancelled) this.hooks.learn(message.cancelled);
 		const sentAt = this.asked.get(message.number);
@@ -161,7 +161,7 @@
 	}
 
 	/** Promises only when a request made after the question was refused. */
-	private considerPromise({ epoch, number, known }: Extract<PeerMessage, { kind: "ask" }>): void {
+	private considerPromise({ epoch, number, known }: PromiseRequest): void {
 		const may = () => this.held === null && !this.campaigning && this.time.now() >= this.uncertainUntil;
 		if (!may()) return;
 		this.store.read(keys.leader).then(
--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -1,38 +1,7 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { JobSpec } from "../protocol/model.js";
-
-/** A machine in the view that the leader sends: what is free on it. */
-export interface ViewMachine {
-	id: string;
-	type: string;
-	zone: string;
-	spot: boolean;
-	cpus: number;
-	gpus: number;
-	memory: number;
-	/** Most tasks that may be added. */
-	slots: number;
-	images: string[];
-}
-
-/** How many tasks of a job may start now, by quota and order; decided by the leader. */
-export interface Grant {
-	job: string;
-	count: number;
-	/** Machines on which this job's tasks failed. */
-	avoid: string[];
-	/** The job's tasks that may be anywhere, by zone. */
-	zones: Record<string, number>;
-	/** Machines that may hold replicas of the job already; left out by versions before 0.5.0. */
-	beside?: string[];
-}
-
-export interface Placement {
-	job: string;
-	machine: string;
-	count: number;
-}
+import type { Grant, Placement, ViewMachine } from "../protocol/placement.js";
 
 const slack = 1e-6;
 
--- a/src/coordination/ports.ts
+++ b/src/coordination/ports.ts
@@ -1,5 +1,6 @@
-import type { ListedMachine, MachineType, Order, WorkerReport } from "../protocol/model.js";
-import type { RentRequest, StoreChange, StoreCondition, StoreEvent, StoreRow } from "../protocol/wire.js";
+import type { MachineListPage, RentRequest } from "../protocol/cloud-api.js";
+import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
+import type { StoreChange, StoreCondition, StoreEvent, StoreRow } from "../protocol/store-api.js";
 
 /** What coordination needs of the world outside; transport provides it. */
 
@@ -44,7 +45,7 @@
 	machineTypes(): Promise<MachineType[]>;
 	rent(request: RentRequest): Promise<string[]>;
 	giveBack(machines: string[]): Promise<void>;
-	list(after: string): Promise<{ machines: ListedMachine[]; more: boolean }>;
+	list(after: string): Promise<MachineListPage>;
 }
 
 export interface WorkerPort {
--- a/src/coordination/relay.ts
+++ b/src/coordination/relay.ts
@@ -1,5 +1,5 @@
 import type { Order, WorkerReport } from "../protocol/model.js";
-import { type PackedReport, packReport } from "../protocol/peer.js";
+import { type PackedReport, packReport } from "../protocol/packed-report.js";
 import type { PeerPort, TimePort } from "./ports.js";
 
 /** Reports, and answers, of this long pass between controllers as one message. */
--- a/src/coordination/shared-records.ts
+++ b/src/coordination/shared-records.ts
@@ -1,5 +1,5 @@
 import type { SharedRecord } from "../bookkeeping/records.js";
-import type { StoreChange, StoreCondition } from "../protocol/wire.js";
+import type { StoreChange, StoreCondition } from "../protocol/store-api.js";
 import { CallFailed, type RateClass, type StorePort } from "./ports.js";
 
 interface Pack<V> {
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -1,107 +1,199 @@
-import type { Grant, Placement, ViewMachine } from "../coordination/placing.js";
-import type { ExitCause, Order, TaskState, WorkerReport } from "./model.js";
+import * as v from "valibot";
+import { checkShape, count, MalformedMessageError, name } from "./checks.js";
+import type { Order } from "./model.js";
+import { isOrder, isPackedReport, type PackedReport } from "./packed-report.js";
+import {
+	type Grant,
+	GrantSchema,
+	type Placement,
+	PlacementSchema,
+	type ViewMachine,
+	ViewMachineSchema,
+} from "./placement.js";
 
-/** What controllers say to each other over the back link. */
-export type PeerMessage =
-	/** Leader to placer: what is free and what may be started; also a sign of life. */
-	| { kind: "view"; epoch: number; cycle: number; start: number; machines: ViewMachine[]; grants: Grant[] }
-	/** Placer to leader; `unknown`: jobs that its own copy of the store lacks. */
-	| { kind: "placed"; epoch: number; cycle: number; placements: Placement[]; unknown: string[] }
-	/**
-	 * Leader to all, now and then: tasks running by job, for display; answered by a sign of life.
-	 * `served`: the store answers the leader; `hearing`: most workers reach it; `relay`: workers
-	 * may stay with whichever node they report to, and their reports are to be passed on.
-	 */
-	| {
-			kind: "running";
-			epoch: number;
-			counts: [string, number][];
-			served: boolean;
-			hearing: boolean;
-			relay: boolean;
-	  }
-	/** Relay to leader: reports of workers, each with a number of the relay's. */
-	| { kind: "reports"; epoch: number; reports: [number, PackedReport][] }
-	/** Leader to relay: what to answer to them; null: this leader may not answer. */
-	| { kind: "answers"; epoch: number; answers: [number, Order[] | null][] }
-	/**
-	 * Leader to all, while the store refuses it: are you refused too, and will you not campaign
-	 * for a while? `known`: the epoch up to which the leader knows the store. In the answer,
-	 * `cancelled`: every cancellation after that epoch that the promiser can have told a user of;
-	 * left out by one that cannot say, such as a version before 0.4.0.
-	 */
-	| { kind: "ask"; epoch: number; number: number; known?: number }
-	| { kind: "promise"; epoch: number; number: number; cancelled?: Cancellation[] }
-	/** A node that has just started, to all: does anyone lead? */
-	| { kind: "who"; epoch: number; asker: string }
-	/** Names the process that asked, so that late copies of answers to an earlier one are known. */
-	| { kind: "leading"; epoch: number; leading: boolean; asker: string }
+/**
+ * Messages between controllers. The strings in `kind` and the field names are what versions in
+ * production send and expect: they stay as they are, whatever the types here are called.
+ */
+
+/** Leader to placer: free machines, and how many tasks of each job may start. */
+export interface PlacementRequest {
+	kind: "view";
+	epoch: number;
+	cycle: number;
+	/** Index of the machine at which this placer begins. */
+	start: number;
+	machines: ViewMachine[];
+	grants: Grant[];
+}
+
+/** Placer to leader. */
+export interface PlacementProposal {
+	kind: "placed";
+	epoch: number;
+	cycle: number;
+	placements: Placement[];
+	/** Granted jobs that the placer's own copy of the store lacks. */
+	unknown: string[];
+}
+
+/** Leader to all, twice a second. */
+export interface LeaderHeartbeat {
+	kind: "running";
+	epoch: number;
+	/** Tasks running, by job: shown to users by every node. */
+	counts: [job: string, running: number][];
+	/** The store answers the leader. */
+	served: boolean;
+	/** Most workers reach the leader. */
+	hearing: boolean;
+	/** Reports may be received by every node and are to be forwarded to the leader. */
+	relay: boolean;
+}
+
+/** Answer to a heartbeat, and sent unasked by a node to which the leader's workers turn. */
+export interface HeartbeatReply {
+	kind: "pong";
+	epoch: number;
+	/** Machines whose reports came to this node lately although it does not lead. */
+	strays: number;
+	/** This node serves standing jobs; left out by versions before 0.5.0. */
+	standing?: boolean | undefined;
+}
+
+/** Node to leader: workers' reports, each with a number of the sender's. */
+export interface ForwardedReports {
+	kind: "reports";
+	epoch: number;
+	reports: [number: number, report: PackedReport][];
+}
+
+/** Leader to forwarding node: what to answer; null: this leader may not answer. */
+export interface ForwardedAnswers {
+	kind: "answers";
+	epoch: number;
+	answers: [number: number, orders: Order[] | null][];
+}
+
+/** Leader to all while the store refuses it: are you refused too, and will you not campaign for a while? */
+export interface PromiseRequest {
+	kind: "ask";
+	epoch: number;
+	number: number;
+	/** Epoch up to which the leader knows the store; left out by versions before 0.4.0. */
+	known?: number | undefined;
+}
+
+/** The answer of a node that will not campaign for the length of a lease. */
+export interface CampaignPromise {
+	kind: "promise";
+	epoch: number;
+	number: number;
 	/**
-	 * `standing`: this node serves standing jobs; left out by versions before 0.5.0.
-	 * `strays`: machines whose reports came to this node of late, although it does not lead.
+	 * Every cancellation after the leader's epoch that this node can have told a user of; left out
+	 * by one that cannot say, such as a version before 0.4.0.
 	 */
-	| { kind: "pong"; epoch: number; strays: number; standing?: boolean };
+	cancelled?: Cancellation[] | undefined;
+}
 
-export type Cancellation = [job: string, revision: number, tasks: number, done: number];
+/** A node that has just started, to all: do you lead? */
+export interface LeaderQuery {
+	kind: "who";
+	epoch: number;
+	asker: string;
+}
 
-export function asPeerMessage(raw: unknown): PeerMessage | null {
-	if (typeof raw !== "object" || raw === null) return null;
-	const message = raw as PeerMessage;
-	if (typeof message.kind !== "string" || typeof message.epoch !== "number") return null;
-	return message;
+export interface LeaderQueryReply {
+	kind: "leading";
+	epoch: number;
+	leading: boolean;
+	/** The process that asked, so that late copies of answers to an earlier one are known. */
+	asker: string;
 }
 
-/** Reports pass between controllers by the hundred, so without names of fields. */
-export type PackedReport = [
-	machine: string,
-	endpoint: string,
-	type: string,
-	zone: string,
-	spot: boolean,
-	session: number,
-	seq: number,
-	token: number,
-	noticeS: number | null,
-	tasks: PackedTask[],
-];
-type PackedTask = [job: string, index: number, attempt: number, state: number, cause: number, saved: boolean];
-
-const states: TaskState[] = ["fetching", "running", "saving", "exited"];
-const causes: ExitCause[] = ["done", "stopped", "error", "no_room", "busy", "unknown"];
-
-export function packReport(r: WorkerReport): PackedReport {
-	const tasks = r.tasks.map(
-		(t): PackedTask => [
-			t.job,
-			t.index,
-			t.attempt,
-			states.indexOf(t.state),
-			t.cause === null ? -1 : causes.indexOf(t.cause),
-			t.saved,
-		],
-	);
-	return [r.machine, r.endpoint, r.type, r.zone, r.spot, r.session, r.seq, r.token, r.noticeS, tasks];
+export type Cancellation = [job: string, revision: number, tasks: number, done: number];
+
+export type PeerMessage =
+	| PlacementRequest
+	| PlacementProposal
+	| LeaderHeartbeat
+	| HeartbeatReply
+	| ForwardedReports
+	| ForwardedAnswers
+	| PromiseRequest
+	| CampaignPromise
+	| LeaderQuery
+	| LeaderQueryReply;
+
+/** What leadership exchanges with other nodes. */
+export type LeadershipMessage = PromiseRequest | CampaignPromise | LeaderQuery | LeaderQueryReply;
+
+const epoch = v.pipe(v.number(), v.integer());
+const text = v.pipe(v.string(), v.maxLength(1000));
+
+const schemas = {
+	view: v.object({
+		kind: v.literal("view"),
+		epoch,
+		cycle: count,
+		start: count,
+		machines: v.array(ViewMachineSchema),
+		grants: v.array(GrantSchema),
+	}),
+	placed: v.object({
+		kind: v.literal("placed"),
+		epoch,
+		cycle: count,
+		placements: v.array(PlacementSchema),
+		// The first versions did not say which jobs they lack.
+		unknown: v.optional(v.array(v.string()), []),
+	}),
+	running: v.object({
+		kind: v.literal("running"),
+		epoch,
+		counts: v.array(v.tuple([name, count])),
+		served: v.boolean(),
+		hearing: v.boolean(),
+		relay: v.boolean(),
+	}),
+	pong: v.object({ kind: v.literal("pong"), epoch, strays: count, standing: v.optional(v.boolean()) }),
+	ask: v.object({
+		kind: v.literal("ask"),
+		epoch,
+		number: count,
+		known: v.optional(v.pipe(v.number(), v.integer())),
+	}),
+	promise: v.object({
+		kind: v.literal("promise"),
+		epoch,
+		number: count,
+		cancelled: v.optional(v.array(v.tuple([name, count, count, count]))),
+	}),
+	who: v.object({ kind: v.literal("who"), epoch, asker: text }),
+	leading: v.object({ kind: v.literal("leading"), epoch, leading: v.boolean(), asker: text }),
+	reports: v.object({
+		kind: v.literal("reports"),
+		epoch,
+		reports: v.array(v.tuple([count, v.custom<PackedReport>(isPackedReport, "must be a report")])),
+	}),
+	answers: v.object({
+		kind: v.literal("answers"),
+		epoch,
+		answers: v.array(v.tuple([count, v.nullable(v.array(v.custom<Order>(isOrder, "must be an order")))])),
+	}),
+} satisfies { [K in PeerMessage["kind"]]: v.GenericSchema<unknown, Extract<PeerMessage, { kind: K }>> };
+
+export type PeerMessageKind = PeerMessage["kind"];
+
+/** The kind that a message claims to be of, for logs; whatever it is otherwise. */
+export function claimedKind(raw: unknown): string {
+	const kind = (raw as { kind?: unknown } | null)?.kind;
+	return typeof kind === "string" ? kind.slice(0, 40) : "none";
 }
 
-export function unpackReport(packed: PackedReport): WorkerReport {
-	const [machine, endpoint, type, zone, spot, session, seq, token, noticeS, tasks] = packed;
-	return {
-		machine,
-		endpoint,
-		type,
-		zone,
-		spot,
-		session,
-		seq,
-		token,
-		noticeS,
-		tasks: tasks.map(([job, index, attempt, state, cause, saved]) => ({
-			job,
-			index,
-			attempt,
-			state: states[state] as TaskState,
-			cause: causes[cause] ?? null,
-			saved,
-		})),
-	};
+/** Throws a MalformedMessageError for a kind that is not known or a message not of its kind's form. */
+export function parsePeerMessage(raw: unknown): PeerMessage {
+	const kind = claimedKind(raw);
+	if (!Object.hasOwn(schemas, kind)) throw new MalformedMessageError(`no such kind of message: ${kind}`);
+	return checkShape<v.GenericSchema<unknown, PeerMessage>>(schemas[kind as PeerMessageKind], raw);
 }
--- /dev/null
+++ b/src/protocol/worker-api.ts
@@ -0,0 +1,104 @@
+import { MalformedMessageError, parseObject } from "./checks.js";
+import type { ExitCause, Order, ReportedTask, TaskState, WorkerReport } from "./model.js";
+
+/** The workers' API: reports, and orders in answers and in direct requests. */
+
+const taskStates: Record<string, TaskState> = {
+	pulling: "fetching",
+	running: "running",
+	flushing: "saving",
+	exited: "exited",
+};
+const causes: Record<string, ExitCause> = {
+	done: "done",
+	stopped: "stopped",
+	error: "error",
+	full: "no_room",
+	busy: "busy",
+	no_such: "unknown",
+};
+
+/**
+ * Reports come by the dozen a second and from our own machines, so they are
+ * checked by hand-written tests of the fields used, not by schema.
+ */
+export function parseReport(body: string): WorkerReport {
+	return reportFrom(parseObject(body));
+}
+
+function whole(value: unknown, field: string): number {
+	if (typeof value !== "number" || !Number.isSafeInteger(value) || value < 0) {
+		throw new MalformedMessageError(`field "${field}" must be a whole number`);
+	}
+	return value;
+}
+
+function string(value: unknown, field: string): string {
+	if (typeof value !== "string" || value === "" || value.length > 200) {
+		throw new MalformedMessageError(`field "${field}" must be a string of 1 to 200 characters`);
+	}
+	return value;
+}
+
+export function splitTask(name: string): { job: string; index: number } | null {
+	const at = name.indexOf("/");
+	const index = Number(name.slice(at + 1));
+	if (at <= 0 || at === name.length - 1 || !Number.isSafeInteger(index) || index < 0) return null;
+	return { job: name.slice(0, at), index };
+}
+
+function taskFrom(raw: unknown): ReportedTask {
+	const item = (raw ?? {}) as Record<string, unknown>;
+	const name = splitTask(string(item.piece, "pieces.piece"));
+	if (!name) throw new MalformedMessageError('field "pieces.piece" must look like "j-000412/3"');
+	const state = taskStates[String(item.status)];
+	if (!state) throw new MalformedMessageError('field "pieces.status" is not a known state');
+	const cause = item.cause === undefined || item.cause === null ? null : causes[String(item.cause)];
+	return {
+		...name,
+		attempt: whole(item.try, "pieces.try"),
+		state,
+		// A cause we have never heard of still means that the attempt has ended without success.
+		cause: state === "exited" ? (cause ?? "error") : null,
+		saved: item.stored === true,
+	};
+}
+
+export function reportFrom(raw: Record<string, unknown>): WorkerReport {
+	if (!Array.isArray(raw.pieces)) throw new MalformedMessageError('field "pieces" must be a list');
+	const notice = raw.recall_s;
+	if (notice !== null && notice !== undefined && (typeof notice !== "number" || !Number.isFinite(notice))) {
+		throw new MalformedMessageError('field "recall_s" must be a number or null');
+	}
+	return {
+		machine: string(raw.host, "host"),
+		endpoint: string(raw.endpoint, "endpoint"),
+		type: string(raw.shape, "shape"),
+		zone: string(raw.hall, "hall"),
+		spot: raw.loaners === true,
+		session: whole(raw.shift, "shift"),
+		seq: whole(raw.tick, "tick"),
+		token: whole(raw.baton ?? 0, "baton"),
+		noticeS: notice ?? null,
+		tasks: raw.pieces.map(taskFrom),
+	};
+}
+
+function orderBody(order: Order) {
+	const piece = `${order.job}/${order.index}`;
+	if (order.op === "start") return { verb: "run", piece, try: order.attempt };
+	if (order.op === "stop") return { verb: "halt", piece, try: order.attempt, wind_down_s: order.graceS };
+	return { verb: "forget", piece, try: order.attempt };
+}
+
+export function ordersBody(token: number, orders: Order[]) {
+	return { baton: token, orders: orders.map(orderBody) };
+}
+
+export function directOrdersBody(token: number, session: number, orders: Order[]) {
+	return { baton: token, shift: session, orders: orders.map(orderBody) };
+}
+
+export function elsewhereBody(node: string | null) {
+	return node === null ? {} : { foreman: node };
+}
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,17 +1,18 @@
 import { CallFailed, type CloudPort, type TimePort } from "../coordination/ports.js";
-import type { ListedMachine, MachineType } from "../protocol/model.js";
 import {
 	isNoCapacity,
 	listedFrom,
 	listPath,
+	type MachineListPage,
 	machineTypesFrom,
-	paths,
 	type RentRequest,
 	rentBody,
 	rentedFrom,
 	returnBody,
-} from "../protocol/wire.js";
-import { expectStatus, type HttpCaller } from "./http-client.js";
+} from "../protocol/cloud-api.js";
+import type { MachineType } from "../protocol/model.js";
+import { paths } from "../protocol/paths.js";
+import { expectStatus, type HttpCaller, parseAnswer } from "./http-client.js";
 import { TokenBucket } from "./token-bucket.js";
 
 const callMs = 4000;
@@ -44,7 +45,8 @@
 	async machineTypes(): Promise<MachineType[]> {
 		await this.admit(this.reserve);
 		const answer = await this.http.call("GET", paths.machineTypes, undefined, callMs);
-		return machineTypesFrom(expectStatus(answer, "machine types", 200));
+		expectStatus(answer, "machine types", 200);
+		return parseAnswer(answer, "machine types", machineTypesFrom);
 	}
 
 	async rent(request: RentRequest): Promise<string[]> {
@@ -52,7 +54,8 @@
 		const answer = await this.http.call("POST", paths.machines, rentBody(request), callMs);
 		// Only this answer speaks of capacity; during an outage there is another 503.
 		if (answer.status === 503 && isNoCapacity(answer.body)) return [];
-		return rentedFrom(expectStatus(answer, "rental", 200, 201));
+		expectStatus(answer, "rental", 200, 201);
+		return parseAnswer(answer, "rental", rentedFrom);
 	}
 
 	async giveBack(machines: string[]): Promise<void> {
@@ -61,10 +64,11 @@
 		expectStatus(answer, "return", 200);
 	}
 
-	async list(after: string): Promise<{ machines: ListedMachine[]; more: boolean }> {
+	async list(after: string): Promise<MachineListPage> {
 		await this.admit(this.reserve);
 		const answer = await this.http.call("GET", listPath(after, 500), undefined, callMs);
-		return listedFrom(expectStatus(answer, "list", 200));
+		expectStatus(answer, "list", 200);
+		return parseAnswer(answer, "list", listedFrom);
 	}
 
 	close(): void {
--- a/src/transport/front-server.ts
+++ b/src/transport/front-server.ts
@@ -4,18 +4,11 @@
 import type { Reported } from "../coordination/controller.js";
 import type { Looked, Submitted } from "../coordination/job-service.js";
 import type { Log } from "../coordination/ports.js";
+import { MalformedMessageError } from "../protocol/checks.js";
 import type { JobSpec, WorkerReport } from "../protocol/model.js";
-import {
-	elsewhereBody,
-	isJobId,
-	jobAnswer,
-	jobIdOf,
-	Malformed,
-	ordersBody,
-	parseJob,
-	parseReport,
-	paths,
-} from "../protocol/wire.js";
+import { paths } from "../protocol/paths.js";
+import { isJobId, jobAnswer, jobIdOf, parseJob } from "../protocol/user-api.js";
+import { elsewhereBody, ordersBody, parseReport } from "../protocol/worker-api.js";
 
 const maxBody = 64 * 1024;
 const bodyTooLarge = `the body is larger than ${maxBody} bytes`;
@@ -119,7 +112,7 @@
 	app.all(`${paths.jobs}/:id/abort`, wrongMethod("POST"));
 	app.notFound(() => failure(404, "there is nothing at this path"));
 	app.onError((error, c) => {
-		if (error instanceof Malformed) {
+		if (error instanceof MalformedMessageError) {
 			log.debug({ path: c.req.path, reason: error.message }, "malformed request");
 			return failure(400, error.message);
 		}
@@ -146,7 +139,7 @@
 			response.end(text);
 		};
 		const failed = (error: unknown) => {
-			if (error instanceof Malformed) return answer(400, { error: error.message });
+			if (error instanceof MalformedMessageError) return answer(400, { error: error.message });
 			const { message, stack } = error as Error;
 			log.error({ err: message, stack }, "request failed");
 			answer(503, { error: "the request could not be handled" }, { "retry-after": "1" });
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,5 +1,6 @@
 import { Agent, request } from "node:http";
 import { CallFailed } from "../coordination/ports.js";
+import { MalformedMessageError } from "../protocol/checks.js";
 
 export interface Answer {
 	status: number;
@@ -92,3 +93,16 @@
 		`${what}: status ${answer.status}`,
 	);
 }
+
+/**
+ * Reads the body of an answer. One that is not of the published form says nothing about what was
+ * done, so it counts as no answer, and nothing of it is used.
+ */
+export function parseAnswer<T>(answer: Answer, what: string, parse: (body: unknown) => T): T {
+	try {
+		return parse(answer.body);
+	} catch (error) {
+		if (!(error instanceof MalformedMessageError)) throw error;
+		throw new CallFailed("unknown", answer.status, `${what}: malformed answer: ${error.message}`);
+	}
+}
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -5,12 +5,12 @@
 	type TimePort,
 	type TransactionResult,
 } from "../coordination/ports.js";
+import { paths } from "../protocol/paths.js";
 import {
+	conflictFrom,
 	epochFrom,
 	eventsFrom,
-	failedFrom,
 	leaseFrom,
-	paths,
 	rowFrom,
 	rowsFrom,
 	rowsPath,
@@ -20,8 +20,8 @@
 	type StoreRow,
 	transactionBody,
 	watchPath,
-} from "../protocol/wire.js";
-import { expectStatus, type HttpCaller } from "./http-client.js";
+} from "../protocol/store-api.js";
+import { expectStatus, type HttpCaller, parseAnswer } from "./http-client.js";
 import { TokenBucket } from "./token-bucket.js";
 
 const callMs = 1500;
@@ -66,8 +66,10 @@
 	async read(key: string): Promise<{ row: StoreRow | null; epoch: number }> {
 		await this.admit(this.requests, 1, 0, 300);
 		const answer = await this.http.call("GET", `${paths.store}/${key}`, undefined, callMs);
-		const body = expectStatus(answer, "read", 200, 404);
-		return answer.status === 200 ? { row: rowFrom(body), epoch: -1 } : { row: null, epoch: epochFrom(body) };
+		expectStatus(answer, "read", 200, 404);
+		return answer.status === 200
+			? { row: parseAnswer(answer, "read", rowFrom), epoch: -1 }
+			: { row: null, epoch: parseAnswer(answer, "read", epochFrom) };
 	}
 
 	async rows(prefix: string): Promise<{ rows: StoreRow[]; epoch: number }> {
@@ -77,7 +79,8 @@
 		for (;;) {
 			await this.admit(this.requests, 1, 0, 1000);
 			const answer = await this.http.call("GET", rowsPath(prefix, after, 200), undefined, 4000);
-			const { rows, more, epoch } = rowsFrom(expectStatus(answer, "rows", 200));
+			expectStatus(answer, "rows", 200);
+			const { rows, more, epoch } = parseAnswer(answer, "rows", rowsFrom);
 			// Later pages may hold later changes; a watch from the first page's epoch repeats those.
 			if (first < 0) first = epoch;
 			all.push(...rows);
@@ -106,15 +109,16 @@
 			await new Promise<void>((resolve) => this.time.after(100 * tries + (this.retries++ % 7) * 20, resolve));
 			answer = await this.http.call("POST", paths.transaction, sent, callMs);
 		}
-		const body = expectStatus(answer, "transaction", 200, 409);
+		expectStatus(answer, "transaction", 200, 409);
 		return answer.status === 200
-			? { ok: true, epoch: epochFrom(body) }
-			: { ok: false, failed: failedFrom(body), epoch: epochFrom(body) };
+			? { ok: true, epoch: parseAnswer(answer, "transaction", epochFrom) }
+			: { ok: false, ...parseAnswer(answer, "transaction", conflictFrom) };
 	}
 
 	async grantLease(ttlMs: number): Promise<number> {
 		const answer = await this.http.call("POST", paths.leases, { ttl_ms: ttlMs }, callMs);
-		return leaseFrom(expectStatus(answer, "lease", 200, 201));
+		expectStatus(answer, "lease", 200, 201);
+		return parseAnswer(answer, "lease", leaseFrom);
 	}
 
 	async renewLease(lease: number): Promise<void> {
@@ -139,7 +143,8 @@
 			undefined,
 			waitMs + (waitMs === 0 ? callMs : watchSlackMs),
 		);
-		return eventsFrom(expectStatus(answer, "watch", 200));
+		expectStatus(answer, "watch", 200);
+		return parseAnswer(answer, "watch", eventsFrom);
 	}
 
 	close(): void {
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,7 +1,8 @@
 import type { WorkerPort } from "../coordination/ports.js";
 import type { Order, WorkerReport } from "../protocol/model.js";
-import { directOrdersBody, paths, reportFrom } from "../protocol/wire.js";
-import { expectStatus, type HttpCaller, HttpClient } from "./http-client.js";
+import { paths } from "../protocol/paths.js";
+import { directOrdersBody, reportFrom } from "../protocol/worker-api.js";
+import { expectStatus, type HttpCaller, HttpClient, parseAnswer } from "./http-client.js";
 
 /** Orders sent straight to workers; each call has its own short-lived connection. */
 export class WorkerClient implements WorkerPort {
@@ -18,11 +19,11 @@
 		const http = this.open(endpoint);
 		try {
 			const answer = await http.call("POST", paths.commands, directOrdersBody(token, session, orders), 2000);
-			const body = expectStatus(answer, "orders", 200, 409);
-			return {
-				executed: answer.status === 200,
-				report: reportFrom((body ?? {}) as Record<string, unknown>),
-			};
+			expectStatus(answer, "orders", 200, 409);
+			const report = parseAnswer(answer, "orders", (body) =>
+				reportFrom((body ?? {}) as Record<string, unknown>),
+			);
+			return { executed: answer.status === 200, report };
 		} finally {
 			http.close();
 		}
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -9,13 +9,7 @@
 import { Fleet } from "../src/coordination/fleet.js";
 import { servingOrder, starved } from "../src/coordination/ordering.js";
 import { placerOf } from "../src/coordination/parting.js";
-import {
-	type Grant,
-	placeable,
-	placeFirstFit,
-	sampled,
-	type ViewMachine,
-} from "../src/coordination/placing.js";
+import { placeable, placeFirstFit, sampled } from "../src/coordination/placing.js";
 import { chooseVictims } from "../src/coordination/preemption.js";
 import {
 	climb,
@@ -29,6 +23,7 @@
 import { Tables } from "../src/coordination/tables.js";
 import type { JobSpec, MachineType, Priority } from "../src/protocol/model.js";
 import { defaultOperator } from "../src/protocol/operator.js";
+import type { Grant, ViewMachine } from "../src/protocol/placement.js";
 import { FakeTime } from "./support/fake-time.js";
 import { specOf } from "./support/specs.js";
 
--- a/tests/production.test.ts
+++ b/tests/production.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
-import { asPeerMessage } from "../src/protocol/peer.js";
+import { parsePeerMessage } from "../src/protocol/peer.js";
 import { nodeNames, World } from "./support/world.js";
 
 /** Values and messages as version 0.4.0 wrote and sent them, taken from a run of it on these stand-ins. */
@@ -96,7 +96,7 @@
 	for (const [kind, message] of Object.entries(fixture.messages)) {
 		assert.ok(said.has(kind), kind);
 		keepsFields(message, said.get(kind), kind);
-		assert.ok(asPeerMessage(message));
+		assert.equal(parsePeerMessage(message).kind, kind);
 		for (const node of nodeNames) world.controllerOf(node).peerMessage("runner-1", message);
 	}
 	await world.time.advance(2000);
--- a/tests/races.test.ts
+++ b/tests/races.test.ts
@@ -7,7 +7,7 @@
 import { CallFailed, type StorePort } from "../src/coordination/ports.js";
 import { SharedRecords } from "../src/coordination/shared-records.js";
 import type { Cancellation, PeerMessage } from "../src/protocol/peer.js";
-import { transactionBody } from "../src/protocol/wire.js";
+import { transactionBody } from "../src/protocol/store-api.js";
 import type { Answer } from "../src/transport/http-client.js";
 import { StoreClient } from "../src/transport/store-client.js";
 import { FakeTime } from "./support/fake-time.js";
--- a/tests/relay.test.ts
+++ b/tests/relay.test.ts
@@ -2,7 +2,8 @@
 import { test } from "node:test";
 import { AnswerBatches, Relay } from "../src/coordination/relay.js";
 import type { Order, WorkerReport } from "../src/protocol/model.js";
-import { type PeerMessage, packReport, unpackReport } from "../src/protocol/peer.js";
+import { packReport, unpackReport } from "../src/protocol/packed-report.js";
+import type { PeerMessage } from "../src/protocol/peer.js";
 import { FakeTime } from "./support/fake-time.js";
 
 const report: WorkerReport = {
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -3,7 +3,7 @@
 import type { Log, TimePort } from "../../src/coordination/ports.js";
 import { defaultOperator } from "../../src/protocol/operator.js";
 import { type PlatformSettings, parsePlatform } from "../../src/protocol/settings.js";
-import { elsewhereBody, ordersBody, parseReport } from "../../src/protocol/wire.js";
+import { elsewhereBody, ordersBody, parseReport } from "../../src/protocol/worker-api.js";
 import { CloudClient } from "../../src/transport/cloud-client.js";
 import { frontApp } from "../../src/transport/front-server.js";
 import type { Answer, HttpCaller } from "../../src/transport/http-client.js";
