--- a/src/bookkeeping/jobs.ts
+++ b/src/bookkeeping/jobs.ts
@@ -45,12 +45,17 @@
 	/** Steady time at which this leader came to know it. */
 	knownAt = 0;
 
+	/** The same for jobs whose tasks make the same demands on machines. */
+	readonly demandKey: string;
+
 	constructor(
 		readonly id: string,
 		readonly spec: JobSpec,
 		readonly at: number,
 		readonly revision: number,
 	) {
+		const { types, zone, spot, cpus, gpus, memoryGb } = spec;
+		this.demandKey = JSON.stringify([types, zone, spot, cpus, gpus, memoryGb]);
 		this.done = new TaskSet(spec.tasks);
 		this.durable = new TaskSet(spec.tasks);
 	}
--- /dev/null
+++ b/src/coordination/drain.ts
@@ -0,0 +1,130 @@
+import type { Job } from "../bookkeeping/jobs.js";
+import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
+import { couldHold, type FleetLook, remainingOfAttempt } from "./load.js";
+import type { Log } from "./ports.js";
+import type { ReplicaCapacity } from "./replica-capacity.js";
+import { type ClimbSettings, loadOf, machinesToSpare } from "./scaling.js";
+import type { Tables } from "./tables.js";
+
+/** A job of which nothing runs has waited so long when a marked machine is asked for room. */
+const waitsBesideMarkedMs = 20_000;
+
+interface Candidate {
+	machine: Machine;
+	/** It has replicas, which would have to move. */
+	replicas: boolean;
+	/** Remaining work for its price: of two that are about as busy, the dear one goes. */
+	worth: number;
+}
+
+/** Marks machines to run empty and go back, and takes marks back. */
+export class Drain {
+	constructor(
+		private readonly tables: Tables,
+		private readonly climb: ClimbSettings,
+		private readonly log: Log,
+	) {}
+
+	/** Marks those with the least remaining work for their price, as many as the load spares. */
+	mark(look: FleetLook, replicas: ReplicaCapacity): void {
+		// What was rented for replicas is the idlest of all until they are there.
+		if (this.replicasWaitOrMove()) return;
+		const ranked = this.ranked(look, replicas);
+		const cores = ranked.map(({ machine }) => machine.type.cpus);
+		const lowPerCpu = this.climb.low * look.secondsLeft;
+		const count = machinesToSpare(look.work, look.machines.length, look.cpus, cores, lowPerCpu);
+		const marked = new Set(ranked.slice(0, count).map(({ machine }) => machine));
+		this.keepForWaiting(marked, look.machines);
+		this.keepForExpected(marked, look.machines, replicas);
+		if (marked.size === 0) return;
+		for (const machine of marked) machine.marked = true;
+		this.log.info({ machines: [...marked].map((m) => m.id) }, "marked to drain and return");
+	}
+
+	private replicasWaitOrMove(): boolean {
+		for (const job of this.tables.jobs.values()) {
+			if (!job.standing) continue;
+			if (job.waiting.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)) return true;
+		}
+		return false;
+	}
+
+	private ranked({ machines, now }: FleetLook, replicas: ReplicaCapacity): Candidate[] {
+		return machines
+			.map((machine) => this.candidate(machine, now))
+			.filter((c) => !c.replicas || replicas.couldLeave(c.machine, machines))
+			.sort((a, b) => Number(a.replicas) - Number(b.replicas) || a.worth - b.worth);
+	}
+
+	private candidate(machine: Machine, now: number): Candidate {
+		let left = 1;
+		let replicas = false;
+		for (const attempt of machine.attempts.values()) {
+			left += remainingOfAttempt(attempt, now, this.climb.cap_s);
+			replicas ||= attempt.job.standing;
+		}
+		return { machine, replicas, worth: left / Math.max(machine.hourlyPrice, 1e-6) };
+	}
+
+	/** Rented because nothing else could hold some work, a machine is the idlest of all until it is up. */
+	private keepForWaiting(marked: Set<Machine>, machines: Machine[]): void {
+		for (const job of this.tables.jobs.values()) {
+			if (job.waiting.length === 0) continue;
+			if (machines.some((m) => !marked.has(m) && couldHold(m, job))) continue;
+			const holder = machines.find((m) => couldHold(m, job));
+			if (holder) marked.delete(holder);
+		}
+	}
+
+	/** Nor what is kept for replicas that may come: it would be rented again at once. */
+	private keepForExpected(marked: Set<Machine>, machines: Machine[], replicas: ReplicaCapacity): void {
+		const shortage = replicas.shortageOfExpected(machines.filter((m) => !marked.has(m)));
+		if (!shortage) return;
+		for (const machine of marked) if (machineAllowed(shortage.spec, machine)) marked.delete(machine);
+	}
+
+	/** Takes marks back until the load is down to the high mark; false if there was none. */
+	unmark(look: FleetLook): boolean {
+		const highPerCpu = this.climb.high * look.secondsLeft;
+		const back: string[] = [];
+		let { cpus } = look;
+		let count = look.machines.length;
+		for (const machine of this.tables.machines.values()) {
+			if (!machine.marked || machine.returning || machine.lost) continue;
+			machine.marked = false;
+			back.push(machine.id);
+			cpus += machine.type.cpus;
+			count += 1;
+			if (loadOf(look.work, count) <= highPerCpu * (cpus / count)) break;
+		}
+		if (back.length === 0) return false;
+		this.tables.changed = true;
+		this.log.info({ machines: back }, "unmarked");
+		return true;
+	}
+
+	/** Takes back the mark of a machine with room for the job; false if there is none. */
+	unmarkFor(job: Job): boolean {
+		for (const machine of this.tables.machines.values()) {
+			if (!machine.marked || !machine.sound) continue;
+			if (!machineAllowed(job.spec, machine) || !machine.hasRoomFor(job.spec)) continue;
+			machine.marked = false;
+			this.tables.changed = true;
+			this.log.info({ machines: [machine.id], job: job.id }, "unmarked");
+			return true;
+		}
+		return false;
+	}
+
+	/**
+	 * Tasks on a marked machine may run for long. Work that waits all that time, though the load
+	 * is below the high mark, is let in.
+	 */
+	unmarkForWaiting(now: number): void {
+		for (const job of this.tables.jobs.values()) {
+			if (job.waiting.length === 0 || job.attempts.size > 0) continue;
+			if (now - Math.max(job.knownAt, job.failedAt) < waitsBesideMarkedMs) continue;
+			if (this.tables.mayRun(job, now) && this.unmarkFor(job)) return;
+		}
+	}
+}
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -144,17 +144,17 @@
 		const certainMs = this.leaseMs * (1 + 2 * drift) + expiryMarginMs;
 		const byName = new Map(types.map((t) => [t.name, t]));
 		this.tables = new Tables(epoch, cluster.teams, byName, certainMs, (job) => replica.demandOf(job));
-		this.fleet = new Fleet(
-			this.tables,
-			ports.cloud,
-			ports.time,
+		this.fleet = new Fleet({
+			tables: this.tables,
+			cloud: ports.cloud,
+			time: ports.time,
 			settings,
-			cluster.cloud.list_lag_s * 1000,
-			this.leaseMs,
+			listLagMs: cluster.cloud.list_lag_s * 1000,
+			leaseMs: this.leaseMs,
 			requestPrefix,
-			{ post: ports.post, authority: () => this.active, gone: (m) => this.machineGone(m) },
-			ports.log,
-		);
+			hooks: { post: ports.post, authority: () => this.active, gone: (m) => this.machineGone(m) },
+			log: ports.log,
+		});
 		this.beganAt = ports.time.now();
 		this.lastTick = this.beganAt;
 		this.presence = new Presence(
@@ -742,8 +742,7 @@
 	private placeFor(attempt: Attempt): Machine | null {
 		const { job } = attempt;
 		const { spec } = job;
-		const zones = this.tables.zonesOf(job);
-		zones[attempt.machine.zone] = (zones[attempt.machine.zone] ?? 1) - 1;
+		const zones = this.tables.zonesWithout(job, [attempt]);
 		const beside = new Set([...job.attempts.values()].map((a) => a.machine));
 		let best: Machine | null = null;
 		let bestWorth = -1;
@@ -950,15 +949,7 @@
 		const usableTasks = (job: Job): number => {
 			const { spec } = job;
 			const zoneRule = spec.oneZone || spec.spread;
-			const key = JSON.stringify([
-				spec.cpus,
-				spec.memoryGb,
-				spec.gpus,
-				spec.types,
-				spec.zone,
-				spec.spot,
-				zoneRule ? job.id : "",
-			]);
+			const key = zoneRule ? job.id : job.demandKey;
 			let n = usable.get(key);
 			if (n === undefined) {
 				n = placeable(spec, zoneRule ? this.tables.zonesOf(job) : {}, views);
--- /dev/null
+++ b/src/coordination/load.ts
@@ -0,0 +1,113 @@
+import type { Attempt, Job } from "../bookkeeping/jobs.js";
+import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
+import type { ClimbSettings } from "./scaling.js";
+import { remainingOfRunning, remainingOfWaiting, tasksHeld } from "./scaling.js";
+import type { Tables } from "./tables.js";
+
+/** What the hill climb measures of the leader's tables. */
+
+/**
+ * Seconds of work that a busy core has left on the average: half an estimated
+ * run of the present tasks. The marks are multiples of it, so that they mean the
+ * same for tasks of seconds and of hours.
+ */
+export function meanSecondsLeft(tables: Tables, capS: number): number {
+	let cpus = 0;
+	let sum = 0;
+	for (const job of tables.jobs.values()) {
+		if (job.doomed || job.standing) continue;
+		const share = (job.waiting.length + job.attempts.size) * job.spec.cpus;
+		cpus += share;
+		sum += share * Math.min(job.estimateS, capS);
+	}
+	return cpus > 0 ? Math.max(1, sum / cpus / 2) : 1;
+}
+
+/**
+ * Remaining work of all live jobs in core seconds. A team's limit bounds how fast its work can
+ * be done, whatever is rented, so a team counts at most for as many cores as its
+ * limit allows, each loaded to the high mark.
+ */
+export function remainingWork(
+	tables: Tables,
+	now: number,
+	secondsLeft: number,
+	climb: ClimbSettings,
+): number {
+	const byTeam = new Map<string, number>();
+	for (const job of tables.jobs.values()) {
+		// Work that fails wherever it goes must not rent machines.
+		if (job.doomed) continue;
+		const { team } = job.spec;
+		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingOfJob(job, now, secondsLeft, climb.cap_s));
+	}
+	let sum = 0;
+	for (const [team, work] of byTeam) {
+		const limit = tables.quotas.team(team)?.cpus_max ?? 0;
+		sum += Math.min(work, limit * climb.high * secondsLeft);
+	}
+	return sum;
+}
+
+/**
+ * Replicas are not work that ends. A core that one takes counts as an ordinary busy core does
+ * on the average, which lies between the marks: it neither rents nor returns machines.
+ */
+function remainingOfJob(job: Job, now: number, secondsLeft: number, capS: number): number {
+	if (job.standing) return (job.waiting.length + job.attempts.size) * job.spec.cpus * secondsLeft;
+	let work = job.waiting.length * remainingOfWaiting(job.spec.cpus, job.estimateS, capS);
+	for (const attempt of job.attempts.values()) work += remainingOfAttempt(attempt, now, capS);
+	return work;
+}
+
+/** Core seconds that the attempt has left. */
+export function remainingOfAttempt(
+	attempt: Pick<Attempt, "runningAt" | "job">,
+	now: number,
+	capS: number,
+): number {
+	const { estimateS, spec } = attempt.job;
+	if (attempt.runningAt === null) return remainingOfWaiting(spec.cpus, estimateS, capS);
+	return remainingOfRunning(spec.cpus, (now - attempt.runningAt) / 1000, estimateS, capS);
+}
+
+/** Cores that the teams' limits let the present work use at once. */
+export function usableCpus(tables: Tables): number {
+	const byTeam = new Map<string, number>();
+	for (const job of tables.jobs.values()) {
+		if (job.doomed) continue;
+		const tasks = job.waiting.length + job.attempts.size;
+		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + tasks * job.spec.cpus);
+	}
+	let sum = 0;
+	for (const [team, cpus] of byTeam) sum += Math.min(cpus, tables.quotas.team(team)?.cpus_max ?? 0);
+	return sum;
+}
+
+/** Whether the machine, empty, could hold a task of the job. */
+export function couldHold(machine: Machine, job: Job): boolean {
+	return machineAllowed(job.spec, machine) && tasksHeld(job.spec, machine.type) > 0;
+}
+
+/** One look at the fleet by the hill climb. */
+export interface FleetLook {
+	now: number;
+	/** Machines that count as capacity, there or on its way, and their cores. */
+	machines: Machine[];
+	cpus: number;
+	secondsLeft: number;
+	/** Remaining work in core seconds. */
+	work: number;
+}
+
+export function lookAtFleet(tables: Tables, now: number, climb: ClimbSettings): FleetLook {
+	const machines = [...tables.machines.values()].filter((m) => m.counts);
+	const secondsLeft = meanSecondsLeft(tables, climb.cap_s);
+	return {
+		now,
+		machines,
+		cpus: machines.reduce((sum, m) => sum + m.type.cpus, 0),
+		secondsLeft,
+		work: remainingWork(tables, now, secondsLeft, climb),
+	};
+}
--- /dev/null
+++ b/src/coordination/machine-list.ts
@@ -0,0 +1,108 @@
+import { Machine } from "../bookkeeping/machines.js";
+import type { ListedMachine } from "../protocol/model.js";
+import { CallFailed, type CloudPort, type Log, type TimePort } from "./ports.js";
+import type { Tables } from "./tables.js";
+
+const leastPauseMs = 5000;
+const retryMs = 1500;
+
+export interface MachineListHooks {
+	post(command: () => void): void;
+	/** Its return was answered: whatever a late list says, it is gone. */
+	isGone(machine: string): boolean;
+}
+
+/**
+ * Reads the cloud's machine list now and then and compares it with the tables: machines that
+ * nobody expected are taken in, and failed ones go back. A list is late, so what it lacks may
+ * be there all the same.
+ */
+export class MachineList {
+	private reading = false;
+	private nextRead = 0;
+	private names: Set<string> | null = null;
+	/** The list was read once, or cannot be read for now. */
+	looked = false;
+
+	constructor(
+		private readonly tables: Tables,
+		private readonly cloud: CloudPort,
+		private readonly time: TimePort,
+		private readonly lagMs: number,
+		private readonly hooks: MachineListHooks,
+		private readonly log: Log,
+	) {}
+
+	/** Called often. */
+	tick(now: number): void {
+		if (this.reading || now < this.nextRead) return;
+		this.reading = true;
+		this.read().then(
+			(machines) => this.hooks.post(() => this.received(machines)),
+			(error) => this.hooks.post(() => this.failed(error)),
+		);
+	}
+
+	/** The cloud has named its machines to this leader, and this one is not among them. */
+	lacks(machine: string): boolean {
+		return this.names !== null && !this.names.has(machine);
+	}
+
+	private async read(): Promise<ListedMachine[]> {
+		const all: ListedMachine[] = [];
+		let after = "";
+		for (;;) {
+			const { machines, more } = await this.cloud.list(after);
+			all.push(...machines);
+			const last = machines.at(-1);
+			if (!more || !last) return all;
+			after = last.id;
+		}
+	}
+
+	private received(machines: ListedMachine[]): void {
+		const now = this.time.now();
+		this.reading = false;
+		this.looked = true;
+		this.nextRead = now + Math.max(leastPauseMs, this.lagMs);
+		this.names = new Set(machines.map((machine) => machine.id));
+		for (const listed of machines) if (!this.hooks.isGone(listed.id)) this.reconcile(listed, now);
+		this.dropUnlisted(this.names);
+	}
+
+	private failed(error: unknown): void {
+		this.reading = false;
+		this.nextRead = this.time.now() + retryMs;
+		// Without the cloud nothing can be rented either; do not hold the rounds up for long.
+		this.looked ||= !(error instanceof CallFailed) || error.status !== 429;
+		this.log.debug({ err: String(error) }, "list failed");
+	}
+
+	private reconcile(listed: ListedMachine, now: number): void {
+		const machine = this.tables.machines.get(listed.id) ?? this.takeIn(listed, now);
+		if (!machine) return;
+		if (listed.endpoint !== "" && machine.endpoint === "") machine.endpoint = listed.endpoint;
+		if (listed.status === "failed" && !machine.returning) {
+			machine.returning = true;
+			this.log.info({ machine: listed.id }, "failed machine goes back");
+		}
+	}
+
+	private takeIn(listed: ListedMachine, now: number): Machine | null {
+		const type = this.tables.types.get(listed.type);
+		if (!type) return null;
+		const machine = new Machine(listed.id, type, listed.zone, listed.spot, now - listed.ageS * 1000);
+		machine.onlyListed = true;
+		this.tables.machines.set(machine.id, machine);
+		this.log.info({ machine: listed.id, status: listed.status }, "unexpected machine listed");
+		return machine;
+	}
+
+	/** One known only from a list, never heard of and no longer listed, is not there. */
+	private dropUnlisted(names: Set<string>): void {
+		for (const machine of [...this.tables.machines.values()]) {
+			if (machine.onlyListed && !machine.up && !names.has(machine.id))
+				this.tables.machines.delete(machine.id);
+		}
+	}
+}
--- /dev/null
+++ b/src/coordination/rentals.ts
@@ -0,0 +1,188 @@
+import { Machine } from "../bookkeeping/machines.js";
+import type { RentRequest } from "../protocol/cloud-api.js";
+import type { JobSpec, MachineType } from "../protocol/model.js";
+import type { OperatorSettings } from "../protocol/operator.js";
+import { type FleetLook, usableCpus } from "./load.js";
+import { CallFailed, type CloudPort, type Log, type TimePort } from "./ports.js";
+import { machinesToCut, type Offer, offerKey, offersFor, rankOffers, tasksHeld } from "./scaling.js";
+import type { Tables } from "./tables.js";
+
+/** An offer this many times as dear as the cheapest of its kind is not taken at once. */
+const dearFrom = 2;
+const rentalTriesMs = 60_000;
+const retryMs = 500;
+/** The cloud's own bound. */
+const mostPerCall = 50;
+
+/** Machines wanted for replicas, by themselves and whatever the load is. */
+export interface ReplicaNeed {
+	/** Replicas that have no room. */
+	count: number;
+	/** Cores that replicas will want before long. */
+	comingCpus: number;
+	/** Zones in which no more of them may be. */
+	fullZones: ReadonlySet<string>;
+}
+
+/** What machines are wanted for. */
+export interface RentalNeed {
+	/** The work that they must be able to hold. */
+	spec: JobSpec;
+	/** Remaining work that is to be brought down to the high mark; 0: one machine, at once. */
+	work: number;
+	replicas?: ReplicaNeed;
+}
+
+export type RentalOutcome = "asked" | "not now" | "nothing to be had";
+
+interface Rental {
+	request: RentRequest;
+	type: MachineType;
+	firstSentAt: number;
+}
+
+export interface RentalHooks {
+	post(command: () => void): void;
+	authority(): boolean;
+	/** More is wanted than this call gave: the next round need not wait for the counters. */
+	unfilled(): void;
+	isGone(machine: string): boolean;
+	isCutOff(zone: string): boolean;
+}
+
+/** Chooses what to rent and asks the cloud for it, one request at a time. */
+export class Rentals {
+	private readonly refusedUntil = new Map<string, number>();
+	private rental: Rental | null = null;
+	/** Times in a row that the up counter acted with nothing but dear offers left. */
+	private patience = 0;
+	private requestNumber = 0;
+
+	constructor(
+		private readonly tables: Tables,
+		private readonly cloud: CloudPort,
+		private readonly time: TimePort,
+		private readonly climb: OperatorSettings["climb"],
+		/** Begins the names of all requests; never used by another term or process. */
+		private readonly requestPrefix: string,
+		private readonly hooks: RentalHooks,
+		private readonly log: Log,
+	) {}
+
+	/** A request is on its way. */
+	get pending(): boolean {
+		return this.rental !== null;
+	}
+
+	/** The load is no longer high. */
+	loadIsDown(): void {
+		this.patience = 0;
+	}
+
+	/** A machine of it is gone, so there may be another, whatever was refused before. */
+	allowAgain(offer: Pick<Offer, "type" | "zone" | "spot">): void {
+		this.refusedUntil.delete(offerKey(offer));
+	}
+
+	rent(need: RentalNeed, look: FleetLook): RentalOutcome {
+		if (this.rental) return "not now";
+		const machines = look.machines.length;
+		const most = this.climb.most_machines;
+		if (most > 0 && machines >= most) return "not now";
+		const usable = usableCpus(this.tables);
+		const byLoad = machines > 0 && need.work > 0;
+		if (byLoad && look.cpus >= usable) return "not now";
+		const wanted = need.replicas?.comingCpus ?? Math.max(usable - look.cpus, need.spec.cpus);
+		const offers = rankOffers(offersFor(need.spec, [...this.tables.types.values()]), need.spec, wanted);
+		const offer = offers.find((o) => this.isOpen(o, need, look.now));
+		if (!offer) return "nothing to be had";
+		if (this.tooDear(offer, offers[0] as Offer, byLoad)) return "not now";
+		let count = this.countOf(need, offer, look, usable);
+		if (most > 0) count = Math.min(count, most - machines);
+		this.send(offer, Math.max(1, Math.min(mostPerCall, count)), look.now);
+		return "asked";
+	}
+
+	private isOpen(offer: Offer, need: RentalNeed, now: number): boolean {
+		if (this.hooks.isCutOff(offer.zone) || need.replicas?.fullZones.has(offer.zone)) return false;
+		return (this.refusedUntil.get(offerKey(offer)) ?? 0) <= now;
+	}
+
+	/** Dear machines are rented only when the load stays high for longer, by as much as they cost more. */
+	private tooDear(offer: Offer, cheapest: Offer, byLoad: boolean): boolean {
+		const dearness = pricePerCpu(offer) / pricePerCpu(cheapest);
+		this.patience += 1;
+		if (byLoad && dearness > dearFrom && this.patience <= 2 * dearness * this.climb.up_past) return true;
+		this.patience = 0;
+		return false;
+	}
+
+	private countOf({ spec, work, replicas }: RentalNeed, { type }: Offer, look: FleetLook, usable: number) {
+		if (replicas) {
+			const here = spec.spread ? Math.min(replicas.count, Math.ceil(spec.tasks / 2)) : replicas.count;
+			return Math.ceil(here / tasksHeld(spec, type));
+		}
+		const highPerCpu = this.climb.high * look.secondsLeft;
+		const count = machinesToCut(work, look.machines.length, look.cpus, type.cpus, highPerCpu, mostPerCall);
+		// Cores beyond what the teams' limits allow would stand idle.
+		return Math.min(count, Math.ceil(Math.max(0, usable - look.cpus) / type.cpus));
+	}
+
+	private send({ type, zone, spot }: Offer, count: number, now: number): void {
+		this.requestNumber += 1;
+		const name = `${this.requestPrefix}-${this.requestNumber}`;
+		this.rental = { request: { name, type: type.name, zone, spot, count }, type, firstSentAt: now };
+		this.call(this.rental);
+	}
+
+	private call(rental: Rental): void {
+		this.cloud.rent(rental.request).then(
+			(ids) => this.hooks.post(() => this.rented(rental, ids)),
+			(error) => this.hooks.post(() => this.failed(rental, error)),
+		);
+	}
+
+	private rented(rental: Rental, ids: string[]): void {
+		const { request } = rental;
+		const now = this.time.now();
+		this.rental = null;
+		for (const id of ids) this.expect(id, rental, now);
+		if (ids.length > 0) this.log.info({ ...request, got: ids.length }, "rented");
+		else this.log.debug({ ...request }, "no capacity");
+		if (ids.length < request.count) this.refuse(rental, now);
+		// What one offer could not give is asked of the next, and what one call could not
+		// ask for of another, without waiting for more rounds.
+		if (ids.length < request.count || request.count === mostPerCall) this.hooks.unfilled();
+	}
+
+	private failed(rental: Rental, error: unknown): void {
+		const now = this.time.now();
+		const rejected = error instanceof CallFailed && error.kind === "rejected";
+		if (rejected || now - rental.firstSentAt > rentalTriesMs) {
+			this.rental = null;
+			this.refuse(rental, now);
+			this.log.info({ ...rental.request, err: String(error) }, "rental given up");
+			return;
+		}
+		// Perhaps it was carried out: the same name gets the same machines.
+		this.time.after(retryMs, () =>
+			this.hooks.post(() => {
+				if (this.rental === rental && this.hooks.authority()) this.call(rental);
+				else this.rental = null;
+			}),
+		);
+	}
+
+	private refuse({ type, request: { zone, spot } }: Rental, now: number): void {
+		this.refusedUntil.set(offerKey({ type, zone, spot }), now + this.climb.refusal_s * 1000);
+	}
+
+	private expect(id: string, { type, request: { zone, spot } }: Rental, now: number): void {
+		if (this.tables.machines.has(id) || this.hooks.isGone(id)) return;
+		this.tables.machines.set(id, new Machine(id, type, zone, spot, now));
+	}
+}
+
+function pricePerCpu(offer: Offer): number {
+	return offer.price / offer.type.cpus;
+}
--- a/src/coordination/tables.ts
+++ b/src/coordination/tables.ts
@@ -132,6 +132,7 @@
 		return this.epoch * attemptsPerEpoch + this.counter;
 	}
 
+	/** Tasks of the job that may be anywhere, by zone. */
 	zonesOf(job: Job): Record<string, number> {
 		const zones: Record<string, number> = {};
 		for (const attempt of job.attempts.values()) {
@@ -140,6 +141,19 @@
 		return zones;
 	}
 
+	/** The same, without attempts that are to leave their machines. */
+	zonesWithout(job: Job, leaving: readonly Attempt[]): Record<string, number> {
+		const zones = this.zonesOf(job);
+		for (const { machine } of leaving) zones[machine.zone] = (zones[machine.zone] ?? 1) - 1;
+		return zones;
+	}
+
+	/** Its tasks wait, and one of them may run now as far as its team's limit goes. */
+	mayRun(job: Job, now: number): boolean {
+		const { team, cpus, gpus } = job.spec;
+		return job.waiting.length > 0 && job.notBefore <= now && this.quotas.fitsLimit(team, cpus, gpus);
+	}
+
 	private register(attempt: Attempt): void {
 		const { job, machine, index } = attempt;
 		job.attempts.set(index, attempt);
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -189,22 +189,22 @@
 		2,
 	);
 	waits.fillWaiting();
-	const fleet = new Fleet(
+	const fleet = new Fleet({
 		tables,
-		{
+		cloud: {
 			machineTypes: async () => [],
 			rent: async () => [],
 			giveBack: async () => {},
 			list: async () => ({ machines: [], more: false }),
 		},
 		time,
-		defaultOperator(),
-		1000,
-		10_000,
-		"r",
-		{ post: (run) => run(), authority: () => true, gone() {} },
-		{ error() {}, info() {}, debug() {} },
-	);
+		settings: defaultOperator(),
+		listLagMs: 1000,
+		leaseMs: 10_000,
+		requestPrefix: "r",
+		hooks: { post: (run) => run(), authority: () => true, gone() {} },
+		log: { error() {}, info() {}, debug() {} },
+	});
 	// Held: its one task runs, so nothing returns it while it is marked.
 	first.hold("j-9/0", {
 		job: busy,
