--- a/src/bookkeeping/jobs.ts
+++ b/src/bookkeeping/jobs.ts
@@ -84,6 +84,13 @@
 		return !this.standing && this.failedOn.size >= 3;
 	}
 
+	/** Tasks that run, or save before they end. */
+	get running(): number {
+		let count = 0;
+		for (const { phase } of this.attempts.values()) if (phase === "running" || phase === "saving") count += 1;
+		return count;
+	}
+
 	get rank(): number {
 		return priorityRank[this.spec.priority];
 	}
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -204,19 +204,19 @@
 					if (this.starting !== epoch || this.leadership.epoch !== epoch) return;
 					this.starting = null;
 					this.leaderHeard = { node: this.platform.node, epoch, at: -Infinity, hearing: true, relay: false };
-					this.leader = new Leader(
+					this.leader = new Leader({
 						epoch,
-						this.platform.node,
-						this.platform,
-						this.settings,
-						this.replica,
+						self: this.platform.node,
+						platform: this.platform,
+						settings: this.settings,
+						replica: this.replica,
 						types,
-						{ ...this.ports, post: (command) => this.mailbox.post(command) },
-						() => this.leadership.authority() === epoch,
-						() => !this.copy.silent,
-						(why) => this.leadership.resign(why),
-						`${this.platform.node}-${this.incarnation}-${epoch}`,
-					);
+						ports: { ...this.ports, post: (command) => this.mailbox.post(command) },
+						authority: () => this.leadership.authority() === epoch,
+						served: () => !this.copy.silent,
+						resign: (why) => this.leadership.resign(why),
+						requestPrefix: `${this.platform.node}-${this.incarnation}-${epoch}`,
+					});
 					this.relay.newLeader(this.platform.node, epoch);
 				}),
 			() => this.ports.time.after(100, () => this.mailbox.post(() => this.beginTerm(epoch))),
--- /dev/null
+++ b/src/coordination/expected-classes.ts
@@ -0,0 +1,55 @@
+import type { JobSpec, MachineType } from "../protocol/model.js";
+import type { PlatformSettings } from "../protocol/settings.js";
+
+/** What the platform expects of the classes of jobs. */
+export type Objective = PlatformSettings["cluster"]["objectives"][number];
+
+/** Part of the cores in use that is kept for a class of which no job has come yet. */
+const reservedPart = 0.02;
+const assumedMemoryGb = 3;
+
+/**
+ * Classes whose tasks are to start sooner than any machine boots. Room for their first job has to
+ * be up before it comes.
+ */
+export function classesWithFastStart(
+	objectives: readonly Objective[],
+	types: Iterable<MachineType>,
+): string[] {
+	const fastestBootS = Math.min(...[...types].map((type) => type.bootS));
+	const classes = new Set<string>();
+	for (const { kind, class: name, within_s: withinS } of objectives) {
+		if (kind !== "wait" || name === undefined || withinS === undefined) continue;
+		if (withinS <= fastestBootS) classes.add(name);
+	}
+	return [...classes];
+}
+
+/**
+ * Stands for the first jobs of a class: nothing is known of them but that they must start at once,
+ * so small replicas on ordinary machines of two zones are assumed.
+ */
+export function assumedReplicas(name: string, cpusInUse: number): JobSpec {
+	return {
+		id: `expected ${name}`,
+		form: "standing",
+		lane: name,
+		team: "",
+		priority: "critical",
+		tasks: Math.max(1, Math.ceil(cpusInUse * reservedPart)),
+		cpus: 1,
+		gpus: 0,
+		memoryGb: assumedMemoryGb,
+		types: null,
+		zone: null,
+		oneZone: false,
+		spread: true,
+		spot: false,
+		image: "",
+		imageGb: 0,
+		estimateS: 0,
+		checkpointS: 0,
+		saveS: 0,
+		deadlineS: null,
+	};
+}
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -2,6 +2,7 @@
 import type { Machine } from "../bookkeeping/machines.js";
 import type { OperatorSettings } from "../protocol/operator.js";
 import { Drain } from "./drain.js";
+import type { Objective } from "./expected-classes.js";
 import { couldHold, type FleetLook, lookAtFleet } from "./load.js";
 import { MachineList } from "./machine-list.js";
 import { MachineReturns } from "./machine-returns.js";
@@ -23,6 +24,7 @@
 	cloud: CloudPort;
 	time: TimePort;
 	settings: OperatorSettings;
+	objectives: readonly Objective[];
 	/** How late the cloud's machine list is. */
 	listLagMs: number;
 	/** Lease of a worker. */
@@ -93,7 +95,9 @@
 			log,
 		);
 		this.drain = new Drain(tables, settings.climb, log);
-		this.replicas = new ReplicaCapacity(tables, time, this.rentals, (job) => this.drain.unmarkFor(job));
+		this.replicas = new ReplicaCapacity(tables, time, this.rentals, options.objectives, (job) =>
+			this.drain.unmarkFor(job),
+		);
 	}
 
 	/** Called a few times a second, in the queue, with authority. */
--- /dev/null
+++ b/src/coordination/grants.ts
@@ -0,0 +1,108 @@
+import type { Job } from "../bookkeeping/jobs.js";
+import type { Grant, ViewMachine } from "../protocol/placement.js";
+import { starved } from "./ordering.js";
+import { placeable } from "./placing.js";
+import type { Tables } from "./tables.js";
+
+/** So long a job keeps off machines on which it failed. */
+const avoidMs = 20_000;
+
+export interface TeamGrant {
+	team: string;
+	grant: Grant;
+}
+
+/** The moment of a decision, by the steady clock and by the time of day. */
+export interface Moment {
+	now: number;
+	date: number;
+}
+
+/** One time through the jobs in their order. */
+interface GrantPass {
+	jobs: Job[];
+	/** Most tasks of a job that this pass grants. */
+	most: number;
+	/** Only within teams' guarantees. */
+	guarantee: boolean;
+}
+
+/** Who may start how much now: guarantees first, then borrowing; urgent before the rest. */
+export function grantsFor(tables: Tables, jobs: Job[], views: ViewMachine[], moment: Moment): TeamGrant[] {
+	const allocation = new Allocation(tables, views);
+	const passes: GrantPass[] = [
+		{ jobs: jobs.filter((job) => starved(job, moment.date)), most: 1, guarantee: false },
+		{ jobs, most: Number.POSITIVE_INFINITY, guarantee: true },
+		{ jobs, most: Number.POSITIVE_INFINITY, guarantee: false },
+	];
+	for (const pass of passes) allocation.run(pass);
+	return [...allocation.counts].map(([job, count]) => ({
+		team: job.spec.team,
+		grant: grantOf(tables, job, count, moment.now),
+	}));
+}
+
+/** Room promised in one placement cycle. */
+class Allocation {
+	/** Tasks granted, by job in the order of the first grant. */
+	readonly counts = new Map<Job, number>();
+	private freeCpus = 0;
+	private readonly byTeam = new Map<string, { cpus: number; gpus: number }>();
+	private readonly usable = new Map<string, number>();
+
+	constructor(
+		private readonly tables: Tables,
+		private readonly views: ViewMachine[],
+	) {
+		for (const view of views) this.freeCpus += view.cpus;
+	}
+
+	run({ jobs, most, guarantee }: GrantPass): void {
+		for (const job of jobs) {
+			if (this.freeCpus <= 0) return;
+			const { spec } = job;
+			const team = this.byTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
+			const already = this.counts.get(job) ?? 0;
+			const waiting = Math.min(job.waiting.length, job.doomed ? 1 : most) - already;
+			let count = Math.min(
+				waiting,
+				this.tables.quotas.room(spec.team, spec.cpus, spec.gpus, guarantee, team),
+				Math.ceil(this.freeCpus / spec.cpus),
+			);
+			// Room promised to work that cannot use it would be kept from work that can.
+			if (count > 0) count = Math.min(count, this.usableTasks(job) - already);
+			if (count <= 0) continue;
+			this.counts.set(job, already + count);
+			this.byTeam.set(spec.team, {
+				cpus: team.cpus + count * spec.cpus,
+				gpus: team.gpus + count * spec.gpus,
+			});
+			this.freeCpus -= count * spec.cpus;
+		}
+	}
+
+	/** Tasks of the job that the machines could take, worked out once for jobs with the same demands. */
+	private usableTasks(job: Job): number {
+		const { spec } = job;
+		const zoneRule = spec.oneZone || spec.spread;
+		const key = zoneRule ? job.id : job.demandKey;
+		let count = this.usable.get(key);
+		if (count === undefined) {
+			count = placeable(spec, zoneRule ? this.tables.zonesOf(job) : {}, this.views);
+			this.usable.set(key, count);
+		}
+		return count;
+	}
+}
+
+function grantOf(tables: Tables, job: Job, count: number, now: number): Grant {
+	const { spec } = job;
+	return {
+		job: job.id,
+		count,
+		// For a while only: there may be no others, and what was wrong there may be over.
+		avoid: job.doomed || now - job.failedAt > avoidMs ? [] : [...job.failedOn],
+		zones: spec.oneZone || spec.spread ? tables.zonesOf(job) : {},
+		...(job.standing && { beside: [...job.attempts.values()].map((a) => a.machine.id) }),
+	};
+}
--- /dev/null
+++ b/src/coordination/job-completion.ts
@@ -0,0 +1,125 @@
+import type { Job } from "../bookkeeping/jobs.js";
+import {
+	demandOf,
+	type FinalRecord,
+	keys,
+	pageName,
+	pageOf,
+	type SharedRecord,
+} from "../bookkeeping/records.js";
+import type { Versioned } from "../bookkeeping/replica.js";
+import { tasksPerPage } from "../bookkeeping/task-set.js";
+import type { StoreChange, StoreCondition } from "../protocol/store-api.js";
+import { CallFailed, type Log, type StorePort, type TimePort } from "./ports.js";
+import { SharedRecords, type SharedRecordsEnvironment } from "./shared-records.js";
+
+const progressEveryMs = 1000;
+const shrinkMs = 5000;
+const retryMs = 300;
+
+export interface JobCompletionOptions {
+	leaderCondition: StoreCondition;
+	store: StorePort;
+	time: TimePort;
+	log: Log;
+	records: SharedRecordsEnvironment;
+	post(command: () => void): void;
+	ended(): boolean;
+	jobs(): Iterable<Job>;
+	jobOf(id: string): Job | undefined;
+	/** The end of the job is in the store, as of this revision. */
+	finished(job: Job, final: FinalRecord, revision: number): void;
+	/** The leader's key has changed hands. */
+	lostKey(): void;
+}
+
+/** Writes which tasks are done, and the end of jobs of which all are. */
+export class JobCompletion {
+	private readonly progress: SharedRecords<string>;
+	private nextProgress = 0;
+
+	constructor(private readonly options: JobCompletionOptions) {
+		this.progress = new SharedRecords({
+			...options.records,
+			prefix: keys.progress,
+			confirmed: (entries) => this.confirmed(entries),
+			pace: { rateClass: "background", everyMs: progressEveryMs, shrinkMs },
+		});
+	}
+
+	/** What the store held when the term began. */
+	load(values: Iterable<[string, Versioned<SharedRecord<string>>]>): void {
+		this.progress.load(values);
+	}
+
+	/** Called often, with authority. */
+	tick(now: number): void {
+		if (now < this.nextProgress) return;
+		this.nextProgress = now + progressEveryMs;
+		for (const job of this.options.jobs()) {
+			if (job.dirtyPages.size === 0 || job.ending) continue;
+			for (const page of job.dirtyPages) this.progress.set(pageName(job.id, page), job.done.page(page));
+			job.dirtyPages.clear();
+		}
+		this.progress.flush();
+	}
+
+	private confirmed(entries: Map<string, string>): void {
+		for (const [name, bits] of entries) {
+			const { job, page } = pageOf(name);
+			this.options.jobOf(job)?.durable.addPage(page, bits);
+		}
+	}
+
+	/** The job is over: its done-set is of no use any more. */
+	forget(job: Job): void {
+		for (let page = 0; page * tasksPerPage < job.spec.tasks; page++)
+			this.progress.delete(pageName(job.id, page));
+	}
+
+	finishIfDone(job: Job): void {
+		if (!job.done.full || job.ending || job.cancelled) return;
+		job.ending = true;
+		this.writeFinal(job);
+	}
+
+	/** Tries again all along while the store is away, so the audit leaves it alone. */
+	writeFinal(job: Job): void {
+		const { options } = this;
+		if (options.ended() || job.cancelled) return;
+		job.endingAt = options.time.now();
+		const { spec } = job;
+		const final: FinalRecord = {
+			status: "done",
+			tasks: spec.tasks,
+			done: spec.tasks,
+			demand: demandOf(spec),
+		};
+		const changes: StoreChange[] = [{ delete: keys.job(job.id) }, { put: keys.final(job.id), value: final }];
+		const conditions = [options.leaderCondition, { key: keys.job(job.id), revision: job.revision }];
+		options.store.transact(conditions, changes, "first").then(
+			(result) =>
+				options.post(() => {
+					if (result.ok) this.written(job, final, result.epoch);
+					// Else the job was cancelled first; the watch says so.
+					else if (result.failed.includes(keys.leader)) options.lostKey();
+				}),
+			(error) => this.notWritten(job, error),
+		);
+	}
+
+	private written(job: Job, final: FinalRecord, revision: number): void {
+		const tookS = Math.round((this.options.time.date().getTime() - job.at) / 100) / 10;
+		const { lane, deadlineS } = job.spec;
+		this.options.log.info({ job: job.id, lane, tookS, dueS: deadlineS }, "job done");
+		this.options.finished(job, final, revision);
+	}
+
+	private notWritten(job: Job, error: unknown): void {
+		const { time, post, log } = this.options;
+		// What the store will not take is left to the audit, and said.
+		const refused = error instanceof CallFailed && error.kind === "rejected";
+		if (refused) log.error({ key: keys.final(job.id), err: error.message }, "not written");
+		else time.after(retryMs, () => post(() => this.writeFinal(job)));
+	}
+}
--- /dev/null
+++ b/src/coordination/placement-cycle.ts
@@ -0,0 +1,198 @@
+import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
+import type { Attempt, Job } from "../bookkeeping/jobs.js";
+import type { Machine } from "../bookkeeping/machines.js";
+import type { PlacementProposal } from "../protocol/peer.js";
+import type { Grant, Placement, ViewMachine } from "../protocol/placement.js";
+import { grantsFor, type TeamGrant } from "./grants.js";
+import { servingOrder } from "./ordering.js";
+import { placerOf } from "./partitioning.js";
+import { placeFirstFit, sampled } from "./placing.js";
+import type { PeerPort, TimePort } from "./ports.js";
+import type { Presence } from "./presence.js";
+import type { Tables } from "./tables.js";
+
+/** A job that its placer does not know is placed by the leader for so long. */
+const placedHereMs = 5000;
+/** Stands for no bound on tasks where a machine is not on trial. */
+const manySlots = 100_000;
+
+interface Outstanding {
+	cycle: number;
+	sentAt: number;
+}
+
+export interface PlacementOptions {
+	/** This node. */
+	self: string;
+	tables: Tables;
+	presence: Presence;
+	peers: PeerPort;
+	time: TimePort;
+	random: RandomGenerator;
+	/** Least time between cycles, silence after which a placer is given up, machines in a view. */
+	cycleMs: number;
+	silentMs: number;
+	sample: number;
+	/** A start was decided; it goes out with the answer to the machine's report. */
+	decided(attempt: Attempt): void;
+}
+
+/**
+ * Shares out what waits: the leader decides how much of each job may start, each team's placer
+ * proposes where, and every single start is checked against the leader's own tables.
+ */
+export class PlacementCycle {
+	private readonly tables: Tables;
+	private readonly outstanding = new Map<string, Outstanding>();
+	private cycle = 0;
+	private nextAt = 0;
+
+	constructor(private readonly options: PlacementOptions) {
+		this.tables = options.tables;
+	}
+
+	/** No placer is being waited for. */
+	get settled(): boolean {
+		return this.outstanding.size === 0;
+	}
+
+	/** After each batch of commands. */
+	run(now: number): void {
+		if (!this.tables.changed || now < this.nextAt) return;
+		this.tables.changed = false;
+		this.nextAt = now + this.options.cycleMs;
+		if (this.tables.rebuilt) this.place(now);
+	}
+
+	inOrder(jobs: Job[]): Job[] {
+		const { quotas, machines } = this.tables;
+		let cpus = 0;
+		for (const machine of machines.values()) if (machine.open) cpus += machine.type.cpus;
+		const teams = new Set(jobs.map((job) => job.spec.team)).size;
+		return servingOrder(
+			jobs,
+			(team) => quotas.team(team),
+			this.options.time.date().getTime(),
+			cpus > 0 ? cpus / Math.max(1, teams) : Number.POSITIVE_INFINITY,
+		);
+	}
+
+	private place(now: number): void {
+		this.giveUpSilent(now);
+		const views = this.views();
+		if (views.length === 0) return;
+		const shares = this.shares(this.grants(views, now), now);
+		if (shares.size === 0) return;
+		this.cycle += 1;
+		const order = [...shares.keys()].sort();
+		for (const [placer, grants] of shares) {
+			// Placers begin at different machines so that they seldom want the same place.
+			const start = Math.floor((order.indexOf(placer) * views.length) / order.length);
+			if (placer === this.options.self) this.placeHere(views, grants, start);
+			else this.request(placer, views, grants, start, now);
+		}
+	}
+
+	private giveUpSilent(now: number): void {
+		for (const [node, { sentAt }] of this.outstanding) {
+			if (now - sentAt <= this.options.silentMs) continue;
+			this.outstanding.delete(node);
+			this.options.presence.silent(node);
+		}
+	}
+
+	/** Cheap cores fill first, so that dear machines are the ones to run empty and go back. */
+	private views(): ViewMachine[] {
+		const open = [...this.tables.machines.values()].filter((m) => m.open && m.freeCpus > 0);
+		return sampled(open, this.options.sample, this.options.random)
+			.sort((a, b) => pricePerCpu(a) - pricePerCpu(b) || b.freeCpus - a.freeCpus)
+			.map(viewOf);
+	}
+
+	private grants(views: ViewMachine[], now: number): TeamGrant[] {
+		const waiting = [...this.tables.jobs.values()].filter(
+			(job) => job.waiting.length > 0 && job.notBefore <= now && !job.ending,
+		);
+		return grantsFor(this.tables, this.inOrder(waiting), views, {
+			now,
+			date: this.options.time.date().getTime(),
+		});
+	}
+
+	private shares(grants: TeamGrant[], now: number): Map<string, Grant[]> {
+		const live = this.options.presence.livePlacers(now);
+		const shares = new Map<string, Grant[]>();
+		for (const { grant, team } of grants) {
+			const here = (this.tables.jobs.get(grant.job)?.placedHereUntil ?? 0) > now;
+			const placer = here ? this.options.self : (placerOf(team, live) ?? this.options.self);
+			// A placer still at work on the last view may be using its teams' room already.
+			if (this.outstanding.has(placer)) continue;
+			const share = shares.get(placer);
+			if (share) share.push(grant);
+			else shares.set(placer, [grant]);
+		}
+		return shares;
+	}
+
+	private placeHere(views: ViewMachine[], grants: Grant[], start: number): void {
+		const copy = views.map((view) => ({ ...view }));
+		this.issue(placeFirstFit(copy, grants, (id) => this.tables.jobs.get(id)?.spec, start));
+	}
+
+	private request(
+		placer: string,
+		machines: ViewMachine[],
+		grants: Grant[],
+		start: number,
+		now: number,
+	): void {
+		this.outstanding.set(placer, { cycle: this.cycle, sentAt: now });
+		const { cycle, tables, options } = this;
+		options.peers.send(placer, { kind: "view", epoch: tables.epoch, cycle, start, machines, grants });
+	}
+
+	/** Of an older cycle than the one asked for, a proposal is out of date. */
+	proposed(from: string, proposal: PlacementProposal, now: number): void {
+		if (this.outstanding.get(from)?.cycle !== proposal.cycle) return;
+		this.outstanding.delete(from);
+		this.issue(proposal.placements);
+		// A placer that lags behind, or has missed a job, must not keep it from starting.
+		for (const id of proposal.unknown) {
+			const job = this.tables.jobs.get(id);
+			if (job) job.placedHereUntil = now + placedHereMs;
+			this.tables.changed = true;
+		}
+	}
+
+	/** Checks every proposal against the leader's own tables. */
+	private issue(placements: Placement[]): void {
+		for (const { job: id, machine: machineId, count } of placements) {
+			const job = this.tables.jobs.get(id);
+			const machine = this.tables.machines.get(machineId);
+			if (!job || !machine) continue;
+			for (let i = 0; i < count; i++) {
+				const attempt = this.tables.decide(job, machine);
+				if (!attempt) break;
+				this.options.decided(attempt);
+			}
+		}
+	}
+}
+
+function pricePerCpu(machine: Machine): number {
+	return machine.hourlyPrice / machine.type.cpus;
+}
+
+function viewOf(machine: Machine): ViewMachine {
+	return {
+		id: machine.id,
+		type: machine.type.name,
+		zone: machine.zone,
+		spot: machine.spot,
+		cpus: machine.freeCpus,
+		gpus: machine.freeGpus,
+		memory: machine.freeMemory,
+		slots: machine.suspect ? Math.max(0, 1 - machine.attempts.size) : manySlots,
+		images: [...machine.images],
+	};
+}
--- /dev/null
+++ b/src/coordination/preemption-cycle.ts
@@ -0,0 +1,49 @@
+import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
+import type { Job } from "../bookkeeping/jobs.js";
+import type { OrderSender } from "./order-sender.js";
+import { sampled } from "./placing.js";
+import type { Log } from "./ports.js";
+import { chooseVictims } from "./preemption.js";
+import type { Tables } from "./tables.js";
+
+const everyMs = 500;
+/** Room may come by itself for so long after a job came to be known. */
+const patienceMs = 700;
+/** Times that a task needs to save which it gets when it is stopped. */
+const graceFactor = 2;
+
+/** Stops tasks for waiting ones of more right, after a moment in which room may come by itself. */
+export class PreemptionCycle {
+	private nextAt = 0;
+
+	constructor(
+		private readonly tables: Tables,
+		private readonly orders: OrderSender,
+		private readonly inOrder: (jobs: Job[]) => Job[],
+		private readonly random: RandomGenerator,
+		private readonly log: Log,
+	) {}
+
+	/** Called often, with authority. */
+	tick(now: number): void {
+		if (now < this.nextAt || !this.tables.rebuilt) return;
+		this.nextAt = now + everyMs;
+		const waiting = [...this.tables.jobs.values()].filter((job) => mayPreempt(job, now));
+		if (waiting.length === 0) return;
+		const victims = chooseVictims(this.tables, this.inOrder(waiting), now, (machines, most) =>
+			sampled(machines, most, this.random),
+		);
+		if (victims.length === 0) return;
+		for (const victim of victims) {
+			const { checkpointS, saveS } = victim.job.spec;
+			victim.stop = { graceS: checkpointS > 0 ? graceFactor * saveS : 0, why: "preempted" };
+		}
+		this.log.debug({ tasks: victims.map((v) => `${v.job.id}/${v.index}`) }, "preempted");
+		this.orders.stop(victims);
+	}
+}
+
+function mayPreempt(job: Job, now: number): boolean {
+	if (job.waiting.length === 0 || job.ending || job.doomed) return false;
+	return job.notBefore <= now && now - job.knownAt > patienceMs;
+}
--- a/src/coordination/presence.ts
+++ b/src/coordination/presence.ts
@@ -1,6 +1,6 @@
 import type { OperatorSettings } from "../protocol/operator.js";
 import type { PlatformSettings } from "../protocol/settings.js";
-import { placerOf } from "./parting.js";
+import { placerOf } from "./partitioning.js";
 import type { Log, PeerPort } from "./ports.js";
 import type { Tables } from "./tables.js";
 
@@ -17,6 +17,20 @@
 const relaySilentMs = 1200;
 const pingEveryMs = 500;
 
+export interface PresenceOptions {
+	epoch: number;
+	/** Steady time at which the term began. */
+	beganAt: number;
+	platform: PlatformSettings;
+	settings: OperatorSettings;
+	tables: Tables;
+	peers: PeerPort;
+	/** The state service answers this node. */
+	served(): boolean;
+	resign(why: string): void;
+	log: Log;
+}
+
 /** Who is there for a leader: which other controllers, and whether workers reach it. */
 export class Presence {
 	private readonly heardFrom = new Map<string, number>();
@@ -30,17 +44,19 @@
 	/** Controllers that serve standing jobs, by their own word in this term. */
 	private readonly serveStanding = new Set<string>();
 
-	constructor(
-		private readonly epoch: number,
-		private readonly beganAt: number,
-		private readonly platform: PlatformSettings,
-		private readonly settings: OperatorSettings,
-		private readonly tables: Tables,
-		private readonly peers: PeerPort,
-		private readonly served: () => boolean,
-		private readonly resign: (why: string) => void,
-		private readonly log: Log,
-	) {}
+	private readonly epoch: number;
+	private readonly platform: PlatformSettings;
+	private readonly tables: Tables;
+	private readonly peers: PeerPort;
+	private readonly log: Log;
+
+	constructor(private readonly options: PresenceOptions) {
+		this.epoch = options.epoch;
+		this.platform = options.platform;
+		this.tables = options.tables;
+		this.peers = options.peers;
+		this.log = options.log;
+	}
 
 	/** Called often, with authority; tells the others twice a second how things stand. */
 	tick(now: number, counts: () => [string, number][]): void {
@@ -50,7 +66,14 @@
 		const hearing = ears.heard >= ears.up / 2;
 		this.considerRelaying();
 		const { epoch, relaying: relay } = this;
-		const message = { kind: "running", epoch, counts: counts(), served: this.served(), hearing, relay };
+		const message = {
+			kind: "running",
+			epoch,
+			counts: counts(),
+			served: this.options.served(),
+			hearing,
+			relay,
+		};
 		for (const other of this.platform.others) this.peers.send(other.node, message);
 		this.apart = ears.up >= 2 && !hearing ? this.apart + 1 : 0;
 		this.stepAside(now, ears);
@@ -81,7 +104,7 @@
 		const live = [this.platform.node];
 		for (const other of this.platform.others) {
 			const heard = this.heardFrom.get(other.node) ?? -Infinity;
-			if (now - heard <= this.settings.placing.silent_s * 1000 + 500) live.push(other.node);
+			if (now - heard <= this.options.settings.placing.silent_s * 1000 + 500) live.push(other.node);
 		}
 		return live;
 	}
@@ -105,7 +128,7 @@
 	/** Reports come at least so often; with half as many, relaying ends again. */
 	private considerRelaying(): void {
 		const { workers, resources } = this.platform.cluster;
-		const perCore = this.settings.reports.relay_per_core;
+		const perCore = this.options.settings.reports.relay_per_core;
 		const rate = this.tables.machines.size / workers.report_s / (resources.cores ?? 1);
 		const relaying = perCore > 0 && rate >= (this.relaying ? perCore / 2 : perCore);
 		if (relaying === this.relaying) return;
@@ -133,11 +156,11 @@
 	 * the others hear more machines than this node does, one of them had better lead.
 	 */
 	private stepAside(now: number, { up, heard }: { up: number; heard: number }): void {
-		if (now - this.beganAt < settleMs) return;
+		if (now - this.options.beganAt < settleMs) return;
 		let strays = 0;
 		for (const { at, count } of this.strays.values()) if (now - at < 2000) strays = Math.max(strays, count);
 		if (this.apart >= 2 && strays > heard && strays >= up / 10) {
-			this.resign(`the workers do not reach this node: ${heard} of ${up} heard`);
+			this.options.resign(`the workers do not reach this node: ${heard} of ${up} heard`);
 		}
 	}
 }
--- a/src/coordination/replica-capacity.ts
+++ b/src/coordination/replica-capacity.ts
@@ -1,6 +1,7 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import type { Machine } from "../bookkeeping/machines.js";
 import type { JobSpec } from "../protocol/model.js";
+import { assumedReplicas, classesWithFastStart, type Objective } from "./expected-classes.js";
 import { FreeCapacity, freeBesideReplicas, freeOn } from "./free-capacity.js";
 import type { FleetLook } from "./load.js";
 import { zoneRoom } from "./placing.js";
@@ -23,10 +24,14 @@
  * rented by itself, and as many replicas as came lately have room kept for them ahead.
  */
 export class ReplicaCapacity {
+	/** Classes whose jobs have been arrays in this term. */
+	private readonly arrayClasses = new Set<string>();
+
 	constructor(
 		private readonly tables: Tables,
 		private readonly time: TimePort,
 		private readonly rentals: Rentals,
+		private readonly objectives: readonly Objective[],
 		/** Takes back the mark of a machine with room for the job; false if there is none. */
 		private readonly unmarkFor: (job: Job) => boolean,
 	) {}
@@ -77,11 +82,25 @@
 	private expected(): JobSpec[] {
 		const date = this.time.date().getTime();
 		const specs: JobSpec[] = [];
-		for (const job of this.tables.jobs.values())
-			if (job.standing && date - job.at <= expectedMs) specs.push(job.spec);
+		/** Classes with a job of more than a minute ago: what comes of them shows. */
+		const known = new Set<string>();
+		for (const { standing, spec, at } of this.tables.jobs.values()) {
+			if (!standing) this.arrayClasses.add(spec.lane);
+			else if (date - at <= expectedMs) specs.push(spec);
+			else known.add(spec.lane);
+		}
+		if (this.tables.jobs.size === 0) return specs;
+		for (const name of classesWithFastStart(this.objectives, this.tables.types.values()))
+			if (!known.has(name) && !this.arrayClasses.has(name)) specs.push(assumedReplicas(name, this.cpusUp()));
 		return specs;
 	}
 
+	private cpusUp(): number {
+		let cpus = 0;
+		for (const machine of this.tables.machines.values()) if (machine.open) cpus += machine.type.cpus;
+		return cpus;
+	}
+
 	private rent({ spec, count, zones }: Shortage, look: FleetLook): boolean {
 		const fullZones = new Set(Object.keys(zones).filter((zone) => zoneRoom(spec, zones, zone) < 1));
 		// More are on their way as a rule, so a machine for many may be worth its price.
--- /dev/null
+++ b/src/coordination/replica-relocation.ts
@@ -0,0 +1,72 @@
+import type { Attempt } from "../bookkeeping/jobs.js";
+import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
+import type { OrderSender } from "./order-sender.js";
+import { zoneRoom } from "./placing.js";
+import type { Log } from "./ports.js";
+import type { Tables } from "./tables.js";
+
+const everyMs = 300;
+/** Replicas of a job move one after the other, unless a machine is taken as soon as this. */
+const takenSoonMs = 15_000;
+
+/**
+ * From machines that will go, replicas move early. A task may not be on two machines, so room
+ * elsewhere is kept first, then the replica is stopped, and it starts there as soon as its
+ * end is proved.
+ */
+export class ReplicaRelocation {
+	private nextAt = 0;
+
+	constructor(
+		private readonly tables: Tables,
+		private readonly orders: OrderSender,
+		private readonly log: Log,
+	) {}
+
+	/** Called often, with authority. */
+	tick(now: number): void {
+		if (now < this.nextAt || !this.tables.rebuilt) return;
+		this.nextAt = now + everyMs;
+		const moved: Attempt[] = [];
+		for (const machine of this.tables.machines.values())
+			if (machine.leaving && !machine.lost) moved.push(...this.moveFrom(machine, now));
+		if (moved.length === 0) return;
+		const replicas = moved.map((a) => `${a.job.id}/${a.index}`);
+		this.log.info({ replicas }, "moved from machines that go");
+		this.orders.stop(moved);
+	}
+
+	private moveFrom(machine: Machine, now: number): Attempt[] {
+		const takenSoon = machine.takenAt !== null && machine.takenAt - now < takenSoonMs;
+		const moved: Attempt[] = [];
+		for (const attempt of machine.attempts.values()) {
+			const { job } = attempt;
+			if (!job.standing || attempt.stop !== null || attempt.phase === "assigned") continue;
+			if (!takenSoon && [...job.attempts.values()].some((a) => a.moveTo !== null)) continue;
+			const target = this.targetFor(attempt);
+			if (!target) continue;
+			this.tables.move(attempt, target);
+			moved.push(attempt);
+		}
+		return moved;
+	}
+
+	/** Where the replica could go on: with its image and without another replica of the job, if possible. */
+	private targetFor(attempt: Attempt): Machine | null {
+		const { job } = attempt;
+		const { spec } = job;
+		const zones = this.tables.zonesWithout(job, [attempt]);
+		const beside = new Set([...job.attempts.values()].map((a) => a.machine));
+		let best: Machine | null = null;
+		let bestWorth = -1;
+		for (const machine of this.tables.machines.values()) {
+			if (!machine.open || machine.suspect || !machineAllowed(spec, machine)) continue;
+			if (!machine.hasRoomFor(spec) || zoneRoom(spec, zones, machine.zone) < 1) continue;
+			const worth = (beside.has(machine) ? 0 : 2) + (machine.images.has(spec.image) ? 1 : 0);
+			if (worth <= bestWorth) continue;
+			best = machine;
+			bestWorth = worth;
+		}
+		return best;
+	}
+}
--- a/src/coordination/shared-records.ts
+++ b/src/coordination/shared-records.ts
@@ -20,18 +20,30 @@
 	refused: boolean;
 }
 
-export interface SharedRecordsHooks<V> {
+/** What all shared records of a term have in common. */
+export interface SharedRecordsEnvironment {
+	leaderCondition: StoreCondition;
+	/** Largest value that is written, and changes that one transaction may hold. */
+	mostBytes: number;
+	mostChanges: number;
+	store: StorePort;
 	post(command: () => void): void;
 	now(): number;
 	/** The leader's key has changed hands. */
 	lostKey(): void;
-	/** The store has confirmed these. */
-	confirmed(entries: Map<string, V>): void;
 	failed(error: unknown): void;
 	/** The store does not take these values: too large, though within the limits that were told. */
 	tooLarge(keys: string[], mostBytes: number): void;
 }
 
+export interface SharedRecordsOptions<V> extends SharedRecordsEnvironment {
+	/** Begins the keys of the values. */
+	prefix: string;
+	pace: SharedRecordsPace;
+	/** The store has confirmed these. */
+	confirmed(entries: Map<string, V>): void;
+}
+
 export interface SharedRecordsPace {
 	rateClass: RateClass;
 	/** Least time between writes, and how long what was taken out may stay. */
@@ -66,16 +78,17 @@
 	private nextShrink = -Infinity;
 	private made = 0;
 
-	constructor(
-		private readonly prefix: string,
-		private readonly leaderCondition: StoreCondition,
-		private mostBytes: number,
-		/** Changes that one transaction may hold. */
-		private mostChanges: number,
-		private readonly store: StorePort,
-		private readonly hooks: SharedRecordsHooks<V>,
-		private readonly pace: SharedRecordsPace,
-	) {}
+	private readonly leaderCondition: StoreCondition;
+	private readonly pace: SharedRecordsPace;
+	private mostBytes: number;
+	private mostChanges: number;
+
+	constructor(private readonly options: SharedRecordsOptions<V>) {
+		this.leaderCondition = options.leaderCondition;
+		this.pace = options.pace;
+		this.mostBytes = options.mostBytes;
+		this.mostChanges = options.mostChanges;
+	}
 
 	/** What the store held when the term began. */
 	load(values: Iterable<[string, { value: SharedRecord<V>; revision: number }]>): void {
@@ -111,7 +124,7 @@
 	}
 
 	private another(): Pack<V> {
-		return this.newPack(`${this.prefix}${this.leaderCondition.revision}-${++this.made}`, 0);
+		return this.newPack(`${this.options.prefix}${this.leaderCondition.revision}-${++this.made}`, 0);
 	}
 
 	private partsOf(key: string): Pack<V>[] {
@@ -174,7 +187,7 @@
 
 	/** Called often, with authority. */
 	flush(): void {
-		const now = this.hooks.now();
+		const now = this.options.now();
 		if (this.writing || now < this.nextWrite) return;
 		const shrinkToo = now >= this.nextShrink;
 		const wants = (pack: Pack<V>) =>
@@ -217,7 +230,7 @@
 		];
 		const again = () => {
 			this.writing = false;
-			this.nextWrite = Math.max(this.nextWrite, this.hooks.now() + retryMs);
+			this.nextWrite = Math.max(this.nextWrite, this.options.now() + retryMs);
 			for (const { pack, fresh } of written) {
 				pack.shrunk = true;
 				for (const [name, value] of fresh) {
@@ -225,12 +238,12 @@
 				}
 			}
 		};
-		this.store.transact(conditions, changes, this.pace.rateClass).then(
+		this.options.store.transact(conditions, changes, this.pace.rateClass).then(
 			(result) =>
-				this.hooks.post(() => {
+				this.options.post(() => {
 					if (!result.ok) {
 						again();
-						if (result.failed.includes(this.leaderCondition.key)) this.hooks.lostKey();
+						if (result.failed.includes(this.leaderCondition.key)) this.options.lostKey();
 						else this.readBack(result.failed);
 						return;
 					}
@@ -242,14 +255,14 @@
 						else this.written(pack);
 						// Versions before 0.5.0 forget a page when a value that held the same goes: they hear it once more.
 						for (const part of pack.parts === null ? [] : this.partsOf(pack.key)) part.shrunk = true;
-						this.hooks.confirmed(fresh);
+						this.options.confirmed(fresh);
 					}
 				}),
 			(error) =>
-				this.hooks.post(() => {
+				this.options.post(() => {
 					again();
 					if (error instanceof CallFailed && error.status === 400) this.shrinkValues(written);
-					else this.hooks.failed(error);
+					else this.options.failed(error);
 				}),
 		);
 	}
@@ -275,7 +288,7 @@
 			this.mostBytes = Math.max(leastBytes, Math.floor(Math.min(this.mostBytes, pack.bytes) / 2));
 			pack.refused = pack.entries.size <= 1 || pack.bytes <= this.mostBytes;
 		}
-		this.hooks.tooLarge(
+		this.options.tooLarge(
 			written.map(({ pack }) => pack.key),
 			this.mostBytes,
 		);
@@ -285,12 +298,12 @@
 	private readBack(keys: string[]): void {
 		this.writing = true;
 		const pending = keys.map(async (key) => {
-			const { row } = await this.store.read(key);
+			const { row } = await this.options.store.read(key);
 			return { key, revision: row?.revision ?? 0 };
 		});
 		Promise.all(pending).then(
 			(found) =>
-				this.hooks.post(() => {
+				this.options.post(() => {
 					this.writing = false;
 					for (const { key, revision } of found) {
 						const pack = this.packs.get(key);
@@ -298,9 +311,9 @@
 					}
 				}),
 			(error) =>
-				this.hooks.post(() => {
+				this.options.post(() => {
 					this.writing = false;
-					this.hooks.failed(error);
+					this.options.failed(error);
 				}),
 		);
 	}
--- /dev/null
+++ b/src/coordination/spot-notice.ts
@@ -0,0 +1,37 @@
+import type { Attempt } from "../bookkeeping/jobs.js";
+import type { Machine } from "../bookkeeping/machines.js";
+
+/** A task is given up on a machine about to be taken if it needs this many times what is left. */
+const needsTooLongFactor = 1.3;
+
+const why = "machine is taken";
+
+/**
+ * On a machine that will be taken away, a task that can save is stopped in time for that. One
+ * that cannot save and will hardly finish is stopped at once: its work is lost in any case, and
+ * elsewhere it begins so much earlier. Replicas are moved, and run until then.
+ *
+ * Sets the stop of every such attempt, and returns those to be stopped at once.
+ */
+export function stopBeforeTaken(machine: Machine, now: number, reportS: number): Attempt[] {
+	if (machine.takenAt === null) return [];
+	const leftS = (machine.takenAt - now) / 1000;
+	const atOnce: Attempt[] = [];
+	for (const attempt of machine.attempts.values()) {
+		const { job, phase } = attempt;
+		if (attempt.stop !== null || phase === "assigned" || job.standing) continue;
+		if (job.spec.checkpointS > 0 && phase === "running") {
+			// It goes out with the answer to a report, the next or the one after.
+			if (leftS <= job.spec.saveS + 2 * reportS) attempt.stop = { graceS: leftS, why };
+		} else if (secondsNeeded(attempt, now) > leftS * needsTooLongFactor) {
+			attempt.stop = { graceS: 0, why };
+			atOnce.push(attempt);
+		}
+	}
+	return atOnce;
+}
+
+function secondsNeeded({ job, runningAt }: Attempt, now: number): number {
+	const elapsedS = runningAt === null ? 0 : (now - runningAt) / 1000;
+	return job.estimateS - elapsedS;
+}
--- /dev/null
+++ b/src/coordination/unwanted-tasks.ts
@@ -0,0 +1,63 @@
+import type { Machine, UnwantedTask } from "../bookkeeping/machines.js";
+import { type FinalRecord, keys, parseFinal } from "../bookkeeping/records.js";
+import type { Order } from "../protocol/model.js";
+import type { OrderSender } from "./order-sender.js";
+import type { StorePort, TimePort } from "./ports.js";
+import type { Tables } from "./tables.js";
+
+const retryMs = 500;
+
+export interface UnwantedTasksHooks {
+	post(command: () => void): void;
+	active(): boolean;
+	/** The end of a job was read from the store. */
+	learned(job: string, final: FinalRecord, revision: number): void;
+}
+
+const nameOf = ({ job, index, attempt }: UnwantedTask) => `${job}/${index}/${attempt}`;
+
+/**
+ * Stops tasks that nobody wants, such as those of a job that was cancelled while nobody led.
+ * Until one is gone its team's cores are taken, or, where the job was over before this process
+ * knew of it, nothing starts until its end has been read.
+ */
+export class UnwantedTasks {
+	/** Jobs whose end is being read, or was. */
+	private readonly lookedUp = new Set<string>();
+
+	constructor(
+		private readonly tables: Tables,
+		private readonly store: StorePort,
+		private readonly time: TimePort,
+		private readonly orders: OrderSender,
+		private readonly hooks: UnwantedTasksHooks,
+	) {}
+
+	/** Told to stop at once, also where no answer goes: a machine may have been asked straight. */
+	stop(machine: Machine, toldBefore: UnwantedTask[]): void {
+		const told = new Set(toldBefore.map(nameOf));
+		const stops = machine.unwanted
+			.filter((task) => !told.has(nameOf(task)))
+			.map(({ job, index, attempt }): Order => ({ op: "stop", job, index, attempt, graceS: 0 }));
+		if (stops.length > 0) this.orders.send(machine, stops);
+		for (const job of this.tables.strangeJobs()) this.lookUp(job);
+	}
+
+	private lookUp(job: string): void {
+		if (this.lookedUp.has(job)) return;
+		this.lookedUp.add(job);
+		this.store.read(keys.final(job)).then(
+			({ row }) =>
+				this.hooks.post(() => {
+					if (row) this.hooks.learned(job, parseFinal(row.value), row.revision);
+					this.tables.resolveStrange(job);
+				}),
+			() => this.time.after(retryMs, () => this.hooks.post(() => this.lookUpAgain(job))),
+		);
+	}
+
+	private lookUpAgain(job: string): void {
+		this.lookedUp.delete(job);
+		if (this.hooks.active() && this.tables.strangeJobs().has(job)) this.lookUp(job);
+	}
+}
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -8,7 +8,7 @@
 import { countInPage, TaskSet, tasksPerPage } from "../src/bookkeeping/task-set.js";
 import { Fleet } from "../src/coordination/fleet.js";
 import { servingOrder, starved } from "../src/coordination/ordering.js";
-import { placerOf } from "../src/coordination/parting.js";
+import { placerOf } from "../src/coordination/partitioning.js";
 import { placeable, placeFirstFit, sampled } from "../src/coordination/placing.js";
 import { chooseVictims } from "../src/coordination/preemption.js";
 import {
@@ -199,6 +199,7 @@
 		},
 		time,
 		settings: defaultOperator(),
+		objectives: [],
 		listLagMs: 1000,
 		leaseMs: 10_000,
 		requestPrefix: "r",
--- /dev/null
+++ b/tests/fleet.test.ts
@@ -0,0 +1,128 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { Machine } from "../src/bookkeeping/machines.js";
+import type { Objective } from "../src/coordination/expected-classes.js";
+import { Fleet } from "../src/coordination/fleet.js";
+import { Tables } from "../src/coordination/tables.js";
+import type { RentRequest } from "../src/protocol/cloud-api.js";
+import type { JobSpec, MachineType } from "../src/protocol/model.js";
+import { defaultOperator } from "../src/protocol/operator.js";
+import { FakeTime } from "./support/fake-time.js";
+import { specOf } from "./support/specs.js";
+
+const type: MachineType = {
+	name: "medium",
+	cpus: 8,
+	gpus: 0,
+	memoryGb: 64,
+	cacheGb: 50,
+	fetchGbPerS: 1,
+	price: 0.4,
+	spotPrice: 0.1,
+	bootS: 30,
+	zones: ["a", "b"],
+};
+
+const teams = [{ name: "red", cpus: 400, cpus_max: 400, gpus: 0, gpus_max: 0 }];
+
+/** A fleet between tables and a cloud that rents whatever is asked for. */
+class Setup {
+	readonly time = new FakeTime();
+	readonly tables = new Tables(1, teams, new Map([[type.name, type]]));
+	readonly requests: RentRequest[] = [];
+	private readonly fleet: Fleet;
+	private jobs = 0;
+
+	constructor(objectives: Objective[] = []) {
+		this.fleet = new Fleet({
+			tables: this.tables,
+			cloud: {
+				machineTypes: async () => [type],
+				rent: async (request) => {
+					this.requests.push(request);
+					return Array.from({ length: request.count }, (_, i) => `${request.name}-${i}`);
+				},
+				giveBack: async () => {},
+				list: async () => ({ machines: [], more: false }),
+			},
+			time: this.time,
+			settings: defaultOperator(),
+			objectives,
+			listLagMs: 1000,
+			leaseMs: 10_000,
+			requestPrefix: "r",
+			hooks: { post: (run) => run(), authority: () => true, gone() {} },
+			log: { error() {}, info() {}, debug() {} },
+		});
+	}
+
+	machine(id: string, zone: string, spot: boolean): Machine {
+		const machine = new Machine(id, type, zone, spot, 0);
+		Object.assign(machine, { up: true, confirmed: true, durable: true });
+		this.tables.machines.set(id, machine);
+		return machine;
+	}
+
+	job(more: Partial<JobSpec>) {
+		this.jobs += 1;
+		const id = `j-${this.jobs}`;
+		const job = this.tables.addJob(id, specOf(id, more), this.time.date().getTime(), this.jobs);
+		job.fillWaiting();
+		return job;
+	}
+
+	async run(seconds: number): Promise<void> {
+		for (let t = 0; t < seconds * 1000; t += 500) {
+			this.fleet.tick();
+			await this.time.advance(500);
+		}
+	}
+
+	ordinary(): RentRequest[] {
+		return this.requests.filter((request) => !request.spot);
+	}
+}
+
+/** Fifty machines at work, so that the load lies between the marks. */
+function atWork(setup: Setup): void {
+	const job = setup.job({ lane: "batch", tasks: 100, cpus: 4, estimateS: 1000 });
+	for (let i = 0; i < 50; i++) {
+		const machine = setup.machine(`n-${i}`, i % 2 ? "a" : "b", true);
+		for (let k = 0; k < 2; k++) {
+			const attempt = setup.tables.decide(job, machine);
+			if (attempt) attempt.runningAt = 0;
+		}
+	}
+}
+
+const startWithin = (name: string, seconds: number): Objective => ({
+	kind: "wait",
+	class: name,
+	within_s: seconds,
+	share: 0.9,
+});
+
+test("a class that must start faster than any machine boots has ordinary machines up before its first job", async () => {
+	const setup = new Setup([startWithin("live", 12), startWithin("batch", 12), startWithin("slow", 40)]);
+	atWork(setup);
+	await setup.run(10);
+	assert.deepEqual(
+		setup
+			.ordinary()
+			.map((request) => request.zone)
+			.sort(),
+		["a", "b"],
+	);
+	await setup.run(20);
+	assert.equal(setup.ordinary().length, 2, "and no more than that");
+});
+
+test("no room is kept ahead for arrays, for what may wait for a boot, or where nothing runs", async () => {
+	const arrays = new Setup([startWithin("batch", 12), startWithin("slow", 40)]);
+	atWork(arrays);
+	await arrays.run(10);
+	assert.deepEqual(arrays.ordinary(), []);
+	const quiet = new Setup([startWithin("live", 12)]);
+	await quiet.run(10);
+	assert.deepEqual(quiet.requests, []);
+});
--- a/tests/races.test.ts
+++ b/tests/races.test.ts
@@ -429,22 +429,20 @@
 	};
 	const confirmed: string[] = [];
 	const tooLarge: string[] = [];
-	const records = new SharedRecords<string>(
-		"r/x/",
-		{ key: "r/one/leader", revision: 1 },
+	const records = new SharedRecords<string>({
+		prefix: "r/x/",
+		leaderCondition: { key: "r/one/leader", revision: 1 },
 		mostBytes,
-		4,
-		new StoreClient(caller, time, 1000, 1000, 1),
-		{
-			post: (command) => command(),
-			now: () => time.now(),
-			lostKey: () => assert.fail("the key is ours"),
-			confirmed: (entries) => confirmed.push(...entries.keys()),
-			failed() {},
-			tooLarge: (keys) => tooLarge.push(...keys),
-		},
-		{ rateClass: "normal", everyMs: 100, shrinkMs: 500 },
-	);
+		mostChanges: 4,
+		store: new StoreClient(caller, time, 1000, 1000, 1),
+		post: (command) => command(),
+		now: () => time.now(),
+		lostKey: () => assert.fail("the key is ours"),
+		confirmed: (entries) => confirmed.push(...entries.keys()),
+		failed() {},
+		tooLarge: (keys) => tooLarge.push(...keys),
+		pace: { rateClass: "normal", everyMs: 100, shrinkMs: 500 },
+	});
 	const run = async (ms: number) => {
 		for (let t = 0; t < ms; t += 50) {
 			records.flush();
