--- a/src/coordination/drain.ts
+++ b/src/coordination/drain.ts
@@ -27,30 +27,42 @@
 
 	/** Marks those with the least remaining work for their price, as many as the load spares. */
 	mark(look: FleetLook, replicas: ReplicaCapacity): void {
-		// What was rented for replicas is the idlest of all until they are there.
-		if (this.replicasWaitOrMove()) return;
 		const ranked = this.ranked(look, replicas);
+		let marked = this.choose(ranked, look);
+		// What is kept for replicas that may come would be rented again at once: others go in its place.
+		const shortage = replicas.shortageOfExpected(look.machines.filter((m) => !marked.has(m)));
+		if (shortage) {
+			const others = ranked.filter(({ machine }) => !machineAllowed(shortage.spec, machine));
+			marked = this.choose(others, look);
+		}
+		if (marked.size === 0) return;
+		for (const machine of marked) machine.marked = true;
+		this.log.info({ machines: [...marked].map((m) => m.id) }, "marked to drain and return");
+	}
+
+	/** The first of the candidates, as many as the load spares. */
+	private choose(ranked: Candidate[], look: FleetLook): Set<Machine> {
 		const cores = ranked.map(({ machine }) => machine.type.cpus);
 		const lowPerCpu = this.climb.low * look.secondsLeft;
 		const count = machinesToSpare(look.work, look.machines.length, look.cpus, cores, lowPerCpu);
 		const marked = new Set(ranked.slice(0, count).map(({ machine }) => machine));
 		this.keepForWaiting(marked, look.machines);
-		this.keepForExpected(marked, look.machines, replicas);
-		if (marked.size === 0) return;
-		for (const machine of marked) machine.marked = true;
-		this.log.info({ machines: [...marked].map((m) => m.id) }, "marked to drain and return");
+		return marked;
 	}
 
-	private replicasWaitOrMove(): boolean {
-		for (const job of this.tables.jobs.values()) {
-			if (!job.standing) continue;
-			if (job.waiting.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)) return true;
-		}
-		return false;
+	/** Standing jobs of which replicas wait, or have to leave their machines. */
+	private unsettled(): Job[] {
+		return [...this.tables.jobs.values()].filter(
+			(job) =>
+				job.standing && (job.waiting.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)),
+		);
 	}
 
 	private ranked({ machines, now }: FleetLook, replicas: ReplicaCapacity): Candidate[] {
+		// What was rented for replicas is the idlest of all until they are there.
+		const unsettled = this.unsettled();
 		return machines
+			.filter((machine) => !unsettled.some((job) => machineAllowed(job.spec, machine)))
 			.map((machine) => this.candidate(machine, now))
 			.filter((c) => !c.replicas || replicas.couldLeave(c.machine, machines))
 			.sort((a, b) => Number(a.replicas) - Number(b.replicas) || a.worth - b.worth);
@@ -76,13 +88,6 @@
 		}
 	}
 
-	/** Nor what is kept for replicas that may come: it would be rented again at once. */
-	private keepForExpected(marked: Set<Machine>, machines: Machine[], replicas: ReplicaCapacity): void {
-		const shortage = replicas.shortageOfExpected(machines.filter((m) => !marked.has(m)));
-		if (!shortage) return;
-		for (const machine of marked) if (machineAllowed(shortage.spec, machine)) marked.delete(machine);
-	}
-
 	/** Takes marks back until the load is down to the high mark; false if there was none. */
 	unmark(look: FleetLook): boolean {
 		const highPerCpu = this.climb.high * look.secondsLeft;
--- a/src/coordination/replica-capacity.ts
+++ b/src/coordination/replica-capacity.ts
@@ -12,6 +12,9 @@
 /** Standing jobs that came so lately are expected once more. */
 const expectedMs = 60_000;
 
+/** Other work makes room for waiting replicas, as a rule within this time. */
+const preemptionMs = 3000;
+
 /** Replicas that the machines given have no room for, and where those with room were put. */
 interface Shortage {
 	spec: JobSpec;
@@ -26,6 +29,8 @@
 export class ReplicaCapacity {
 	/** Classes whose jobs have been arrays in this term. */
 	private readonly arrayClasses = new Set<string>();
+	/** Since when replicas of a job have waited. */
+	private readonly waitingSince = new Map<Job, number>();
 
 	constructor(
 		private readonly tables: Tables,
@@ -38,24 +43,46 @@
 
 	/** True if something was done, or is on its way, for replicas in this round. */
 	serve(look: FleetLook): boolean {
-		const room = new FreeCapacity(freeOn);
+		this.noteWaiting(look.now);
+		const free = new FreeCapacity(freeOn);
+		const besideReplicas = new FreeCapacity(freeBesideReplicas);
 		for (const job of this.tables.jobs.values()) {
 			if (!job.standing) continue;
-			const shortage = this.shortageNow(job, look, room);
-			if (!shortage) continue;
-			if (this.rentals.pending || this.unmarkFor(job) || this.rent(shortage, look)) return true;
+			const shortage = this.shortageOfWaiting(
+				job,
+				look,
+				this.mayPreempt(job, look.now) ? besideReplicas : free,
+			);
+			const wanted = shortage ?? this.shortageOfLeaving(job, look, free);
+			if (!wanted) continue;
+			if (this.rentals.pending || this.unmarkFor(job) || this.rent(wanted, look)) return true;
 		}
 		return this.serveExpected(look);
 	}
 
-	/** Replicas that wait or have to leave their machine, beyond the room that is up or on its way. */
-	private shortageNow(job: Job, look: FleetLook, room: FreeCapacity): Shortage | null {
+	private noteWaiting(now: number): void {
+		for (const job of this.waitingSince.keys()) if (job.waiting.length === 0) this.waitingSince.delete(job);
+		for (const job of this.tables.jobs.values())
+			if (job.standing && job.waiting.length > 0 && !this.waitingSince.has(job))
+				this.waitingSince.set(job, now);
+	}
+
+	/** For a while its replicas are expected to take the room of work that yields to them. */
+	private mayPreempt(job: Job, now: number): boolean {
+		return now - (this.waitingSince.get(job) ?? now) < preemptionMs;
+	}
+
+	/** Replicas that wait, beyond the room that is up or on its way. */
+	private shortageOfWaiting(job: Job, look: FleetLook, room: FreeCapacity): Shortage | null {
+		if (job.waiting.length === 0 || job.notBefore > look.now) return null;
+		return shortageOf(job, job.waiting.length, look, room, this.tables.zonesOf(job));
+	}
+
+	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
+	private shortageOfLeaving(job: Job, look: FleetLook, room: FreeCapacity): Shortage | null {
 		const leaving = [...job.attempts.values()].filter((a) => a.machine.leaving && a.moveTo === null);
-		const waiting = job.notBefore <= look.now ? job.waiting.length : 0;
-		if (waiting + leaving.length === 0) return null;
-		const zones = this.tables.zonesWithout(job, leaving);
-		const count = room.take(job.spec, waiting + leaving.length, look.machines, zones);
-		return count > 0 ? { spec: job.spec, count, zones } : null;
+		if (leaving.length === 0) return null;
+		return shortageOf(job, leaving.length, look, room, this.tables.zonesWithout(job, leaving));
 	}
 
 	/**
@@ -126,3 +153,14 @@
 		return true;
 	}
 }
+
+function shortageOf(
+	{ spec }: Job,
+	wanted: number,
+	look: FleetLook,
+	room: FreeCapacity,
+	zones: Record<string, number>,
+): Shortage | null {
+	const count = room.take(spec, wanted, look.machines, zones);
+	return count > 0 ? { spec, count, zones } : null;
+}
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -126,3 +126,30 @@
 	await quiet.run(10);
 	assert.deepEqual(quiet.requests, []);
 });
+
+test("while replicas wait for ordinary machines, idle spot machines go back all the same", async () => {
+	const setup = new Setup();
+	for (let i = 0; i < 20; i++) setup.machine(`n-${i}`, "a", true);
+	const spare = setup.machine("n-spare", "a", false);
+	const live = setup.job({ lane: "live", form: "standing", tasks: 1, cpus: 8, spot: false, estimateS: 0 });
+	await setup.run(10);
+	assert.ok([...setup.tables.machines.values()].some((m) => m.spot && m.marked));
+	assert.ok(!spare.marked, "it is there for the replica");
+	assert.equal(live.waiting.length, 1);
+});
+
+test("where the idlest machines are kept for replicas that may come, others are marked in their place", async () => {
+	const setup = new Setup();
+	const live = setup.job({ lane: "live", form: "standing", tasks: 8, cpus: 1, spot: false, estimateS: 0 });
+	const kept = ["a", "b", "a"].map((zone, i) => setup.machine(`n-kept${i}`, zone, false));
+	for (let i = 0; i < 8; i++) setup.tables.decide(live, kept[0] as Machine);
+	const small = setup.job({ lane: "batch", tasks: 4, cpus: 1, estimateS: 30 });
+	const spot = Array.from({ length: 4 }, (_, i) => setup.machine(`n-spot${i}`, "a", true));
+	for (const machine of spot) {
+		const attempt = setup.tables.decide(small, machine);
+		if (attempt) attempt.runningAt = 0;
+	}
+	await setup.run(10);
+	assert.ok(spot.some((machine) => machine.marked));
+	assert.ok(kept.filter((machine) => !machine.marked).length >= 2, "as much as came lately");
+});
