--- a/src/bookkeeping/jobs.ts
+++ b/src/bookkeeping/jobs.ts
@@ -80,7 +80,7 @@
 	}
 
 	/** Failing wherever it goes: tried again now and then, and kept out of the load. A replica is tried all along. */
-	get doomed(): boolean {
+	get failsEverywhere(): boolean {
 		return !this.standing && this.failedOn.size >= 3;
 	}
 
--- a/src/bookkeeping/machines.ts
+++ b/src/bookkeeping/machines.ts
@@ -12,7 +12,7 @@
 export class Machine {
 	endpoint = "";
 	session = 0;
-	seq = -1;
+	reportNumber = -1;
 	/** Reports of sessions below this are of a lease that has certainly expired. */
 	leastSession = 0;
 	/** Its record is in the store, so a later leader knows that tasks may be here. */
@@ -21,12 +21,12 @@
 	confirmed = false;
 	up = false;
 	/** Its lease expired unanswered. */
-	lost = false;
+	leaseExpired = false;
 	/** Answers in a row that its reports show to have had no effect. */
-	lostAnswers = 0;
+	ineffectiveAnswers = 0;
 	/** Steady time since which its reports arrive but no answer reaches it, and of the last sign of that. */
-	deafAt: number | null = null;
-	unheardAt = -Infinity;
+	unreachableSince: number | null = null;
+	lastIneffectiveAt = -Infinity;
 	/**
 	 * Steady time: since when this leader knows of it, rented, last report, last answer
 	 * that may have renewed its lease.
@@ -36,13 +36,13 @@
 	reportedAt = -Infinity;
 	answeredAt: number;
 	/** Steady time at which it was last told to report to another controller. */
-	sentAwayAt = -Infinity;
+	redirectedAt = -Infinity;
 	/** Steady time at which it was last put on trial or set aside. */
-	judgedAt = -Infinity;
+	probationAt = -Infinity;
 	/** Marked by the hill climb to drain and go back. */
-	marked = false;
+	draining = false;
 	/** Set aside as faulty, sick or slow. */
-	faulty = false;
+	quarantined = false;
 	/** Once a return was requested, nothing starts here any more, whatever the answer. */
 	returning = false;
 	/** Known from a list alone: no request of this leader and no report names it. */
@@ -59,14 +59,14 @@
 	readonly images = new Set<string>();
 	readonly failedJobs = new Set<string>();
 	/** After a failure only one task at a time is risked until one succeeds. */
-	suspect = false;
+	onProbation = false;
 	/** Runs finished here against the mean of their jobs, to find machines that are much too slow. */
 	runs = 0;
 	runRatio = 0;
 	/** Exited attempts that it still lists. */
 	exited: { job: string; index: number; attempt: number; done: boolean }[] = [];
 	/** An exited attempt left unforgotten, to be forgotten when a report is wanted. */
-	handle: { job: string; index: number; attempt: number } | null = null;
+	reminder: { job: string; index: number; attempt: number } | null = null;
 	/** Attempts that it lists and that nobody wants, with what they take, if that is known. */
 	unwanted: UnwantedTask[] = [];
 
@@ -83,48 +83,54 @@
 	}
 
 	/** May new tasks be placed here? */
-	get open(): boolean {
-		return this.up && this.confirmed && this.durable && this.counts;
+	get schedulable(): boolean {
+		return this.up && this.confirmed && this.durable && this.countsAsCapacity;
 	}
 
 	/** Counts as capacity that is there or on its way. */
-	get counts(): boolean {
-		return !this.marked && this.sound;
+	get countsAsCapacity(): boolean {
+		return !this.draining && this.usable;
 	}
 
 	/** What was decided for it may still be started: nothing but the hill climb's mark is in the way. */
-	get takesDecided(): boolean {
-		return this.up && this.confirmed && this.durable && this.sound;
+	get takesDecidedStarts(): boolean {
+		return this.up && this.confirmed && this.durable && this.usable;
 	}
 
 	/** Nothing but a mark of the hill climb can keep it from being used. */
-	get sound(): boolean {
-		return !this.lost && !this.faulty && !this.returning && this.deafAt === null && this.takenAt === null;
+	get usable(): boolean {
+		return (
+			!this.leaseExpired &&
+			!this.quarantined &&
+			!this.returning &&
+			this.unreachableSince === null &&
+			this.takenAt === null
+		);
 	}
 
 	/** After a failure: one task at a time, until one has succeeded or the trial is over. */
-	putOnTrial(now: number): void {
-		this.suspect = true;
-		this.judgedAt = now;
+	startProbation(now: number): void {
+		this.onProbation = true;
+		this.probationAt = now;
 	}
 
 	/** Takes nothing new; it goes back once it is empty. */
-	setAside(now: number): void {
-		this.faulty = true;
-		this.judgedAt = now;
+	quarantine(now: number): void {
+		this.quarantined = true;
+		this.probationAt = now;
 	}
 
 	/**
 	 * Trouble ends, and the tasks that are here may run for long: so a trial ends by itself,
 	 * and a machine set aside that could not go back yet gets another.
 	 */
-	forgive(now: number): void {
-		if (this.faulty && now - this.judgedAt > asideMs) {
-			this.faulty = false;
+	endProbation(now: number): void {
+		if (this.quarantined && now - this.probationAt > asideMs) {
+			this.quarantined = false;
 			this.failedJobs.clear();
 			this.runs = 0;
-			this.putOnTrial(now);
-		} else if (this.suspect && now - this.judgedAt > trialMs) this.suspect = false;
+			this.startProbation(now);
+		} else if (this.onProbation && now - this.probationAt > trialMs) this.onProbation = false;
 	}
 
 	get hourlyPrice(): number {
@@ -156,7 +162,7 @@
 
 	/** Will go away, or ought to: replicas that are here had better be elsewhere. */
 	get leaving(): boolean {
-		return this.takenAt !== null || this.marked || this.faulty || this.deafAt !== null;
+		return this.takenAt !== null || this.draining || this.quarantined || this.unreachableSince !== null;
 	}
 
 	hold(key: string, attempt: Attempt): void {
@@ -184,7 +190,7 @@
 	}
 
 	/** Remembers an image, forgetting the least recently used beyond the cache's rough size. */
-	sawImage(image: string, most = 12): void {
+	noteImage(image: string, most = 12): void {
 		this.images.delete(image);
 		this.images.add(image);
 		if (this.images.size > most) {
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -44,7 +44,7 @@
 	at: number;
 }
 
-export interface FinalRecord {
+export interface TerminalRecord {
 	status: "done" | "cancelled";
 	tasks: number;
 	done: number;
@@ -91,7 +91,7 @@
 /** A value of the store with the kind that its key gives it. */
 export type StoredRecord =
 	| { kind: "job"; id: string; value: JobRecord }
-	| { kind: "final"; id: string; value: FinalRecord }
+	| { kind: "final"; id: string; value: TerminalRecord }
 	| { kind: "progress"; value: SharedRecord<string> }
 	| { kind: "machines"; value: SharedRecord<MachineRecord> }
 	| { kind: "leader"; value: LeaderRecord }
@@ -163,7 +163,7 @@
 const TypesSchema = v.looseObject({ types: v.array(TypeSchema) });
 
 /** The record of a job that is over. Throws a MalformedMessageError. */
-export function parseFinal(value: unknown): FinalRecord {
+export function parseTerminal(value: unknown): TerminalRecord {
 	return checkShape(FinalSchema, value);
 }
 
@@ -176,7 +176,7 @@
 		return { kind: "job", id, value: record };
 	}
 	if (key.startsWith(keys.finals)) {
-		return { kind: "final", id: key.slice(keys.finals.length), value: parseFinal(value) };
+		return { kind: "final", id: key.slice(keys.finals.length), value: parseTerminal(value) };
 	}
 	if (key.startsWith(keys.progress)) return { kind: "progress", value: checkShape(ProgressSchema, value) };
 	if (key.startsWith(keys.machines)) return { kind: "machines", value: checkShape(MachinesSchema, value) };
--- a/src/bookkeeping/replica.ts
+++ b/src/bookkeeping/store-copy.ts
@@ -4,7 +4,6 @@
 import {
 	demandOf,
 	type FeaturesRecord,
-	type FinalRecord,
 	type JobRecord,
 	keys,
 	type LeaderRecord,
@@ -13,12 +12,13 @@
 	parseStored,
 	type SharedRecord,
 	type StoredRecord,
+	type TerminalRecord,
 } from "./records.js";
 import { countInPage } from "./task-set.js";
 
 /** Forgets the oldest beyond the number kept. */
 function trim(latest: Map<string, unknown>): void {
-	if (latest.size <= finalsKept) return;
+	if (latest.size <= terminalKept) return;
 	const oldest = latest.keys().next().value;
 	if (oldest !== undefined) latest.delete(oldest);
 }
@@ -28,23 +28,23 @@
 	revision: number;
 }
 
-const finalsKept = 5000;
+const terminalKept = 5000;
 const cancellationsKept = 2000;
 
 /** A job whose cancellation is in the store, and the revision of that. */
 export interface CancelledJob {
 	id: string;
-	record: FinalRecord;
+	record: TerminalRecord;
 	revision: number;
 }
 
 /**
- * A node's copy of the live records, as of an epoch. Answers of overlapping
- * watches may arrive in any order, so an event at or before the epoch is never
+ * A node's copy of the live records, as of an revision. Answers of overlapping
+ * watches may arrive in any order, so an event at or before the revision is never
  * applied again: it could bring back a job that has ended since.
  */
-export class Replica {
-	epoch = -1;
+export class StoreCopy {
+	revision = -1;
 	loaded = false;
 	leader: Versioned<LeaderRecord> | null = null;
 	types: Versioned<MachineType[]> | null = null;
@@ -56,7 +56,7 @@
 	/** Pages of done-sets by job, as the values of `progress` have them. */
 	private readonly pages = new Map<string, Map<number, string>>();
 	/** The latest finals seen; older ones are read from the store when asked for. */
-	readonly finals = new Map<string, FinalRecord>();
+	readonly terminal = new Map<string, TerminalRecord>();
 	/** Cancellations seen since the first load, of which a user may have been told here. */
 	private readonly cancelled = new Map<string, CancelledJob>();
 	/** Cancellations up to this revision are not, or no longer, kept one by one. */
@@ -73,7 +73,7 @@
 		this.listeners.push(listener);
 	}
 
-	reset(rows: StoreRow[], epoch: number): void {
+	reset(rows: StoreRow[], revision: number): void {
 		const before = [...this.jobs.keys()];
 		this.jobs.clear();
 		this.progress.clear();
@@ -86,26 +86,26 @@
 		// Of two values that name one thing the later tells: a leader may have ended while it split one.
 		for (const row of [...rows].sort((a, b) => a.revision - b.revision))
 			this.put(row.key, row.value, row.revision);
-		this.epoch = epoch;
+		this.revision = revision;
 		this.loaded = true;
-		this.cancelledAfter = Math.min(this.cancelledAfter, epoch);
+		this.cancelledAfter = Math.min(this.cancelledAfter, revision);
 		for (const row of rows) this.notify(row.key);
 		for (const id of before) if (!this.jobs.has(id)) this.notify(keys.job(id));
 	}
 
-	apply(events: StoreEvent[], epoch: number): void {
+	apply(events: StoreEvent[], revision: number): void {
 		for (const event of events) {
-			if (event.revision <= this.epoch) continue;
+			if (event.revision <= this.revision) continue;
 			if (event.value === undefined) this.remove(event.key, event.revision);
 			else this.put(event.key, event.value, event.revision);
 			this.notify(event.key);
 		}
-		if (epoch > this.epoch) this.epoch = epoch;
+		if (revision > this.revision) this.revision = revision;
 	}
 
 	/** A change that this node itself made and had confirmed, ahead of the watch. */
 	applyOwn(key: string, value: unknown, revision: number): void {
-		if (revision <= this.epoch) return;
+		if (revision <= this.revision) return;
 		this.put(key, value, revision);
 		this.notify(key);
 	}
@@ -142,11 +142,11 @@
 		switch (record.kind) {
 			case "job":
 				// Final states never change: a live record of such a job was read before it ended.
-				if (!this.finals.has(record.id) && newer(this.jobs.get(record.id)))
+				if (!this.terminal.has(record.id) && newer(this.jobs.get(record.id)))
 					this.jobs.set(record.id, { value: record.value, revision });
 				break;
 			case "final":
-				this.rememberFinal(record.id, record.value, revision);
+				this.recordTerminal(record.id, record.value, revision);
 				break;
 			case "progress": {
 				const old = this.progress.get(key);
@@ -227,9 +227,9 @@
 	}
 
 	/** Whoever brings the news, the job is no longer live: the watch may be stuck from here on. */
-	rememberFinal(id: string, record: FinalRecord, revision: number): void {
-		this.finals.set(id, record);
-		trim(this.finals);
+	recordTerminal(id: string, record: TerminalRecord, revision: number): void {
+		this.terminal.set(id, record);
+		trim(this.terminal);
 		if (record.status === "cancelled") this.noteCancelled({ id, record, revision });
 		if (this.dropLive(id)) this.notify(keys.job(id));
 	}
@@ -244,7 +244,7 @@
 
 	/** What a task of a job that is over takes; null: this process cannot say without asking the store. */
 	demandOf(id: string): Demand | null {
-		return this.demands.get(id) ?? this.finals.get(id)?.demand ?? null;
+		return this.demands.get(id) ?? this.terminal.get(id)?.demand ?? null;
 	}
 
 	private noteCancelled(job: CancelledJob): void {
@@ -256,17 +256,17 @@
 	}
 
 	/**
-	 * Every cancellation after the epoch of which this node can have told a user. null: it cannot
+	 * Every cancellation after the revision of which this node can have told a user. null: it cannot
 	 * say, since an earlier process of the node may have told of some that this one never saw.
 	 */
-	cancelledSince(epoch: number): CancelledJob[] | null {
-		if (epoch < this.cancelledAfter) return null;
-		return [...this.cancelled.values()].filter((job) => job.revision > epoch);
+	cancelledSince(revision: number): CancelledJob[] | null {
+		if (revision < this.cancelledAfter) return null;
+		return [...this.cancelled.values()].filter((job) => job.revision > revision);
 	}
 
 	/** The job is here, live or over, or its record is and cannot be read. */
 	knows(id: string): boolean {
-		return this.jobs.has(id) || this.finals.has(id) || this.malformed.has(keys.job(id));
+		return this.jobs.has(id) || this.terminal.has(id) || this.malformed.has(keys.job(id));
 	}
 
 	/** Values of machines that may hold tasks are there and cannot be read. */
--- a/src/coordination/tables.ts
+++ b/src/coordination/cluster-state.ts
@@ -8,7 +8,7 @@
 import { zoneRoom } from "./placing.js";
 
 /** Attempts of one epoch; beyond them the leader must get itself a new epoch. */
-export const attemptsPerEpoch = 2 ** 22;
+export const attemptsPerTerm = 2 ** 22;
 
 export function taskKey(job: string, index: number): string {
 	return `${job}/${index}`;
@@ -18,22 +18,22 @@
  * What a leader knows of jobs, machines and attempts. Every start is decided
  * here, whoever proposed it, and nothing leaves the quotas before it is proved over.
  */
-export class Tables {
+export class ClusterState {
 	readonly jobs = new Map<string, Job>();
 	readonly machines = new Map<string, Machine>();
 	readonly quotas: Quotas;
 	private counter = 0;
 	/** Something has happened that may let a task start. */
-	changed = false;
+	placementDue = false;
 	/** Machines that may hold tasks of an earlier leader and have not been heard. */
-	private readonly unheard = new Set<Machine>();
+	private readonly unconfirmed = new Set<Machine>();
 	/** Machines for which starts were decided apart from placing. */
-	readonly followUps = new Set<Machine>();
+	readonly relocatedTo = new Set<Machine>();
 	/** Machines with tasks of jobs of which nothing is known, and how many. */
-	private readonly strange = new Map<Machine, number>();
+	private readonly unknownDemands = new Map<Machine, number>();
 
 	constructor(
-		readonly epoch: number,
+		readonly term: number,
 		teams: TeamLimits[],
 		readonly types: Map<string, MachineType>,
 		/** A lease renewed this long ago, or earlier, has certainly run out. */
@@ -45,7 +45,7 @@
 	}
 
 	get exhausted(): boolean {
-		return this.counter >= attemptsPerEpoch - 1;
+		return this.counter >= attemptsPerTerm - 1;
 	}
 
 	/**
@@ -53,7 +53,7 @@
 	 * it is known whose cores all tasks take that were found.
 	 */
 	get rebuilt(): boolean {
-		return this.unheard.size === 0 && this.strange.size === 0;
+		return this.unconfirmed.size === 0 && this.unknownDemands.size === 0;
 	}
 
 	/**
@@ -73,29 +73,29 @@
 	}
 
 	private count(machine: Machine, demand: Demand | null, sign: 1 | -1): void {
-		this.changed = true;
+		this.placementDue = true;
 		if (demand && sign > 0) this.quotas.add(demand.team, demand.cpus, demand.gpus);
 		else if (demand) this.quotas.remove(demand.team, demand.cpus, demand.gpus);
 		else {
-			const n = (this.strange.get(machine) ?? 0) + sign;
-			if (n > 0) this.strange.set(machine, n);
-			else this.strange.delete(machine);
+			const n = (this.unknownDemands.get(machine) ?? 0) + sign;
+			if (n > 0) this.unknownDemands.set(machine, n);
+			else this.unknownDemands.delete(machine);
 		}
 	}
 
 	/** Jobs of tasks of which it is not known what they take. */
-	strangeJobs(): Set<string> {
+	jobsOfUnknownDemand(): Set<string> {
 		const jobs = new Set<string>();
-		for (const machine of this.strange.keys())
+		for (const machine of this.unknownDemands.keys())
 			for (const task of machine.unwanted) if (task.demand === null) jobs.add(task.job);
 		return jobs;
 	}
 
 	/** It has become known what tasks of a job take. */
-	resolveStrange(job: string): void {
+	resolveDemand(job: string): void {
 		const demand = this.demandOf(job);
 		if (demand === null) return;
-		for (const machine of [...this.strange.keys()]) {
+		for (const machine of [...this.unknownDemands.keys()]) {
 			for (const task of machine.unwanted) {
 				if (task.job !== job || task.demand !== null) continue;
 				this.count(machine, null, -1);
@@ -106,30 +106,30 @@
 	}
 
 	/** Asked for every decision of a start, so it is kept and not searched for. */
-	get hidden(): ReadonlySet<Machine> {
-		return this.unheard;
+	get awaited(): ReadonlySet<Machine> {
+		return this.unconfirmed;
 	}
 
 	/** The machine may hold tasks that nobody has listed yet. */
-	hide(machine: Machine): void {
-		this.unheard.add(machine);
+	awaitReport(machine: Machine): void {
+		this.unconfirmed.add(machine);
 	}
 
 	/** All its tasks are listed, or proved gone. */
-	heard(machine: Machine): void {
-		this.unheard.delete(machine);
+	stopAwaiting(machine: Machine): void {
+		this.unconfirmed.delete(machine);
 	}
 
 	addJob(id: string, spec: JobSpec, at: number, revision: number): Job {
 		const job = new Job(id, spec, at, revision);
 		this.jobs.set(id, job);
-		this.changed = true;
+		this.placementDue = true;
 		return job;
 	}
 
 	private nextAttempt(): number {
 		this.counter += 1;
-		return this.epoch * attemptsPerEpoch + this.counter;
+		return this.term * attemptsPerTerm + this.counter;
 	}
 
 	/** Tasks of the job that may be anywhere, by zone. */
@@ -166,11 +166,11 @@
 		const { spec } = job;
 		if (!this.rebuilt) return "not rebuilt";
 		if (job.cancelled || job.ending) return "job is over";
-		if (!machine.open) return "machine is not open";
+		if (!machine.schedulable) return "machine is not open";
 		if (this.exhausted) return "attempt numbers used up";
 		if (!machineAllowed(spec, machine)) return "machine not allowed";
 		if (!machine.hasRoomFor(spec)) return "no room";
-		if (machine.suspect && machine.attempts.size > 0) return "machine is on trial";
+		if (machine.onProbation && machine.attempts.size > 0) return "machine is on trial";
 		if (!this.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus)) return "team is at its limit";
 		if ((spec.oneZone || spec.spread) && zoneRoom(spec, this.zonesOf(job), machine.zone) < 1) {
 			return "zone rule";
@@ -220,20 +220,20 @@
 	}
 
 	/** The attempt is proved over: it frees its place, and the task waits again unless done. */
-	over(attempt: Attempt): void {
+	finish(attempt: Attempt): void {
 		const { job, machine, index } = attempt;
 		if (job.attempts.get(index) !== attempt) return;
 		job.attempts.delete(index);
 		machine.release(taskKey(job.id, index), attempt);
 		this.quotas.remove(job.spec.team, job.spec.cpus, job.spec.gpus);
 		if (!job.cancelled && !job.done.has(index)) job.waiting.push(index);
-		this.changed = true;
+		this.placementDue = true;
 		const to = attempt.moveTo;
 		if (to === null) return;
 		to.reserve(job.spec, -1);
 		attempt.moveTo = null;
 		// It goes where room was kept for it, before anything else is placed.
-		if (!job.cancelled && this.decide(job, to)) this.followUps.add(to);
+		if (!job.cancelled && this.decide(job, to)) this.relocatedTo.add(to);
 	}
 
 	/** The replica's next attempt is to be on the other machine; its end here is asked for first. */
@@ -248,7 +248,7 @@
 		if (job.standing) return;
 		if (job.done.add(index)) {
 			job.dirtyPages.add(Math.floor(index / tasksPerPage));
-			this.changed = true;
+			this.placementDue = true;
 		}
 	}
 
@@ -259,21 +259,21 @@
 		this.jobs.delete(job.id);
 		const still: Attempt[] = [];
 		for (const attempt of [...job.attempts.values()]) {
-			if (attempt.phase === "assigned") this.over(attempt);
+			if (attempt.phase === "assigned") this.finish(attempt);
 			else {
 				attempt.stop = { graceS: 0, why: "job is over" };
 				still.push(attempt);
 			}
 		}
-		this.changed = true;
+		this.placementDue = true;
 		return still;
 	}
 
 	/** Everything on the machine is certainly gone. */
 	clearMachine(machine: Machine): number {
 		const all = [...machine.attempts.values()];
-		for (const attempt of all) this.over(attempt);
-		this.heard(machine);
+		for (const attempt of all) this.finish(attempt);
+		this.stopAwaiting(machine);
 		machine.exited = [];
 		this.clearUnwanted(machine);
 		return all.length;
@@ -281,7 +281,7 @@
 
 	/** Its lease has certainly expired; it may come back, but only with a later session. */
 	expire(machine: Machine): number {
-		machine.lost = true;
+		machine.leaseExpired = true;
 		machine.confirmed = false;
 		if (machine.session > 0) machine.leastSession = machine.session + 1;
 		return this.clearMachine(machine);
@@ -290,7 +290,7 @@
 	removeMachine(machine: Machine): number {
 		const n = this.clearMachine(machine);
 		this.machines.delete(machine.id);
-		this.changed = true;
+		this.placementDue = true;
 		return n;
 	}
 }
--- a/src/coordination/mailbox.ts
+++ b/src/coordination/command-queue.ts
@@ -4,7 +4,7 @@
  * Commands run in batches; work that a batch makes necessary, such as placing,
  * is done once after it.
  */
-export class Mailbox {
+export class CommandQueue {
 	private queue: (() => void)[] = [];
 	private scheduled = false;
 	private readonly afterBatch: (() => void)[] = [];
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,18 +1,18 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import { keys, type TypesRecord } from "../bookkeeping/records.js";
-import { Replica } from "../bookkeeping/replica.js";
+import { StoreCopy } from "../bookkeeping/store-copy.js";
 import { MalformedMessageError } from "../protocol/checks.js";
 import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
 import type { OperatorSettings } from "../protocol/operator.js";
 import { unpackReport } from "../protocol/packed-report.js";
 import { claimedKind, type ForwardedReports, type PeerMessage, parsePeerMessage } from "../protocol/peer.js";
 import type { PlatformSettings } from "../protocol/settings.js";
+import { CommandQueue } from "./command-queue.js";
 import { JobService } from "./job-service.js";
 import { Leader, tickMs } from "./leader.js";
 import { Leadership } from "./leadership.js";
-import { LocalCopy } from "./local-copy.js";
-import { Mailbox } from "./mailbox.js";
+import { redirectedMs } from "./peer-monitor.js";
 import { placeFirstFit } from "./placing.js";
 import {
 	CallFailed,
@@ -23,8 +23,8 @@
 	type TimePort,
 	type WorkerPort,
 } from "./ports.js";
-import { strayMs } from "./presence.js";
 import { AnswerBatches, Relay } from "./relay.js";
+import { StoreSync } from "./store-sync.js";
 
 export interface ControllerPorts {
 	store: StorePort;
@@ -37,24 +37,24 @@
 	schedule(run: () => void): void;
 }
 
-export type Reported =
+export type ReportResult =
 	| { kind: "orders"; token: number; orders: Order[] }
 	| { kind: "elsewhere"; node: string | null };
 
 const typesEveryMs = 60_000;
 /** Others unheard for this long are taken to be out of reach. */
-const apartMs = 3000;
+const isolatedMs = 3000;
 const leaderSilentMs = 1200;
-const strayTellMs = 100;
+const unexpectedTellMs = 100;
 /** More senders and kinds of malformed messages than this are not told apart. */
 const malformedKept = 200;
 
 /** One controller: the owner of its process's state. */
 export class Controller {
-	readonly mailbox: Mailbox;
-	readonly replica: Replica;
+	readonly commands: CommandQueue;
+	readonly storeCopy: StoreCopy;
 	readonly jobs: JobService;
-	private readonly copy: LocalCopy;
+	private readonly storeSync: StoreSync;
 	private readonly leadership: Leadership;
 	private leader: Leader | null = null;
 	private starting: number | null = null;
@@ -67,11 +67,11 @@
 	private peerHeardAt = -Infinity;
 	private othersServedAt = -Infinity;
 	/** Machines that reported here lately, and when. */
-	private readonly strays = new Map<string, number>();
-	private leaderHeard = { node: "", epoch: 0, at: -Infinity, hearing: true, relay: false };
+	private readonly unexpectedReports = new Map<string, number>();
+	private leaderHeard = { node: "", term: 0, at: -Infinity, hearing: true, relay: false };
 	private readonly relay: Relay;
 	private readonly answers: AnswerBatches;
-	private strayTold = -Infinity;
+	private unexpectedToldAt = -Infinity;
 	/** Senders and kinds of messages that could not be read. */
 	private readonly malformedFrom = new Set<string>();
 
@@ -82,17 +82,17 @@
 		private readonly ports: ControllerPorts,
 	) {
 		const { store, time, log } = ports;
-		this.mailbox = new Mailbox(ports.schedule, (error) =>
+		this.commands = new CommandQueue(ports.schedule, (error) =>
 			log.error(
 				{ err: error instanceof Error ? (error.stack ?? error.message) : String(error) },
 				"command failed",
 			),
 		);
-		const post = (command: () => void) => this.mailbox.post(command);
-		this.replica = new Replica((key, error) =>
+		const post = (command: () => void) => this.commands.post(command);
+		this.storeCopy = new StoreCopy((key, error) =>
 			log.error({ key, err: error.message }, "malformed value in the state service"),
 		);
-		this.copy = new LocalCopy(this.replica, store, time, post, log);
+		this.storeSync = new StoreSync(this.storeCopy, store, time, post, log);
 		this.relay = new Relay(ports.peers, time);
 		this.answers = new AnswerBatches(ports.peers, time);
 		this.leadership = new Leadership(
@@ -101,26 +101,26 @@
 			{
 				ttlMs: settings.leadership.ttl_s * 1000,
 				marginMs: settings.leadership.margin_s * 1000,
-				unknowingMs: unknowingMs(platform),
+				longestUnknowingMs: longestUnknowingMs(platform),
 			},
 			store,
 			time,
 			post,
 			{
-				won: (epoch) => this.won(epoch),
-				lost: (epoch, why) => this.lost(epoch, why),
+				won: (term) => this.won(term),
+				lost: (term, why) => this.lost(term, why),
 				tell: (message) => {
 					for (const other of platform.others) ports.peers.send(other.node, message);
 				},
-				knownAt: () => this.copy.knownAt,
-				knownEpoch: () => this.replica.epoch,
-				cancelledSince: (epoch) =>
-					this.replica
-						.cancelledSince(epoch)
-						?.map(({ id, record, revision }) => [id, revision, record.tasks, record.done]) ?? null,
+				knownAt: () => this.storeSync.knownAt,
+				knownRevision: () => this.storeCopy.revision,
+				cancelledSince: (revision) =>
+					this.storeCopy
+						.cancelledSince(revision)
+						?.map(({ id, record, revision: at }) => [id, at, record.tasks, record.done]) ?? null,
 				learn: (cancelled) => {
 					for (const [id, revision, tasks, done] of cancelled)
-						this.replica.applyOwn(keys.final(id), { status: "cancelled", tasks, done }, revision);
+						this.storeCopy.applyOwn(keys.final(id), { status: "cancelled", tasks, done }, revision);
 				},
 			},
 			platform.others.map((other) => other.node),
@@ -128,29 +128,29 @@
 			() => uniformInt(ports.random, 0, 999) / 1000,
 		);
 		this.jobs = new JobService(
-			this.replica,
-			this.copy,
+			this.storeCopy,
+			this.storeSync,
 			store,
 			time,
 			new Map(platform.cluster.teams.map((team) => [team.name, team])),
 			platform.cluster.zones,
 			platform.cluster.state.value_kb,
-			(command) => this.mailbox.ask(command),
+			(command) => this.commands.ask(command),
 			(id) => (this.leader ? this.leader.runningCount(id) : (this.running.get(id) ?? 0)),
 		);
-		this.replica.onChange((key) => this.changed(key));
-		this.mailbox.onBatchEnd(() => this.leader?.maybePlace());
+		this.storeCopy.onChange((key) => this.changed(key));
+		this.commands.onBatchEnd(() => this.leader?.maybePlace());
 	}
 
 	start(): void {
-		this.copy.start();
+		this.storeSync.start();
 		this.scheduleTick();
 	}
 
 	stop(): void {
 		this.stopped = true;
-		this.copy.stop();
-		this.mailbox.post(() => this.leadership.resign("stopping"));
+		this.storeSync.stop();
+		this.commands.post(() => this.leadership.resign("stopping"));
 	}
 
 	/**
@@ -158,25 +158,25 @@
 	 * are better off there; if nobody is, a node that is taken out comes back late.
 	 */
 	ready(): boolean {
-		if (!this.replica.loaded || this.replica.types === null) return false;
-		if (!this.copy.silent) return true;
+		if (!this.storeCopy.loaded || this.storeCopy.types === null) return false;
+		if (!this.storeSync.silent) return true;
 		const now = this.ports.time.now();
-		const alone = this.platform.others.length > 0 && now - this.peerHeardAt > apartMs;
-		return !alone && now - this.othersServedAt > apartMs;
+		const alone = this.platform.others.length > 0 && now - this.peerHeardAt > isolatedMs;
+		return !alone && now - this.othersServedAt > isolatedMs;
 	}
 
 	private scheduleTick(): void {
 		this.ports.time.after(tickMs, () => {
 			if (this.stopped) return;
-			this.mailbox.post(() => this.tick());
+			this.commands.post(() => this.tick());
 			this.scheduleTick();
 		});
 	}
 
 	private tick(): void {
 		// Machine types are the first thing a first leader writes.
-		if (this.replica.loaded && this.replica.types === null) this.leadership.releaseStartHold();
-		this.leadership.tick(this.replica.leader, this.replica.loaded);
+		if (this.storeCopy.loaded && this.storeCopy.types === null) this.leadership.releaseStartHold();
+		this.leadership.tick(this.storeCopy.leader, this.storeCopy.loaded);
 		if (this.leadership.authority() !== null) this.refreshTypes();
 		this.leader?.tick();
 		this.relay.tick();
@@ -184,47 +184,47 @@
 
 	// --- leadership ---
 
-	private won(epoch: number): void {
-		this.ports.log.info({ epoch }, "leadership won");
-		this.starting = epoch;
-		this.beginTerm(epoch);
+	private won(term: number): void {
+		this.ports.log.info({ term }, "leadership won");
+		this.starting = term;
+		this.beginTerm(term);
 	}
 
 	/** The term begins once the local copy holds everything from before the takeover. */
-	private beginTerm(epoch: number): void {
-		if (this.starting !== epoch || this.leadership.epoch !== epoch) return;
-		const types = this.prices ?? this.replica.types?.value ?? null;
+	private beginTerm(term: number): void {
+		if (this.starting !== term || this.leadership.currentTerm !== term) return;
+		const types = this.prices ?? this.storeCopy.types?.value ?? null;
 		if (types === null) {
-			this.ports.time.after(50, () => this.mailbox.post(() => this.beginTerm(epoch)));
+			this.ports.time.after(50, () => this.commands.post(() => this.beginTerm(term)));
 			return;
 		}
-		this.copy.fence().then(
+		this.storeSync.fence().then(
 			() =>
-				this.mailbox.post(() => {
-					if (this.starting !== epoch || this.leadership.epoch !== epoch) return;
+				this.commands.post(() => {
+					if (this.starting !== term || this.leadership.currentTerm !== term) return;
 					this.starting = null;
-					this.leaderHeard = { node: this.platform.node, epoch, at: -Infinity, hearing: true, relay: false };
+					this.leaderHeard = { node: this.platform.node, term, at: -Infinity, hearing: true, relay: false };
 					this.leader = new Leader({
-						epoch,
+						term,
 						self: this.platform.node,
 						platform: this.platform,
 						settings: this.settings,
-						replica: this.replica,
+						storeCopy: this.storeCopy,
 						types,
-						ports: { ...this.ports, post: (command) => this.mailbox.post(command) },
-						authority: () => this.leadership.authority() === epoch,
-						served: () => !this.copy.silent,
+						ports: { ...this.ports, post: (command) => this.commands.post(command) },
+						authority: () => this.leadership.authority() === term,
+						served: () => !this.storeSync.silent,
 						resign: (why) => this.leadership.resign(why),
-						requestPrefix: `${this.platform.node}-${this.incarnation}-${epoch}`,
+						requestPrefix: `${this.platform.node}-${this.incarnation}-${term}`,
 					});
-					this.relay.newLeader(this.platform.node, epoch);
+					this.relay.newLeader(this.platform.node, term);
 				}),
-			() => this.ports.time.after(100, () => this.mailbox.post(() => this.beginTerm(epoch))),
+			() => this.ports.time.after(100, () => this.commands.post(() => this.beginTerm(term))),
 		);
 	}
 
-	private lost(epoch: number, why: string): void {
-		this.ports.log.info({ epoch, why }, "leadership lost");
+	private lost(term: number, why: string): void {
+		this.ports.log.info({ term, why }, "leadership lost");
 		this.starting = null;
 		this.leader?.end();
 		this.leader = null;
@@ -238,16 +238,16 @@
 		this.fetchingTypes = true;
 		this.ports.cloud.machineTypes().then(
 			(types) =>
-				this.mailbox.post(() => {
+				this.commands.post(() => {
 					this.fetchingTypes = false;
 					if (types.length === 0) return;
 					this.nextTypes = this.ports.time.now() + typesEveryMs;
 					this.prices = types;
-					if (this.leader) for (const type of types) this.leader.tables.types.set(type.name, type);
+					if (this.leader) for (const type of types) this.leader.clusterState.types.set(type.name, type);
 					this.keepTypes(types);
 				}),
 			(error) =>
-				this.mailbox.post(() => {
+				this.commands.post(() => {
 					this.fetchingTypes = false;
 					this.nextTypes = this.ports.time.now() + 700;
 					this.ports.log.debug({ err: String(error) }, "machine types not read");
@@ -257,13 +257,13 @@
 
 	/** Kept in the store, so that a starting node can check submissions without the cloud. */
 	private keepTypes(types: MachineType[]): void {
-		const epoch = this.leadership.authority();
-		if (epoch === null || sameTypes(this.replica.types?.value ?? [], types)) return;
+		const term = this.leadership.authority();
+		if (term === null || sameTypes(this.storeCopy.types?.value ?? [], types)) return;
 		const value: TypesRecord = { types };
 		this.ports.store
-			.transact([{ key: keys.leader, revision: epoch }], [{ put: keys.types, value }], "first")
+			.transact([{ key: keys.leader, revision: term }], [{ put: keys.types, value }], "first")
 			.catch((error) =>
-				this.mailbox.post(() => {
+				this.commands.post(() => {
 					// Too many types for one value: they are read from the cloud then, by each leader.
 					if (error instanceof CallFailed && error.kind === "rejected")
 						this.ports.log.error({ key: keys.types, err: error.message }, "not written");
@@ -278,70 +278,70 @@
 		if (key.startsWith(keys.jobs)) this.leader?.jobChanged(key.slice(keys.jobs.length));
 	}
 
-	report(report: WorkerReport): Promise<Reported> {
-		return this.mailbox.ask(async () => {
-			const epoch = this.leadership.authority();
-			if (epoch !== null && this.leader) {
+	report(report: WorkerReport): Promise<ReportResult> {
+		return this.commands.ask(async () => {
+			const term = this.leadership.authority();
+			if (term !== null && this.leader) {
 				const relay = this.leader.relayFor(report.machine);
 				if (relay !== null) return { kind: "elsewhere", node: relay };
-				const orders = await this.answerTo(this.leader, epoch, report);
-				return orders ? { kind: "orders", token: epoch, orders } : { kind: "elsewhere", node: null };
+				const orders = await this.answerTo(this.leader, term, report);
+				return orders ? { kind: "orders", token: term, orders } : { kind: "elsewhere", node: null };
 			}
 			const passedOn = this.passOn(report);
 			if (passedOn) return passedOn;
 			const now = this.ports.time.now();
-			this.strays.set(report.machine, now);
+			this.unexpectedReports.set(report.machine, now);
 			const { node, hearing } = this.leaderHeard;
-			if (!hearing && now - this.strayTold >= strayTellMs) {
-				this.strayTold = now;
+			if (!hearing && now - this.unexpectedToldAt >= unexpectedTellMs) {
+				this.unexpectedToldAt = now;
 				this.ports.peers.send(node, {
 					kind: "pong",
-					epoch: this.leaderHeard.epoch,
-					strays: this.countStrays(),
+					epoch: this.leaderHeard.term,
+					strays: this.countUnexpectedReports(),
 					standing: true,
 				});
 			}
-			return { kind: "elsewhere", node: this.foreman() };
+			return { kind: "elsewhere", node: this.redirectTarget() };
 		});
 	}
 
 	/** null: this node may not answer. */
-	private async answerTo(leader: Leader, epoch: number, report: WorkerReport): Promise<Order[] | null> {
+	private async answerTo(leader: Leader, term: number, report: WorkerReport): Promise<Order[] | null> {
 		const orders = await leader.report(report);
 		// Authority may have ended while the answer waited for places to be filled.
-		return this.leadership.authority() === epoch ? orders : null;
+		return this.leadership.authority() === term ? orders : null;
 	}
 
 	/** Where the leader wants reports passed on, the worker need not know who leads. */
-	private passOn(report: WorkerReport): Promise<Reported> | null {
-		const { epoch, at, relay } = this.leaderHeard;
-		if (!relay || report.token > epoch || this.ports.time.now() - at > leaderSilentMs) return null;
+	private passOn(report: WorkerReport): Promise<ReportResult> | null {
+		const { term, at, relay } = this.leaderHeard;
+		if (!relay || report.token > term || this.ports.time.now() - at > leaderSilentMs) return null;
 		const taken = this.relay.take(report);
 		if (!taken) return null;
 		return taken.then((orders) => {
-			if (orders) return { kind: "orders", token: epoch, orders };
+			if (orders) return { kind: "orders", token: term, orders };
 			// The leader has changed while the worker waits: this is still its latest report.
-			return this.leaderHeard.epoch > epoch ? this.report(report) : { kind: "elsewhere", node: null };
+			return this.leaderHeard.term > term ? this.report(report) : { kind: "elsewhere", node: null };
 		});
 	}
 
 	private relayed(from: string, message: ForwardedReports): void {
-		const { epoch } = message;
+		const { epoch: term } = message;
 		const { leader } = this;
-		const leading = leader !== null && this.leadership.authority() === epoch;
+		const leading = leader !== null && this.leadership.authority() === term;
 		for (const [number, packed] of message.reports) {
-			if (!leading) this.answers.add(from, epoch, number, null);
+			if (!leading) this.answers.add(from, term, number, null);
 			else
-				this.answerTo(leader, epoch, unpackReport(packed)).then((orders) =>
-					this.answers.add(from, epoch, number, orders),
+				this.answerTo(leader, term, unpackReport(packed)).then((orders) =>
+					this.answers.add(from, term, number, orders),
 				);
 		}
 	}
 
-	private countStrays(): number {
-		const from = this.ports.time.now() - strayMs;
-		for (const [machine, at] of this.strays) if (at < from) this.strays.delete(machine);
-		return this.strays.size;
+	private countUnexpectedReports(): number {
+		const from = this.ports.time.now() - redirectedMs;
+		for (const [machine, at] of this.unexpectedReports) if (at < from) this.unexpectedReports.delete(machine);
+		return this.unexpectedReports.size;
 	}
 
 	/**
@@ -349,8 +349,8 @@
 	 * while the next one waits to hear of every machine, so a silent leader is not named,
 	 * nor one that says itself that workers do not reach it.
 	 */
-	private foreman(): string | null {
-		const leader = this.replica.leader?.value.node ?? null;
+	private redirectTarget(): string | null {
+		const leader = this.storeCopy.leader?.value.node ?? null;
 		if (leader === null || leader === this.platform.node) return null;
 		const { node, at, hearing } = this.leaderHeard;
 		return hearing && node === leader && this.ports.time.now() - at <= leaderSilentMs ? leader : null;
@@ -374,21 +374,21 @@
 	peerMessage(from: string, raw: unknown): void {
 		const message = this.parsed(from, raw);
 		if (!message) return;
-		this.mailbox.post(() => {
+		this.commands.post(() => {
 			this.peerHeardAt = this.ports.time.now();
 			// A late copy from an earlier leader tells nothing of now.
 			const ofLeader = message.kind === "running" || message.kind === "view";
-			if (ofLeader && message.epoch >= this.leaderHeard.epoch) {
-				if (message.epoch > this.leaderHeard.epoch) this.relay.newLeader(from, message.epoch);
+			if (ofLeader && message.epoch >= this.leaderHeard.term) {
+				if (message.epoch > this.leaderHeard.term) this.relay.newLeader(from, message.epoch);
 				const { hearing, relay } = message.kind === "running" ? message : this.leaderHeard;
-				this.leaderHeard = { node: from, epoch: message.epoch, at: this.peerHeardAt, hearing, relay };
+				this.leaderHeard = { node: from, term: message.epoch, at: this.peerHeardAt, hearing, relay };
 			}
 			switch (message.kind) {
 				case "view": {
 					const placements = placeFirstFit(
 						message.machines,
 						message.grants,
-						(id) => this.replica.jobs.get(id)?.value.spec,
+						(id) => this.storeCopy.jobs.get(id)?.value.spec,
 						message.start,
 					);
 					this.ports.peers.send(from, {
@@ -396,19 +396,19 @@
 						epoch: message.epoch,
 						cycle: message.cycle,
 						placements,
-						unknown: message.grants.map((g) => g.job).filter((id) => !this.replica.jobs.has(id)),
+						unknown: message.grants.map((g) => g.job).filter((id) => !this.storeCopy.jobs.has(id)),
 					});
 					break;
 				}
 				case "running":
 					// A late copy from an earlier leader tells nothing of now.
-					if (message.epoch < (this.replica.leader?.revision ?? 0)) break;
+					if (message.epoch < (this.storeCopy.leader?.revision ?? 0)) break;
 					if (message.served) this.othersServedAt = this.peerHeardAt;
 					this.running = new Map(message.counts);
 					this.ports.peers.send(from, {
 						kind: "pong",
 						epoch: message.epoch,
-						strays: this.countStrays(),
+						strays: this.countUnexpectedReports(),
 						standing: true,
 					});
 					break;
@@ -439,7 +439,7 @@
  * cancel_s: authority without knowledge of it, then a worker's whole lease, then a margin.
  * All three count from the sending of requests, so delays on the way are on the safe side.
  */
-export function unknowingMs(platform: PlatformSettings): number {
+export function longestUnknowingMs(platform: PlatformSettings): number {
 	const { cancel_s, lease_s } = platform.cluster.workers;
 	return Math.max(0, (cancel_s - lease_s * 1.01) * 1000 - cancelMarginMs);
 }
--- a/src/coordination/drain.ts
+++ b/src/coordination/drain.ts
@@ -1,10 +1,10 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
+import type { ClusterState } from "./cluster-state.js";
 import { couldHold, type FleetLook, remainingOfAttempt } from "./load.js";
 import type { Log } from "./ports.js";
 import type { ReplicaCapacity } from "./replica-capacity.js";
 import { type ClimbSettings, loadOf, machinesToSpare } from "./scaling.js";
-import type { Tables } from "./tables.js";
 
 /** A job of which nothing runs has waited so long when a marked machine is asked for room. */
 const waitsBesideMarkedMs = 20_000;
@@ -20,7 +20,7 @@
 /** Marks machines to run empty and go back, and takes marks back. */
 export class Drain {
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly climb: ClimbSettings,
 		private readonly log: Log,
 	) {}
@@ -36,7 +36,7 @@
 			marked = this.choose(others, look);
 		}
 		if (marked.size === 0) return;
-		for (const machine of marked) machine.marked = true;
+		for (const machine of marked) machine.draining = true;
 		this.log.info({ machines: [...marked].map((m) => m.id) }, "marked to drain and return");
 	}
 
@@ -52,7 +52,7 @@
 
 	/** Standing jobs of which replicas wait, or have to leave their machines. */
 	private unsettled(): Job[] {
-		return [...this.tables.jobs.values()].filter(
+		return [...this.clusterState.jobs.values()].filter(
 			(job) =>
 				job.standing && (job.waiting.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)),
 		);
@@ -80,7 +80,7 @@
 
 	/** Rented because nothing else could hold some work, a machine is the idlest of all until it is up. */
 	private keepForWaiting(marked: Set<Machine>, machines: Machine[]): void {
-		for (const job of this.tables.jobs.values()) {
+		for (const job of this.clusterState.jobs.values()) {
 			if (job.waiting.length === 0) continue;
 			if (machines.some((m) => !marked.has(m) && couldHold(m, job))) continue;
 			const holder = machines.find((m) => couldHold(m, job));
@@ -94,27 +94,27 @@
 		const back: string[] = [];
 		let { cpus } = look;
 		let count = look.machines.length;
-		for (const machine of this.tables.machines.values()) {
-			if (!machine.marked || machine.returning || machine.lost) continue;
-			machine.marked = false;
+		for (const machine of this.clusterState.machines.values()) {
+			if (!machine.draining || machine.returning || machine.leaseExpired) continue;
+			machine.draining = false;
 			back.push(machine.id);
 			cpus += machine.type.cpus;
 			count += 1;
 			if (loadOf(look.work, count) <= highPerCpu * (cpus / count)) break;
 		}
 		if (back.length === 0) return false;
-		this.tables.changed = true;
+		this.clusterState.placementDue = true;
 		this.log.info({ machines: back }, "unmarked");
 		return true;
 	}
 
 	/** Takes back the mark of a machine with room for the job; false if there is none. */
 	unmarkFor(job: Job): boolean {
-		for (const machine of this.tables.machines.values()) {
-			if (!machine.marked || !machine.sound) continue;
+		for (const machine of this.clusterState.machines.values()) {
+			if (!machine.draining || !machine.usable) continue;
 			if (!machineAllowed(job.spec, machine) || !machine.hasRoomFor(job.spec)) continue;
-			machine.marked = false;
-			this.tables.changed = true;
+			machine.draining = false;
+			this.clusterState.placementDue = true;
 			this.log.info({ machines: [machine.id], job: job.id }, "unmarked");
 			return true;
 		}
@@ -126,10 +126,10 @@
 	 * is below the high mark, is let in.
 	 */
 	unmarkForWaiting(now: number): void {
-		for (const job of this.tables.jobs.values()) {
+		for (const job of this.clusterState.jobs.values()) {
 			if (job.waiting.length === 0 || job.attempts.size > 0) continue;
 			if (now - Math.max(job.knownAt, job.failedAt) < waitsBesideMarkedMs) continue;
-			if (this.tables.mayRun(job, now) && this.unmarkFor(job)) return;
+			if (this.clusterState.mayRun(job, now) && this.unmarkFor(job)) return;
 		}
 	}
 }
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -1,6 +1,7 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import type { Machine } from "../bookkeeping/machines.js";
 import type { OperatorSettings } from "../protocol/operator.js";
+import type { ClusterState } from "./cluster-state.js";
 import { Drain } from "./drain.js";
 import type { Objective } from "./expected-classes.js";
 import { couldHold, type FleetLook, lookAtFleet } from "./load.js";
@@ -10,7 +11,6 @@
 import { type RentalOutcome, Rentals } from "./rentals.js";
 import { ReplicaCapacity } from "./replica-capacity.js";
 import { type Counters, climb, loadOf } from "./scaling.js";
-import type { Tables } from "./tables.js";
 
 export interface FleetHooks {
 	post(command: () => void): void;
@@ -20,7 +20,7 @@
 }
 
 export interface FleetOptions {
-	tables: Tables;
+	clusterState: ClusterState;
 	cloud: CloudPort;
 	time: TimePort;
 	settings: OperatorSettings;
@@ -44,7 +44,7 @@
 
 /** Rents and returns machines: the rounds of the hill climb and their exceptions. */
 export class Fleet {
-	private readonly tables: Tables;
+	private readonly clusterState: ClusterState;
 	private readonly climb: OperatorSettings["climb"];
 	private readonly time: TimePort;
 	private readonly log: Log;
@@ -57,9 +57,9 @@
 	private nextRound: number;
 
 	constructor(options: FleetOptions) {
-		const { tables, cloud, time, settings, hooks, log } = options;
+		const { clusterState, cloud, time, settings, hooks, log } = options;
 		const { post, authority } = hooks;
-		this.tables = tables;
+		this.clusterState = clusterState;
 		this.time = time;
 		this.climb = settings.climb;
 		this.log = log;
@@ -70,7 +70,7 @@
 		};
 		const isGone = (machine: string) => this.returns.isGone(machine);
 		this.returns = new MachineReturns(
-			tables,
+			clusterState,
 			cloud,
 			time,
 			settings.machines,
@@ -78,9 +78,9 @@
 			{ post, gone },
 			log,
 		);
-		this.list = new MachineList(tables, cloud, time, options.listLagMs, { post, isGone }, log);
+		this.list = new MachineList(clusterState, cloud, time, options.listLagMs, { post, isGone }, log);
 		this.rentals = new Rentals(
-			tables,
+			clusterState,
 			cloud,
 			time,
 			settings.climb,
@@ -94,8 +94,8 @@
 			},
 			log,
 		);
-		this.drain = new Drain(tables, settings.climb, log);
-		this.replicas = new ReplicaCapacity(tables, time, this.rentals, options.objectives, (job) =>
+		this.drain = new Drain(clusterState, settings.climb, log);
+		this.replicas = new ReplicaCapacity(clusterState, time, this.rentals, options.objectives, (job) =>
 			this.drain.unmarkFor(job),
 		);
 	}
@@ -105,9 +105,9 @@
 		const now = this.time.now();
 		this.returns.tick(now);
 		this.list.tick(now);
-		if (now < this.nextRound || !this.list.looked || !this.tables.rebuilt) return;
+		if (now < this.nextRound || !this.list.looked || !this.clusterState.rebuilt) return;
 		this.nextRound = now + this.climb.round_s * 1000;
-		this.round(lookAtFleet(this.tables, now, this.climb));
+		this.round(lookAtFleet(this.clusterState, now, this.climb));
 	}
 
 	/** The machine's return was answered. */
@@ -139,7 +139,7 @@
 		const { counters, action } = climb(
 			this.counters,
 			loadOf(look.work, count),
-			this.tables.jobs.size === 0 ? count + 1 : count,
+			this.clusterState.jobs.size === 0 ? count + 1 : count,
 			(look.cpus / count) * look.secondsLeft,
 			this.climb,
 		);
@@ -163,7 +163,7 @@
 	}
 
 	private anyWaiting(now: number): boolean {
-		for (const job of this.tables.jobs.values()) if (this.tables.mayRun(job, now)) return true;
+		for (const job of this.clusterState.jobs.values()) if (this.clusterState.mayRun(job, now)) return true;
 		return false;
 	}
 
@@ -174,10 +174,11 @@
 	 */
 	private waitingByAge(now: number): Job[] {
 		const byDemand = new Map<string, Job>();
-		const before = (a: Job, b: Job) => (a.doomed === b.doomed ? a.at < b.at : b.doomed);
-		for (const job of this.tables.jobs.values()) {
+		const before = (a: Job, b: Job) =>
+			a.failsEverywhere === b.failsEverywhere ? a.at < b.at : b.failsEverywhere;
+		for (const job of this.clusterState.jobs.values()) {
 			// Replicas have machines rented by themselves, and of no other kind than they need.
-			if (job.standing || !this.tables.mayRun(job, now)) continue;
+			if (job.standing || !this.clusterState.mayRun(job, now)) continue;
 			const best = byDemand.get(job.demandKey);
 			if (!best || before(job, best)) byDemand.set(job.demandKey, job);
 		}
@@ -190,7 +191,7 @@
 	 * failed everywhere may do so no more, and is tried again as well.
 	 */
 	private serveUnheld(look: FleetLook): boolean {
-		for (const job of this.tables.jobs.values()) {
+		for (const job of this.clusterState.jobs.values()) {
 			if (job.waiting.length === 0 || job.notBefore > look.now) continue;
 			if (look.machines.some((m) => couldHold(m, job))) continue;
 			if (this.rentals.pending || this.drain.unmarkFor(job)) return true;
--- a/src/coordination/grants.ts
+++ b/src/coordination/grants.ts
@@ -1,8 +1,8 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import type { Grant, ViewMachine } from "../protocol/placement.js";
+import type { ClusterState } from "./cluster-state.js";
 import { starved } from "./ordering.js";
 import { placeable } from "./placing.js";
-import type { Tables } from "./tables.js";
 
 /** So long a job keeps off machines on which it failed. */
 const avoidMs = 20_000;
@@ -28,8 +28,13 @@
 }
 
 /** Who may start how much now: guarantees first, then borrowing; urgent before the rest. */
-export function grantsFor(tables: Tables, jobs: Job[], views: ViewMachine[], moment: Moment): TeamGrant[] {
-	const allocation = new Allocation(tables, views);
+export function grantsFor(
+	clusterState: ClusterState,
+	jobs: Job[],
+	views: ViewMachine[],
+	moment: Moment,
+): TeamGrant[] {
+	const allocation = new Allocation(clusterState, views);
 	const passes: GrantPass[] = [
 		{ jobs: jobs.filter((job) => starved(job, moment.date)), most: 1, guarantee: false },
 		{ jobs, most: Number.POSITIVE_INFINITY, guarantee: true },
@@ -38,7 +43,7 @@
 	for (const pass of passes) allocation.run(pass);
 	return [...allocation.counts].map(([job, count]) => ({
 		team: job.spec.team,
-		grant: grantOf(tables, job, count, moment.now),
+		grant: grantOf(clusterState, job, count, moment.now),
 	}));
 }
 
@@ -51,7 +56,7 @@
 	private readonly usable = new Map<string, number>();
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly views: ViewMachine[],
 	) {
 		for (const view of views) this.freeCpus += view.cpus;
@@ -63,10 +68,10 @@
 			const { spec } = job;
 			const team = this.byTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
 			const already = this.counts.get(job) ?? 0;
-			const waiting = Math.min(job.waiting.length, job.doomed ? 1 : most) - already;
+			const waiting = Math.min(job.waiting.length, job.failsEverywhere ? 1 : most) - already;
 			let count = Math.min(
 				waiting,
-				this.tables.quotas.room(spec.team, spec.cpus, spec.gpus, guarantee, team),
+				this.clusterState.quotas.room(spec.team, spec.cpus, spec.gpus, guarantee, team),
 				Math.ceil(this.freeCpus / spec.cpus),
 			);
 			// Room promised to work that cannot use it would be kept from work that can.
@@ -88,21 +93,21 @@
 		const key = zoneRule ? job.id : job.demandKey;
 		let count = this.usable.get(key);
 		if (count === undefined) {
-			count = placeable(spec, zoneRule ? this.tables.zonesOf(job) : {}, this.views);
+			count = placeable(spec, zoneRule ? this.clusterState.zonesOf(job) : {}, this.views);
 			this.usable.set(key, count);
 		}
 		return count;
 	}
 }
 
-function grantOf(tables: Tables, job: Job, count: number, now: number): Grant {
+function grantOf(clusterState: ClusterState, job: Job, count: number, now: number): Grant {
 	const { spec } = job;
 	return {
 		job: job.id,
 		count,
 		// For a while only: there may be no others, and what was wrong there may be over.
-		avoid: job.doomed || now - job.failedAt > avoidMs ? [] : [...job.failedOn],
-		zones: spec.oneZone || spec.spread ? tables.zonesOf(job) : {},
+		avoid: job.failsEverywhere || now - job.failedAt > avoidMs ? [] : [...job.failedOn],
+		zones: spec.oneZone || spec.spread ? clusterState.zonesOf(job) : {},
 		...(job.standing && { beside: [...job.attempts.values()].map((a) => a.machine.id) }),
 	};
 }
--- a/src/coordination/job-completion.ts
+++ b/src/coordination/job-completion.ts
@@ -1,13 +1,13 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import {
 	demandOf,
-	type FinalRecord,
 	keys,
 	pageName,
 	pageOf,
 	type SharedRecord,
+	type TerminalRecord,
 } from "../bookkeeping/records.js";
-import type { Versioned } from "../bookkeeping/replica.js";
+import type { Versioned } from "../bookkeeping/store-copy.js";
 import { tasksPerPage } from "../bookkeeping/task-set.js";
 import type { StoreChange, StoreCondition } from "../protocol/store-api.js";
 import { CallFailed, type Log, type StorePort, type TimePort } from "./ports.js";
@@ -28,7 +28,7 @@
 	jobs(): Iterable<Job>;
 	jobOf(id: string): Job | undefined;
 	/** The end of the job is in the store, as of this revision. */
-	finished(job: Job, final: FinalRecord, revision: number): void;
+	finished(job: Job, final: TerminalRecord, revision: number): void;
 	/** The leader's key has changed hands. */
 	lostKey(): void;
 }
@@ -89,7 +89,7 @@
 		if (options.ended() || job.cancelled) return;
 		job.endingAt = options.time.now();
 		const { spec } = job;
-		const final: FinalRecord = {
+		const final: TerminalRecord = {
 			status: "done",
 			tasks: spec.tasks,
 			done: spec.tasks,
@@ -108,7 +108,7 @@
 		);
 	}
 
-	private written(job: Job, final: FinalRecord, revision: number): void {
+	private written(job: Job, final: TerminalRecord, revision: number): void {
 		const tookS = Math.round((this.options.time.date().getTime() - job.at) / 100) / 10;
 		const { lane, deadlineS } = job.spec;
 		this.options.log.info({ job: job.id, lane, tookS, dueS: deadlineS }, "job done");
--- a/src/coordination/job-service.ts
+++ b/src/coordination/job-service.ts
@@ -1,11 +1,17 @@
 import { typeFits } from "../bookkeeping/jobs.js";
-import { demandOf, type FinalRecord, type JobRecord, keys, parseFinal } from "../bookkeeping/records.js";
-import type { Replica } from "../bookkeeping/replica.js";
+import {
+	demandOf,
+	type JobRecord,
+	keys,
+	parseTerminal,
+	type TerminalRecord,
+} from "../bookkeeping/records.js";
+import type { StoreCopy } from "../bookkeeping/store-copy.js";
 import { MalformedMessageError } from "../protocol/checks.js";
 import type { JobSpec, JobStatus, MachineType } from "../protocol/model.js";
 import type { TeamSettings } from "../protocol/settings.js";
-import type { LocalCopy } from "./local-copy.js";
 import { CallFailed, type StorePort, type TimePort } from "./ports.js";
+import type { StoreSync } from "./store-sync.js";
 
 export interface JobState {
 	status: JobStatus;
@@ -13,13 +19,16 @@
 	running: number;
 }
 
-export type Submitted =
+export type SubmitResult =
 	| { kind: "accepted" | "known"; status: JobStatus }
 	| { kind: "impossible"; reason: string }
 	| { kind: "malformed"; reason: string }
 	| { kind: "later"; reason: string };
 
-export type Looked = ({ kind: "job" } & JobState) | { kind: "unknown" } | { kind: "later"; reason: string };
+export type JobLookup =
+	| ({ kind: "job" } & JobState)
+	| { kind: "unknown" }
+	| { kind: "later"; reason: string };
 
 const unreadable = { kind: "later", reason: "the job's record cannot be read by this version" } as const;
 const notNow = { kind: "later", reason: "the state service does not answer for now" } as const;
@@ -28,7 +37,7 @@
  * Why a job can never run here, or null. Zone rules alone never make an array impossible: its
  * tasks need not run at the same time, so one zone takes half of them after the other.
  */
-export function impossible(
+export function reasonImpossible(
 	spec: JobSpec,
 	team: TeamSettings | undefined,
 	types: Parameters<typeof typeFits>[1][],
@@ -62,8 +71,8 @@
  */
 export class JobService {
 	constructor(
-		private readonly replica: Replica,
-		private readonly copy: LocalCopy,
+		private readonly storeCopy: StoreCopy,
+		private readonly storeSync: StoreSync,
 		private readonly store: StorePort,
 		private readonly time: TimePort,
 		private readonly teams: Map<string, TeamSettings>,
@@ -74,24 +83,24 @@
 		private readonly running: (id: string) => number,
 	) {}
 
-	async submit(spec: JobSpec): Promise<Submitted> {
+	async submit(spec: JobSpec): Promise<SubmitResult> {
 		try {
 			const held = await this.enqueue(() => this.stateNow(spec.id));
 			// A known id is answered before any check: settings may have changed since.
 			if (held) return await this.known(spec.id);
-			this.copy.expectAnswer();
-			const types = this.replica.types?.value;
-			if (!this.replica.loaded || !types) {
+			this.storeSync.expectAnswer();
+			const types = this.storeCopy.types?.value;
+			if (!this.storeCopy.loaded || !types) {
 				return { kind: "later", reason: "the machine types are not known yet" };
 			}
 			// A controller that does not know this form would run its replicas to an end.
-			if (spec.form === "standing" && !this.replica.features.standing) {
+			if (spec.form === "standing" && !this.storeCopy.features.standing) {
 				return { kind: "later", reason: "not all controllers are known to serve standing jobs yet" };
 			}
 			const record: JobRecord = { spec, at: this.time.date().getTime() };
 			const refused = this.refusal(record, types);
 			if (refused) {
-				const known = await this.lookOnce(spec.id);
+				const known = await this.currentState(spec.id);
 				return known ? { kind: "known", status: known.status } : refused;
 			}
 			const key = keys.job(spec.id);
@@ -104,14 +113,14 @@
 				"first",
 			);
 			if (!result.ok) return await this.known(spec.id);
-			await this.enqueue(() => this.replica.applyOwn(key, record, result.epoch));
+			await this.enqueue(() => this.storeCopy.applyOwn(key, record, result.epoch));
 			return { kind: "accepted", status: "pending" };
 		} catch (error) {
 			return later(error);
 		}
 	}
 
-	private refusal(record: JobRecord, types: MachineType[]): Submitted | null {
+	private refusal(record: JobRecord, types: MachineType[]): SubmitResult | null {
 		const { spec } = record;
 		// A zone that does not exist is a mistake in the field; one that offers no fitting type is not.
 		if (spec.zone !== null && this.zones.length > 0 && !this.zones.includes(spec.zone)) {
@@ -119,36 +128,36 @@
 		}
 		const size = Buffer.byteLength(JSON.stringify(record));
 		const reason =
-			impossible(spec, this.teams.get(spec.team), types) ??
+			reasonImpossible(spec, this.teams.get(spec.team), types) ??
 			(size > this.valueKb * 1024 ? "the job's description is too long to be kept" : null);
 		return reason === null ? null : { kind: "impossible", reason };
 	}
 
-	private async known(id: string): Promise<Submitted> {
-		const state = await this.lookOnce(id);
+	private async known(id: string): Promise<SubmitResult> {
+		const state = await this.currentState(id);
 		return state
 			? { kind: "known", status: state.status }
 			: { kind: "later", reason: "the job's state is not certain for now" };
 	}
 
-	async look(id: string): Promise<Looked> {
+	async status(id: string): Promise<JobLookup> {
 		try {
-			const state = await this.lookOnce(id);
+			const state = await this.currentState(id);
 			return state ? { kind: "job", ...state } : { kind: "unknown" };
 		} catch (error) {
 			return later(error);
 		}
 	}
 
-	async abort(id: string): Promise<Looked> {
+	async abort(id: string): Promise<JobLookup> {
 		try {
 			for (let tries = 0; tries < 4; tries++) {
-				const state = await this.lookOnce(id);
+				const state = await this.currentState(id);
 				if (!state) return { kind: "unknown" };
 				if (state.status === "done" || state.status === "cancelled") return { kind: "job", ...state };
-				const record = await this.enqueue(() => this.replica.jobs.get(id));
+				const record = await this.enqueue(() => this.storeCopy.jobs.get(id));
 				if (!record) continue;
-				const final: FinalRecord = {
+				const final: TerminalRecord = {
 					status: "cancelled",
 					tasks: record.value.spec.tasks,
 					done: state.done,
@@ -160,7 +169,7 @@
 					"first",
 				);
 				if (result.ok) {
-					await this.enqueue(() => this.replica.applyOwn(keys.final(id), final, result.epoch));
+					await this.enqueue(() => this.storeCopy.applyOwn(keys.final(id), final, result.epoch));
 					return { kind: "job", status: "cancelled", done: state.done, running: 0 };
 				}
 			}
@@ -171,11 +180,11 @@
 	}
 
 	/** The state as of some moment after the call; null: no such job. */
-	private async lookOnce(id: string): Promise<JobState | null> {
+	private async currentState(id: string): Promise<JobState | null> {
 		const final = await this.enqueue(() => this.finalNow(id));
 		// A final state never changes and needs no check.
 		if (final) return final;
-		await this.copy.fence();
+		await this.storeSync.fence();
 		const state = await this.enqueue(() => this.stateNow(id));
 		if (state) return state;
 		// The copy may have been made anew, from rows read earlier, since it was asked. That a job
@@ -184,27 +193,27 @@
 		if (live.row) throw new CallFailed("refused", 0, "the job is not in the local copy yet");
 		const { row } = await this.store.read(keys.final(id));
 		if (!row) return null;
-		const record = parseFinal(row.value);
-		await this.enqueue(() => this.replica.rememberFinal(id, record, row.revision));
+		const record = parseTerminal(row.value);
+		await this.enqueue(() => this.storeCopy.recordTerminal(id, record, row.revision));
 		return stateOf(record);
 	}
 
 	private finalNow(id: string): JobState | null {
-		const final = this.replica.finals.get(id);
+		const final = this.storeCopy.terminal.get(id);
 		return final ? stateOf(final) : null;
 	}
 
 	private stateNow(id: string): JobState | null {
 		const final = this.finalNow(id);
 		if (final) return final;
-		const record = this.replica.jobs.get(id);
+		const record = this.storeCopy.jobs.get(id);
 		if (!record) return null;
 		const running = this.running(id);
-		return { status: running > 0 ? "running" : "pending", done: this.replica.doneCount(id), running };
+		return { status: running > 0 ? "running" : "pending", done: this.storeCopy.doneCount(id), running };
 	}
 }
 
-function stateOf(final: FinalRecord): JobState {
+function stateOf(final: TerminalRecord): JobState {
 	return { status: final.status, done: final.done, running: 0 };
 }
 
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -2,26 +2,26 @@
 import type { Attempt, Job } from "../bookkeeping/jobs.js";
 import { Machine, unknownType } from "../bookkeeping/machines.js";
 import { type FeaturesRecord, type JobRecord, keys, type MachineRecord } from "../bookkeeping/records.js";
-import type { Replica, Versioned } from "../bookkeeping/replica.js";
+import type { StoreCopy, Versioned } from "../bookkeeping/store-copy.js";
 import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
 import type { OperatorSettings } from "../protocol/operator.js";
 import type { PeerMessage } from "../protocol/peer.js";
 import type { PlatformSettings } from "../protocol/settings.js";
 import type { StoreCondition } from "../protocol/store-api.js";
+import { ClusterState } from "./cluster-state.js";
 import { Fleet } from "./fleet.js";
 import { HeldReports } from "./held-reports.js";
 import { JobCompletion } from "./job-completion.js";
 import { drift } from "./leadership.js";
 import { OrderSender } from "./order-sender.js";
+import { PeerMonitor } from "./peer-monitor.js";
 import { PlacementCycle } from "./placement-cycle.js";
 import type { CloudPort, Log, PeerPort, StorePort, TimePort, WorkerPort } from "./ports.js";
 import { PreemptionCycle } from "./preemption-cycle.js";
-import { Presence } from "./presence.js";
 import { ReplicaRelocation } from "./replica-relocation.js";
 import { type Applied, applyReport, ordersFor } from "./reports.js";
 import { SharedRecords, type SharedRecordsEnvironment } from "./shared-records.js";
 import { stopBeforeTaken } from "./spot-notice.js";
-import { Tables } from "./tables.js";
 import { Takeover } from "./takeover.js";
 import { TaskOutcomes } from "./task-outcomes.js";
 import { UnwantedTasks } from "./unwanted-tasks.js";
@@ -39,12 +39,12 @@
 
 export interface LeaderOptions {
 	/** The term: the revision of the put that won the leader's key. */
-	epoch: number;
+	term: number;
 	/** This node. */
 	self: string;
 	platform: PlatformSettings;
 	settings: OperatorSettings;
-	replica: Replica;
+	storeCopy: StoreCopy;
 	types: MachineType[];
 	ports: LeaderPorts;
 	/** This process may act for the controllers now. */
@@ -81,10 +81,10 @@
  * placing, preemption, relocation and the fleet act on them. Everything here runs in the queue.
  */
 export class Leader {
-	readonly tables: Tables;
-	private readonly epoch: number;
+	readonly clusterState: ClusterState;
+	private readonly term: number;
 	private readonly platform: PlatformSettings;
-	private readonly replica: Replica;
+	private readonly storeCopy: StoreCopy;
 	private readonly ports: LeaderPorts;
 	private readonly fleet: Fleet;
 	private readonly held: HeldReports;
@@ -95,7 +95,7 @@
 	private readonly relocation: ReplicaRelocation;
 	private readonly preemption: PreemptionCycle;
 	private readonly placement: PlacementCycle;
-	private readonly presence: Presence;
+	private readonly peerMonitor: PeerMonitor;
 	private readonly takeover: Takeover;
 	private readonly machineRecords: SharedRecords<MachineRecord>;
 	/** Machines with starts decided and not yet sent. */
@@ -111,36 +111,38 @@
 	private recordingFeatures = false;
 
 	constructor(private readonly options: LeaderOptions) {
-		const { epoch, platform, settings, ports } = options;
+		const { term, platform, settings, ports } = options;
 		const { cluster } = platform;
-		this.epoch = epoch;
+		this.term = term;
 		this.platform = platform;
-		this.replica = options.replica;
+		this.storeCopy = options.storeCopy;
 		this.ports = ports;
 		this.beganAt = ports.time.now();
 		this.lastTick = this.beganAt;
 		const leaseMs = cluster.workers.lease_s * 1000;
 		const certainMs = leaseMs * (1 + 2 * drift) + expiryMarginMs;
 		const types = new Map(options.types.map((type) => [type.name, type]));
-		this.tables = new Tables(epoch, cluster.teams, types, certainMs, (job) => this.replica.demandOf(job));
-		const { tables } = this;
+		this.clusterState = new ClusterState(term, cluster.teams, types, certainMs, (job) =>
+			this.storeCopy.demandOf(job),
+		);
+		const { clusterState } = this;
 		const { time, log, post } = ports;
 		const active = () => this.active;
-		this.orders = new OrderSender(epoch, ports.workers, active, log);
+		this.orders = new OrderSender(term, ports.workers, active, log);
 		this.held = new HeldReports(time, post, (machine) => this.answerById(machine));
-		this.outcomes = new TaskOutcomes(tables, settings.machines.faulty_after, log);
-		this.unwanted = new UnwantedTasks(tables, ports.store, time, this.orders, {
+		this.outcomes = new TaskOutcomes(clusterState, settings.machines.faulty_after, log);
+		this.unwanted = new UnwantedTasks(clusterState, ports.store, time, this.orders, {
 			post,
 			active,
-			learned: (job, final, revision) => this.replica.rememberFinal(job, final, revision),
+			learned: (job, final, revision) => this.storeCopy.recordTerminal(job, final, revision),
 		});
-		this.relocation = new ReplicaRelocation(tables, this.orders, log);
-		this.presence = new Presence({
-			epoch,
+		this.relocation = new ReplicaRelocation(clusterState, this.orders, log);
+		this.peerMonitor = new PeerMonitor({
+			term,
 			beganAt: this.beganAt,
 			platform,
 			settings,
-			tables,
+			clusterState,
 			peers: ports.peers,
 			served: options.served,
 			resign: options.resign,
@@ -148,8 +150,8 @@
 		});
 		this.placement = new PlacementCycle({
 			self: options.self,
-			tables,
-			presence: this.presence,
+			clusterState,
+			peerMonitor: this.peerMonitor,
 			peers: ports.peers,
 			time,
 			random: ports.random,
@@ -159,9 +161,9 @@
 			decided: (attempt) => this.decided(attempt),
 		});
 		const inOrder = (jobs: Job[]) => this.placement.inOrder(jobs);
-		this.preemption = new PreemptionCycle(tables, this.orders, inOrder, ports.random, log);
+		this.preemption = new PreemptionCycle(clusterState, this.orders, inOrder, ports.random, log);
 		this.fleet = new Fleet({
-			tables,
+			clusterState,
 			cloud: ports.cloud,
 			time,
 			settings,
@@ -173,7 +175,7 @@
 			log,
 		});
 		this.takeover = new Takeover(
-			tables,
+			clusterState,
 			ports.workers,
 			this.beganAt,
 			{
@@ -200,10 +202,10 @@
 			records,
 			post,
 			ended: () => this.ended,
-			jobs: () => tables.jobs.values(),
-			jobOf: (id) => tables.jobs.get(id),
+			jobs: () => clusterState.jobs.values(),
+			jobOf: (id) => clusterState.jobs.get(id),
 			finished: (job, final, revision) => {
-				this.replica.applyOwn(keys.final(job.id), final, revision);
+				this.storeCopy.applyOwn(keys.final(job.id), final, revision);
 				this.jobEnded(job.id);
 			},
 			lostKey: () => this.lostKey(),
@@ -221,7 +223,7 @@
 	}
 
 	private leaderCondition(): StoreCondition {
-		return { key: keys.leader, revision: this.epoch };
+		return { key: keys.leader, revision: this.term };
 	}
 
 	private recordsEnvironment(): SharedRecordsEnvironment {
@@ -249,34 +251,34 @@
 
 	/** Jobs come from the store; machines that may hold tasks are hidden until heard or waited out. */
 	private rebuild(): void {
-		const { tables, replica, ports } = this;
-		this.completion.load(replica.progress);
-		for (const [id, record] of replica.jobs) this.loadJob(id, record);
-		this.machineRecords.load(replica.machines);
-		for (const { value } of replica.machines.values()) {
+		const { clusterState, storeCopy, ports } = this;
+		this.completion.load(storeCopy.progress);
+		for (const [id, record] of storeCopy.jobs) this.loadJob(id, record);
+		this.machineRecords.load(storeCopy.machines);
+		for (const { value } of storeCopy.machines.values()) {
 			for (const [id, record] of Object.entries(value.entries)) this.loadMachine(id, record);
 		}
-		if (replica.machinesMalformed) this.takeover.waitForUnreadable();
+		if (storeCopy.machinesMalformed) this.takeover.waitForUnreadable();
 		this.takeover.sendProbes(false);
 		ports.log.info(
-			{ epoch: this.epoch, jobs: tables.jobs.size, machines: tables.machines.size },
+			{ term: this.term, jobs: clusterState.jobs.size, machines: clusterState.machines.size },
 			"leading: rebuilding",
 		);
 	}
 
 	private loadMachine(id: string, record: MachineRecord): void {
-		if (this.tables.machines.has(id)) return;
-		const type = this.tables.types.get(record.type) ?? unknownType(record.type);
+		if (this.clusterState.machines.has(id)) return;
+		const type = this.clusterState.types.get(record.type) ?? unknownType(record.type);
 		const machine = new Machine(id, type, record.zone, record.spot, this.beganAt);
-		this.tables.machines.set(id, machine);
+		this.clusterState.machines.set(id, machine);
 		machine.endpoint = record.endpoint;
 		machine.durable = true;
 		this.takeover.hide(machine, record.session);
 	}
 
 	private loadJob(id: string, { value: { spec, at }, revision }: Versioned<JobRecord>): void {
-		const job = this.tables.addJob(id, spec, at, revision);
-		for (const [page, bits] of this.replica.pagesOf(id)) {
+		const job = this.clusterState.addJob(id, spec, at, revision);
+		for (const [page, bits] of this.storeCopy.pagesOf(id)) {
 			job.done.addPage(page, bits);
 			job.durable.addPage(page, bits);
 		}
@@ -292,51 +294,51 @@
 	/** null: this process may not answer for the controllers. */
 	report(report: WorkerReport): Promise<Order[] | null> {
 		// A worker that has seen a later token drops our answer, and would wait here while its lease runs out.
-		if (!this.active || report.token > this.epoch) return Promise.resolve(null);
+		if (!this.active || report.token > this.term) return Promise.resolve(null);
 		if (this.fleet.isGone(report.machine)) return Promise.resolve(null);
 		const now = this.ports.time.now();
 		const applied = this.apply(report);
 		// Of a type that nobody knows no task can be told from another: it gets no answer that keeps them.
 		if (applied === "expired" || applied === "unknown type") return Promise.resolve(null);
 		if (applied === "old") return Promise.resolve([]);
-		const machine = this.tables.machines.get(report.machine) as Machine;
+		const machine = this.clusterState.machines.get(report.machine) as Machine;
 		machine.answeredAt = now;
 		if (!machine.durable) this.record(machine);
 		this.held.supersede(machine.id);
 		const waiting = this.anyWaiting(now);
 		const idle = machine.attempts.size === 0 && !waiting;
-		if (!machine.open || machine.freeCpus <= 0 || !(waiting || idle))
+		if (!machine.schedulable || machine.freeCpus <= 0 || !(waiting || idle))
 			return Promise.resolve(this.answer(machine));
 		// Freed places are filled in the same answer: the next one is a report interval away.
 		// A machine without tasks has nothing to report meanwhile and is answered when work comes.
 		const reportMs = this.platform.cluster.workers.report_s * 1000;
 		const holdMs = idle ? Math.min(idleHoldMs, reportMs * idleHoldPart) : answerHoldMs;
-		if (waiting) this.tables.changed = true;
+		if (waiting) this.clusterState.placementDue = true;
 		return this.held.hold(machine.id, now + holdMs, idle);
 	}
 
 	/** Who receives the machine's reports: another controller, or null for this one. */
 	relayFor(id: string): string | null {
-		return this.presence.relayFor(id, this.ports.time.now());
+		return this.peerMonitor.relayFor(id, this.ports.time.now());
 	}
 
 	private answer(machine: Machine): Order[] | null {
 		if (!this.active) return null;
 		machine.answeredAt = this.ports.time.now();
 		this.assigned.delete(machine);
-		return ordersFor(this.tables, machine);
+		return ordersFor(this.clusterState, machine);
 	}
 
 	private answerById(id: string): Order[] | null {
-		const machine = this.tables.machines.get(id);
+		const machine = this.clusterState.machines.get(id);
 		return machine ? this.answer(machine) : null;
 	}
 
 	private apply(report: WorkerReport): Applied["kind"] {
-		const { tables, ports } = this;
+		const { clusterState, ports } = this;
 		const now = ports.time.now();
-		const toldBefore = tables.machines.get(report.machine)?.unwanted ?? [];
-		const applied = applyReport(tables, report, now);
+		const toldBefore = clusterState.machines.get(report.machine)?.unwanted ?? [];
+		const applied = applyReport(clusterState, report, now);
 		if (applied.kind !== "applied") return applied.kind;
 		const { machine } = applied;
 		if (machine.unwanted.length > 0) this.unwanted.stop(machine, toldBefore);
@@ -372,14 +374,14 @@
 
 	private machinesDurable(ids: Iterable<string>): void {
 		for (const id of ids) {
-			const machine = this.tables.machines.get(id);
+			const machine = this.clusterState.machines.get(id);
 			if (machine) machine.durable = true;
 		}
-		this.tables.changed = true;
+		this.clusterState.placementDue = true;
 	}
 
 	private machineGone(machine: Machine): void {
-		const held = this.tables.removeMachine(machine);
+		const held = this.clusterState.removeMachine(machine);
 		this.ports.log.info({ machine: machine.id, held }, "machine gone");
 		this.assigned.delete(machine);
 		// A record left behind only makes a later leader wait for a machine that is gone.
@@ -395,9 +397,9 @@
 	private audit(now: number): void {
 		if (now < this.nextAudit) return;
 		this.nextAudit = now + auditEveryMs;
-		const { jobs } = this.replica;
-		for (const id of jobs.keys()) if (!this.tables.jobs.has(id)) this.jobChanged(id);
-		for (const [id, job] of [...this.tables.jobs]) {
+		const { jobs } = this.storeCopy;
+		for (const id of jobs.keys()) if (!this.clusterState.jobs.has(id)) this.jobChanged(id);
+		for (const [id, job] of [...this.clusterState.jobs]) {
 			if (!jobs.has(id)) this.jobEnded(id);
 			else if (job.ending && now - job.endingAt > auditEveryMs) this.completion.writeFinal(job);
 		}
@@ -406,16 +408,16 @@
 	/** A job appeared in the local copy, or left it. */
 	jobChanged(id: string): void {
 		if (this.ended) return;
-		const record = this.replica.jobs.get(id);
+		const record = this.storeCopy.jobs.get(id);
 		if (!record) this.jobEnded(id);
-		else if (!this.tables.jobs.has(id)) this.loadJob(id, record);
+		else if (!this.clusterState.jobs.has(id)) this.loadJob(id, record);
 	}
 
 	private jobEnded(id: string): void {
-		const job = this.tables.jobs.get(id);
+		const job = this.clusterState.jobs.get(id);
 		if (!job) return;
 		this.completion.forget(job);
-		const still = this.tables.endJob(job);
+		const still = this.clusterState.endJob(job);
 		if (still.length > 0) this.ports.log.info({ job: id, running: still.length }, "job over: stopping tasks");
 		if (this.active) this.orders.stop(still);
 	}
@@ -432,63 +434,63 @@
 		this.fleet.tick();
 		this.machineRecords.flush();
 		this.completion.tick(now);
-		this.presence.tick(now, () => this.runningCounts());
+		this.peerMonitor.tick(now, () => this.runningCounts());
 		this.audit(now);
-		if (this.anyWaiting(now)) this.tables.changed = true;
+		if (this.anyWaiting(now)) this.clusterState.placementDue = true;
 		this.preemption.tick(now);
 		this.relocation.tick(now);
 		this.maybePlace();
-		if (this.tables.exhausted) this.options.resign("attempt numbers used up");
+		if (this.clusterState.exhausted) this.options.resign("attempt numbers used up");
 	}
 
 	private sweep(now: number): void {
 		this.sayRebuilt(now);
 		const deaf: Machine[] = [];
-		for (const machine of this.tables.machines.values()) {
-			if (machine.deafAt !== null && !machine.returning) deaf.push(machine);
-			if (machine.faulty || machine.suspect) machine.forgive(now);
+		for (const machine of this.clusterState.machines.values()) {
+			if (machine.unreachableSince !== null && !machine.returning) deaf.push(machine);
+			if (machine.quarantined || machine.onProbation) machine.endProbation(now);
 			this.expireIfSilent(machine, now);
 		}
 		// Where many seem not to hear while the processor is short, it is our answers that come too late.
-		if (this.lateMs <= busyMs || deaf.length <= Math.max(2, this.tables.machines.size / 5)) return;
+		if (this.lateMs <= busyMs || deaf.length <= Math.max(2, this.clusterState.machines.size / 5)) return;
 		this.ports.log.info({ machines: deaf.length }, "answers reach few machines: taken as our own delay");
 		for (const machine of deaf) {
-			machine.deafAt = null;
-			machine.lostAnswers = 0;
+			machine.unreachableSince = null;
+			machine.ineffectiveAnswers = 0;
 		}
 	}
 
 	private sayRebuilt(now: number): void {
-		if (this.rebuiltSaid || !this.tables.rebuilt) return;
+		if (this.rebuiltSaid || !this.clusterState.rebuilt) return;
 		this.rebuiltSaid = true;
 		const afterMs = Math.round(now - this.beganAt);
-		this.ports.log.info({ epoch: this.epoch, afterMs }, "rebuilt: starting tasks");
+		this.ports.log.info({ term: this.term, afterMs }, "rebuilt: starting tasks");
 	}
 
 	private expireIfSilent(machine: Machine, now: number): void {
-		if (machine.lost || !(machine.up || this.tables.hidden.has(machine))) return;
-		if (now - machine.answeredAt <= this.tables.certainMs) return;
-		const tasks = this.tables.expire(machine);
+		if (machine.leaseExpired || !(machine.up || this.clusterState.awaited.has(machine))) return;
+		if (now - machine.answeredAt <= this.clusterState.certainMs) return;
+		const tasks = this.clusterState.expire(machine);
 		this.ports.log.info({ machine: machine.id, tasks }, "machine silent: its lease has expired");
 	}
 
 	/** Tasks running by job, for users to see at any node. */
 	private runningCounts(): [string, number][] {
 		const counts: [string, number][] = [];
-		for (const job of this.tables.jobs.values())
+		for (const job of this.clusterState.jobs.values())
 			if (job.attempts.size > 0) counts.push([job.id, job.running]);
 		return counts;
 	}
 
 	runningCount(id: string): number {
-		return this.tables.jobs.get(id)?.running ?? 0;
+		return this.clusterState.jobs.get(id)?.running ?? 0;
 	}
 
 	// --- placing ---
 
 	/** Looked up once a batch, however many reports it holds. */
 	private anyWaiting(now: number): boolean {
-		this.waitingNow ??= [...this.tables.jobs.values()].some(
+		this.waitingNow ??= [...this.clusterState.jobs.values()].some(
 			(job) => job.waiting.length > 0 && job.notBefore <= now,
 		);
 		return this.waitingNow;
@@ -504,12 +506,12 @@
 		if (!this.active) return;
 		const now = this.ports.time.now();
 		this.placement.run(now);
-		for (const machine of this.tables.followUps) this.assigned.add(machine);
-		this.tables.followUps.clear();
+		for (const machine of this.clusterState.relocatedTo) this.assigned.add(machine);
+		this.clusterState.relocatedTo.clear();
 		if (this.placement.settled) {
 			if (this.assigned.size > 0) this.sendAssigned(now);
 			// Nothing more will be placed for now: whoever was held for that is answered.
-			if (!this.tables.changed) this.held.releaseWaiting();
+			if (!this.clusterState.placementDue) this.held.releaseWaiting();
 		}
 		this.waitingNow = null;
 	}
@@ -527,9 +529,9 @@
 				this.held.release(machine.id);
 				continue;
 			}
-			const { handle } = machine;
+			const { reminder: handle } = machine;
 			if (handle === null || this.lateMs > busyMs || now - machine.reportedAt > latelyMs) continue;
-			machine.handle = null;
+			machine.reminder = null;
 			const { job, index, attempt } = handle;
 			this.orders.send(machine, [{ op: "forget", job, index, attempt }]);
 		}
@@ -539,19 +541,19 @@
 	// --- other controllers ---
 
 	peerMessage(from: string, message: PeerMessage): void {
-		if (this.ended || message.epoch !== this.epoch) return;
+		if (this.ended || message.epoch !== this.term) return;
 		const now = this.ports.time.now();
-		this.presence.heard(from, now);
+		this.peerMonitor.heard(from, now);
 		if (message.kind === "placed") this.placement.proposed(from, message, now);
 		if (message.kind !== "pong") return;
-		this.presence.answered(from, message.strays, message.standing === true, now);
+		this.peerMonitor.answered(from, message.strays, message.standing === true, now);
 		this.recordFeatures();
 	}
 
 	/** Once every controller has said that it serves standing jobs, all are told, for good. */
 	private recordFeatures(): void {
-		if (this.recordingFeatures || this.replica.features.standing || !this.active) return;
-		if (!this.presence.allServeStanding) return;
+		if (this.recordingFeatures || this.storeCopy.features.standing || !this.active) return;
+		if (!this.peerMonitor.allServeStanding) return;
 		this.recordingFeatures = true;
 		const { store, time, post } = this.ports;
 		const value: FeaturesRecord = { standing: true };
--- a/src/coordination/leadership.ts
+++ b/src/coordination/leadership.ts
@@ -1,5 +1,5 @@
 import { keys, type LeaderRecord } from "../bookkeeping/records.js";
-import type { Versioned } from "../bookkeeping/replica.js";
+import type { Versioned } from "../bookkeeping/store-copy.js";
 import type { CampaignPromise, Cancellation, LeadershipMessage, PromiseRequest } from "../protocol/peer.js";
 import { CallFailed, type Log, type StorePort, type TimePort } from "./ports.js";
 
@@ -7,7 +7,7 @@
 	ttlMs: number;
 	marginMs: number;
 	/** Longest authority after the moment up to which every cancellation is known here. */
-	unknowingMs: number;
+	longestUnknowingMs: number;
 }
 
 /** Two steady clocks drift apart by at most this part. */
@@ -15,13 +15,13 @@
 /** A put sent without an answer may be applied minutes late. */
 const uncertainMs = 5 * 60_000;
 /** Changes of the store are known within this, as long as it answers. */
-const hearingMs = 8000;
+const watchAnswerMs = 8000;
 /** Answers to older questions than this many are of no use. */
-const asksKept = 40;
+const requestsKept = 40;
 
 /**
  * Holds the leader's key, which is attached to a lease. The revision of the put
- * that won it is the epoch and the fencing token.
+ * that won it is the term and the fencing token.
  *
  * Authority needs two things, tested at every use, since this process may run late.
  *
@@ -42,7 +42,7 @@
  */
 export class Leadership {
 	private lease: number | null = null;
-	private held: number | null = null;
+	private heldTerm: number | null = null;
 	/** Nobody else can have the key before this. */
 	private unchallengedUntil = -Infinity;
 	private renewing = false;
@@ -53,10 +53,10 @@
 	/** By controller: until when it will not campaign. */
 	private readonly promises = new Map<string, number>();
 	/** By controller: all that its node has told users of cancellations up to then is known here. */
-	private readonly vouched = new Map<string, number>();
-	private readonly asked = new Map<number, number>();
-	private askNumber = 0;
-	private nextAsk = 0;
+	private readonly cancellationsKnownAt = new Map<string, number>();
+	private readonly requestsSentAt = new Map<number, number>();
+	private requestNumber = 0;
+	private nextRequest = 0;
 	/** This process's own promise, or what it may have promised before it started. */
 	private promisedUntil: number;
 	/** Whether the hold since the start is still on, and who has said that it does not lead. */
@@ -73,15 +73,15 @@
 		private readonly time: TimePort,
 		private readonly post: (command: () => void) => void,
 		private readonly hooks: {
-			won(epoch: number): void;
-			lost(epoch: number, why: string): void;
+			won(term: number): void;
+			lost(term: number, why: string): void;
 			/** To every other controller. */
 			tell(message: LeadershipMessage): void;
-			/** Steady time up to which the local copy holds every change of the store, and its epoch. */
+			/** Steady time up to which the local copy holds every change of the store, and its revision. */
 			knownAt(): number;
-			knownEpoch(): number;
-			/** Every cancellation after the epoch that this node can have told a user of; null: it cannot say. */
-			cancelledSince(epoch: number): Cancellation[] | null;
+			knownRevision(): number;
+			/** Every cancellation after the revision that this node can have told a user of; null: it cannot say. */
+			cancelledSince(revision: number): Cancellation[] | null;
 			learn(cancelled: Cancellation[]): void;
 		},
 		private readonly others: readonly string[],
@@ -95,20 +95,23 @@
 		return this.settings.ttlMs;
 	}
 
-	/** The epoch while this process may act for the controllers, else null. */
+	/** The term while this process may act for the controllers, else null. */
 	authority(): number | null {
-		if (this.held === null) return null;
+		if (this.heldTerm === null) return null;
 		const now = this.time.now();
 		const alone = this.others.length === 0;
-		return (alone || now < this.unchallengedUntil) && now < this.knowingUntil() ? this.held : null;
+		return (alone || now < this.unchallengedUntil) && now < this.knowingUntil() ? this.heldTerm : null;
 	}
 
 	private knowingUntil(): number {
-		const known = Math.max(this.hooks.knownAt(), this.earliest(this.vouched));
+		const known = Math.max(this.hooks.knownAt(), this.earliest(this.cancellationsKnownAt));
 		// Where cancel_s hardly exceeds a lease no bound could be kept between two answers of a
 		// watch. A leader that the store serves goes on for long enough to hear the next.
 		const served = this.time.now() < this.validFrom(this.renewedAt);
-		return known + (served ? Math.max(this.settings.unknowingMs, hearingMs) : this.settings.unknowingMs);
+		return (
+			known +
+			(served ? Math.max(this.settings.longestUnknowingMs, watchAnswerMs) : this.settings.longestUnknowingMs)
+		);
 	}
 
 	/** The earliest of the times noted for the others, one not noted being the earliest of all. */
@@ -129,8 +132,8 @@
 		if (message.kind === "who") {
 			this.hooks.tell({
 				kind: "leading",
-				epoch: this.held ?? 0,
-				leading: this.held !== null,
+				epoch: this.heldTerm ?? 0,
+				leading: this.heldTerm !== null,
 				asker: message.asker,
 			});
 		} else if (message.kind === "leading" && this.startHold) {
@@ -147,11 +150,11 @@
 	private promised(from: string, message: CampaignPromise, now: number): void {
 		// What it names is so, however old the message is, and is carried out before anything is counted.
 		if (message.cancelled) this.hooks.learn(message.cancelled);
-		const sentAt = this.asked.get(message.number);
-		if (message.epoch !== this.held || sentAt === undefined) return;
+		const sentAt = this.requestsSentAt.get(message.number);
+		if (message.epoch !== this.heldTerm || sentAt === undefined) return;
 		const latest = (times: Map<string, number>, at: number) =>
 			times.set(from, Math.max(at, times.get(from) ?? -Infinity));
-		if (message.cancelled) latest(this.vouched, sentAt);
+		if (message.cancelled) latest(this.cancellationsKnownAt, sentAt);
 		// Whoever promises now may have led in between, in a process that has ended since.
 		if (now >= this.unchallengedUntil) return;
 		const until = sentAt + this.promiseMs * (1 - drift) - this.settings.marginMs;
@@ -162,7 +165,7 @@
 
 	/** Promises only when a request made after the question was refused. */
 	private considerPromise({ epoch, number, known }: PromiseRequest): void {
-		const may = () => this.held === null && !this.campaigning && this.time.now() >= this.uncertainUntil;
+		const may = () => this.heldTerm === null && !this.campaigning && this.time.now() >= this.uncertainUntil;
 		if (!may()) return;
 		this.store.read(keys.leader).then(
 			() => {},
@@ -178,20 +181,20 @@
 		);
 	}
 
-	private ask(now: number): void {
-		if (now < this.nextAsk) return;
+	private requestPromises(now: number): void {
+		if (now < this.nextRequest) return;
 		// Often: the store may be out for all only when little of the lease is left.
-		this.nextAsk = now + this.promiseMs / 20;
-		this.askNumber += 1;
-		this.asked.set(this.askNumber, now);
-		this.asked.delete(this.askNumber - asksKept);
-		const known = this.hooks.knownEpoch();
-		this.hooks.tell({ kind: "ask", epoch: this.held ?? 0, number: this.askNumber, known });
+		this.nextRequest = now + this.promiseMs / 20;
+		this.requestNumber += 1;
+		this.requestsSentAt.set(this.requestNumber, now);
+		this.requestsSentAt.delete(this.requestNumber - requestsKept);
+		const known = this.hooks.knownRevision();
+		this.hooks.tell({ kind: "ask", epoch: this.heldTerm ?? 0, number: this.requestNumber, known });
 	}
 
-	/** The epoch whose lease has not been seen to end, with or without present authority. */
-	get epoch(): number | null {
-		return this.held;
+	/** The term whose lease has not been seen to end, with or without present authority. */
+	get currentTerm(): number | null {
+		return this.heldTerm;
 	}
 
 	private validFrom(sentAt: number): number {
@@ -201,16 +204,16 @@
 	/** Called often, in the queue. */
 	tick(current: Versioned<LeaderRecord> | null, known: boolean): void {
 		const now = this.time.now();
-		if (this.held !== null) {
+		if (this.heldTerm !== null) {
 			if (!this.renewing && now >= this.nextRenewal) this.renew();
-			if (now - this.renewedAt > this.settings.ttlMs / 3) this.ask(now);
+			if (now - this.renewedAt > this.settings.ttlMs / 3) this.requestPromises(now);
 			// Served, and yet the changes do not come: another had better lead.
 			else if (now >= this.knowingUntil()) this.resign("changes of the store do not reach this node");
 			return;
 		}
 		if (now < this.promisedUntil) {
-			if (this.startHold && now >= this.nextAsk) {
-				this.nextAsk = now + 200;
+			if (this.startHold && now >= this.nextRequest) {
+				this.nextRequest = now + 200;
 				this.hooks.tell({ kind: "who", epoch: 0, asker: this.incarnation });
 			}
 			return;
@@ -222,16 +225,16 @@
 	}
 
 	resign(why: string): void {
-		const epoch = this.held;
-		if (epoch === null) return;
+		const term = this.heldTerm;
+		if (term === null) return;
 		const lease = this.lease;
-		this.held = null;
+		this.heldTerm = null;
 		this.lease = null;
 		this.unchallengedUntil = -Infinity;
 		// Long enough for another to take over, also where this node resigns because it is in the way.
 		this.nextCampaign = this.time.now() + this.settings.ttlMs + this.jitter() * 200;
 		if (lease !== null) this.store.endLease(lease).catch(() => {});
-		this.hooks.lost(epoch, why);
+		this.hooks.lost(term, why);
 	}
 
 	private renew(): void {
@@ -270,14 +273,14 @@
 						this.nextCampaign = this.time.now() + 100 + this.jitter() * 100;
 						return;
 					}
-					this.held = won.epoch;
+					this.heldTerm = won.term;
 					this.lease = won.lease;
 					this.unchallengedUntil = this.validFrom(sentAt);
 					this.renewedAt = sentAt;
 					this.promises.clear();
-					this.vouched.clear();
+					this.cancellationsKnownAt.clear();
 					this.nextRenewal = this.time.now();
-					this.hooks.won(won.epoch);
+					this.hooks.won(won.term);
 				}),
 			(error) =>
 				this.post(() => {
@@ -288,7 +291,7 @@
 		);
 	}
 
-	private async take(expected: number, sentAt: number): Promise<{ epoch: number; lease: number } | null> {
+	private async take(expected: number, sentAt: number): Promise<{ term: number; lease: number } | null> {
 		const lease = await this.store.grantLease(this.settings.ttlMs);
 		const value: LeaderRecord = { node: this.node, incarnation: `${this.incarnation}.${sentAt.toFixed(3)}` };
 		try {
@@ -297,7 +300,7 @@
 				[{ put: keys.leader, value, lease }],
 				"first",
 			);
-			if (result.ok) return { epoch: result.epoch, lease };
+			if (result.ok) return { term: result.epoch, lease };
 		} catch (error) {
 			// No answer says nothing about the put: read the key back, never assume.
 			if (error instanceof CallFailed && error.kind === "unknown") {
@@ -309,7 +312,7 @@
 			}
 			const { row } = await this.store.read(keys.leader);
 			const record = row?.value as LeaderRecord | undefined;
-			if (row && record?.incarnation === value.incarnation) return { epoch: row.revision, lease };
+			if (row && record?.incarnation === value.incarnation) return { term: row.revision, lease };
 		}
 		// Ending the lease makes sure that a late copy of the put finds no lease to attach to.
 		this.store.endLease(lease).catch(() => {});
--- a/src/coordination/load.ts
+++ b/src/coordination/load.ts
@@ -1,8 +1,8 @@
 import type { Attempt, Job } from "../bookkeeping/jobs.js";
 import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
+import type { ClusterState } from "./cluster-state.js";
 import type { ClimbSettings } from "./scaling.js";
 import { remainingOfRunning, remainingOfWaiting, tasksHeld } from "./scaling.js";
-import type { Tables } from "./tables.js";
 
 /** What the hill climb measures of the leader's tables. */
 
@@ -11,11 +11,11 @@
  * run of the present tasks. The marks are multiples of it, so that they mean the
  * same for tasks of seconds and of hours.
  */
-export function meanSecondsLeft(tables: Tables, capS: number): number {
+export function meanSecondsLeft(clusterState: ClusterState, capS: number): number {
 	let cpus = 0;
 	let sum = 0;
-	for (const job of tables.jobs.values()) {
-		if (job.doomed || job.standing) continue;
+	for (const job of clusterState.jobs.values()) {
+		if (job.failsEverywhere || job.standing) continue;
 		const share = (job.waiting.length + job.attempts.size) * job.spec.cpus;
 		cpus += share;
 		sum += share * Math.min(job.estimateS, capS);
@@ -29,21 +29,21 @@
  * limit allows, each loaded to the high mark.
  */
 export function remainingWork(
-	tables: Tables,
+	clusterState: ClusterState,
 	now: number,
 	secondsLeft: number,
 	climb: ClimbSettings,
 ): number {
 	const byTeam = new Map<string, number>();
-	for (const job of tables.jobs.values()) {
+	for (const job of clusterState.jobs.values()) {
 		// Work that fails wherever it goes must not rent machines.
-		if (job.doomed) continue;
+		if (job.failsEverywhere) continue;
 		const { team } = job.spec;
 		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingOfJob(job, now, secondsLeft, climb.cap_s));
 	}
 	let sum = 0;
 	for (const [team, work] of byTeam) {
-		const limit = tables.quotas.team(team)?.cpus_max ?? 0;
+		const limit = clusterState.quotas.team(team)?.cpus_max ?? 0;
 		sum += Math.min(work, limit * climb.high * secondsLeft);
 	}
 	return sum;
@@ -72,15 +72,15 @@
 }
 
 /** Cores that the teams' limits let the present work use at once. */
-export function usableCpus(tables: Tables): number {
+export function usableCpus(clusterState: ClusterState): number {
 	const byTeam = new Map<string, number>();
-	for (const job of tables.jobs.values()) {
-		if (job.doomed) continue;
+	for (const job of clusterState.jobs.values()) {
+		if (job.failsEverywhere) continue;
 		const tasks = job.waiting.length + job.attempts.size;
 		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + tasks * job.spec.cpus);
 	}
 	let sum = 0;
-	for (const [team, cpus] of byTeam) sum += Math.min(cpus, tables.quotas.team(team)?.cpus_max ?? 0);
+	for (const [team, cpus] of byTeam) sum += Math.min(cpus, clusterState.quotas.team(team)?.cpus_max ?? 0);
 	return sum;
 }
 
@@ -100,14 +100,14 @@
 	work: number;
 }
 
-export function lookAtFleet(tables: Tables, now: number, climb: ClimbSettings): FleetLook {
-	const machines = [...tables.machines.values()].filter((m) => m.counts);
-	const secondsLeft = meanSecondsLeft(tables, climb.cap_s);
+export function lookAtFleet(clusterState: ClusterState, now: number, climb: ClimbSettings): FleetLook {
+	const machines = [...clusterState.machines.values()].filter((m) => m.countsAsCapacity);
+	const secondsLeft = meanSecondsLeft(clusterState, climb.cap_s);
 	return {
 		now,
 		machines,
 		cpus: machines.reduce((sum, m) => sum + m.type.cpus, 0),
 		secondsLeft,
-		work: remainingWork(tables, now, secondsLeft, climb),
+		work: remainingWork(clusterState, now, secondsLeft, climb),
 	};
 }
--- a/src/coordination/machine-list.ts
+++ b/src/coordination/machine-list.ts
@@ -1,7 +1,7 @@
 import { Machine } from "../bookkeeping/machines.js";
 import type { ListedMachine } from "../protocol/model.js";
+import type { ClusterState } from "./cluster-state.js";
 import { CallFailed, type CloudPort, type Log, type TimePort } from "./ports.js";
-import type { Tables } from "./tables.js";
 
 const leastPauseMs = 5000;
 const retryMs = 1500;
@@ -25,7 +25,7 @@
 	looked = false;
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly cloud: CloudPort,
 		private readonly time: TimePort,
 		private readonly lagMs: number,
@@ -79,7 +79,7 @@
 	}
 
 	private reconcile(listed: ListedMachine, now: number): void {
-		const machine = this.tables.machines.get(listed.id) ?? this.takeIn(listed, now);
+		const machine = this.clusterState.machines.get(listed.id) ?? this.takeIn(listed, now);
 		if (!machine) return;
 		if (listed.endpoint !== "" && machine.endpoint === "") machine.endpoint = listed.endpoint;
 		if (listed.status === "failed" && !machine.returning) {
@@ -89,20 +89,20 @@
 	}
 
 	private takeIn(listed: ListedMachine, now: number): Machine | null {
-		const type = this.tables.types.get(listed.type);
+		const type = this.clusterState.types.get(listed.type);
 		if (!type) return null;
 		const machine = new Machine(listed.id, type, listed.zone, listed.spot, now - listed.ageS * 1000);
 		machine.onlyListed = true;
-		this.tables.machines.set(machine.id, machine);
+		this.clusterState.machines.set(machine.id, machine);
 		this.log.info({ machine: listed.id, status: listed.status }, "unexpected machine listed");
 		return machine;
 	}
 
 	/** One known only from a list, never heard of and no longer listed, is not there. */
 	private dropUnlisted(names: Set<string>): void {
-		for (const machine of [...this.tables.machines.values()]) {
+		for (const machine of [...this.clusterState.machines.values()]) {
 			if (machine.onlyListed && !machine.up && !names.has(machine.id))
-				this.tables.machines.delete(machine.id);
+				this.clusterState.machines.delete(machine.id);
 		}
 	}
 }
--- a/src/coordination/machine-returns.ts
+++ b/src/coordination/machine-returns.ts
@@ -1,7 +1,7 @@
 import type { Machine } from "../bookkeeping/machines.js";
 import type { OperatorSettings } from "../protocol/operator.js";
+import type { ClusterState } from "./cluster-state.js";
 import type { CloudPort, Log, TimePort } from "./ports.js";
-import type { Tables } from "./tables.js";
 
 /** Machines that were returned are known as gone for so long: late copies of their reports may come. */
 const goneKeptMs = 10 * 60_000;
@@ -33,7 +33,7 @@
 	private cutOff = new Set<string>();
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly cloud: CloudPort,
 		private readonly time: TimePort,
 		private readonly settings: OperatorSettings["machines"],
@@ -54,7 +54,7 @@
 
 	/** Called often, with authority. */
 	tick(now: number): void {
-		this.cutOff = silentZones(this.tables.machines.values());
+		this.cutOff = silentZones(this.clusterState.machines.values());
 		if (this.returning || now < this.nextReturn) return;
 		const leaving = this.leaving(now);
 		if (leaving.length === 0) return;
@@ -67,7 +67,7 @@
 
 	private leaving(now: number): Machine[] {
 		const leaving: Machine[] = [];
-		for (const machine of this.tables.machines.values()) {
+		for (const machine of this.clusterState.machines.values()) {
 			const why = this.reasonToReturn(machine, now);
 			if (why === null) continue;
 			if (!machine.returning) this.log.info({ machine: machine.id, why }, "returning");
@@ -99,12 +99,12 @@
 		// A machine that vanishes proves nothing until its lease has run out; one that was
 		// returned is proved gone at once, and so are the tasks on it.
 		if (machine.takenAt !== null && now >= machine.takenAt - takenLeadMs) return "about to be taken";
-		const hidden = this.tables.hidden.has(machine);
+		const hidden = this.clusterState.awaited.has(machine);
 		const holdsTasks = machine.attempts.size > 0 || hidden;
 		const outOfReach = this.outOfReach(machine, hidden, holdsTasks, now);
 		if (outOfReach !== null || holdsTasks) return outOfReach;
-		if (machine.faulty) return "faulty";
-		if (machine.marked) return "drained";
+		if (machine.quarantined) return "faulty";
+		if (machine.draining) return "drained";
 		return machine.takenAt !== null && machine.confirmed ? "drained before it is taken" : null;
 	}
 
@@ -112,12 +112,13 @@
 		// Most of a zone does not fall silent machine by machine: it is cut off, and what runs
 		// there is worth more when it is heard again than what would have to boot then.
 		const patience = this.cutOff.has(machine.zone) ? zonePatience : 1;
-		if (machine.lost && now - machine.answeredAt > this.silentMs * patience) return "silent";
+		if (machine.leaseExpired && now - machine.answeredAt > this.silentMs * patience) return "silent";
 		const bootMs = Math.max(leastBootS, machine.type.bootS) * 1000 * this.settings.boot_times;
 		if (!machine.up && !hidden && now - machine.rentedAt > bootMs) return "never came up";
 		// Its tasks go on until its lease has run out, unless answers reach it again before.
 		const deafMs = holdsTasks ? this.leaseMs : deafPatienceMs;
-		if (machine.deafAt !== null && now - machine.deafAt > deafMs) return "answers do not reach it";
+		if (machine.unreachableSince !== null && now - machine.unreachableSince > deafMs)
+			return "answers do not reach it";
 		return null;
 	}
 }
@@ -127,10 +128,10 @@
 	const zones = new Map<string, { lost: number; up: number }>();
 	for (const machine of machines) {
 		// One that a new leader never heard is lost too, once its lease has run out.
-		if (!machine.up && !machine.lost) continue;
+		if (!machine.up && !machine.leaseExpired) continue;
 		const zone = zones.get(machine.zone) ?? { lost: 0, up: 0 };
 		zone.up += 1;
-		if (machine.lost) zone.lost += 1;
+		if (machine.leaseExpired) zone.lost += 1;
 		zones.set(machine.zone, zone);
 	}
 	const silent = new Set<string>();
--- a/src/coordination/order-sender.ts
+++ b/src/coordination/order-sender.ts
@@ -29,7 +29,7 @@
 	}
 
 	send(machine: Machine, orders: Order[]): void {
-		if (!this.active() || machine.endpoint === "" || machine.lost) return;
+		if (!this.active() || machine.endpoint === "" || machine.leaseExpired) return;
 		this.workers
 			.command(machine.endpoint, this.token, machine.session, orders)
 			.catch((error) => this.log.debug({ machine: machine.id, err: String(error) }, "order not sent"));
--- a/src/coordination/ordering.ts
+++ b/src/coordination/ordering.ts
@@ -48,11 +48,11 @@
 	const due = job.at + deadlineS * 1000;
 	if (ready <= due || job.attempts.size > 0) return due;
 	const late = job.at + lateTimes * deadlineS * 1000;
-	return ready <= late ? late : late + hopelessMs;
+	return ready <= late ? late : late + beyondAnyDeadlineMs;
 }
 
 /** Longer than any deadline, so that the order among those past hope stays that of their due times. */
-const hopelessMs = 1e12;
+const beyondAnyDeadlineMs = 1e12;
 
 /**
  * The order in which jobs are served. Critical work comes before urgent work and
--- a/src/coordination/presence.ts
+++ b/src/coordination/peer-monitor.ts
@@ -1,29 +1,29 @@
 import type { OperatorSettings } from "../protocol/operator.js";
 import type { PlatformSettings } from "../protocol/settings.js";
+import type { ClusterState } from "./cluster-state.js";
 import { placerOf } from "./partitioning.js";
 import type { Log, PeerPort } from "./ports.js";
-import type { Tables } from "./tables.js";
 
 /**
  * A worker that cannot reach the leader tries another node about once in this time: it waits
  * 4 s for an answer and a second before the next.
  */
-export const strayMs = 6000;
+export const redirectedMs = 6000;
 /** So long after a takeover workers still come from elsewhere. */
-const settleMs = 8000;
+const afterTakeoverMs = 8000;
 /** A machine that does not stay with its relay is left alone for this long. */
-const sentAwayMs = 60_000;
+const redirectPauseMs = 60_000;
 /** A relay answers twice a second. */
 const relaySilentMs = 1200;
 const pingEveryMs = 500;
 
-export interface PresenceOptions {
-	epoch: number;
+export interface PeerMonitorOptions {
+	term: number;
 	/** Steady time at which the term began. */
 	beganAt: number;
 	platform: PlatformSettings;
 	settings: OperatorSettings;
-	tables: Tables;
+	clusterState: ClusterState;
 	peers: PeerPort;
 	/** The state service answers this node. */
 	served(): boolean;
@@ -32,28 +32,28 @@
 }
 
 /** Who is there for a leader: which other controllers, and whether workers reach it. */
-export class Presence {
+export class PeerMonitor {
 	private readonly heardFrom = new Map<string, number>();
 	/** Machines that turned to other controllers, by controller. */
-	private readonly strays = new Map<string, { at: number; count: number }>();
+	private readonly redirected = new Map<string, { at: number; count: number }>();
 	/** Looks in a row at which most machines were not heard. */
-	private apart = 0;
+	private unreachableLooks = 0;
 	/** Whether the other controllers receive reports and pass them on. */
 	private relaying = false;
 	private nextPing = 0;
 	/** Controllers that serve standing jobs, by their own word in this term. */
 	private readonly serveStanding = new Set<string>();
 
-	private readonly epoch: number;
+	private readonly term: number;
 	private readonly platform: PlatformSettings;
-	private readonly tables: Tables;
+	private readonly clusterState: ClusterState;
 	private readonly peers: PeerPort;
 	private readonly log: Log;
 
-	constructor(private readonly options: PresenceOptions) {
-		this.epoch = options.epoch;
+	constructor(private readonly options: PeerMonitorOptions) {
+		this.term = options.term;
 		this.platform = options.platform;
-		this.tables = options.tables;
+		this.clusterState = options.clusterState;
 		this.peers = options.peers;
 		this.log = options.log;
 	}
@@ -62,10 +62,10 @@
 	tick(now: number, counts: () => [string, number][]): void {
 		if (now < this.nextPing) return;
 		this.nextPing = now + pingEveryMs;
-		const ears = this.hearing(now);
+		const ears = this.reachable(now);
 		const hearing = ears.heard >= ears.up / 2;
 		this.considerRelaying();
-		const { epoch, relaying: relay } = this;
+		const { term: epoch, relaying: relay } = this;
 		const message = {
 			kind: "running",
 			epoch,
@@ -75,7 +75,7 @@
 			relay,
 		};
 		for (const other of this.platform.others) this.peers.send(other.node, message);
-		this.apart = ears.up >= 2 && !hearing ? this.apart + 1 : 0;
+		this.unreachableLooks = ears.up >= 2 && !hearing ? this.unreachableLooks + 1 : 0;
 		this.stepAside(now, ears);
 	}
 
@@ -92,8 +92,8 @@
 	answered(from: string, count: number, standing: boolean, now: number): void {
 		if (standing) this.serveStanding.add(from);
 		else this.serveStanding.delete(from);
-		this.strays.set(from, { at: now, count });
-		if (this.apart > 0) this.stepAside(now, this.hearing(now));
+		this.redirected.set(from, { at: now, count });
+		if (this.unreachableLooks > 0) this.stepAside(now, this.reachable(now));
 	}
 
 	get allServeStanding(): boolean {
@@ -115,13 +115,13 @@
 	 * that comes back after it was sent away does not reach its relay and stays for a while.
 	 */
 	relayFor(id: string, now: number): string | null {
-		if (!this.relaying || !this.tables.rebuilt) return null;
-		const machine = this.tables.machines.get(id);
-		if (!machine || now - machine.sentAwayAt < sentAwayMs) return null;
+		if (!this.relaying || !this.clusterState.rebuilt) return null;
+		const machine = this.clusterState.machines.get(id);
+		if (!machine || now - machine.redirectedAt < redirectPauseMs) return null;
 		const relays: string[] = [];
-		for (const [node, { at }] of this.strays) if (now - at < relaySilentMs) relays.push(node);
+		for (const [node, { at }] of this.redirected) if (now - at < relaySilentMs) relays.push(node);
 		const relay = placerOf(id, relays);
-		if (relay !== null) machine.sentAwayAt = now;
+		if (relay !== null) machine.redirectedAt = now;
 		return relay;
 	}
 
@@ -129,7 +129,7 @@
 	private considerRelaying(): void {
 		const { workers, resources } = this.platform.cluster;
 		const perCore = this.options.settings.reports.relay_per_core;
-		const rate = this.tables.machines.size / workers.report_s / (resources.cores ?? 1);
+		const rate = this.clusterState.machines.size / workers.report_s / (resources.cores ?? 1);
 		const relaying = perCore > 0 && rate >= (this.relaying ? perCore / 2 : perCore);
 		if (relaying === this.relaying) return;
 		this.relaying = relaying;
@@ -138,14 +138,14 @@
 	}
 
 	/** Machines that are up, and those of them that this node hears. */
-	private hearing(now: number): { up: number; heard: number } {
+	private reachable(now: number): { up: number; heard: number } {
 		const since = now - (2500 * this.platform.cluster.workers.report_s + 500);
 		let up = 0;
 		let heard = 0;
-		for (const machine of this.tables.machines.values()) {
+		for (const machine of this.clusterState.machines.values()) {
 			if (!machine.up) continue;
 			up += 1;
-			if (machine.reportedAt > since && machine.deafAt === null) heard += 1;
+			if (machine.reportedAt > since && machine.unreachableSince === null) heard += 1;
 		}
 		return { up, heard };
 	}
@@ -156,10 +156,11 @@
 	 * the others hear more machines than this node does, one of them had better lead.
 	 */
 	private stepAside(now: number, { up, heard }: { up: number; heard: number }): void {
-		if (now - this.options.beganAt < settleMs) return;
+		if (now - this.options.beganAt < afterTakeoverMs) return;
 		let strays = 0;
-		for (const { at, count } of this.strays.values()) if (now - at < 2000) strays = Math.max(strays, count);
-		if (this.apart >= 2 && strays > heard && strays >= up / 10) {
+		for (const { at, count } of this.redirected.values())
+			if (now - at < 2000) strays = Math.max(strays, count);
+		if (this.unreachableLooks >= 2 && strays > heard && strays >= up / 10) {
 			this.options.resign(`the workers do not reach this node: ${heard} of ${up} heard`);
 		}
 	}
--- a/src/coordination/placement-cycle.ts
+++ b/src/coordination/placement-cycle.ts
@@ -3,13 +3,13 @@
 import type { Machine } from "../bookkeeping/machines.js";
 import type { PlacementProposal } from "../protocol/peer.js";
 import type { Grant, Placement, ViewMachine } from "../protocol/placement.js";
+import type { ClusterState } from "./cluster-state.js";
 import { grantsFor, type TeamGrant } from "./grants.js";
 import { servingOrder } from "./ordering.js";
 import { placerOf } from "./partitioning.js";
+import type { PeerMonitor } from "./peer-monitor.js";
 import { placeFirstFit, sampled } from "./placing.js";
 import type { PeerPort, TimePort } from "./ports.js";
-import type { Presence } from "./presence.js";
-import type { Tables } from "./tables.js";
 
 /** A job that its placer does not know is placed by the leader for so long. */
 const placedHereMs = 5000;
@@ -24,8 +24,8 @@
 export interface PlacementOptions {
 	/** This node. */
 	self: string;
-	tables: Tables;
-	presence: Presence;
+	clusterState: ClusterState;
+	peerMonitor: PeerMonitor;
 	peers: PeerPort;
 	time: TimePort;
 	random: RandomGenerator;
@@ -42,13 +42,13 @@
  * proposes where, and every single start is checked against the leader's own tables.
  */
 export class PlacementCycle {
-	private readonly tables: Tables;
+	private readonly clusterState: ClusterState;
 	private readonly outstanding = new Map<string, Outstanding>();
 	private cycle = 0;
 	private nextAt = 0;
 
 	constructor(private readonly options: PlacementOptions) {
-		this.tables = options.tables;
+		this.clusterState = options.clusterState;
 	}
 
 	/** No placer is being waited for. */
@@ -58,16 +58,16 @@
 
 	/** After each batch of commands. */
 	run(now: number): void {
-		if (!this.tables.changed || now < this.nextAt) return;
-		this.tables.changed = false;
+		if (!this.clusterState.placementDue || now < this.nextAt) return;
+		this.clusterState.placementDue = false;
 		this.nextAt = now + this.options.cycleMs;
-		if (this.tables.rebuilt) this.place(now);
+		if (this.clusterState.rebuilt) this.place(now);
 	}
 
 	inOrder(jobs: Job[]): Job[] {
-		const { quotas, machines } = this.tables;
+		const { quotas, machines } = this.clusterState;
 		let cpus = 0;
-		for (const machine of machines.values()) if (machine.open) cpus += machine.type.cpus;
+		for (const machine of machines.values()) if (machine.schedulable) cpus += machine.type.cpus;
 		const teams = new Set(jobs.map((job) => job.spec.team)).size;
 		return servingOrder(
 			jobs,
@@ -97,33 +97,33 @@
 		for (const [node, { sentAt }] of this.outstanding) {
 			if (now - sentAt <= this.options.silentMs) continue;
 			this.outstanding.delete(node);
-			this.options.presence.silent(node);
+			this.options.peerMonitor.silent(node);
 		}
 	}
 
 	/** Cheap cores fill first, so that dear machines are the ones to run empty and go back. */
 	private views(): ViewMachine[] {
-		const open = [...this.tables.machines.values()].filter((m) => m.open && m.freeCpus > 0);
+		const open = [...this.clusterState.machines.values()].filter((m) => m.schedulable && m.freeCpus > 0);
 		return sampled(open, this.options.sample, this.options.random)
 			.sort((a, b) => pricePerCpu(a) - pricePerCpu(b) || b.freeCpus - a.freeCpus)
 			.map(viewOf);
 	}
 
 	private grants(views: ViewMachine[], now: number): TeamGrant[] {
-		const waiting = [...this.tables.jobs.values()].filter(
+		const waiting = [...this.clusterState.jobs.values()].filter(
 			(job) => job.waiting.length > 0 && job.notBefore <= now && !job.ending,
 		);
-		return grantsFor(this.tables, this.inOrder(waiting), views, {
+		return grantsFor(this.clusterState, this.inOrder(waiting), views, {
 			now,
 			date: this.options.time.date().getTime(),
 		});
 	}
 
 	private shares(grants: TeamGrant[], now: number): Map<string, Grant[]> {
-		const live = this.options.presence.livePlacers(now);
+		const live = this.options.peerMonitor.livePlacers(now);
 		const shares = new Map<string, Grant[]>();
 		for (const { grant, team } of grants) {
-			const here = (this.tables.jobs.get(grant.job)?.placedHereUntil ?? 0) > now;
+			const here = (this.clusterState.jobs.get(grant.job)?.placedHereUntil ?? 0) > now;
 			const placer = here ? this.options.self : (placerOf(team, live) ?? this.options.self);
 			// A placer still at work on the last view may be using its teams' room already.
 			if (this.outstanding.has(placer)) continue;
@@ -136,7 +136,7 @@
 
 	private placeHere(views: ViewMachine[], grants: Grant[], start: number): void {
 		const copy = views.map((view) => ({ ...view }));
-		this.issue(placeFirstFit(copy, grants, (id) => this.tables.jobs.get(id)?.spec, start));
+		this.issue(placeFirstFit(copy, grants, (id) => this.clusterState.jobs.get(id)?.spec, start));
 	}
 
 	private request(
@@ -147,8 +147,8 @@
 		now: number,
 	): void {
 		this.outstanding.set(placer, { cycle: this.cycle, sentAt: now });
-		const { cycle, tables, options } = this;
-		options.peers.send(placer, { kind: "view", epoch: tables.epoch, cycle, start, machines, grants });
+		const { cycle, clusterState, options } = this;
+		options.peers.send(placer, { kind: "view", epoch: clusterState.term, cycle, start, machines, grants });
 	}
 
 	/** Of an older cycle than the one asked for, a proposal is out of date. */
@@ -158,20 +158,20 @@
 		this.issue(proposal.placements);
 		// A placer that lags behind, or has missed a job, must not keep it from starting.
 		for (const id of proposal.unknown) {
-			const job = this.tables.jobs.get(id);
+			const job = this.clusterState.jobs.get(id);
 			if (job) job.placedHereUntil = now + placedHereMs;
-			this.tables.changed = true;
+			this.clusterState.placementDue = true;
 		}
 	}
 
 	/** Checks every proposal against the leader's own tables. */
 	private issue(placements: Placement[]): void {
 		for (const { job: id, machine: machineId, count } of placements) {
-			const job = this.tables.jobs.get(id);
-			const machine = this.tables.machines.get(machineId);
+			const job = this.clusterState.jobs.get(id);
+			const machine = this.clusterState.machines.get(machineId);
 			if (!job || !machine) continue;
 			for (let i = 0; i < count; i++) {
-				const attempt = this.tables.decide(job, machine);
+				const attempt = this.clusterState.decide(job, machine);
 				if (!attempt) break;
 				this.options.decided(attempt);
 			}
@@ -192,7 +192,7 @@
 		cpus: machine.freeCpus,
 		gpus: machine.freeGpus,
 		memory: machine.freeMemory,
-		slots: machine.suspect ? Math.max(0, 1 - machine.attempts.size) : manySlots,
+		slots: machine.onProbation ? Math.max(0, 1 - machine.attempts.size) : manySlots,
 		images: [...machine.images],
 	};
 }
--- a/src/coordination/preemption-cycle.ts
+++ b/src/coordination/preemption-cycle.ts
@@ -1,10 +1,10 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Job } from "../bookkeeping/jobs.js";
+import type { ClusterState } from "./cluster-state.js";
 import type { OrderSender } from "./order-sender.js";
 import { sampled } from "./placing.js";
 import type { Log } from "./ports.js";
 import { chooseVictims } from "./preemption.js";
-import type { Tables } from "./tables.js";
 
 const everyMs = 500;
 /** Room may come by itself for so long after a job came to be known. */
@@ -17,7 +17,7 @@
 	private nextAt = 0;
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly orders: OrderSender,
 		private readonly inOrder: (jobs: Job[]) => Job[],
 		private readonly random: RandomGenerator,
@@ -26,11 +26,11 @@
 
 	/** Called often, with authority. */
 	tick(now: number): void {
-		if (now < this.nextAt || !this.tables.rebuilt) return;
+		if (now < this.nextAt || !this.clusterState.rebuilt) return;
 		this.nextAt = now + everyMs;
-		const waiting = [...this.tables.jobs.values()].filter((job) => mayPreempt(job, now));
+		const waiting = [...this.clusterState.jobs.values()].filter((job) => mayPreempt(job, now));
 		if (waiting.length === 0) return;
-		const victims = chooseVictims(this.tables, this.inOrder(waiting), now, (machines, most) =>
+		const victims = chooseVictims(this.clusterState, this.inOrder(waiting), now, (machines, most) =>
 			sampled(machines, most, this.random),
 		);
 		if (victims.length === 0) return;
@@ -44,6 +44,6 @@
 }
 
 function mayPreempt(job: Job, now: number): boolean {
-	if (job.waiting.length === 0 || job.ending || job.doomed) return false;
+	if (job.waiting.length === 0 || job.ending || job.failsEverywhere) return false;
 	return job.notBefore <= now && now - job.knownAt > patienceMs;
 }
--- a/src/coordination/preemption.ts
+++ b/src/coordination/preemption.ts
@@ -1,6 +1,6 @@
 import type { Attempt, Job } from "../bookkeeping/jobs.js";
 import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
-import type { Tables } from "./tables.js";
+import type { ClusterState } from "./cluster-state.js";
 
 /**
  * Which running tasks to stop so that waiting ones of more right can start. Only
@@ -18,10 +18,10 @@
  * dozens a second, and whoever is first in the order of service gets them: stopping
  * work there throws it away for nothing.
  */
-export function placesSoonFree(tables: Tables): { all: number; byTeam: Map<string, number> } {
+export function placesSoonFree(clusterState: ClusterState): { all: number; byTeam: Map<string, number> } {
 	let all = 0;
 	const byTeam = new Map<string, number>();
-	for (const job of tables.jobs.values()) {
+	for (const job of clusterState.jobs.values()) {
 		if (job.standing) continue;
 		const places = (turnoverS * job.attempts.size) / job.estimateS;
 		all += places;
@@ -50,14 +50,14 @@
 }
 
 /** Work mostly done is not thrown away. */
-function young(attempt: Attempt, now: number): boolean {
+function cheapToStop(attempt: Attempt, now: number): boolean {
 	if (attempt.runningAt === null || attempt.job.spec.checkpointS > 0) return true;
 	return now - attempt.runningAt < 0.5 * attempt.job.estimateS * 1000;
 }
 
-function beyondGuarantee(tables: Tables, team: string, freedCpus: number): boolean {
-	const limits = tables.quotas.team(team);
-	return limits !== undefined && tables.quotas.use(team).cpus - freedCpus > limits.cpus + slack;
+function beyondGuarantee(clusterState: ClusterState, team: string, freedCpus: number): boolean {
+	const limits = clusterState.quotas.team(team);
+	return limits !== undefined && clusterState.quotas.use(team).cpus - freedCpus > limits.cpus + slack;
 }
 
 /** Machines looked through for work to stop; with more than this, a sample of them stands for all. */
@@ -81,25 +81,25 @@
 	/** What will be free on a machine beside what is free now, less what is promised. */
 	private readonly extra = new Map<Machine, Amount>();
 	/** Open machines with anything free, now or soon. */
-	private readonly roomy = new Set<Machine>();
-	private readonly looked: Machine[];
+	private readonly withRoom = new Set<Machine>();
+	private readonly sampledMachines: Machine[];
 	private readonly cheapest = new Map<Machine, Attempt[]>();
 	private readonly own = new Map<string, Attempt[]>();
 	/** Kinds of work for which there was nothing to stop: the next job of the kind finds nothing either. */
-	private readonly hopeless = new Set<string>();
+	private readonly unservable = new Set<string>();
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly now: number,
 		sample: (machines: Machine[]) => Machine[],
 	) {
-		const open = [...tables.machines.values()].filter(takesWork);
+		const open = [...clusterState.machines.values()].filter(takesWork);
 		// What was stopped before and has not ended yet is on its way to being free.
-		for (const machine of tables.machines.values()) {
+		for (const machine of clusterState.machines.values()) {
 			for (const attempt of machine.attempts.values()) if (attempt.stop !== null) this.free(attempt);
 		}
-		for (const m of open) if (m.freeCpus + (this.extra.get(m)?.cpus ?? 0) > slack) this.roomy.add(m);
-		this.looked = sample(open);
+		for (const m of open) if (m.freeCpus + (this.extra.get(m)?.cpus ?? 0) > slack) this.withRoom.add(m);
+		this.sampledMachines = sample(open);
 	}
 
 	private add(machine: Machine, { spec }: Job, sign: 1 | -1): void {
@@ -118,7 +118,7 @@
 	private take(attempt: Attempt): void {
 		this.victims.add(attempt);
 		this.free(attempt);
-		if (takesWork(attempt.machine)) this.roomy.add(attempt.machine);
+		if (takesWork(attempt.machine)) this.withRoom.add(attempt.machine);
 	}
 
 	/** What is left on the machine once a task of the job is there too. */
@@ -132,7 +132,7 @@
 	}
 
 	private used(team: string, more: number): number {
-		return this.tables.quotas.use(team).cpus - (this.freed.get(team) ?? 0) + more;
+		return this.clusterState.quotas.use(team).cpus - (this.freed.get(team) ?? 0) + more;
 	}
 
 	/** Finds a place for one more task of the job; false if nothing more can be done for it. */
@@ -150,7 +150,7 @@
 		}
 		if (this.used(spec.team, spec.cpus) > limits.cpus_max + slack) return false;
 		const withinGuarantee = this.used(spec.team, spec.cpus) <= limits.cpus + slack;
-		for (const machine of this.roomy) {
+		for (const machine of this.withRoom) {
 			if (!machineAllowed(spec, machine) || !enough(this.roomOn(machine, job))) continue;
 			this.add(machine, job, -1);
 			return true;
@@ -161,10 +161,10 @@
 			spec.types === null && spec.zone === null && spec.spot
 				? JSON.stringify([spec.team, job.rank, withinGuarantee, spec.cpus, spec.memoryGb, spec.gpus])
 				: null;
-		if (kind !== null && this.hopeless.has(kind)) return false;
+		if (kind !== null && this.unservable.has(kind)) return false;
 		const plan = this.cheapestPlan(job, withinGuarantee);
 		if (!plan) {
-			if (kind !== null) this.hopeless.add(kind);
+			if (kind !== null) this.unservable.add(kind);
 			return false;
 		}
 		for (const attempt of plan.attempts) this.take(attempt);
@@ -180,7 +180,7 @@
 		// Placing serves guarantees before borrowing. Taking a guaranteed place for borrowed
 		// work would only have it taken back, each time at the cost of what had run.
 		const borrowed = beyondGuarantee(
-			this.tables,
+			this.clusterState,
 			other,
 			(this.freed.get(other) ?? 0) + a.job.spec.cpus - slack * 2,
 		);
@@ -193,7 +193,7 @@
 		let list = this.cheapest.get(machine);
 		if (!list) {
 			list = [...machine.attempts.values()]
-				.filter((a) => stoppable(a) && young(a, this.now))
+				.filter((a) => stoppable(a) && cheapToStop(a, this.now))
 				.sort((a, b) => costOfStopping(a, this.now) - costOfStopping(b, this.now));
 			this.cheapest.set(machine, list);
 		}
@@ -202,7 +202,7 @@
 
 	private cheapestPlan(job: Job, withinGuarantee: boolean): { machine: Machine; attempts: Attempt[] } | null {
 		let best: { machine: Machine; attempts: Attempt[]; cost: number } | null = null;
-		for (const machine of this.looked) {
+		for (const machine of this.sampledMachines) {
 			if (!machineAllowed(job.spec, machine)) continue;
 			const room = this.roomOn(machine, job);
 			const attempts: Attempt[] = [];
@@ -227,9 +227,9 @@
 		let own = this.own.get(key);
 		if (!own) {
 			own = [];
-			for (const other of this.tables.jobs.values()) {
+			for (const other of this.clusterState.jobs.values()) {
 				if (other.spec.team !== job.spec.team || other.rank <= job.rank) continue;
-				for (const a of other.attempts.values()) if (stoppable(a) && young(a, this.now)) own.push(a);
+				for (const a of other.attempts.values()) if (stoppable(a) && cheapToStop(a, this.now)) own.push(a);
 			}
 			own.sort((a, b) => costOfStopping(b, this.now) - costOfStopping(a, this.now));
 			this.own.set(key, own);
@@ -239,7 +239,7 @@
 }
 
 function takesWork(machine: Machine): boolean {
-	return machine.open && !machine.suspect;
+	return machine.schedulable && !machine.onProbation;
 }
 
 function enough(room: Amount): boolean {
@@ -247,20 +247,20 @@
 }
 
 export function chooseVictims(
-	tables: Tables,
+	clusterState: ClusterState,
 	waiting: Job[],
 	now: number,
 	sample: (machines: Machine[], most: number) => Machine[] = (machines) => machines,
 ): Attempt[] {
-	const pass = new Pass(tables, now, (machines) => sample(machines, planSample));
-	const soonFree = placesSoonFree(tables);
+	const pass = new Pass(clusterState, now, (machines) => sample(machines, planSample));
+	const soonFree = placesSoonFree(clusterState);
 	for (const job of waiting) {
 		if (pass.victims.size >= mostPerPass * 3) break;
 		const { spec } = job;
-		const limits = tables.quotas.team(spec.team);
+		const limits = clusterState.quotas.team(spec.team);
 		if (!limits) continue;
 		// A team at its limit gets only the places that it frees itself.
-		const atLimit = !tables.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus);
+		const atLimit = !clusterState.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus);
 		const own = soonFree.byTeam.get(spec.team) ?? 0;
 		// Which machines they come free on nobody knows, and a replica can't wait for the next.
 		const served = job.standing
--- a/src/coordination/relay.ts
+++ b/src/coordination/relay.ts
@@ -21,7 +21,7 @@
  */
 export class Relay {
 	private leader = "";
-	private epoch = 0;
+	private term = 0;
 	private count = 0;
 	private pausedUntil = -Infinity;
 	private batch: [number, PackedReport][] = [];
@@ -33,9 +33,9 @@
 	) {}
 
 	/** Whoever waits for an answer of the one before is given up, to be passed on anew. */
-	newLeader(leader: string, epoch: number): void {
+	newLeader(leader: string, term: number): void {
 		this.leader = leader;
-		this.epoch = epoch;
+		this.term = term;
 		this.pausedUntil = -Infinity;
 		this.batch = [];
 		this.giveUp(Number.POSITIVE_INFINITY);
@@ -55,11 +55,11 @@
 	private flush(): void {
 		const reports = this.batch;
 		this.batch = [];
-		if (reports.length > 0) this.peers.send(this.leader, { kind: "reports", epoch: this.epoch, reports });
+		if (reports.length > 0) this.peers.send(this.leader, { kind: "reports", epoch: this.term, reports });
 	}
 
-	answered(from: string, epoch: number, answers: [number, Order[] | null][]): void {
-		if (from !== this.leader || epoch !== this.epoch) return;
+	answered(from: string, term: number, answers: [number, Order[] | null][]): void {
+		if (from !== this.leader || term !== this.term) return;
 		for (const [number, orders] of answers) {
 			this.pending.get(number)?.resolve(orders);
 			this.pending.delete(number);
@@ -88,21 +88,21 @@
 
 /** Answers of one moment to one relay go together. */
 export class AnswerBatches {
-	private readonly batches = new Map<string, { epoch: number; answers: [number, Order[] | null][] }>();
+	private readonly batches = new Map<string, { term: number; answers: [number, Order[] | null][] }>();
 
 	constructor(
 		private readonly peers: PeerPort,
 		private readonly time: TimePort,
 	) {}
 
-	add(to: string, epoch: number, number: number, orders: Order[] | null): void {
+	add(to: string, term: number, number: number, orders: Order[] | null): void {
 		const batch = this.batches.get(to);
-		if (batch?.epoch === epoch) {
+		if (batch?.term === term) {
 			batch.answers.push([number, orders]);
 			return;
 		}
 		if (batch) this.send(to);
-		this.batches.set(to, { epoch, answers: [[number, orders]] });
+		this.batches.set(to, { term, answers: [[number, orders]] });
 		this.time.after(gatherRelayedMs, () => this.send(to));
 	}
 
@@ -110,6 +110,6 @@
 		const batch = this.batches.get(to);
 		if (!batch) return;
 		this.batches.delete(to);
-		this.peers.send(to, { kind: "answers", ...batch });
+		this.peers.send(to, { kind: "answers", epoch: batch.term, answers: batch.answers });
 	}
 }
--- a/src/coordination/rentals.ts
+++ b/src/coordination/rentals.ts
@@ -2,10 +2,10 @@
 import type { RentRequest } from "../protocol/cloud-api.js";
 import type { JobSpec, MachineType } from "../protocol/model.js";
 import type { OperatorSettings } from "../protocol/operator.js";
+import type { ClusterState } from "./cluster-state.js";
 import { type FleetLook, usableCpus } from "./load.js";
 import { CallFailed, type CloudPort, type Log, type TimePort } from "./ports.js";
 import { machinesToCut, type Offer, offerKey, offersFor, rankOffers, tasksHeld } from "./scaling.js";
-import type { Tables } from "./tables.js";
 
 /** An offer this many times as dear as the cheapest of its kind is not taken at once. */
 const dearFrom = 2;
@@ -59,7 +59,7 @@
 	private requestNumber = 0;
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly cloud: CloudPort,
 		private readonly time: TimePort,
 		private readonly climb: OperatorSettings["climb"],
@@ -89,11 +89,11 @@
 		const machines = look.machines.length;
 		const most = this.climb.most_machines;
 		if (most > 0 && machines >= most) return "not now";
-		const usable = usableCpus(this.tables);
+		const usable = usableCpus(this.clusterState);
 		const byLoad = machines > 0 && need.work > 0;
 		if (byLoad && look.cpus >= usable) return "not now";
 		const wanted = need.replicas?.comingCpus ?? Math.max(usable - look.cpus, need.spec.cpus);
-		const offers = rankOffers(offersFor(need.spec, [...this.tables.types.values()]), need.spec, wanted);
+		const offers = rankOffers(offersFor(need.spec, [...this.clusterState.types.values()]), need.spec, wanted);
 		const offer = offers.find((o) => this.isOpen(o, need, look.now));
 		if (!offer) return "nothing to be had";
 		if (this.tooDear(offer, offers[0] as Offer, byLoad)) return "not now";
@@ -178,8 +178,8 @@
 	}
 
 	private expect(id: string, { type, request: { zone, spot } }: Rental, now: number): void {
-		if (this.tables.machines.has(id) || this.hooks.isGone(id)) return;
-		this.tables.machines.set(id, new Machine(id, type, zone, spot, now));
+		if (this.clusterState.machines.has(id) || this.hooks.isGone(id)) return;
+		this.clusterState.machines.set(id, new Machine(id, type, zone, spot, now));
 	}
 }
 
--- a/src/coordination/replica-capacity.ts
+++ b/src/coordination/replica-capacity.ts
@@ -1,13 +1,13 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import type { Machine } from "../bookkeeping/machines.js";
 import type { JobSpec } from "../protocol/model.js";
+import type { ClusterState } from "./cluster-state.js";
 import { assumedReplicas, classesWithFastStart, type Objective } from "./expected-classes.js";
 import { FreeCapacity, freeBesideReplicas, freeOn } from "./free-capacity.js";
 import type { FleetLook } from "./load.js";
 import { zoneRoom } from "./placing.js";
 import type { TimePort } from "./ports.js";
 import type { RentalNeed, Rentals } from "./rentals.js";
-import type { Tables } from "./tables.js";
 
 /** Standing jobs that came so lately are expected once more. */
 const expectedMs = 60_000;
@@ -33,7 +33,7 @@
 	private readonly waitingSince = new Map<Job, number>();
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly time: TimePort,
 		private readonly rentals: Rentals,
 		private readonly objectives: readonly Objective[],
@@ -46,7 +46,7 @@
 		this.noteWaiting(look.now);
 		const free = new FreeCapacity(freeOn);
 		const besideReplicas = new FreeCapacity(freeBesideReplicas);
-		for (const job of this.tables.jobs.values()) {
+		for (const job of this.clusterState.jobs.values()) {
 			if (!job.standing) continue;
 			const shortage = this.shortageOfWaiting(
 				job,
@@ -62,7 +62,7 @@
 
 	private noteWaiting(now: number): void {
 		for (const job of this.waitingSince.keys()) if (job.waiting.length === 0) this.waitingSince.delete(job);
-		for (const job of this.tables.jobs.values())
+		for (const job of this.clusterState.jobs.values())
 			if (job.standing && job.waiting.length > 0 && !this.waitingSince.has(job))
 				this.waitingSince.set(job, now);
 	}
@@ -75,14 +75,14 @@
 	/** Replicas that wait, beyond the room that is up or on its way. */
 	private shortageOfWaiting(job: Job, look: FleetLook, room: FreeCapacity): Shortage | null {
 		if (job.waiting.length === 0 || job.notBefore > look.now) return null;
-		return shortageOf(job, job.waiting.length, look, room, this.tables.zonesOf(job));
+		return shortageOf(job, job.waiting.length, look, room, this.clusterState.zonesOf(job));
 	}
 
 	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
 	private shortageOfLeaving(job: Job, look: FleetLook, room: FreeCapacity): Shortage | null {
 		const leaving = [...job.attempts.values()].filter((a) => a.machine.leaving && a.moveTo === null);
 		if (leaving.length === 0) return null;
-		return shortageOf(job, leaving.length, look, room, this.tables.zonesWithout(job, leaving));
+		return shortageOf(job, leaving.length, look, room, this.clusterState.zonesWithout(job, leaving));
 	}
 
 	/**
@@ -111,20 +111,21 @@
 		const specs: JobSpec[] = [];
 		/** Classes with a job of more than a minute ago: what comes of them shows. */
 		const known = new Set<string>();
-		for (const { standing, spec, at } of this.tables.jobs.values()) {
+		for (const { standing, spec, at } of this.clusterState.jobs.values()) {
 			if (!standing) this.arrayClasses.add(spec.lane);
 			else if (date - at <= expectedMs) specs.push(spec);
 			else known.add(spec.lane);
 		}
-		if (this.tables.jobs.size === 0) return specs;
-		for (const name of classesWithFastStart(this.objectives, this.tables.types.values()))
+		if (this.clusterState.jobs.size === 0) return specs;
+		for (const name of classesWithFastStart(this.objectives, this.clusterState.types.values()))
 			if (!known.has(name) && !this.arrayClasses.has(name)) specs.push(assumedReplicas(name, this.cpusUp()));
 		return specs;
 	}
 
 	private cpusUp(): number {
 		let cpus = 0;
-		for (const machine of this.tables.machines.values()) if (machine.open) cpus += machine.type.cpus;
+		for (const machine of this.clusterState.machines.values())
+			if (machine.schedulable) cpus += machine.type.cpus;
 		return cpus;
 	}
 
@@ -143,11 +144,11 @@
 	 */
 	couldLeave(machine: Machine, machines: Machine[]): boolean {
 		if (machine.usedCpus > machine.type.cpus / 4) return false;
-		const others = machines.filter((m) => m !== machine && m.up && !m.suspect);
+		const others = machines.filter((m) => m !== machine && m.up && !m.onProbation);
 		const room = new FreeCapacity(freeOn);
 		for (const attempt of machine.attempts.values()) {
 			if (!attempt.job.standing) continue;
-			const zones = this.tables.zonesWithout(attempt.job, [attempt]);
+			const zones = this.clusterState.zonesWithout(attempt.job, [attempt]);
 			if (room.take(attempt.job.spec, 1, others, zones) > 0) return false;
 		}
 		return true;
--- a/src/coordination/replica-relocation.ts
+++ b/src/coordination/replica-relocation.ts
@@ -1,9 +1,9 @@
 import type { Attempt } from "../bookkeeping/jobs.js";
 import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
+import type { ClusterState } from "./cluster-state.js";
 import type { OrderSender } from "./order-sender.js";
 import { zoneRoom } from "./placing.js";
 import type { Log } from "./ports.js";
-import type { Tables } from "./tables.js";
 
 const everyMs = 300;
 /** Replicas of a job move one after the other, unless a machine is taken as soon as this. */
@@ -18,18 +18,18 @@
 	private nextAt = 0;
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly orders: OrderSender,
 		private readonly log: Log,
 	) {}
 
 	/** Called often, with authority. */
 	tick(now: number): void {
-		if (now < this.nextAt || !this.tables.rebuilt) return;
+		if (now < this.nextAt || !this.clusterState.rebuilt) return;
 		this.nextAt = now + everyMs;
 		const moved: Attempt[] = [];
-		for (const machine of this.tables.machines.values())
-			if (machine.leaving && !machine.lost) moved.push(...this.moveFrom(machine, now));
+		for (const machine of this.clusterState.machines.values())
+			if (machine.leaving && !machine.leaseExpired) moved.push(...this.moveFrom(machine, now));
 		if (moved.length === 0) return;
 		const replicas = moved.map((a) => `${a.job.id}/${a.index}`);
 		this.log.info({ replicas }, "moved from machines that go");
@@ -45,7 +45,7 @@
 			if (!takenSoon && [...job.attempts.values()].some((a) => a.moveTo !== null)) continue;
 			const target = this.targetFor(attempt);
 			if (!target) continue;
-			this.tables.move(attempt, target);
+			this.clusterState.move(attempt, target);
 			moved.push(attempt);
 		}
 		return moved;
@@ -55,12 +55,12 @@
 	private targetFor(attempt: Attempt): Machine | null {
 		const { job } = attempt;
 		const { spec } = job;
-		const zones = this.tables.zonesWithout(job, [attempt]);
+		const zones = this.clusterState.zonesWithout(job, [attempt]);
 		const beside = new Set([...job.attempts.values()].map((a) => a.machine));
 		let best: Machine | null = null;
 		let bestWorth = -1;
-		for (const machine of this.tables.machines.values()) {
-			if (!machine.open || machine.suspect || !machineAllowed(spec, machine)) continue;
+		for (const machine of this.clusterState.machines.values()) {
+			if (!machine.schedulable || machine.onProbation || !machineAllowed(spec, machine)) continue;
 			if (!machine.hasRoomFor(spec) || zoneRoom(spec, zones, machine.zone) < 1) continue;
 			const worth = (beside.has(machine) ? 0 : 2) + (machine.images.has(spec.image) ? 1 : 0);
 			if (worth <= bestWorth) continue;
--- a/src/coordination/reports.ts
+++ b/src/coordination/reports.ts
@@ -1,7 +1,7 @@
 import type { Attempt, Job } from "../bookkeeping/jobs.js";
 import { Machine } from "../bookkeeping/machines.js";
 import type { Order, ReportedTask, WorkerReport } from "../protocol/model.js";
-import { type Tables, taskKey } from "./tables.js";
+import { type ClusterState, taskKey } from "./cluster-state.js";
 
 /** What a report tells about jobs and machines, for those who log and decide on it. */
 export interface Outcome {
@@ -32,18 +32,21 @@
  * a larger (session, seq) was sent after the answer to the one before was carried
  * out or can no longer be: what it does not list is not there.
  */
-export function applyReport(tables: Tables, report: WorkerReport, now: number): Applied {
-	let machine = tables.machines.get(report.machine);
+export function applyReport(clusterState: ClusterState, report: WorkerReport, now: number): Applied {
+	let machine = clusterState.machines.get(report.machine);
 	let isNew = false;
 	if (!machine) {
-		const type = tables.types.get(report.type);
+		const type = clusterState.types.get(report.type);
 		if (!type) return { kind: "unknown type" };
 		machine = new Machine(report.machine, type, report.zone, report.spot, now);
-		tables.machines.set(machine.id, machine);
+		clusterState.machines.set(machine.id, machine);
 		isNew = true;
 	}
 	if (report.session < machine.leastSession) return { kind: "expired" };
-	if (report.session < machine.session || (report.session === machine.session && report.seq <= machine.seq)) {
+	if (
+		report.session < machine.session ||
+		(report.session === machine.session && report.seq <= machine.reportNumber)
+	) {
 		return { kind: "old" };
 	}
 	// One report is in flight at a time, so one that shows an earlier token was sent without
@@ -51,27 +54,27 @@
 	// its lease rests on is older than this term, however often we have answered.
 	if (
 		!machine.confirmed &&
-		report.token < tables.epoch &&
-		now - machine.knownAt > tables.certainMs &&
+		report.token < clusterState.term &&
+		now - machine.knownAt > clusterState.certainMs &&
 		report.session === machine.session
 	) {
-		tables.expire(machine);
+		clusterState.expire(machine);
 		return { kind: "expired" };
 	}
 	const newSession = machine.session !== 0 && report.session > machine.session;
 	// Its lease ran out although it was answered lately. Once, the answer may just have come too late.
-	const ranOut = newSession && now - machine.answeredAt < tables.certainMs / 2;
+	const ranOut = newSession && now - machine.answeredAt < clusterState.certainMs / 2;
 	machine.session = report.session;
-	machine.seq = report.seq;
+	machine.reportNumber = report.seq;
 	machine.endpoint = report.endpoint;
 	machine.reportedAt = now;
 	machine.up = true;
-	machine.lost = false;
+	machine.leaseExpired = false;
 	machine.takenAt = report.noticeS === null ? null : now + report.noticeS * 1000;
-	if (report.token === tables.epoch && !machine.confirmed) {
+	if (report.token === clusterState.term && !machine.confirmed) {
 		machine.confirmed = true;
-		tables.heard(machine);
-		tables.changed = true;
+		clusterState.stopAwaiting(machine);
+		clusterState.placementDue = true;
 	}
 
 	const outcomes: Outcome[] = [];
@@ -80,7 +83,7 @@
 	const listed = new Set<string>();
 	let startSeen = false;
 	machine.exited = [];
-	tables.clearUnwanted(machine);
+	clusterState.clearUnwanted(machine);
 	for (const task of report.tasks) {
 		const attempt = machine.attempts.get(taskKey(task.job, task.index));
 		if (attempt && attempt.number === task.attempt) {
@@ -88,35 +91,35 @@
 			startSeen ||= attempt.phase === "sent";
 			if (task.state === "exited") {
 				const cause = task.cause ?? "error";
-				exited(tables, machine, task);
+				exited(clusterState, machine, task);
 				if (cause === "done") {
-					tables.markDone(attempt.job, attempt.index);
+					clusterState.markDone(attempt.job, attempt.index);
 					progressed.add(attempt.job);
 				}
-				tables.over(attempt);
+				clusterState.finish(attempt);
 				outcomes.push({ attempt, cause });
 			} else if (progress(attempt, task, now) && attempt.job.standing) begun.push(attempt);
 		} else if (task.state === "exited") {
-			exited(tables, machine, task);
-			const job = tables.jobs.get(task.job);
+			exited(clusterState, machine, task);
+			const job = clusterState.jobs.get(task.job);
 			if (task.cause === "done" && job && task.index < job.spec.tasks) {
-				foundDone(tables, job, task.index);
+				foundDone(clusterState, job, task.index);
 				progressed.add(job);
 			}
-		} else if (adoptOrRefuse(tables, machine, task, now)) listed.add(taskKey(task.job, task.index));
+		} else if (adoptOrRefuse(clusterState, machine, task, now)) listed.add(taskKey(task.job, task.index));
 	}
 
 	let startUnseen = false;
 	for (const [key, a] of machine.attempts) {
 		if (a.phase === "sent" && a.stop === null && !newSession && !listed.has(key)) startUnseen = true;
 	}
-	noteHearing(machine, { ranOut, startUnseen, startSeen }, tables.certainMs, now);
+	noteReachability(machine, { ranOut, startUnseen, startSeen }, clusterState.certainMs, now);
 
 	const vanished: Attempt[] = [];
 	for (const [key, attempt] of [...machine.attempts]) {
 		if (listed.has(key)) continue;
 		if (attempt.phase === "assigned") {
-			if (machine.deafAt !== null) tables.over(attempt);
+			if (machine.unreachableSince !== null) clusterState.finish(attempt);
 			continue;
 		}
 		// Tasks of a lease that expired were killed. Otherwise absence counts only
@@ -125,58 +128,61 @@
 		if (attempt.phase === "sent" && !newSession && attempt.stop === null) {
 			// The answer with the start was lost; it is sent again with the same number, or,
 			// where answers do not arrive at all, given up: it can no longer be carried out.
-			if (machine.deafAt === null) attempt.phase = "assigned";
-			else tables.over(attempt);
+			if (machine.unreachableSince === null) attempt.phase = "assigned";
+			else clusterState.finish(attempt);
 			continue;
 		}
-		tables.over(attempt);
+		clusterState.finish(attempt);
 		vanished.push(attempt);
 	}
 	return { kind: "applied", machine, outcomes, progressed, vanished, begun, isNew };
 }
 
 /** Answers in a row without effect after which nothing more is sent to a machine: one may get lost. */
-const deafAfter = 2;
+const unreachableAfter = 2;
 
 /**
  * Reports may arrive while answers do not, and then no count of time since the last
  * answer ends. It shows by starts that are never listed, and by a lease that runs out
  * although it was renewed.
  */
-function noteHearing(
+function noteReachability(
 	machine: Machine,
 	seen: { ranOut: boolean; startUnseen: boolean; startSeen: boolean },
 	certainMs: number,
 	now: number,
 ): void {
-	if (seen.startSeen) machine.lostAnswers = 0;
-	else if (seen.ranOut || seen.startUnseen) machine.lostAnswers += 1;
+	if (seen.startSeen) machine.ineffectiveAnswers = 0;
+	else if (seen.ranOut || seen.startUnseen) machine.ineffectiveAnswers += 1;
 	if (seen.ranOut || seen.startUnseen) {
-		machine.unheardAt = now;
-		if (machine.lostAnswers >= deafAfter) machine.deafAt ??= now;
-	} else if (machine.deafAt !== null && (seen.startSeen || now - machine.unheardAt > 1.5 * certainMs)) {
+		machine.lastIneffectiveAt = now;
+		if (machine.ineffectiveAnswers >= unreachableAfter) machine.unreachableSince ??= now;
+	} else if (
+		machine.unreachableSince !== null &&
+		(seen.startSeen || now - machine.lastIneffectiveAt > 1.5 * certainMs)
+	) {
 		// It has kept its lease for longer than it could without our answers.
-		machine.deafAt = null;
-		machine.lostAnswers = 0;
+		machine.unreachableSince = null;
+		machine.ineffectiveAnswers = 0;
 	}
 }
 
-function exited(tables: Tables, machine: Machine, task: ReportedTask): void {
+function exited(clusterState: ClusterState, machine: Machine, task: ReportedTask): void {
 	machine.exited.push({
 		job: task.job,
 		index: task.index,
 		attempt: task.attempt,
-		done: task.cause === "done" && tables.jobs.get(task.job)?.standing === false,
+		done: task.cause === "done" && clusterState.jobs.get(task.job)?.standing === false,
 	});
 }
 
 /** Completed under an attempt that this leader did not know; the result counts all the same. */
-function foundDone(tables: Tables, job: Job, index: number): void {
+function foundDone(clusterState: ClusterState, job: Job, index: number): void {
 	if (job.standing) return;
-	tables.markDone(job, index);
+	clusterState.markDone(job, index);
 	const other = job.attempts.get(index);
 	if (!other) return;
-	if (other.phase === "assigned") tables.over(other);
+	if (other.phase === "assigned") clusterState.finish(other);
 	else other.stop = { graceS: 0, why: "task is done" };
 }
 
@@ -186,13 +192,18 @@
 	attempt.phase = task.state;
 	if (task.state !== "running" || attempt.runningAt !== null) return false;
 	attempt.runningAt = now;
-	attempt.machine.sawImage(attempt.job.spec.image);
+	attempt.machine.noteImage(attempt.job.spec.image);
 	return true;
 }
 
 /** True if the task is this machine's from now on. */
-function adoptOrRefuse(tables: Tables, machine: Machine, task: ReportedTask, now: number): boolean {
-	const job = tables.jobs.get(task.job);
+function adoptOrRefuse(
+	clusterState: ClusterState,
+	machine: Machine,
+	task: ReportedTask,
+	now: number,
+): boolean {
+	const job = clusterState.jobs.get(task.job);
 	const other = job?.attempts.get(task.index);
 	const wanted =
 		job !== undefined &&
@@ -202,18 +213,21 @@
 		// report may have listed that one again after a change of leader.
 		(other === undefined || other.number < task.attempt);
 	if (!wanted) {
-		tables.addUnwanted(machine, { job: task.job, index: task.index, attempt: task.attempt });
+		clusterState.addUnwanted(machine, { job: task.job, index: task.index, attempt: task.attempt });
 		return false;
 	}
-	if (other) tables.over(other);
-	progress(tables.adopt(job, task.index, task.attempt, machine), task, now);
+	if (other) clusterState.finish(other);
+	progress(clusterState.adopt(job, task.index, task.attempt, machine), task, now);
 	return true;
 }
 
 /** Whether the outcome of an exited attempt can no longer be lost with the machine's report. */
-function settled(tables: Tables, task: { job: string; index: number; done: boolean }): boolean {
+function outcomeKept(
+	clusterState: ClusterState,
+	task: { job: string; index: number; done: boolean },
+): boolean {
 	if (!task.done) return true;
-	const job = tables.jobs.get(task.job);
+	const job = clusterState.jobs.get(task.job);
 	return job === undefined || job.durable.has(task.index);
 }
 
@@ -222,10 +236,10 @@
  * later forgetting makes the worker report. Starts go out only this way, never to
  * /commands, where they could be carried out minutes late.
  */
-export function ordersFor(tables: Tables, machine: Machine): Order[] {
+export function ordersFor(clusterState: ClusterState, machine: Machine): Order[] {
 	const orders: Order[] = [];
-	const over = machine.exited.filter((task) => settled(tables, task));
-	machine.handle = machine.open ? (over.pop() ?? null) : null;
+	const over = machine.exited.filter((task) => outcomeKept(clusterState, task));
+	machine.reminder = machine.schedulable ? (over.pop() ?? null) : null;
 	for (const task of over) {
 		orders.push({ op: "forget", job: task.job, index: task.index, attempt: task.attempt });
 	}
@@ -238,7 +252,7 @@
 		if (attempt.phase === "assigned") {
 			// Since the decision the machine may have been closed or the job ended. One that was marked
 			// meanwhile runs this first: work that fits nowhere else would be put off again and again.
-			if (!machine.takesDecided || attempt.stop !== null || job.cancelled) tables.over(attempt);
+			if (!machine.takesDecidedStarts || attempt.stop !== null || job.cancelled) clusterState.finish(attempt);
 			else {
 				attempt.phase = "sent";
 				starts.push({ op: "start", job: job.id, index, attempt: number });
--- a/src/coordination/shared-records.ts
+++ b/src/coordination/shared-records.ts
@@ -2,7 +2,7 @@
 import type { StoreChange, StoreCondition } from "../protocol/store-api.js";
 import { CallFailed, type RateClass, type StorePort } from "./ports.js";
 
-interface Pack<V> {
+interface SharedValue<V> {
 	readonly key: string;
 	/** Revision at which the store has it, as far as known; 0: it should not be there. */
 	revision: number;
@@ -13,7 +13,7 @@
 	/** Entries were taken out, which can wait. */
 	shrunk: boolean;
 	/** Larger than a value may be: its entries have gone to these, and once all are written it goes. */
-	parts: Set<Pack<V>> | null;
+	parts: Set<SharedValue<V>> | null;
 	/** The value that its entries were in before, if that was split. */
 	splitFrom: string | null;
 	/** The store has said no to it as it is. */
@@ -71,8 +71,8 @@
  * the value with the later revision.
  */
 export class SharedRecords<V> {
-	private readonly packs = new Map<string, Pack<V>>();
-	private readonly home = new Map<string, Pack<V>>();
+	private readonly packs = new Map<string, SharedValue<V>>();
+	private readonly home = new Map<string, SharedValue<V>>();
 	private writing = false;
 	private nextWrite = -Infinity;
 	private nextShrink = -Infinity;
@@ -123,17 +123,17 @@
 		pack.refused = false;
 	}
 
-	private another(): Pack<V> {
+	private another(): SharedValue<V> {
 		return this.newPack(`${this.options.prefix}${this.leaderCondition.revision}-${++this.made}`, 0);
 	}
 
-	private partsOf(key: string): Pack<V>[] {
+	private partsOf(key: string): SharedValue<V>[] {
 		return [...this.packs.values()].filter((pack) => pack.splitFrom === key);
 	}
 
 	/** Its entries go to new values, which are written like any other. */
-	private split(pack: Pack<V>): void {
-		const parts = new Set<Pack<V>>();
+	private split(pack: SharedValue<V>): void {
+		const parts = new Set<SharedValue<V>>();
 		let part = this.another();
 		for (const [name, value] of pack.entries) {
 			if (part.entries.size > 0 && part.bytes + sizeOf(name, value) > this.mostBytes) part = this.another();
@@ -161,8 +161,8 @@
 		pack.shrunk = true;
 	}
 
-	private newPack(key: string, revision: number): Pack<V> {
-		const pack: Pack<V> = {
+	private newPack(key: string, revision: number): SharedValue<V> {
+		const pack: SharedValue<V> = {
 			key,
 			revision,
 			entries: new Map(),
@@ -177,7 +177,7 @@
 		return pack;
 	}
 
-	private put(pack: Pack<V>, name: string, value: V): void {
+	private put(pack: SharedValue<V>, name: string, value: V): void {
 		const old = pack.entries.get(name);
 		if (old !== undefined) pack.bytes -= sizeOf(name, old);
 		pack.entries.set(name, value);
@@ -190,7 +190,7 @@
 		const now = this.options.now();
 		if (this.writing || now < this.nextWrite) return;
 		const shrinkToo = now >= this.nextShrink;
-		const wants = (pack: Pack<V>) =>
+		const wants = (pack: SharedValue<V>) =>
 			!pack.refused && (pack.fresh.size > 0 || (pack.shrunk && (shrinkToo || pack.revision === 0)));
 		for (const pack of [...this.packs.values()])
 			if (pack.bytes > this.mostBytes && pack.entries.size > 1 && wants(pack)) this.split(pack);
@@ -199,7 +199,7 @@
 			.sort((a, b) => b.fresh.size - a.fresh.size);
 		if (due.length === 0) return;
 		const changes: StoreChange[] = [];
-		const written: { pack: Pack<V>; fresh: Map<string, V> }[] = [];
+		const written: { pack: SharedValue<V>; fresh: Map<string, V> }[] = [];
 		let bytes = 0;
 		for (const pack of due) {
 			if (
@@ -222,7 +222,7 @@
 		this.write(changes, written);
 	}
 
-	private write(changes: StoreChange[], written: { pack: Pack<V>; fresh: Map<string, V> }[]): void {
+	private write(changes: StoreChange[], written: { pack: SharedValue<V>; fresh: Map<string, V> }[]): void {
 		this.writing = true;
 		const conditions = [
 			this.leaderCondition,
@@ -267,13 +267,13 @@
 		);
 	}
 
-	private forget(pack: Pack<V>): void {
+	private forget(pack: SharedValue<V>): void {
 		this.packs.delete(pack.key);
 		this.written(pack);
 	}
 
 	/** What was split into it, among others, need not keep its entries any more. */
-	private written(pack: Pack<V>): void {
+	private written(pack: SharedValue<V>): void {
 		for (const other of this.packs.values()) other.parts?.delete(pack);
 	}
 
@@ -281,10 +281,10 @@
 	 * Fewer values at once, then smaller ones; and what can't be smaller is not tried again as
 	 * it is: the rest must not wait behind it.
 	 */
-	private shrinkValues(written: { pack: Pack<V> }[]): void {
+	private shrinkValues(written: { pack: SharedValue<V> }[]): void {
 		if (written.length > 1) this.mostChanges = Math.max(1, Math.floor(written.length / 2));
 		else {
-			const { pack } = written[0] as { pack: Pack<V> };
+			const { pack } = written[0] as { pack: SharedValue<V> };
 			this.mostBytes = Math.max(leastBytes, Math.floor(Math.min(this.mostBytes, pack.bytes) / 2));
 			pack.refused = pack.entries.size <= 1 || pack.bytes <= this.mostBytes;
 		}
--- a/src/coordination/local-copy.ts
+++ b/src/coordination/store-sync.ts
@@ -1,5 +1,5 @@
 import { keys } from "../bookkeeping/records.js";
-import type { Replica } from "../bookkeeping/replica.js";
+import type { StoreCopy } from "../bookkeeping/store-copy.js";
 import { CallFailed, type Log, type StorePort, type TimePort } from "./ports.js";
 
 const watchMs = 2500;
@@ -17,11 +17,11 @@
 /**
  * Keeps the local copy up with the store by a long watch. Where an answer must
  * not be older than any given before, `fence` asks the store anew: a watch that
- * does not wait returns every change up to its own epoch. One such request serves
+ * does not wait returns every change up to its own revision. One such request serves
  * all who wait at that moment. Silence of the long watch is never taken for
  * "nothing changed".
  */
-export class LocalCopy {
+export class StoreSync {
 	private waiters: Waiter[] = [];
 	private fencing = false;
 	private stopped = false;
@@ -38,7 +38,7 @@
 	private doubtful = new Set<string>();
 
 	constructor(
-		private readonly replica: Replica,
+		private readonly storeCopy: StoreCopy,
 		private readonly store: StorePort,
 		private readonly time: TimePort,
 		private readonly post: (command: () => void) => void,
@@ -56,9 +56,9 @@
 
 	private watchOn(): void {
 		if (this.stopped) return;
-		const from = this.replica.epoch;
+		const from = this.storeCopy.revision;
 		const sentAt = this.time.now();
-		const step = this.replica.loaded
+		const step = this.storeCopy.loaded
 			? // In silence, short calls find out soon that it has ended.
 				this.store.watch(keys.root, from, this.silent ? 0 : watchMs)
 			: this.reload().then(() => null);
@@ -75,7 +75,7 @@
 				this.post(() => {
 					this.failedAt = this.time.now();
 					this.log.debug({ err: String(error) }, "watch failed");
-					if (error instanceof CallFailed && error.status === 410) this.replica.loaded = false;
+					if (error instanceof CallFailed && error.status === 410) this.storeCopy.loaded = false;
 					this.time.after(200, () => this.watchOn());
 				}),
 		);
@@ -83,8 +83,8 @@
 
 	/** An answer covers everything after `from`; it must not leave a gap behind a reload. */
 	private take(from: number, answer: Awaited<ReturnType<StorePort["watch"]>>, sentAt: number): void {
-		if (!this.replica.loaded || from > this.replica.epoch) return;
-		this.replica.apply(answer.events, answer.epoch);
+		if (!this.storeCopy.loaded || from > this.storeCopy.revision) return;
+		this.storeCopy.apply(answer.events, answer.epoch);
 		this.knownAt = Math.max(this.knownAt, sentAt);
 	}
 
@@ -102,10 +102,10 @@
 		for (const prefix of [keys.one, keys.jobs, keys.progress, keys.machines])
 			parts.push(await this.store.rows(prefix));
 		const rows = parts.flatMap((p) => p.rows);
-		const epoch = Math.min(...parts.map((p) => p.epoch));
+		const revision = Math.min(...parts.map((p) => p.epoch));
 		await new Promise<void>((resolve) =>
 			this.post(() => {
-				this.replica.reset(rows, epoch);
+				this.storeCopy.reset(rows, revision);
 				this.knownAt = Math.max(this.knownAt, beganAt);
 				resolve();
 			}),
@@ -137,15 +137,15 @@
 	 * in a row was missed somewhere, and the copy is made anew; once, it may just have changed.
 	 */
 	private async compare(): Promise<boolean> {
-		if (!this.replica.loaded) return false;
+		if (!this.storeCopy.loaded) return false;
 		const { rows } = await this.store.rows(keys.jobs);
 		await this.fence();
 		return new Promise((resolve) =>
 			this.post(() => {
 				const there = new Set(rows.map((row) => row.key.slice(keys.jobs.length)));
 				const differing = new Set<string>();
-				for (const id of there) if (!this.replica.knows(id)) differing.add(id);
-				for (const id of this.replica.jobs.keys()) if (!there.has(id)) differing.add(id);
+				for (const id of there) if (!this.storeCopy.knows(id)) differing.add(id);
+				for (const id of this.storeCopy.jobs.keys()) if (!there.has(id)) differing.add(id);
 				const missed = [...differing].filter((id) => this.doubtful.has(id));
 				this.doubtful = differing;
 				if (missed.length > 0) {
@@ -176,11 +176,11 @@
 			if (this.waiters.length > 0) this.time.after(gatherMs, () => this.post(() => this.runFence()));
 			else this.fencing = false;
 		};
-		if (!this.replica.loaded) {
+		if (!this.storeCopy.loaded) {
 			done((w) => w.reject(new CallFailed("refused", 0, "the local copy is not loaded")));
 			return;
 		}
-		const from = this.replica.epoch;
+		const from = this.storeCopy.revision;
 		const sentAt = this.time.now();
 		this.store.watch(keys.root, from, 0).then(
 			(answer) =>
@@ -192,7 +192,7 @@
 			(error) =>
 				this.post(() => {
 					this.failedAt = this.time.now();
-					if (error instanceof CallFailed && error.status === 410) this.replica.loaded = false;
+					if (error instanceof CallFailed && error.status === 410) this.storeCopy.loaded = false;
 					done((w) => w.reject(error));
 				}),
 		);
--- a/src/coordination/takeover.ts
+++ b/src/coordination/takeover.ts
@@ -1,7 +1,7 @@
 import { Machine, unknownType } from "../bookkeeping/machines.js";
 import type { WorkerReport } from "../protocol/model.js";
+import type { ClusterState } from "./cluster-state.js";
 import type { Log, WorkerPort } from "./ports.js";
-import type { Tables } from "./tables.js";
 
 /** Machines asked straight for their tasks in each tick of a takeover: all at once would topple a small share of a core. */
 const probesPerTick = 12;
@@ -34,7 +34,7 @@
 	private unreadable: Machine | null = null;
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly workers: WorkerPort,
 		private readonly beganAt: number,
 		private readonly hooks: TakeoverHooks,
@@ -43,19 +43,19 @@
 
 	/** The machine may hold tasks that nobody has listed yet. */
 	hide(machine: Machine, session: number): void {
-		this.tables.hide(machine);
+		this.clusterState.awaitReport(machine);
 		this.probes.push({ machine, session, tries: probeTries });
 	}
 
 	/** Machines of which nothing is known may hold tasks: nothing starts before every lease has run out. */
 	waitForUnreadable(): void {
 		this.unreadable = new Machine("unreadable records", unknownType(""), "", false, this.beganAt);
-		this.tables.hide(this.unreadable);
+		this.clusterState.awaitReport(this.unreadable);
 	}
 
 	tick(now: number, late: boolean): void {
-		if (this.unreadable && now - this.beganAt > this.tables.certainMs) {
-			this.tables.heard(this.unreadable);
+		if (this.unreadable && now - this.beganAt > this.clusterState.certainMs) {
+			this.clusterState.stopAwaiting(this.unreadable);
 			this.unreadable = null;
 		}
 		this.sendProbes(late);
@@ -72,7 +72,7 @@
 		while (left > 0) {
 			const next = this.probes.shift();
 			if (!next) return;
-			if (!this.tables.hidden.has(next.machine) || next.machine.endpoint === "") continue;
+			if (!this.clusterState.awaited.has(next.machine) || next.machine.endpoint === "") continue;
 			left -= 1;
 			this.probe(next);
 		}
@@ -80,12 +80,12 @@
 
 	private probe({ machine, session, tries }: Probe): void {
 		if (!this.hooks.active()) return;
-		this.workers.command(machine.endpoint, this.tables.epoch, session, []).then(
+		this.workers.command(machine.endpoint, this.clusterState.term, session, []).then(
 			({ executed, report }) =>
 				this.hooks.post(() => {
-					if (!this.tables.hidden.has(machine) || this.hooks.ended()) return;
+					if (!this.clusterState.awaited.has(machine) || this.hooks.ended()) return;
 					if (executed && report.machine === machine.id) this.hooks.apply(report);
-					else if (report.token <= this.tables.epoch && tries > 1) {
+					else if (report.token <= this.clusterState.term && tries > 1) {
 						this.probes.unshift({ machine, session: report.session, tries: tries - 1 });
 					}
 				}),
@@ -103,7 +103,7 @@
 	 * a while to be heard, so it is looked at again until few are left.
 	 */
 	private giveUpHidden(now: number): void {
-		const { hidden, machines } = this.tables;
+		const { awaited: hidden, machines } = this.clusterState;
 		const waitedMs = now - this.beganAt;
 		if (hidden.size === 0 || waitedMs < hiddenPatienceMs) return;
 		// The fewer are left, the sooner waiting for them costs more than they do.
--- a/src/coordination/task-outcomes.ts
+++ b/src/coordination/task-outcomes.ts
@@ -1,8 +1,8 @@
 import type { Attempt, Job } from "../bookkeeping/jobs.js";
 import { type Machine, muchTooSlow, noteRun } from "../bookkeeping/machines.js";
+import type { ClusterState } from "./cluster-state.js";
 import type { Log } from "./ports.js";
 import type { Outcome } from "./reports.js";
-import type { Tables } from "./tables.js";
 
 /** Runs of a job after which their mean says something of its other tasks. */
 const runsForMean = 4;
@@ -10,9 +10,9 @@
 const steadyMs = 30_000;
 /** Pauses before a task that failed is tried again. */
 const replicaPause = { firstMs: 250, mostDoublings: 6, mostMs: 10_000 };
-const doomedPause = { firstMs: 2000, mostDoublings: 5, mostMs: 60_000 };
+const failsEverywherePause = { firstMs: 2000, mostDoublings: 5, mostMs: 60_000 };
 /** A job is doomed from so many machines on. */
-const doomedFrom = 3;
+const failsEverywhereFrom = 3;
 
 interface Pause {
 	firstMs: number;
@@ -27,7 +27,7 @@
 /** Draws conclusions about jobs and machines from attempts that have ended. */
 export class TaskOutcomes {
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		/** Failures of different jobs after which a machine is set aside. */
 		private readonly faultyAfter: number,
 		private readonly log: Log,
@@ -40,7 +40,7 @@
 
 	private succeeded({ job, machine, runningAt }: Attempt, now: number): void {
 		if (runningAt !== null) this.recordRun(job, machine, (now - runningAt) / 1000, now);
-		machine.suspect = false;
+		machine.onProbation = false;
 		machine.failedJobs.clear();
 		job.failedOn.clear();
 	}
@@ -48,8 +48,8 @@
 	private recordRun(job: Job, machine: Machine, seconds: number, now: number): void {
 		// Enough runs for a mean, mostly on other machines.
 		if (job.finishedRuns >= runsForMean) noteRun(machine, seconds, job.estimateS);
-		if (!machine.faulty && muchTooSlow(machine, this.tables.machines.values())) {
-			machine.setAside(now);
+		if (!machine.quarantined && muchTooSlow(machine, this.clusterState.machines.values())) {
+			machine.quarantine(now);
 			this.log.info({ machine: machine.id, ratio: machine.runRatio }, "set aside as much too slow");
 		}
 		job.finishedRuns += 1;
@@ -66,15 +66,16 @@
 		job.failedAt = now;
 		if (job.standing) job.notBefore = now + pauseMs(replicaPause, job.failedOn.size);
 		// It fails everywhere: tried again with growing pauses.
-		if (job.doomed) job.notBefore = now + pauseMs(doomedPause, job.failedOn.size - doomedFrom);
+		if (job.failsEverywhere)
+			job.notBefore = now + pauseMs(failsEverywherePause, job.failedOn.size - failsEverywhereFrom);
 		if (cause === "error") this.suspectMachine(machine, job, now);
 	}
 
 	private suspectMachine(machine: Machine, job: Job, now: number): void {
-		machine.putOnTrial(now);
+		machine.startProbation(now);
 		machine.failedJobs.add(job.id);
-		if (machine.failedJobs.size < this.faultyAfter || machine.faulty) return;
-		machine.setAside(now);
+		if (machine.failedJobs.size < this.faultyAfter || machine.quarantined) return;
+		machine.quarantine(now);
 		this.log.info({ machine: machine.id }, "set aside as faulty");
 	}
 }
--- a/src/coordination/unwanted-tasks.ts
+++ b/src/coordination/unwanted-tasks.ts
@@ -1,9 +1,9 @@
 import type { Machine, UnwantedTask } from "../bookkeeping/machines.js";
-import { type FinalRecord, keys, parseFinal } from "../bookkeeping/records.js";
+import { keys, parseTerminal, type TerminalRecord } from "../bookkeeping/records.js";
 import type { Order } from "../protocol/model.js";
+import type { ClusterState } from "./cluster-state.js";
 import type { OrderSender } from "./order-sender.js";
 import type { StorePort, TimePort } from "./ports.js";
-import type { Tables } from "./tables.js";
 
 const retryMs = 500;
 
@@ -11,7 +11,7 @@
 	post(command: () => void): void;
 	active(): boolean;
 	/** The end of a job was read from the store. */
-	learned(job: string, final: FinalRecord, revision: number): void;
+	learned(job: string, final: TerminalRecord, revision: number): void;
 }
 
 const nameOf = ({ job, index, attempt }: UnwantedTask) => `${job}/${index}/${attempt}`;
@@ -26,7 +26,7 @@
 	private readonly lookedUp = new Set<string>();
 
 	constructor(
-		private readonly tables: Tables,
+		private readonly clusterState: ClusterState,
 		private readonly store: StorePort,
 		private readonly time: TimePort,
 		private readonly orders: OrderSender,
@@ -40,7 +40,7 @@
 			.filter((task) => !told.has(nameOf(task)))
 			.map(({ job, index, attempt }): Order => ({ op: "stop", job, index, attempt, graceS: 0 }));
 		if (stops.length > 0) this.orders.send(machine, stops);
-		for (const job of this.tables.strangeJobs()) this.lookUp(job);
+		for (const job of this.clusterState.jobsOfUnknownDemand()) this.lookUp(job);
 	}
 
 	private lookUp(job: string): void {
@@ -49,8 +49,8 @@
 		this.store.read(keys.final(job)).then(
 			({ row }) =>
 				this.hooks.post(() => {
-					if (row) this.hooks.learned(job, parseFinal(row.value), row.revision);
-					this.tables.resolveStrange(job);
+					if (row) this.hooks.learned(job, parseTerminal(row.value), row.revision);
+					this.clusterState.resolveDemand(job);
 				}),
 			() => this.time.after(retryMs, () => this.hooks.post(() => this.lookUpAgain(job))),
 		);
@@ -58,6 +58,6 @@
 
 	private lookUpAgain(job: string): void {
 		this.lookedUp.delete(job);
-		if (this.hooks.active() && this.tables.strangeJobs().has(job)) this.lookUp(job);
+		if (this.hooks.active() && this.clusterState.jobsOfUnknownDemand().has(job)) this.lookUp(job);
 	}
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -8,9 +8,9 @@
 import { defaultOperator, parseOperator } from "./protocol/operator.js";
 import { parsePlatform, readText, SettingsError } from "./protocol/settings.js";
 import { CloudClient } from "./transport/cloud-client.js";
-import { listenFront, type Service } from "./transport/front-server.js";
 import { HttpClient } from "./transport/http-client.js";
 import { PeerLinks } from "./transport/peer-link.js";
+import { listenPublicApi, type PublicService } from "./transport/public-api.js";
 import { StoreClient } from "./transport/store-client.js";
 import { WorkerClient } from "./transport/worker-client.js";
 import { version } from "./version.js";
@@ -91,9 +91,9 @@
 		schedule: setImmediate,
 	});
 
-	const service: Service = {
+	const service: PublicService = {
 		submit: (spec) => controller.jobs.submit(spec),
-		look: (id) => controller.jobs.look(id),
+		status: (id) => controller.jobs.status(id),
 		abort: (id) => controller.jobs.abort(id),
 		report: (report) => controller.report(report),
 		ready: () => controller.ready(),
@@ -102,7 +102,7 @@
 	const back = split(platform.back);
 	// Sockets are kept back for the store, the cloud, workers and the other controllers.
 	const sockets = Math.max(16, Math.floor(cluster.resources.fd_limit * 0.8) - 60);
-	const server = await listenFront(service, front.host, front.port, sockets, log);
+	const server = await listenPublicApi(service, front.host, front.port, sockets, log);
 	await peers.listen(back.host, back.port);
 	controller.start();
 	log.info({ front: platform.front, back: platform.back, version: version }, "started");
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -12,7 +12,7 @@
 } from "../protocol/cloud-api.js";
 import type { MachineType } from "../protocol/model.js";
 import { paths } from "../protocol/paths.js";
-import { expectStatus, type HttpCaller, parseAnswer } from "./http-client.js";
+import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
 import { TokenBucket } from "./token-bucket.js";
 
 const callMs = 4000;
@@ -46,7 +46,7 @@
 		await this.admit(this.reserve);
 		const answer = await this.http.call("GET", paths.machineTypes, undefined, callMs);
 		expectStatus(answer, "machine types", 200);
-		return parseAnswer(answer, "machine types", machineTypesFrom);
+		return parseResponse(answer, "machine types", machineTypesFrom);
 	}
 
 	async rent(request: RentRequest): Promise<string[]> {
@@ -55,7 +55,7 @@
 		// Only this answer speaks of capacity; during an outage there is another 503.
 		if (answer.status === 503 && isNoCapacity(answer.body)) return [];
 		expectStatus(answer, "rental", 200, 201);
-		return parseAnswer(answer, "rental", rentedFrom);
+		return parseResponse(answer, "rental", rentedFrom);
 	}
 
 	async giveBack(machines: string[]): Promise<void> {
@@ -68,7 +68,7 @@
 		await this.admit(this.reserve);
 		const answer = await this.http.call("GET", listPath(after, 500), undefined, callMs);
 		expectStatus(answer, "list", 200);
-		return parseAnswer(answer, "list", listedFrom);
+		return parseResponse(answer, "list", listedFrom);
 	}
 
 	close(): void {
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -2,14 +2,14 @@
 import { CallFailed } from "../coordination/ports.js";
 import { MalformedMessageError } from "../protocol/checks.js";
 
-export interface Answer {
+export interface HttpResponse {
 	status: number;
 	body: unknown;
 }
 
 /** What the clients need of an HTTP connection; tests put a stand-in here. */
 export interface HttpCaller {
-	call(method: string, path: string, body: unknown, deadlineMs: number): Promise<Answer>;
+	call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpResponse>;
 	close(): void;
 }
 
@@ -26,7 +26,7 @@
 		this.agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: 4, scheduling: "lifo" });
 	}
 
-	call(method: string, path: string, body: unknown, deadlineMs: number): Promise<Answer> {
+	call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpResponse> {
 		return new Promise((resolve, reject) => {
 			const payload = body === undefined ? undefined : JSON.stringify(body);
 			const headers: Record<string, string | number> = {};
@@ -84,7 +84,7 @@
 }
 
 /** Turns any answer but those expected into a failure of the right kind. */
-export function expectStatus(answer: Answer, what: string, ...good: number[]): unknown {
+export function expectStatus(answer: HttpResponse, what: string, ...good: number[]): unknown {
 	if (good.includes(answer.status)) return answer.body;
 	const refused = answer.status === 429 || answer.status === 503;
 	throw new CallFailed(
@@ -98,7 +98,7 @@
  * Reads the body of an answer. One that is not of the published form says nothing about what was
  * done, so it counts as no answer, and nothing of it is used.
  */
-export function parseAnswer<T>(answer: Answer, what: string, parse: (body: unknown) => T): T {
+export function parseResponse<T>(answer: HttpResponse, what: string, parse: (body: unknown) => T): T {
 	try {
 		return parse(answer.body);
 	} catch (error) {
--- a/src/transport/front-server.ts
+++ b/src/transport/public-api.ts
@@ -1,8 +1,8 @@
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { getRequestListener } from "@hono/node-server";
 import { Hono } from "hono";
-import type { Reported } from "../coordination/controller.js";
-import type { Looked, Submitted } from "../coordination/job-service.js";
+import type { ReportResult } from "../coordination/controller.js";
+import type { JobLookup, SubmitResult } from "../coordination/job-service.js";
 import type { Log } from "../coordination/ports.js";
 import { MalformedMessageError } from "../protocol/checks.js";
 import type { JobSpec, WorkerReport } from "../protocol/model.js";
@@ -14,11 +14,11 @@
 const bodyTooLarge = `the body is larger than ${maxBody} bytes`;
 
 /** What the front needs of the service behind it. */
-export interface Service {
-	submit(spec: JobSpec): Promise<Submitted>;
-	look(id: string): Promise<Looked>;
-	abort(id: string): Promise<Looked>;
-	report(report: WorkerReport): Promise<Reported>;
+export interface PublicService {
+	submit(spec: JobSpec): Promise<SubmitResult>;
+	status(id: string): Promise<JobLookup>;
+	abort(id: string): Promise<JobLookup>;
+	report(report: WorkerReport): Promise<ReportResult>;
 	ready(): boolean;
 }
 
@@ -45,7 +45,7 @@
 	return request.text();
 }
 
-export function frontApp(service: Service, log: Log): Hono {
+export function publicApi(service: PublicService, log: Log): Hono {
 	const app = new Hono();
 	const later = (reason: string) =>
 		Response.json({ error: reason }, { status: 503, headers: { "retry-after": "1" } });
@@ -68,7 +68,7 @@
 		} catch (error) {
 			// Whatever is wrong with it, a submission that names an accepted job is told how that is.
 			const id = jobIdOf(body);
-			const known = id === null ? null : await service.look(id);
+			const known = id === null ? null : await service.status(id);
 			if (known?.kind === "job") return Response.json(jobAnswer(id as string, known.status));
 			throw error;
 		}
@@ -90,7 +90,7 @@
 	app.get(`${paths.jobs}/:id`, async (c) => {
 		const id = c.req.param("id");
 		if (!isJobId(id)) return failure(404, "there is no such job");
-		const result = await service.look(id);
+		const result = await service.status(id);
 		if (result.kind === "unknown") return failure(404, "there is no such job");
 		if (result.kind === "later") return later(result.reason);
 		return Response.json(jobAnswer(id, result.status, { done: result.done, running: result.running }));
@@ -126,7 +126,7 @@
  * Reports are most of what a leader hears: hundreds a second for a small share of a
  * core. They pass by the routes and objects that users' requests go through.
  */
-export function reportListener(service: Pick<Service, "report">, log: Log) {
+export function reportListener(service: Pick<PublicService, "report">, log: Log) {
 	return (request: IncomingMessage, response: ServerResponse): void => {
 		const answer = (status: number, body: object, headers?: Record<string, string>) => {
 			if (response.headersSent || response.destroyed) return;
@@ -167,19 +167,19 @@
 	};
 }
 
-export interface Front {
+export interface PublicServer {
 	port: number;
 	close(): void;
 }
 
-export async function listenFront(
-	service: Service,
+export async function listenPublicApi(
+	service: PublicService,
 	host: string,
 	port: number,
 	maxConnections: number,
 	log: Log,
-): Promise<Front> {
-	const others = getRequestListener(frontApp(service, log).fetch);
+): Promise<PublicServer> {
+	const others = getRequestListener(publicApi(service, log).fetch);
 	const reports = reportListener(service, log);
 	const server = createServer((request, response) => {
 		const isReport = request.url === paths.report || request.url?.startsWith(`${paths.report}?`);
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -21,7 +21,7 @@
 	transactionBody,
 	watchPath,
 } from "../protocol/store-api.js";
-import { expectStatus, type HttpCaller, parseAnswer } from "./http-client.js";
+import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
 import { TokenBucket } from "./token-bucket.js";
 
 const callMs = 1500;
@@ -68,8 +68,8 @@
 		const answer = await this.http.call("GET", `${paths.store}/${key}`, undefined, callMs);
 		expectStatus(answer, "read", 200, 404);
 		return answer.status === 200
-			? { row: parseAnswer(answer, "read", rowFrom), epoch: -1 }
-			: { row: null, epoch: parseAnswer(answer, "read", epochFrom) };
+			? { row: parseResponse(answer, "read", rowFrom), epoch: -1 }
+			: { row: null, epoch: parseResponse(answer, "read", epochFrom) };
 	}
 
 	async rows(prefix: string): Promise<{ rows: StoreRow[]; epoch: number }> {
@@ -80,7 +80,7 @@
 			await this.admit(this.requests, 1, 0, 1000);
 			const answer = await this.http.call("GET", rowsPath(prefix, after, 200), undefined, 4000);
 			expectStatus(answer, "rows", 200);
-			const { rows, more, epoch } = parseAnswer(answer, "rows", rowsFrom);
+			const { rows, more, epoch } = parseResponse(answer, "rows", rowsFrom);
 			// Later pages may hold later changes; a watch from the first page's epoch repeats those.
 			if (first < 0) first = epoch;
 			all.push(...rows);
@@ -111,14 +111,14 @@
 		}
 		expectStatus(answer, "transaction", 200, 409);
 		return answer.status === 200
-			? { ok: true, epoch: parseAnswer(answer, "transaction", epochFrom) }
-			: { ok: false, ...parseAnswer(answer, "transaction", conflictFrom) };
+			? { ok: true, epoch: parseResponse(answer, "transaction", epochFrom) }
+			: { ok: false, ...parseResponse(answer, "transaction", conflictFrom) };
 	}
 
 	async grantLease(ttlMs: number): Promise<number> {
 		const answer = await this.http.call("POST", paths.leases, { ttl_ms: ttlMs }, callMs);
 		expectStatus(answer, "lease", 200, 201);
-		return parseAnswer(answer, "lease", leaseFrom);
+		return parseResponse(answer, "lease", leaseFrom);
 	}
 
 	async renewLease(lease: number): Promise<void> {
@@ -144,7 +144,7 @@
 			waitMs + (waitMs === 0 ? callMs : watchSlackMs),
 		);
 		expectStatus(answer, "watch", 200);
-		return parseAnswer(answer, "watch", eventsFrom);
+		return parseResponse(answer, "watch", eventsFrom);
 	}
 
 	close(): void {
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -2,7 +2,7 @@
 import type { Order, WorkerReport } from "../protocol/model.js";
 import { paths } from "../protocol/paths.js";
 import { directOrdersBody, reportFrom } from "../protocol/worker-api.js";
-import { expectStatus, type HttpCaller, HttpClient, parseAnswer } from "./http-client.js";
+import { expectStatus, type HttpCaller, HttpClient, parseResponse } from "./http-client.js";
 
 /** Orders sent straight to workers; each call has its own short-lived connection. */
 export class WorkerClient implements WorkerPort {
@@ -20,7 +20,7 @@
 		try {
 			const answer = await http.call("POST", paths.commands, directOrdersBody(token, session, orders), 2000);
 			expectStatus(answer, "orders", 200, 409);
-			const report = parseAnswer(answer, "orders", (body) =>
+			const report = parseResponse(answer, "orders", (body) =>
 				reportFrom((body ?? {}) as Record<string, unknown>),
 			);
 			return { executed: answer.status === 200, report };
