--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -6,6 +6,7 @@
 import { Machine, muchTooSlow, noteRun } from "../src/bookkeeping/machines.js";
 import { Quotas } from "../src/bookkeeping/quotas.js";
 import { countInPage, TaskSet, tasksPerPage } from "../src/bookkeeping/task-set.js";
+import { ClusterState } from "../src/coordination/cluster-state.js";
 import { Fleet } from "../src/coordination/fleet.js";
 import { servingOrder, starved } from "../src/coordination/ordering.js";
 import { placerOf } from "../src/coordination/partitioning.js";
@@ -20,7 +21,6 @@
 	remainingOfRunning,
 	remainingOfWaiting,
 } from "../src/coordination/scaling.js";
-import { Tables } from "../src/coordination/tables.js";
 import type { JobSpec, MachineType, Priority } from "../src/protocol/model.js";
 import { defaultOperator } from "../src/protocol/operator.js";
 import type { Grant, ViewMachine } from "../src/protocol/placement.js";
@@ -40,8 +40,8 @@
 	zones: ["a", "b"],
 };
 
-function tablesWith(machines: number, cpusMax = 8): Tables {
-	const tables = new Tables(
+function tablesWith(machines: number, cpusMax = 8): ClusterState {
+	const clusterState = new ClusterState(
 		7,
 		["red", "blue"].map((name) => ({ name, cpus: 4, cpus_max: cpusMax, gpus: 0, gpus_max: 0 })),
 		new Map([[small.name, small]]),
@@ -51,9 +51,9 @@
 		m.up = true;
 		m.confirmed = true;
 		m.durable = true;
-		tables.machines.set(m.id, m);
+		clusterState.machines.set(m.id, m);
 	}
-	return tables;
+	return clusterState;
 }
 
 test("a team moves only when its own placer goes, and every placer gets some", () => {
@@ -172,17 +172,17 @@
 
 test("work that waits beside a marked machine with room has its mark taken back, in time", async () => {
 	const time = new FakeTime();
-	const tables = tablesWith(4, 16);
-	const [first] = [...tables.machines.values()] as [Machine];
-	const busy = tables.addJob("j-1", specOf("j-1", { tasks: 3, cpus: 4, estimateS: 300 }), 0, 1);
+	const clusterState = tablesWith(4, 16);
+	const [first] = [...clusterState.machines.values()] as [Machine];
+	const busy = clusterState.addJob("j-1", specOf("j-1", { tasks: 3, cpus: 4, estimateS: 300 }), 0, 1);
 	busy.fillWaiting();
 	// What runs is nearly done, so that the load lies between the marks and the counters do nothing.
-	for (const machine of [...tables.machines.values()].slice(1)) {
-		const attempt = tables.decide(busy, machine);
+	for (const machine of [...clusterState.machines.values()].slice(1)) {
+		const attempt = clusterState.decide(busy, machine);
 		if (attempt) attempt.runningAt = -1e6;
 	}
-	first.marked = true;
-	const waits = tables.addJob(
+	first.draining = true;
+	const waits = clusterState.addJob(
 		"j-2",
 		specOf("j-2", { team: "blue", tasks: 1, cpus: 4, estimateS: 300 }),
 		0,
@@ -190,7 +190,7 @@
 	);
 	waits.fillWaiting();
 	const fleet = new Fleet({
-		tables,
+		clusterState,
 		cloud: {
 			machineTypes: async () => [],
 			rent: async () => [],
@@ -225,9 +225,9 @@
 		}
 	};
 	await run(18_000);
-	assert.ok(first.marked, "it may still come in elsewhere");
+	assert.ok(first.draining, "it may still come in elsewhere");
 	await run(4000);
-	assert.ok(!first.marked);
+	assert.ok(!first.draining);
 });
 
 test("a sample holds distinct machines and no more than asked for", () => {
@@ -240,9 +240,9 @@
 test("decisions never pass a team's limit or a machine's cores, in any order of starts and ends", () => {
 	const random = xoroshiro128plus(5);
 	for (let round = 0; round < 50; round++) {
-		const tables = tablesWith(4);
+		const clusterState = tablesWith(4);
 		const jobs = ["j-1", "j-2", "j-3"].map((id, i) => {
-			const job = tables.addJob(
+			const job = clusterState.addJob(
 				id,
 				specOf(id, { tasks: 10, cpus: uniformInt(random, 1, 3), team: i % 2 ? "red" : "blue" }),
 				0,
@@ -254,9 +254,9 @@
 		const seen = new Set<number>();
 		for (let step = 0; step < 80; step++) {
 			const job = jobs[uniformInt(random, 0, 2)] as (typeof jobs)[number];
-			const machine = tables.machines.get(`n-${uniformInt(random, 0, 3)}`) as Machine;
+			const machine = clusterState.machines.get(`n-${uniformInt(random, 0, 3)}`) as Machine;
 			if (uniformInt(random, 0, 2) > 0) {
-				const attempt = tables.decide(job, machine);
+				const attempt = clusterState.decide(job, machine);
 				if (attempt) {
 					assert.ok(!seen.has(attempt.number), "attempt numbers never repeat");
 					assert.ok(Number.isSafeInteger(attempt.number));
@@ -265,30 +265,30 @@
 			} else {
 				const attempt = [...machine.attempts.values()][0];
 				if (attempt) {
-					if (uniformInt(random, 0, 1)) tables.markDone(attempt.job, attempt.index);
-					tables.over(attempt);
+					if (uniformInt(random, 0, 1)) clusterState.markDone(attempt.job, attempt.index);
+					clusterState.finish(attempt);
 				}
 			}
 			for (const team of ["red", "blue"]) {
 				let used = 0;
 				for (const j of jobs) if (j.spec.team === team) used += j.attempts.size * j.spec.cpus;
 				assert.ok(used <= 8);
-				assert.ok(Math.abs(tables.quotas.use(team).cpus - used) < 1e-6);
+				assert.ok(Math.abs(clusterState.quotas.use(team).cpus - used) < 1e-6);
 			}
-			for (const m of tables.machines.values()) assert.ok(m.freeCpus >= -1e-9);
+			for (const m of clusterState.machines.values()) assert.ok(m.freeCpus >= -1e-9);
 		}
 	}
 });
 
 test("nothing is decided while a machine of an earlier leader is unheard", () => {
-	const tables = tablesWith(2);
-	const job = tables.addJob("j-1", specOf("j-1"), 0, 1);
+	const clusterState = tablesWith(2);
+	const job = clusterState.addJob("j-1", specOf("j-1"), 0, 1);
 	job.fillWaiting();
-	const [first, second] = [...tables.machines.values()] as [Machine, Machine];
-	tables.hide(second);
-	assert.equal(tables.decide(job, first), null);
-	tables.heard(second);
-	assert.notEqual(tables.decide(job, first), null);
+	const [first, second] = [...clusterState.machines.values()] as [Machine, Machine];
+	clusterState.awaitReport(second);
+	assert.equal(clusterState.decide(job, first), null);
+	clusterState.stopAwaiting(second);
+	assert.notEqual(clusterState.decide(job, first), null);
 });
 
 test("quotas count room by the tighter of cores and accelerators", () => {
@@ -368,28 +368,30 @@
 });
 
 test("serving order: tiers, then due time, then shortest remaining; best effort yields a little", () => {
-	const tables = tablesWith(0);
+	const clusterState = tablesWith(0);
 	const add = (id: string, priority: Priority, tasks: number, deadlineS: number | null = null) =>
-		tables.addJob(id, specOf(id, { priority, tasks, deadlineS }), 0, 1);
+		clusterState.addJob(id, specOf(id, { priority, tasks, deadlineS }), 0, 1);
 	add("j-long", "normal", 40);
 	add("j-short", "normal", 8);
 	add("j-effort", "best_effort", 8);
 	add("j-late", "urgent", 4, 90);
 	add("j-soon", "urgent", 4, 50);
 	add("j-crit", "critical", 4);
-	const order = servingOrder([...tables.jobs.values()], (t) => tables.quotas.team(t), 0).map((j) => j.id);
+	const order = servingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.team(t), 0).map(
+		(j) => j.id,
+	);
 	assert.deepEqual(order, ["j-crit", "j-soon", "j-late", "j-short", "j-effort", "j-long"]);
 });
 
 test("work that cannot make its deadline any more does not make others late", () => {
-	const tables = tablesWith(0);
+	const clusterState = tablesWith(0);
 	const add = (id: string, deadlineS: number) =>
-		tables.addJob(id, specOf(id, { priority: "urgent", deadlineS, estimateS: 10 }), 0, 1);
+		clusterState.addJob(id, specOf(id, { priority: "urgent", deadlineS, estimateS: 10 }), 0, 1);
 	add("j-soon", 20);
 	add("j-later", 29);
 	add("j-last", 60);
 	const order = (date: number) =>
-		servingOrder([...tables.jobs.values()], (t) => tables.quotas.team(t), date).map((j) => j.id);
+		servingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.team(t), date).map((j) => j.id);
 	assert.deepEqual(order(0), ["j-soon", "j-later", "j-last"]);
 	assert.deepEqual(order(15_000), ["j-later", "j-soon", "j-last"], "j-soon has until 30 s now");
 	assert.deepEqual(
@@ -403,10 +405,10 @@
 test("whatever stream of small jobs comes, the largest begins within four minutes and ends", () => {
 	for (const seed of [1, 2, 3, 4]) {
 		const random = xoroshiro128plus(seed);
-		const tables = tablesWith(0);
+		const clusterState = tablesWith(0);
 		const jobs = new Map<string, { job: Job; left: number; began: number | null }>();
 		const add = (id: string, tasks: number, at: number, priority: Priority) => {
-			const job = tables.addJob(id, specOf(id, { tasks, cpus: 1, priority }), at * 1000, 1);
+			const job = clusterState.addJob(id, specOf(id, { tasks, cpus: 1, priority }), at * 1000, 1);
 			jobs.set(id, { job, left: tasks, began: null });
 		};
 		// Eight tasks run at once, and small jobs come for nearly all of that, the first ones in a burst.
@@ -421,7 +423,7 @@
 				const waiting = [...jobs.values()].filter((j) => j.left > 0).map((j) => j.job);
 				const next =
 					waiting.find((job) => starved(job, date)) ??
-					servingOrder(waiting, (team) => tables.quotas.team(team), date)[0];
+					servingOrder(waiting, (team) => clusterState.quotas.team(team), date)[0];
 				const entry = next && jobs.get(next.id);
 				if (!entry) continue;
 				entry.left -= 1;
@@ -439,7 +441,7 @@
 test("with 1000 machines, 16 teams and a backlog of hundreds of arrays the largest still begin within four minutes", () => {
 	const teams = Array.from({ length: 16 }, (_, i) => `team-${i}`);
 	const limit = { cpus: 300, cpus_max: 800, gpus: 0, gpus_max: 0 };
-	const tables = new Tables(
+	const clusterState = new ClusterState(
 		1,
 		teams.map((name) => ({ name, ...limit })),
 		new Map(),
@@ -449,7 +451,7 @@
 	const largest: Job[] = [];
 	const add = (team: string, tasks: number, atS: number, priority: Priority) => {
 		const id = `j-${state.size}`;
-		const job = tables.addJob(
+		const job = clusterState.addJob(
 			id,
 			specOf(id, { team, tasks, cpus: 1, priority, estimateS: 18 }),
 			atS * 1000,
@@ -491,7 +493,7 @@
 			ends.set(s + 18, at.set(team, (at.get(team) ?? 0) + n));
 		};
 		for (const job of waiting) if (starved(job, date)) serve(job, 1);
-		for (const job of servingOrder(waiting, (team) => tables.quotas.team(team), date, 250)) {
+		for (const job of servingOrder(waiting, (team) => clusterState.quotas.team(team), date, 250)) {
 			if (free <= 0) break;
 			serve(job, Number.POSITIVE_INFINITY);
 		}
@@ -506,12 +508,12 @@
 	);
 });
 
-function running(tables: Tables, id: string, more: Partial<JobSpec>, n: number, since: number) {
-	const job = tables.addJob(id, specOf(id, { tasks: n, ...more }), 0, 1);
+function running(clusterState: ClusterState, id: string, more: Partial<JobSpec>, n: number, since: number) {
+	const job = clusterState.addJob(id, specOf(id, { tasks: n, ...more }), 0, 1);
 	job.fillWaiting();
-	for (const machine of tables.machines.values()) {
+	for (const machine of clusterState.machines.values()) {
 		for (;;) {
-			const attempt = tables.decide(job, machine);
+			const attempt = clusterState.decide(job, machine);
 			if (!attempt) break;
 			attempt.phase = "running";
 			attempt.runningAt = since;
@@ -521,22 +523,22 @@
 }
 
 test("an urgent task takes the place of its own team's youngest lower work, no more than needed", () => {
-	const tables = tablesWith(2);
-	running(tables, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
-	const urgent = tables.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1, cpus: 2 }), 0, 1);
+	const clusterState = tablesWith(2);
+	running(clusterState, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
+	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1, cpus: 2 }), 0, 1);
 	urgent.fillWaiting();
-	const victims = chooseVictims(tables, [urgent], 1000);
+	const victims = chooseVictims(clusterState, [urgent], 1000);
 	assert.equal(victims.length, 2);
 	for (const victim of victims) victim.stop = { graceS: 0, why: "preempted" };
-	assert.equal(chooseVictims(tables, [urgent], 1500).length, 0, "what was stopped already is counted");
+	assert.equal(chooseVictims(clusterState, [urgent], 1500).length, 0, "what was stopped already is counted");
 });
 
 test("work of the same priority is stopped only beyond a guarantee and for one", () => {
-	const tables = tablesWith(2);
-	running(tables, "j-1", { team: "blue", estimateS: 100 }, 4, 0);
-	const other = tables.addJob("j-2", specOf("j-2", { tasks: 4 }), 0, 1);
+	const clusterState = tablesWith(2);
+	running(clusterState, "j-1", { team: "blue", estimateS: 100 }, 4, 0);
+	const other = clusterState.addJob("j-2", specOf("j-2", { tasks: 4 }), 0, 1);
 	other.fillWaiting();
-	const victims = chooseVictims(tables, [other], 1000);
+	const victims = chooseVictims(clusterState, [other], 1000);
 	assert.equal(victims.length, 2, "blue runs 8 of 4 guaranteed cores, red has a right to 4");
 	assert.ok(victims.every((v) => v.job.id === "j-1"));
 
@@ -548,12 +550,12 @@
 });
 
 test("a task more than half done is not thrown away", () => {
-	const tables = tablesWith(2);
-	running(tables, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
-	const urgent = tables.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1 }), 0, 1);
+	const clusterState = tablesWith(2);
+	running(clusterState, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
+	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1 }), 0, 1);
 	urgent.fillWaiting();
-	assert.equal(chooseVictims(tables, [urgent], 40_000).length, 2);
-	assert.deepEqual(chooseVictims(tables, [urgent], 60_000), []);
+	assert.equal(chooseVictims(clusterState, [urgent], 40_000).length, 2);
+	assert.deepEqual(chooseVictims(clusterState, [urgent], 60_000), []);
 });
 
 test("nothing is stopped for tasks that places coming free by themselves will hold", () => {
@@ -561,19 +563,19 @@
 		[100, 2],
 		[2, 0],
 	] as const) {
-		const tables = tablesWith(2);
-		running(tables, "j-1", { cpus: 1, team: "blue", estimateS }, 8, 0);
-		const urgent = tables.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1, cpus: 2 }), 0, 1);
+		const clusterState = tablesWith(2);
+		running(clusterState, "j-1", { cpus: 1, team: "blue", estimateS }, 8, 0);
+		const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1, cpus: 2 }), 0, 1);
 		urgent.fillWaiting();
-		assert.equal(chooseVictims(tables, [urgent], 1000).length, stopped, `runs of ${estimateS} s`);
+		assert.equal(chooseVictims(clusterState, [urgent], 1000).length, stopped, `runs of ${estimateS} s`);
 	}
 	// A team at its limit is helped by none but its own.
-	const tables = tablesWith(2);
-	running(tables, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
-	running(tables, "j-3", { cpus: 1, team: "blue", estimateS: 1 }, 8, 0);
-	const urgent = tables.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1 }), 0, 1);
+	const clusterState = tablesWith(2);
+	running(clusterState, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
+	running(clusterState, "j-3", { cpus: 1, team: "blue", estimateS: 1 }, 8, 0);
+	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1 }), 0, 1);
 	urgent.fillWaiting();
-	assert.equal(chooseVictims(tables, [urgent], 1000).length, 2);
+	assert.equal(chooseVictims(clusterState, [urgent], 1000).length, 2);
 });
 
 test("a machine much slower than others with the same work is noticed, ordinary spread is not", () => {
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Machine } from "../src/bookkeeping/machines.js";
+import { ClusterState } from "../src/coordination/cluster-state.js";
 import type { Objective } from "../src/coordination/expected-classes.js";
 import { Fleet } from "../src/coordination/fleet.js";
-import { Tables } from "../src/coordination/tables.js";
 import type { RentRequest } from "../src/protocol/cloud-api.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
 import { defaultOperator } from "../src/protocol/operator.js";
@@ -28,14 +28,14 @@
 /** A fleet between tables and a cloud that rents whatever is asked for. */
 class Setup {
 	readonly time = new FakeTime();
-	readonly tables = new Tables(1, teams, new Map([[type.name, type]]));
+	readonly clusterState = new ClusterState(1, teams, new Map([[type.name, type]]));
 	readonly requests: RentRequest[] = [];
 	private readonly fleet: Fleet;
 	private jobs = 0;
 
 	constructor(objectives: Objective[] = []) {
 		this.fleet = new Fleet({
-			tables: this.tables,
+			clusterState: this.clusterState,
 			cloud: {
 				machineTypes: async () => [type],
 				rent: async (request) => {
@@ -59,14 +59,14 @@
 	machine(id: string, zone: string, spot: boolean): Machine {
 		const machine = new Machine(id, type, zone, spot, 0);
 		Object.assign(machine, { up: true, confirmed: true, durable: true });
-		this.tables.machines.set(id, machine);
+		this.clusterState.machines.set(id, machine);
 		return machine;
 	}
 
 	job(more: Partial<JobSpec>) {
 		this.jobs += 1;
 		const id = `j-${this.jobs}`;
-		const job = this.tables.addJob(id, specOf(id, more), this.time.date().getTime(), this.jobs);
+		const job = this.clusterState.addJob(id, specOf(id, more), this.time.date().getTime(), this.jobs);
 		job.fillWaiting();
 		return job;
 	}
@@ -89,7 +89,7 @@
 	for (let i = 0; i < 50; i++) {
 		const machine = setup.machine(`n-${i}`, i % 2 ? "a" : "b", true);
 		for (let k = 0; k < 2; k++) {
-			const attempt = setup.tables.decide(job, machine);
+			const attempt = setup.clusterState.decide(job, machine);
 			if (attempt) attempt.runningAt = 0;
 		}
 	}
@@ -133,8 +133,8 @@
 	const spare = setup.machine("n-spare", "a", false);
 	const live = setup.job({ lane: "live", form: "standing", tasks: 1, cpus: 8, spot: false, estimateS: 0 });
 	await setup.run(10);
-	assert.ok([...setup.tables.machines.values()].some((m) => m.spot && m.marked));
-	assert.ok(!spare.marked, "it is there for the replica");
+	assert.ok([...setup.clusterState.machines.values()].some((m) => m.spot && m.draining));
+	assert.ok(!spare.draining, "it is there for the replica");
 	assert.equal(live.waiting.length, 1);
 });
 
@@ -142,14 +142,14 @@
 	const setup = new Setup();
 	const live = setup.job({ lane: "live", form: "standing", tasks: 8, cpus: 1, spot: false, estimateS: 0 });
 	const kept = ["a", "b", "a"].map((zone, i) => setup.machine(`n-kept${i}`, zone, false));
-	for (let i = 0; i < 8; i++) setup.tables.decide(live, kept[0] as Machine);
+	for (let i = 0; i < 8; i++) setup.clusterState.decide(live, kept[0] as Machine);
 	const small = setup.job({ lane: "batch", tasks: 4, cpus: 1, estimateS: 30 });
 	const spot = Array.from({ length: 4 }, (_, i) => setup.machine(`n-spot${i}`, "a", true));
 	for (const machine of spot) {
-		const attempt = setup.tables.decide(small, machine);
+		const attempt = setup.clusterState.decide(small, machine);
 		if (attempt) attempt.runningAt = 0;
 	}
 	await setup.run(10);
-	assert.ok(spot.some((machine) => machine.marked));
-	assert.ok(kept.filter((machine) => !machine.marked).length >= 2, "as much as came lately");
+	assert.ok(spot.some((machine) => machine.draining));
+	assert.ok(kept.filter((machine) => !machine.draining).length >= 2, "as much as came lately");
 });
--- a/tests/malformed.test.ts
+++ b/tests/malformed.test.ts
@@ -4,7 +4,7 @@
 import { MalformedMessageError } from "../src/protocol/checks.js";
 import { listedFrom, machineTypesFrom, rentedFrom } from "../src/protocol/cloud-api.js";
 import { epochFrom, eventsFrom, leaseFrom, rowFrom, rowsFrom } from "../src/protocol/store-api.js";
-import { parseAnswer } from "../src/transport/http-client.js";
+import { parseResponse } from "../src/transport/http-client.js";
 import { World } from "./support/world.js";
 
 const errorsOf = (world: World, message: string) => world.logs.filter((line) => line.includes(message));
@@ -92,7 +92,7 @@
 		for (const body of bodies) {
 			assert.throws(() => parse(body), MalformedMessageError, `${parse.name} ${JSON.stringify(body)}`);
 			assert.throws(
-				() => parseAnswer({ status: 200, body }, "call", parse),
+				() => parseResponse({ status: 200, body }, "call", parse),
 				(error) => error instanceof CallFailed && error.kind === "unknown",
 			);
 		}
--- a/tests/production.test.ts
+++ b/tests/production.test.ts
@@ -62,7 +62,7 @@
 			.filter(({ key }) => kindOf(key) === "r/machs")
 			.flatMap(({ v }) => Object.keys((v as { entries: object }).entries));
 		const jobs = standing ? 2 : 1;
-		const rebuilding = `leading: rebuilding {"epoch":21,"jobs":${jobs},"machines":${machines.length}}`;
+		const rebuilding = `leading: rebuilding {"term":21,"jobs":${jobs},"machines":${machines.length}}`;
 		assert.ok(
 			world.logs.some((line) => line.includes(rebuilding)),
 			rebuilding,
--- a/tests/races.test.ts
+++ b/tests/races.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { keys } from "../src/bookkeeping/records.js";
-import { Replica } from "../src/bookkeeping/replica.js";
+import { StoreCopy } from "../src/bookkeeping/store-copy.js";
 import { Leadership } from "../src/coordination/leadership.js";
-import { LocalCopy } from "../src/coordination/local-copy.js";
 import { CallFailed, type StorePort } from "../src/coordination/ports.js";
 import { SharedRecords } from "../src/coordination/shared-records.js";
+import { StoreSync } from "../src/coordination/store-sync.js";
 import type { Cancellation, PeerMessage } from "../src/protocol/peer.js";
 import { transactionBody } from "../src/protocol/store-api.js";
-import type { Answer } from "../src/transport/http-client.js";
+import type { HttpResponse } from "../src/transport/http-client.js";
 import { StoreClient } from "../src/transport/store-client.js";
 import { FakeTime } from "./support/fake-time.js";
 import { specOf } from "./support/specs.js";
@@ -155,7 +155,7 @@
 	const leadership = new Leadership(
 		"me",
 		"inc",
-		{ ttlMs: 3000, marginMs: 300, unknowingMs },
+		{ ttlMs: 3000, marginMs: 300, longestUnknowingMs: unknowingMs },
 		store,
 		time,
 		(command) => command(),
@@ -167,7 +167,7 @@
 				if (!service.outage && !copy.stuck) copy.knownAt = time.now();
 				return copy.knownAt;
 			},
-			knownEpoch: () => copy.epoch,
+			knownRevision: () => copy.epoch,
 			cancelledSince: () => copy.cancelled,
 			learn: (cancelled) => learnt.push(...cancelled.map(([id]) => id)),
 		},
@@ -351,9 +351,9 @@
 		},
 		close() {},
 	};
-	const replica = new Replica();
+	const replica = new StoreCopy();
 	const store = new StoreClient(caller, time, 1000, 1000, 1);
-	const copy = new LocalCopy(replica, store, time, (command) => command(), quiet);
+	const copy = new StoreSync(replica, store, time, (command) => command(), quiet);
 	copy.start();
 	await time.advance(8000);
 	assert.ok(time.now() - copy.knownAt <= 5100, "two waits of a watch at most");
@@ -365,7 +365,7 @@
 });
 
 test("a node names every cancellation since an epoch that it can have told of, or says that it cannot", () => {
-	const replica = new Replica();
+	const replica = new StoreCopy();
 	const cancelled = (id: string, revision: number) =>
 		replica.applyOwn(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
 	assert.equal(replica.cancelledSince(0), null, "nothing is loaded");
@@ -413,7 +413,7 @@
 
 /** Shared records against the stand-in store; `call` may interfere with what reaches it. */
 async function sharedRecords(
-	interfere: (path: string, handle: () => Promise<Answer>, time: FakeTime) => Promise<Answer> = (
+	interfere: (path: string, handle: () => Promise<HttpResponse>, time: FakeTime) => Promise<HttpResponse> = (
 		_path,
 		handle,
 	) => handle(),
@@ -547,7 +547,7 @@
 		left.map(([key, r]) => [key, { value: r.v as { entries: Record<string, string> }, revision: r.stamp }]),
 	);
 	for (const name of names) assert.ok(second.records.has(name));
-	const replica = new Replica();
+	const replica = new StoreCopy();
 	const pages = { entries: { "j-1/0": "old" } };
 	replica.reset(
 		[
@@ -625,14 +625,14 @@
 	await world.submit("runner-0", { ...job, id: "j-000002" });
 	await world.time.advance(500);
 	const leader = world.controllerOf(world.leaderNode() as string);
-	const known = leader.replica.jobs.get("j-000002");
+	const known = leader.storeCopy.jobs.get("j-000002");
 	assert.ok(known);
 	world.expectJob({ ...job, id: "j-000003" });
 	const value = { ...known.value, spec: { ...known.value.spec, id: "j-000003" } };
 	world.state.epoch += 1;
 	world.state.rows.set("r/job/j-000003", { v: value, stamp: world.state.epoch });
 	// In the copy, but no listener was called.
-	leader.replica.jobs.set("j-000003", { value, revision: world.state.epoch });
+	leader.storeCopy.jobs.set("j-000003", { value, revision: world.state.epoch });
 	await world.time.advance(30_000);
 	assert.equal((world.state.rows.get("r/fin/j-000003")?.v as { status: string } | undefined)?.status, "done");
 });
--- a/tests/reports.test.ts
+++ b/tests/reports.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { keys } from "../src/bookkeeping/records.js";
-import { Replica } from "../src/bookkeeping/replica.js";
+import { StoreCopy } from "../src/bookkeeping/store-copy.js";
+import { ClusterState } from "../src/coordination/cluster-state.js";
 import { applyReport, ordersFor } from "../src/coordination/reports.js";
-import { Tables } from "../src/coordination/tables.js";
 import type { Demand, ReportedTask, WorkerReport } from "../src/protocol/model.js";
 import { specOf } from "./support/specs.js";
 
@@ -23,15 +23,15 @@
 const epoch = 41;
 
 function fresh() {
-	const tables = new Tables(
+	const clusterState = new ClusterState(
 		epoch,
 		[{ name: "red", cpus: 8, cpus_max: 8, gpus: 0, gpus_max: 0 }],
 		new Map([["small", type]]),
 		12_000,
 	);
-	const job = tables.addJob("j-1", spec, 0, 1);
+	const job = clusterState.addJob("j-1", spec, 0, 1);
 	job.fillWaiting();
-	return { tables, job };
+	return { clusterState, job };
 }
 
 function report(seq: number, tasks: ReportedTask[] = [], more: Partial<WorkerReport> = {}): WorkerReport {
@@ -61,120 +61,124 @@
 
 /** A machine that has reported, with one start sent to it. */
 function withOneSent() {
-	const { tables, job } = fresh();
-	applyReport(tables, report(1), 0);
-	const machine = tables.machines.get("n-1");
+	const { clusterState, job } = fresh();
+	applyReport(clusterState, report(1), 0);
+	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
-	const attempt = tables.decide(job, machine);
+	const attempt = clusterState.decide(job, machine);
 	assert.ok(attempt);
-	const orders = ordersFor(tables, machine);
+	const orders = ordersFor(clusterState, machine);
 	assert.deepEqual(orders, [{ op: "start", job: "j-1", index: 0, attempt: attempt.number }]);
-	return { tables, job, machine, attempt };
+	return { clusterState, job, machine, attempt };
 }
 
 test("no start goes to a machine before its record is durable and it has seen the token", () => {
-	const { tables, job } = fresh();
-	applyReport(tables, report(1, [], { token: epoch - 1 }), 0);
-	const machine = tables.machines.get("n-1");
+	const { clusterState, job } = fresh();
+	applyReport(clusterState, report(1, [], { token: epoch - 1 }), 0);
+	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
-	assert.equal(tables.decide(job, machine), null, "its answers of an earlier leader may still be on the way");
-	applyReport(tables, report(2), 0);
+	assert.equal(
+		clusterState.decide(job, machine),
+		null,
+		"its answers of an earlier leader may still be on the way",
+	);
+	applyReport(clusterState, report(2), 0);
 	machine.durable = false;
-	assert.equal(tables.decide(job, machine), null, "a later leader would not know of it");
+	assert.equal(clusterState.decide(job, machine), null, "a later leader would not know of it");
 	machine.durable = true;
-	assert.notEqual(tables.decide(job, machine), null);
+	assert.notEqual(clusterState.decide(job, machine), null);
 });
 
 test("a machine marked to drain between a decision and its report still gets the start", () => {
-	const { tables, job } = fresh();
-	applyReport(tables, report(1), 0);
-	const machine = tables.machines.get("n-1");
+	const { clusterState, job } = fresh();
+	applyReport(clusterState, report(1), 0);
+	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
-	tables.decide(job, machine);
-	machine.marked = true;
-	assert.equal(ordersFor(tables, machine).length, 1);
-	assert.equal(tables.decide(job, machine), null, "nothing new is decided for it");
-	machine.marked = false;
-	tables.decide(job, machine);
-	machine.faulty = true;
-	assert.deepEqual(ordersFor(tables, machine), [], "on one set aside for failing nothing starts");
+	clusterState.decide(job, machine);
+	machine.draining = true;
+	assert.equal(ordersFor(clusterState, machine).length, 1);
+	assert.equal(clusterState.decide(job, machine), null, "nothing new is decided for it");
+	machine.draining = false;
+	clusterState.decide(job, machine);
+	machine.quarantined = true;
+	assert.deepEqual(ordersFor(clusterState, machine), [], "on one set aside for failing nothing starts");
 });
 
 test("a start whose answer was lost is sent again with the same number", () => {
-	const { tables, machine, attempt } = withOneSent();
-	applyReport(tables, report(2), 100);
-	const orders = ordersFor(tables, machine);
+	const { clusterState, machine, attempt } = withOneSent();
+	applyReport(clusterState, report(2), 100);
+	const orders = ordersFor(clusterState, machine);
 	assert.deepEqual(orders, [{ op: "start", job: "j-1", index: 0, attempt: attempt.number }]);
 });
 
 test("an old report changes nothing", () => {
-	const { tables, machine, attempt } = withOneSent();
-	applyReport(tables, report(5, [task(0, attempt.number, "running")]), 100);
-	assert.equal(applyReport(tables, report(4), 200).kind, "old");
+	const { clusterState, machine, attempt } = withOneSent();
+	applyReport(clusterState, report(5, [task(0, attempt.number, "running")]), 100);
+	assert.equal(applyReport(clusterState, report(4), 200).kind, "old");
 	assert.equal(machine.attempts.size, 1);
 	assert.equal(attempt.phase, "running");
 });
 
 test("a task that a newer report lacks is over and waits again", () => {
-	const { tables, job, attempt } = withOneSent();
-	applyReport(tables, report(2, [task(0, attempt.number, "running")]), 100);
-	const applied = applyReport(tables, report(3), 200);
+	const { clusterState, job, attempt } = withOneSent();
+	applyReport(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
+	const applied = applyReport(clusterState, report(3), 200);
 	assert.equal(applied.kind === "applied" && applied.vanished.length, 1);
 	assert.ok(job.waiting.includes(0));
-	assert.equal(tables.quotas.use("red").cpus, 0);
+	assert.equal(clusterState.quotas.use("red").cpus, 0);
 });
 
 test("a report with an earlier token adds tasks but proves no absence", () => {
-	const { tables, job } = fresh();
-	applyReport(tables, report(3, [task(2, 900, "running")], { token: 7 }), 0);
+	const { clusterState, job } = fresh();
+	applyReport(clusterState, report(3, [task(2, 900, "running")], { token: 7 }), 0);
 	assert.equal(job.attempts.get(2)?.number, 900);
-	applyReport(tables, report(4, [], { token: 7 }), 10);
+	applyReport(clusterState, report(4, [], { token: 7 }), 10);
 	assert.equal(job.attempts.get(2)?.number, 900, "an answer of the leader before may come after this report");
-	assert.equal(tables.quotas.use("red").cpus, 1);
-	applyReport(tables, report(5), 20);
+	assert.equal(clusterState.quotas.use("red").cpus, 1);
+	applyReport(clusterState, report(5), 20);
 	assert.equal(job.attempts.has(2), false);
 });
 
 test("a later session ends all tasks of the one before; a report of an expired lease is refused", () => {
-	const { tables, job, machine, attempt } = withOneSent();
-	applyReport(tables, report(2, [task(0, attempt.number, "running")]), 100);
-	applyReport(tables, report(1, [], { session: 2 }), 200);
+	const { clusterState, job, machine, attempt } = withOneSent();
+	applyReport(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
+	applyReport(clusterState, report(1, [], { session: 2 }), 200);
 	assert.equal(job.attempts.size, 0);
-	tables.expire(machine);
-	assert.equal(applyReport(tables, report(9, [], { session: 2 }), 300).kind, "expired");
-	assert.equal(applyReport(tables, report(1, [], { session: 3 }), 300).kind, "applied");
+	clusterState.expire(machine);
+	assert.equal(applyReport(clusterState, report(9, [], { session: 2 }), 300).kind, "expired");
+	assert.equal(applyReport(clusterState, report(1, [], { session: 3 }), 300).kind, "applied");
 });
 
 test("a completed task is forgotten only when its completion is durable", () => {
-	const { tables, job, machine, attempt } = withOneSent();
-	applyReport(tables, report(2, [task(0, attempt.number, "exited", "done")]), 100);
+	const { clusterState, job, machine, attempt } = withOneSent();
+	applyReport(clusterState, report(2, [task(0, attempt.number, "exited", "done")]), 100);
 	assert.ok(job.done.has(0));
-	machine.marked = true;
-	assert.deepEqual(ordersFor(tables, machine), [], "a takeover now would lose it");
-	machine.marked = false;
+	machine.draining = true;
+	assert.deepEqual(ordersFor(clusterState, machine), [], "a takeover now would lose it");
+	machine.draining = false;
 	job.durable.add(0);
-	assert.deepEqual(ordersFor(tables, machine), [], "the last one is kept as a handle");
-	assert.equal(machine.handle?.attempt, attempt.number);
-	machine.marked = true;
+	assert.deepEqual(ordersFor(clusterState, machine), [], "the last one is kept as a handle");
+	assert.equal(machine.reminder?.attempt, attempt.number);
+	machine.draining = true;
 	const forget = { op: "forget", job: "j-1", index: 0, attempt: attempt.number };
-	assert.deepEqual(ordersFor(tables, machine), [forget]);
+	assert.deepEqual(ordersFor(clusterState, machine), [forget]);
 });
 
 test("tasks that ended under an earlier leader are counted, and their job is named so that it can end", () => {
-	const { tables, job } = fresh();
+	const { clusterState, job } = fresh();
 	const ended = Array.from({ length: job.spec.tasks }, (_, i) => task(i, 7, "exited", "done"));
-	const applied = applyReport(tables, report(1, ended), 0);
+	const applied = applyReport(clusterState, report(1, ended), 0);
 	assert.ok(applied.kind === "applied");
 	assert.ok(job.done.full);
 	assert.deepEqual([...applied.progressed], [job]);
 });
 
 test("tasks nobody wants are stopped: of unknown jobs, done already, or on another machine", () => {
-	const { tables, job } = withOneSent();
-	tables.markDone(job, 1);
+	const { clusterState, job } = withOneSent();
+	clusterState.markDone(job, 1);
 	const other = report(
 		1,
 		[task(0, 900, "running"), task(1, 901, "running"), { ...task(0, 902, "running"), job: "j-9" }],
@@ -182,11 +186,11 @@
 			machine: "n-2",
 		},
 	);
-	applyReport(tables, other, 0);
-	const machine = tables.machines.get("n-2");
+	applyReport(clusterState, other, 0);
+	const machine = clusterState.machines.get("n-2");
 	assert.ok(machine);
 	assert.deepEqual(
-		ordersFor(tables, machine).map((o) => [o.op, o.attempt]),
+		ordersFor(clusterState, machine).map((o) => [o.op, o.attempt]),
 		[
 			["stop", 900],
 			["stop", 901],
@@ -199,114 +203,117 @@
 	const known = new Map<string, Demand>();
 	const teams = [{ name: "red", cpus: 8, cpus_max: 8, gpus: 0, gpus_max: 0 }];
 	const types = new Map([["small", type]]);
-	const tables = new Tables(epoch, teams, types, 12_000, (id) => known.get(id) ?? null);
-	const job = tables.addJob("j-1", spec, 0, 1);
+	const clusterState = new ClusterState(epoch, teams, types, 12_000, (id) => known.get(id) ?? null);
+	const job = clusterState.addJob("j-1", spec, 0, 1);
 	job.fillWaiting();
 	const gone = (index: number) => ({ ...task(index, 7, "running"), job: "j-9" });
-	applyReport(tables, report(1, [gone(0), gone(1)]), 0);
-	const machine = tables.machines.get("n-1");
+	applyReport(clusterState, report(1, [gone(0), gone(1)]), 0);
+	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
-	assert.deepEqual([...tables.strangeJobs()], ["j-9"]);
-	assert.equal(tables.decide(job, machine), null, "whose cores they take is not known");
+	assert.deepEqual([...clusterState.jobsOfUnknownDemand()], ["j-9"]);
+	assert.equal(clusterState.decide(job, machine), null, "whose cores they take is not known");
 	known.set("j-9", { team: "red", cpus: 4, gpus: 0 });
-	tables.resolveStrange("j-9");
-	assert.equal(tables.quotas.use("red").cpus, 8);
-	assert.equal(tables.decide(job, machine), null, "they fill the limit");
-	applyReport(tables, report(2, [gone(1)]), 500);
-	assert.equal(tables.quotas.use("red").cpus, 4);
-	assert.notEqual(tables.decide(job, machine), null);
-	tables.expire(machine);
-	assert.equal(tables.quotas.use("red").cpus, 0);
-	assert.ok(tables.rebuilt);
+	clusterState.resolveDemand("j-9");
+	assert.equal(clusterState.quotas.use("red").cpus, 8);
+	assert.equal(clusterState.decide(job, machine), null, "they fill the limit");
+	applyReport(clusterState, report(2, [gone(1)]), 500);
+	assert.equal(clusterState.quotas.use("red").cpus, 4);
+	assert.notEqual(clusterState.decide(job, machine), null);
+	clusterState.expire(machine);
+	assert.equal(clusterState.quotas.use("red").cpus, 0);
+	assert.ok(clusterState.rebuilt);
 });
 
 test("the end of a job withdraws what is not sent and stops the rest until it is over", () => {
-	const { tables, job, machine, attempt } = withOneSent();
-	const second = tables.decide(job, machine);
+	const { clusterState, job, machine, attempt } = withOneSent();
+	const second = clusterState.decide(job, machine);
 	assert.ok(second);
-	const still = tables.endJob(job);
+	const still = clusterState.endJob(job);
 	assert.deepEqual(still, [attempt]);
-	assert.equal(tables.quotas.use("red").cpus, 1, "what was sent still counts");
-	applyReport(tables, report(2, [task(0, attempt.number, "running")]), 100);
-	assert.equal(ordersFor(tables, machine)[0]?.op, "stop");
-	applyReport(tables, report(3, [task(0, attempt.number, "exited", "stopped")]), 200);
-	assert.equal(tables.quotas.use("red").cpus, 0);
+	assert.equal(clusterState.quotas.use("red").cpus, 1, "what was sent still counts");
+	applyReport(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
+	assert.equal(ordersFor(clusterState, machine)[0]?.op, "stop");
+	applyReport(clusterState, report(3, [task(0, attempt.number, "exited", "stopped")]), 200);
+	assert.equal(clusterState.quotas.use("red").cpus, 0);
 });
 
 test("one lost answer changes nothing; after two in a row nothing more is sent until its lease has held", () => {
-	const { tables, job, machine, attempt } = withOneSent();
-	applyReport(tables, report(2), 1000);
-	assert.equal(machine.deafAt, null);
-	assert.equal(ordersFor(tables, machine).length, 1);
-	applyReport(tables, report(3), 2000);
-	assert.equal(machine.deafAt, 2000);
+	const { clusterState, job, machine, attempt } = withOneSent();
+	applyReport(clusterState, report(2), 1000);
+	assert.equal(machine.unreachableSince, null);
+	assert.equal(ordersFor(clusterState, machine).length, 1);
+	applyReport(clusterState, report(3), 2000);
+	assert.equal(machine.unreachableSince, 2000);
 	assert.equal(job.attempts.has(0), false, "a start that no report lists can no longer be carried out");
 	assert.ok(job.waiting.includes(attempt.index));
-	assert.equal(tables.decide(job, machine), null);
-	applyReport(tables, report(4), 2000 + tables.certainMs);
-	assert.notEqual(machine.deafAt, null);
-	applyReport(tables, report(5), 2000 + 1.6 * tables.certainMs);
-	assert.equal(machine.deafAt, null);
-	assert.notEqual(tables.decide(job, machine), null);
+	assert.equal(clusterState.decide(job, machine), null);
+	applyReport(clusterState, report(4), 2000 + clusterState.certainMs);
+	assert.notEqual(machine.unreachableSince, null);
+	applyReport(clusterState, report(5), 2000 + 1.6 * clusterState.certainMs);
+	assert.equal(machine.unreachableSince, null);
+	assert.notEqual(clusterState.decide(job, machine), null);
 });
 
 test("a start that is listed after one lost answer counts as heard", () => {
-	const { tables, machine, attempt } = withOneSent();
-	applyReport(tables, report(2), 1000);
-	ordersFor(tables, machine);
-	applyReport(tables, report(3, [task(0, attempt.number, "running")]), 2000);
-	assert.equal(machine.lostAnswers, 0);
+	const { clusterState, machine, attempt } = withOneSent();
+	applyReport(clusterState, report(2), 1000);
+	ordersFor(clusterState, machine);
+	applyReport(clusterState, report(3, [task(0, attempt.number, "running")]), 2000);
+	assert.equal(machine.ineffectiveAnswers, 0);
 });
 
 test("a lease that runs out although it was answered all the time shows a machine that hears nothing", () => {
-	const { tables, machine } = withOneSent();
+	const { clusterState, machine } = withOneSent();
 	machine.answeredAt = 20_000;
-	applyReport(tables, report(1, [], { session: 2 }), 21_000);
-	assert.equal(machine.deafAt, null, "the last answer may have come too late");
+	applyReport(clusterState, report(1, [], { session: 2 }), 21_000);
+	assert.equal(machine.unreachableSince, null, "the last answer may have come too late");
 	machine.answeredAt = 33_000;
-	applyReport(tables, report(1, [], { session: 3 }), 34_000);
-	assert.equal(machine.deafAt, 34_000);
+	applyReport(clusterState, report(1, [], { session: 3 }), 34_000);
+	assert.equal(machine.unreachableSince, 34_000);
 	const silent = withOneSent();
 	silent.machine.answeredAt = 0;
-	applyReport(silent.tables, report(1, [], { session: 2 }), 21_000);
-	assert.equal(silent.machine.lostAnswers, 0, "it was cut off both ways");
+	applyReport(silent.clusterState, report(1, [], { session: 2 }), 21_000);
+	assert.equal(silent.machine.ineffectiveAnswers, 0, "it was cut off both ways");
 });
 
 test("answers to a machine that never takes up the token renew nothing", () => {
-	const { tables, job } = fresh();
+	const { clusterState, job } = fresh();
 	const old = { token: epoch - 1 };
-	applyReport(tables, report(1, [task(0, 900, "running")], old), 0);
-	const machine = tables.machines.get("n-1");
+	applyReport(clusterState, report(1, [task(0, 900, "running")], old), 0);
+	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
-	tables.hide(machine);
-	for (let at = 3000; at < tables.certainMs; at += 3000) {
+	clusterState.awaitReport(machine);
+	for (let at = 3000; at < clusterState.certainMs; at += 3000) {
 		machine.answeredAt = at;
-		assert.equal(applyReport(tables, report(1 + at, [], old), at).kind, "applied");
+		assert.equal(applyReport(clusterState, report(1 + at, [], old), at).kind, "applied");
 		assert.equal(job.attempts.size, 1);
-		assert.equal(tables.rebuilt, false);
+		assert.equal(clusterState.rebuilt, false);
 	}
-	assert.equal(applyReport(tables, report(99_999, [], old), tables.certainMs + 1).kind, "expired");
+	assert.equal(
+		applyReport(clusterState, report(99_999, [], old), clusterState.certainMs + 1).kind,
+		"expired",
+	);
 	assert.equal(job.attempts.size, 0);
-	assert.equal(tables.rebuilt, true);
+	assert.equal(clusterState.rebuilt, true);
 });
 
 test("a late copy that lists an earlier attempt yields to the later one", () => {
-	const { tables, job } = fresh();
-	applyReport(tables, report(7, [task(0, 900, "running")], { token: 7 }), 0);
+	const { clusterState, job } = fresh();
+	applyReport(clusterState, report(7, [task(0, 900, "running")], { token: 7 }), 0);
 	const real = report(1, [task(0, 905, "running")], { machine: "n-2", token: 7 });
-	applyReport(tables, real, 10);
+	applyReport(clusterState, real, 10);
 	assert.equal(job.attempts.get(0)?.number, 905, "it was decided when the one before was proved over");
-	assert.equal(tables.quotas.use("red").cpus, 1);
-	const n2 = tables.machines.get("n-2");
+	assert.equal(clusterState.quotas.use("red").cpus, 1);
+	const n2 = clusterState.machines.get("n-2");
 	assert.ok(n2);
-	assert.deepEqual(ordersFor(tables, n2), []);
-	applyReport(tables, report(9, [task(0, 900, "running")], { token: 7 }), 20);
+	assert.deepEqual(ordersFor(clusterState, n2), []);
+	applyReport(clusterState, report(9, [task(0, 900, "running")], { token: 7 }), 20);
 	assert.equal(job.attempts.get(0)?.number, 905);
 });
 
 test("answers of overlapping watches never bring back what has ended", () => {
-	const replica = new Replica();
+	const replica = new StoreCopy();
 	const record = { spec, at: 0 };
 	replica.reset([], 5);
 	const put = { key: keys.job("j-1"), value: record, revision: 6 };
@@ -315,8 +322,8 @@
 	replica.apply([put, drop, final], 8);
 	replica.apply([put], 7);
 	assert.equal(replica.jobs.has("j-1"), false);
-	assert.equal(replica.finals.get("j-1")?.status, "done");
-	assert.equal(replica.epoch, 8);
+	assert.equal(replica.terminal.get("j-1")?.status, "done");
+	assert.equal(replica.revision, 8);
 	replica.applyOwn(keys.job("j-1"), record, 6);
 	assert.equal(replica.jobs.has("j-1"), false);
 	// Made anew from rows that were read before the job ended.
--- a/tests/support/cloud.ts
+++ b/tests/support/cloud.ts
@@ -1,4 +1,4 @@
-import type { Answer } from "../../src/transport/http-client.js";
+import type { HttpResponse } from "../../src/transport/http-client.js";
 import type { FakeTime } from "./fake-time.js";
 
 export interface FakeType {
@@ -37,7 +37,7 @@
 		private readonly hooks: { up(host: FakeHost, type: FakeType): void; gone(id: string): void },
 	) {}
 
-	handle(method: string, path: string, body: unknown): Answer {
+	handle(method: string, path: string, body: unknown): HttpResponse {
 		if (this.outage) return { status: 503, body: { error: "trouble" } };
 		const url = new URL(path, "http://cloud");
 		if (url.pathname === "/machine_types") {
@@ -77,7 +77,7 @@
 		hall: string;
 		loaners: boolean;
 		count: number;
-	}): Answer {
+	}): HttpResponse {
 		const before = this.answered.get(request.hire);
 		if (before) return { status: 200, body: { hosts: before } };
 		const type = this.types.find((t) => t.sku === request.shape);
--- a/tests/support/network.ts
+++ b/tests/support/network.ts
@@ -1,9 +1,14 @@
 import { CallFailed } from "../../src/coordination/ports.js";
-import type { Answer, HttpCaller } from "../../src/transport/http-client.js";
+import type { HttpCaller, HttpResponse } from "../../src/transport/http-client.js";
 import type { FakeTime } from "./fake-time.js";
 
 /** A stand-in's answer; undefined: it never answers. */
-export type Handler = (method: string, path: string, body: unknown, from: string) => Answer | Promise<Answer>;
+export type Handler = (
+	method: string,
+	path: string,
+	body: unknown,
+	from: string,
+) => HttpResponse | Promise<HttpResponse>;
 
 export interface LinkFault {
 	/** The request never arrives. */
@@ -55,7 +60,7 @@
 		path: string,
 		body: unknown,
 		deadlineMs: number,
-	): Promise<Answer> {
+	): Promise<HttpResponse> {
 		const lateMs = to === "state" && path === "/multi" ? this.lateWrites() : null;
 		const lateWrite = lateMs === null ? null : { delayMs: lateMs, loseAnswer: true };
 		const fault: LinkFault = lateWrite ?? { ...this.fault(from, to, method, path) };
@@ -76,7 +81,7 @@
 				if (this.down.has(to)) return;
 				const answer = await handler(method, path, copy, from);
 				if (fault.loseAnswer || this.down.has(from)) return;
-				const wire = JSON.parse(JSON.stringify(answer)) as Answer;
+				const wire = JSON.parse(JSON.stringify(answer)) as HttpResponse;
 				this.time.after(this.latencyMs + slowMs, () => resolve(wire));
 			});
 		});
--- a/tests/support/state-service.ts
+++ b/tests/support/state-service.ts
@@ -1,4 +1,4 @@
-import type { Answer } from "../../src/transport/http-client.js";
+import type { HttpResponse } from "../../src/transport/http-client.js";
 import type { FakeTime } from "./fake-time.js";
 
 interface Row {
@@ -61,7 +61,7 @@
 		if (this.rows.delete(key)) this.changes.push({ key, stamp: this.epoch, dropped: true });
 	}
 
-	async handle(method: string, path: string, body: unknown, from: string): Promise<Answer> {
+	async handle(method: string, path: string, body: unknown, from: string): Promise<HttpResponse> {
 		const url = new URL(path, "http://state");
 		if (this.outage || this.refused.has(from)) {
 			if (url.pathname !== "/watch" || url.searchParams.get("block_ms") === "0")
@@ -113,7 +113,7 @@
 		this.multi({ then: [change] });
 	}
 
-	private multi(body: Record<string, unknown>): Answer {
+	private multi(body: Record<string, unknown>): HttpResponse {
 		const when = (body.when ?? []) as { key: string; stamp: number }[];
 		const then = (body.then ?? []) as { put?: string; drop?: string; v?: unknown; permit?: number }[];
 		for (const op of then) {
@@ -142,7 +142,7 @@
 		return { status: 200, body: { epoch: this.epoch } };
 	}
 
-	private watch(url: URL, from: string): Promise<Answer> {
+	private watch(url: URL, from: string): Promise<HttpResponse> {
 		const prefix = url.searchParams.get("prefix") ?? "";
 		const after = Number(url.searchParams.get("from"));
 		const until = this.time.now() + Number(url.searchParams.get("block_ms") ?? 0);
--- a/tests/support/worker.ts
+++ b/tests/support/worker.ts
@@ -1,11 +1,11 @@
-import type { Answer } from "../../src/transport/http-client.js";
+import type { HttpResponse } from "../../src/transport/http-client.js";
 import type { FakeTime } from "./fake-time.js";
 
 export interface WorkerWorld {
 	reportS: number;
 	leaseS: number;
 	/** Sends a report to a controller; undefined: no answer. */
-	send(worker: FakeWorker, node: string, body: Record<string, unknown>): Promise<Answer | undefined>;
+	send(worker: FakeWorker, node: string, body: Record<string, unknown>): Promise<HttpResponse | undefined>;
 	nodes: string[];
 	runSeconds(piece: string): number | null;
 	started(worker: FakeWorker, piece: string): void;
@@ -180,12 +180,12 @@
 	}
 
 	/** Orders that come to a machine that hangs are carried out when it goes on. */
-	ordered(body: Record<string, unknown>): Promise<Answer> {
+	ordered(body: Record<string, unknown>): Promise<HttpResponse> {
 		return new Promise((resolve) => this.awake(() => resolve(this.commands(body))));
 	}
 
 	/** POST /commands. */
-	commands(body: Record<string, unknown>): Answer {
+	commands(body: Record<string, unknown>): HttpResponse {
 		if (typeof body.baton !== "number" || typeof body.shift !== "number") return { status: 400, body: {} };
 		if (body.baton < this.baton || body.shift !== this.shift) return { status: 409, body: this.show() };
 		if (body.baton > this.baton) {
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -5,9 +5,9 @@
 import { type PlatformSettings, parsePlatform } from "../../src/protocol/settings.js";
 import { elsewhereBody, ordersBody, parseReport } from "../../src/protocol/worker-api.js";
 import { CloudClient } from "../../src/transport/cloud-client.js";
-import { frontApp } from "../../src/transport/front-server.js";
-import type { Answer, HttpCaller } from "../../src/transport/http-client.js";
+import type { HttpCaller, HttpResponse } from "../../src/transport/http-client.js";
 import { FrameReader, frame } from "../../src/transport/peer-link.js";
+import { publicApi } from "../../src/transport/public-api.js";
 import { StoreClient } from "../../src/transport/store-client.js";
 import { WorkerClient } from "../../src/transport/worker-client.js";
 import { FakeCloud } from "./cloud.js";
@@ -51,7 +51,7 @@
 interface Process {
 	id: string;
 	controller: Controller;
-	app: ReturnType<typeof frontApp>;
+	app: ReturnType<typeof publicApi>;
 	gate: Gate;
 }
 
@@ -251,7 +251,7 @@
 				const host = endpoint.split(":")[0] as string;
 				const caller = this.network.caller(id, host, (_m, _p, body) => {
 					const worker = this.workers.get(host);
-					if (!worker || worker.dead || worker.cut || worker.deaf) return new Promise<Answer>(() => {});
+					if (!worker || worker.dead || worker.cut || worker.deaf) return new Promise<HttpResponse>(() => {});
 					return worker.ordered(body as Record<string, unknown>);
 				});
 				return gate.caller(caller);
@@ -262,10 +262,10 @@
 			random: xoroshiro128plus(this.incarnation),
 			schedule: queueMicrotask,
 		});
-		const app = frontApp(
+		const app = publicApi(
 			{
 				submit: (spec) => controller.jobs.submit(spec),
-				look: (job) => controller.jobs.look(job),
+				status: (job) => controller.jobs.status(job),
 				abort: (job) => controller.jobs.abort(job),
 				report: (report) => controller.report(report),
 				ready: () => controller.ready(),
@@ -336,7 +336,7 @@
 				process?.gate.pass(() => void process.controller.report(parseReport(sent)));
 			});
 		}
-		return new Promise<Answer | undefined>((resolve) => {
+		return new Promise<HttpResponse | undefined>((resolve) => {
 			this.time.after(4000, () => resolve(undefined));
 			const process = this.processes.get(node);
 			if (!process) {
@@ -350,11 +350,11 @@
 				now?.gate.pass(async () => {
 					const result = await now.controller.report(parseReport(sent));
 					if (fault.loseAnswer || this.network.isDown(now.id)) return;
-					const answer: Answer =
+					const answer: HttpResponse =
 						result.kind === "orders"
 							? { status: 200, body: ordersBody(result.token, result.orders) }
 							: { status: 421, body: elsewhereBody(result.node) };
-					this.time.after(2, () => resolve(JSON.parse(JSON.stringify(answer)) as Answer));
+					this.time.after(2, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpResponse));
 				});
 			});
 		});
--- a/tests/surface.test.ts
+++ b/tests/surface.test.ts
@@ -6,16 +6,16 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
-import { unknowingMs } from "../src/coordination/controller.js";
-import { impossible } from "../src/coordination/job-service.js";
+import { longestUnknowingMs } from "../src/coordination/controller.js";
+import { reasonImpossible } from "../src/coordination/job-service.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
 import { parseOperator } from "../src/protocol/operator.js";
 import { parsePlatform } from "../src/protocol/settings.js";
 import { parseJob } from "../src/protocol/user-api.js";
 import { parseReport } from "../src/protocol/worker-api.js";
-import { frontApp, listenFront, type Service } from "../src/transport/front-server.js";
 import { HttpClient } from "../src/transport/http-client.js";
 import { FrameReader, frame } from "../src/transport/peer-link.js";
+import { listenPublicApi, type PublicService, publicApi } from "../src/transport/public-api.js";
 import { TokenBucket } from "../src/transport/token-bucket.js";
 import { version } from "../src/version.js";
 import { specOf } from "./support/specs.js";
@@ -75,12 +75,12 @@
 	due_s: 900.0,
 };
 
-const service: Service = {
+const service: PublicService = {
 	submit: async (spec) =>
 		spec.team === "red"
 			? { kind: "accepted", status: "pending" }
 			: { kind: "impossible", reason: "there is no team" },
-	look: async (id) =>
+	status: async (id) =>
 		id === "j-1" ? { kind: "job", status: "running", done: 1, running: 2 } : { kind: "unknown" },
 	abort: async () => ({ kind: "later", reason: "not now" }),
 	report: async () => ({ kind: "elsewhere", node: "runner-2" }),
@@ -185,7 +185,7 @@
 		type("nowhere", 64, 512, 8, []),
 	];
 	const team = { name: "red", cpus: 4, cpus_max: 20, gpus: 0, gpus_max: 4 };
-	const why = (more: Partial<JobSpec>) => impossible(specOf("j-1", { cpus: 2, ...more }), team, types);
+	const why = (more: Partial<JobSpec>) => reasonImpossible(specOf("j-1", { cpus: 2, ...more }), team, types);
 	assert.equal(why({}), null);
 	assert.equal(why({ cpus: 16, zone: "a" }), null);
 	assert.match(
@@ -197,11 +197,11 @@
 	assert.match(why({ gpus: 1, types: ["wide"] }) as string, /fits no/);
 	assert.match(why({ types: ["nowhere"] }) as string, /fits no/, "a type offered in no zone can't be rented");
 	assert.match(why({ cpus: 21 }) as string, /more than the limit/);
-	assert.match(impossible(specOf("j-1"), undefined, types) as string, /no team "red"/);
+	assert.match(reasonImpossible(specOf("j-1"), undefined, types) as string, /no team "red"/);
 	// Its tasks run half by half in the one zone, so this array can run (trace 47 plays its like).
 	assert.equal(why({ zone: "a", spread: true, oneZone: true }), null);
 
-	const app = frontApp(service, quiet);
+	const app = publicApi(service, quiet);
 	const post = (body: unknown) => app.request("/v1/jobs", { method: "POST", body: JSON.stringify(body) });
 	assert.equal((await post({ ...job, id: "j-2", pieces: 0 })).status, 400);
 	const known = await post({ ...job, id: "j-1", pieces: 0 });
@@ -218,7 +218,7 @@
 });
 
 test("the front answers every kind of request cleanly", async () => {
-	const app = frontApp(service, quiet);
+	const app = publicApi(service, quiet);
 	const post = (path: string, body: string) => app.request(path, { method: "POST", body });
 	assert.equal((await app.request("/ready")).status, 200);
 	assert.equal((await post("/v1/jobs", JSON.stringify(job))).status, 201);
@@ -254,7 +254,7 @@
 };
 
 test("the front serves over a socket, bounds bodies and survives garbage", async () => {
-	const front = await listenFront(service, "127.0.0.1", 0, 50, quiet);
+	const front = await listenPublicApi(service, "127.0.0.1", 0, 50, quiet);
 	try {
 		await new Promise<void>((resolve) => {
 			const socket = connect(front.port, "127.0.0.1", () => socket.write("nonsense\r\n\r\n"));
@@ -355,9 +355,9 @@
 test("authority without the store, a worker's lease and a margin end within cancel_s", () => {
 	const platform = parsePlatform("s.toml", settings);
 	const { cancel_s, lease_s } = platform.cluster.workers;
-	assert.ok(unknowingMs(platform) / 1000 + lease_s * 1.001 + 2 < cancel_s);
+	assert.ok(longestUnknowingMs(platform) / 1000 + lease_s * 1.001 + 2 < cancel_s);
 	const tight = parsePlatform("s.toml", settings.replace("cancel_s = 37.0", "cancel_s = 11.0"));
-	assert.equal(unknowingMs(tight), 0);
+	assert.equal(longestUnknowingMs(tight), 0);
 });
 
 function run(args: string[]): Promise<{ code: number; out: string; err: string }> {
