--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -71,31 +71,51 @@
 	const order = start === 0 ? machines : [...machines.slice(start), ...machines.slice(0, start)];
 	for (const grant of grants) {
 		const spec = specOf(grant.job);
-		if (!spec) continue;
-		let left = grant.count;
-		const zones = { ...grant.zones };
-		// Replicas go to as many machines as there are, so that the end of one machine costs one.
-		const apart = spec.form === "standing";
-		const taken = new Set(grant.beside ?? []);
-		const passes = [true, false].flatMap((withImage) => (apart ? [{ withImage, most: 1 }] : []));
-		passes.push({ withImage: true, most: left }, { withImage: false, most: left });
-		for (const { withImage, most } of passes) {
-			for (const m of order) {
-				if (left <= 0) break;
-				if (m.images.includes(spec.image) !== withImage || grant.avoid.includes(m.id)) continue;
-				if (apart && most === 1 && taken.has(m.id)) continue;
-				const n = Math.min(left, most, fits(spec, m), zoneRoom(spec, zones, m.zone));
-				if (n <= 0) continue;
-				taken.add(m.id);
-				m.cpus -= n * spec.cpus;
-				m.gpus -= n * spec.gpus;
-				m.memory -= n * spec.memoryGb;
-				m.slots -= n;
-				zones[m.zone] = (zones[m.zone] ?? 0) + n;
-				left -= n;
-				placements.push({ job: grant.job, machine: m.id, count: n });
-			}
+		if (spec) placements.push(...placeGrant(order, grant, spec));
+	}
+	return placements;
+}
+
+/** One time through the machines: those with or without the image, so many tasks on each at most. */
+interface PlacingPass {
+	withImage: boolean;
+	most: number;
+	/** Only on machines that have no replica of the job yet. */
+	apart: boolean;
+}
+
+function passesFor(spec: JobSpec, count: number): PlacingPass[] {
+	const anywhere = [true, false].map((withImage) => ({ withImage, most: count, apart: false }));
+	if (spec.form !== "standing") return anywhere;
+	// Replicas go to as many machines as there are, so that the end of one machine costs one.
+	return [...[true, false].map((withImage) => ({ withImage, most: 1, apart: true })), ...anywhere];
+}
+
+function placeGrant(machines: ViewMachine[], grant: Grant, spec: JobSpec): Placement[] {
+	const placements: Placement[] = [];
+	const zones = { ...grant.zones };
+	const taken = new Set(grant.beside ?? []);
+	let left = grant.count;
+	for (const { withImage, most, apart } of passesFor(spec, grant.count)) {
+		for (const machine of machines) {
+			if (left <= 0) return placements;
+			if (machine.images.includes(spec.image) !== withImage || grant.avoid.includes(machine.id)) continue;
+			if (apart && taken.has(machine.id)) continue;
+			const count = Math.min(left, most, fits(spec, machine), zoneRoom(spec, zones, machine.zone));
+			if (count <= 0) continue;
+			taken.add(machine.id);
+			takeFrom(machine, spec, count);
+			zones[machine.zone] = (zones[machine.zone] ?? 0) + count;
+			left -= count;
+			placements.push({ job: grant.job, machine: machine.id, count });
 		}
 	}
 	return placements;
 }
+
+function takeFrom(machine: ViewMachine, spec: JobSpec, count: number): void {
+	machine.cpus -= count * spec.cpus;
+	machine.gpus -= count * spec.gpus;
+	machine.memory -= count * spec.memoryGb;
+	machine.slots -= count;
+}
--- a/src/coordination/reports.ts
+++ b/src/coordination/reports.ts
@@ -33,37 +33,59 @@
  * out or can no longer be: what it does not list is not there.
  */
 export function applyReport(clusterState: ClusterState, report: WorkerReport, now: number): Applied {
-	let machine = clusterState.machines.get(report.machine);
-	let isNew = false;
-	if (!machine) {
-		const type = clusterState.types.get(report.type);
-		if (!type) return { kind: "unknown type" };
-		machine = new Machine(report.machine, type, report.zone, report.spot, now);
-		clusterState.machines.set(machine.id, machine);
-		isNew = true;
-	}
-	if (report.session < machine.leastSession) return { kind: "expired" };
-	if (
-		report.session < machine.session ||
-		(report.session === machine.session && report.seq <= machine.reportNumber)
-	) {
-		return { kind: "old" };
-	}
-	// One report is in flight at a time, so one that shows an earlier token was sent without
-	// the answers before it, and these can no longer arrive: they have renewed nothing. What
-	// its lease rests on is older than this term, however often we have answered.
-	if (
-		!machine.confirmed &&
-		report.token < clusterState.term &&
-		now - machine.knownAt > clusterState.certainMs &&
-		report.session === machine.session
-	) {
-		clusterState.expire(machine);
-		return { kind: "expired" };
-	}
+	const known = clusterState.machines.get(report.machine);
+	const machine = known ?? newMachine(clusterState, report, now);
+	if (!machine) return { kind: "unknown type" };
+	const refused = refusal(clusterState, machine, report, now);
+	if (refused) return { kind: refused };
 	const newSession = machine.session !== 0 && report.session > machine.session;
 	// Its lease ran out although it was answered lately. Once, the answer may just have come too late.
 	const ranOut = newSession && now - machine.answeredAt < clusterState.certainMs / 2;
+	update(clusterState, machine, report, now);
+	const listing = applyListed(clusterState, machine, report.tasks, now);
+	const startUnseen = !newSession && hasUnlistedStart(machine, listing.listed);
+	noteReachability(
+		machine,
+		{ ranOut, startUnseen, startSeen: listing.startSeen },
+		clusterState.certainMs,
+		now,
+	);
+	const vanished = applyAbsent(clusterState, machine, listing.listed, newSession);
+	const { outcomes, progressed, begun } = listing;
+	return { kind: "applied", machine, outcomes, progressed, vanished, begun, isNew: known === undefined };
+}
+
+/** null: of its type nothing is known. */
+function newMachine(clusterState: ClusterState, report: WorkerReport, now: number): Machine | null {
+	const type = clusterState.types.get(report.type);
+	if (!type) return null;
+	const machine = new Machine(report.machine, type, report.zone, report.spot, now);
+	clusterState.machines.set(machine.id, machine);
+	return machine;
+}
+
+/** Why the report changes nothing, or null. */
+function refusal(
+	clusterState: ClusterState,
+	machine: Machine,
+	report: WorkerReport,
+	now: number,
+): "expired" | "old" | null {
+	const { session, seq, token } = report;
+	if (session < machine.leastSession) return "expired";
+	if (session < machine.session) return "old";
+	if (session > machine.session) return null;
+	if (seq <= machine.reportNumber) return "old";
+	// One report is in flight at a time, so one that shows an earlier token was sent without
+	// the answers before it, and these can no longer arrive: they have renewed nothing. What
+	// its lease rests on is older than this term, however often we have answered.
+	const unrenewed = !machine.confirmed && token < clusterState.term;
+	if (!unrenewed || now - machine.knownAt <= clusterState.certainMs) return null;
+	clusterState.expire(machine);
+	return "expired";
+}
+
+function update(clusterState: ClusterState, machine: Machine, report: WorkerReport, now: number): void {
 	machine.session = report.session;
 	machine.reportNumber = report.seq;
 	machine.endpoint = report.endpoint;
@@ -71,71 +93,118 @@
 	machine.up = true;
 	machine.leaseExpired = false;
 	machine.takenAt = report.noticeS === null ? null : now + report.noticeS * 1000;
-	if (report.token === clusterState.term && !machine.confirmed) {
-		machine.confirmed = true;
-		clusterState.stopAwaiting(machine);
-		clusterState.placementDue = true;
-	}
+	if (report.token !== clusterState.term || machine.confirmed) return;
+	machine.confirmed = true;
+	clusterState.stopAwaiting(machine);
+	clusterState.placementDue = true;
+}
+
+/** What the tasks that a report lists tell. */
+interface Listing {
+	outcomes: Outcome[];
+	progressed: Set<Job>;
+	begun: Attempt[];
+	/** Tasks of which an attempt is on the machine. */
+	listed: Set<string>;
+	/** A start that was sent is listed. */
+	startSeen: boolean;
+}
 
-	const outcomes: Outcome[] = [];
-	const progressed = new Set<Job>();
-	const begun: Attempt[] = [];
-	const listed = new Set<string>();
-	let startSeen = false;
+function applyListed(
+	clusterState: ClusterState,
+	machine: Machine,
+	tasks: ReportedTask[],
+	now: number,
+): Listing {
+	const listing: Listing = {
+		outcomes: [],
+		progressed: new Set(),
+		begun: [],
+		listed: new Set(),
+		startSeen: false,
+	};
 	machine.exited = [];
 	clusterState.clearUnwanted(machine);
-	for (const task of report.tasks) {
-		const attempt = machine.attempts.get(taskKey(task.job, task.index));
-		if (attempt && attempt.number === task.attempt) {
-			listed.add(taskKey(task.job, task.index));
-			startSeen ||= attempt.phase === "sent";
-			if (task.state === "exited") {
-				const cause = task.cause ?? "error";
-				exited(clusterState, machine, task);
-				if (cause === "done") {
-					clusterState.markDone(attempt.job, attempt.index);
-					progressed.add(attempt.job);
-				}
-				clusterState.finish(attempt);
-				outcomes.push({ attempt, cause });
-			} else if (progress(attempt, task, now) && attempt.job.standing) begun.push(attempt);
-		} else if (task.state === "exited") {
-			exited(clusterState, machine, task);
-			const job = clusterState.jobs.get(task.job);
-			if (task.cause === "done" && job && task.index < job.spec.tasks) {
-				foundDone(clusterState, job, task.index);
-				progressed.add(job);
-			}
-		} else if (adoptOrRefuse(clusterState, machine, task, now)) listed.add(taskKey(task.job, task.index));
+	for (const task of tasks) {
+		const key = taskKey(task.job, task.index);
+		const attempt = machine.attempts.get(key);
+		if (attempt?.number === task.attempt) {
+			listing.listed.add(key);
+			applyKnown(clusterState, attempt, task, listing, now);
+		} else if (task.state === "exited") applyUnknownExit(clusterState, machine, task, listing);
+		else if (adoptOrRefuse(clusterState, machine, task, now)) listing.listed.add(key);
 	}
+	return listing;
+}
 
-	let startUnseen = false;
-	for (const [key, a] of machine.attempts) {
-		if (a.phase === "sent" && a.stop === null && !newSession && !listed.has(key)) startUnseen = true;
+function applyKnown(
+	clusterState: ClusterState,
+	attempt: Attempt,
+	task: ReportedTask,
+	listing: Listing,
+	now: number,
+): void {
+	listing.startSeen ||= attempt.phase === "sent";
+	if (task.state !== "exited") {
+		if (progress(attempt, task, now) && attempt.job.standing) listing.begun.push(attempt);
+		return;
 	}
-	noteReachability(machine, { ranOut, startUnseen, startSeen }, clusterState.certainMs, now);
+	const cause = task.cause ?? "error";
+	exited(clusterState, attempt.machine, task);
+	if (cause === "done") {
+		clusterState.markDone(attempt.job, attempt.index);
+		listing.progressed.add(attempt.job);
+	}
+	clusterState.finish(attempt);
+	listing.outcomes.push({ attempt, cause });
+}
+
+function applyUnknownExit(
+	clusterState: ClusterState,
+	machine: Machine,
+	task: ReportedTask,
+	listing: Listing,
+): void {
+	exited(clusterState, machine, task);
+	const job = clusterState.jobs.get(task.job);
+	if (task.cause !== "done" || !job || task.index >= job.spec.tasks) return;
+	foundDone(clusterState, job, task.index);
+	listing.progressed.add(job);
+}
 
+/** A start was sent, and the report after it does not list it. */
+function hasUnlistedStart(machine: Machine, listed: Set<string>): boolean {
+	for (const [key, { phase, stop }] of machine.attempts)
+		if (phase === "sent" && stop === null && !listed.has(key)) return true;
+	return false;
+}
+
+/** Attempts that the report does not list; returns those that are gone though they were there. */
+function applyAbsent(
+	clusterState: ClusterState,
+	machine: Machine,
+	listed: Set<string>,
+	newSession: boolean,
+): Attempt[] {
 	const vanished: Attempt[] = [];
+	const unreachable = machine.unreachableSince !== null;
 	for (const [key, attempt] of [...machine.attempts]) {
 		if (listed.has(key)) continue;
 		if (attempt.phase === "assigned") {
-			if (machine.unreachableSince !== null) clusterState.finish(attempt);
+			if (unreachable) clusterState.finish(attempt);
 			continue;
 		}
 		// Tasks of a lease that expired were killed. Otherwise absence counts only
 		// once older answers are known to be dead, that is, from a confirmed machine.
 		if (!newSession && !machine.confirmed) continue;
-		if (attempt.phase === "sent" && !newSession && attempt.stop === null) {
-			// The answer with the start was lost; it is sent again with the same number, or,
-			// where answers do not arrive at all, given up: it can no longer be carried out.
-			if (machine.unreachableSince === null) attempt.phase = "assigned";
-			else clusterState.finish(attempt);
-			continue;
-		}
-		clusterState.finish(attempt);
-		vanished.push(attempt);
+		const startLost = attempt.phase === "sent" && !newSession && attempt.stop === null;
+		// The answer with the start was lost; it is sent again with the same number, or,
+		// where answers do not arrive at all, given up: it can no longer be carried out.
+		if (startLost && !unreachable) attempt.phase = "assigned";
+		else clusterState.finish(attempt);
+		if (!startLost) vanished.push(attempt);
 	}
-	return { kind: "applied", machine, outcomes, progressed, vanished, begun, isNew };
+	return vanished;
 }
 
 /** Answers in a row without effect after which nothing more is sent to a machine: one may get lost. */
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -230,6 +230,32 @@
 	assert.ok(!first.draining);
 });
 
+test("the last replica goes beside another of its job where there is no machine apart", () => {
+	const spec = specOf("j-1", { form: "standing", tasks: 2, cpus: 1 });
+	const machine: ViewMachine = {
+		id: "n-1",
+		type: "small",
+		zone: "a",
+		spot: true,
+		cpus: 2,
+		gpus: 0,
+		memory: 8,
+		slots: 100,
+		images: [],
+	};
+	const grant: Grant = { job: "j-1", count: 1, avoid: [], zones: {}, beside: ["n-1"] };
+	assert.deepEqual(
+		placeFirstFit([machine], [grant], () => spec),
+		[{ job: "j-1", machine: "n-1", count: 1 }],
+	);
+	const apart = { ...machine, id: "n-2", cpus: 2 };
+	assert.deepEqual(
+		placeFirstFit([{ ...machine, cpus: 2 }, apart], [grant], () => spec),
+		[{ job: "j-1", machine: "n-2", count: 1 }],
+		"apart first",
+	);
+});
+
 test("a sample holds distinct machines and no more than asked for", () => {
 	const all = Array.from({ length: 50 }, (_, i) => i);
 	const some = sampled(all, 10, xoroshiro128plus(3));
