--- a/src/coordination/preemption.ts
+++ b/src/coordination/preemption.ts
@@ -1,5 +1,6 @@
 import type { Attempt, Job } from "../bookkeeping/jobs.js";
 import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
+import { priorityRank } from "../protocol/model.js";
 import type { ClusterState } from "./cluster-state.js";
 
 /**
@@ -138,29 +139,38 @@
 	/** Finds a place for one more task of the job; false if nothing more can be done for it. */
 	serve(job: Job, limits: { cpus: number; cpus_max: number }): boolean {
 		const { spec } = job;
-		const urgent = job.rank < 2;
-		// Its own team's limit comes first: lower work of the same team makes room.
-		if (urgent && this.used(spec.team, spec.cpus) > limits.cpus_max + slack) {
-			const own = this.ownVictims(job);
-			while (this.used(spec.team, spec.cpus) > limits.cpus_max + slack) {
-				const next = own.pop();
-				if (!next) break;
-				if (!this.victims.has(next)) this.take(next);
-			}
-		}
+		const urgent = isUrgent(job);
+		if (urgent) this.makeRoomInTeam(job, limits.cpus_max);
 		if (this.used(spec.team, spec.cpus) > limits.cpus_max + slack) return false;
+		if (this.takeFree(job)) return true;
 		const withinGuarantee = this.used(spec.team, spec.cpus) <= limits.cpus + slack;
+		return (urgent || withinGuarantee) && this.stopFor(job, withinGuarantee);
+	}
+
+	/** Its own team's limit comes first: lower work of the same team makes room. */
+	private makeRoomInTeam(job: Job, limit: number): void {
+		const { team, cpus } = job.spec;
+		if (this.used(team, cpus) <= limit + slack) return;
+		const own = this.ownVictims(job);
+		while (this.used(team, cpus) > limit + slack) {
+			const next = own.pop();
+			if (!next) return;
+			if (!this.victims.has(next)) this.take(next);
+		}
+	}
+
+	/** A place that is free, or will be without anything more being stopped. */
+	private takeFree(job: Job): boolean {
 		for (const machine of this.withRoom) {
-			if (!machineAllowed(spec, machine) || !enough(this.roomOn(machine, job))) continue;
+			if (!machineAllowed(job.spec, machine) || !enough(this.roomOn(machine, job))) continue;
 			this.add(machine, job, -1);
 			return true;
 		}
-		if (!urgent && !withinGuarantee) return false;
-		// Demands for types, zones and kinds are rare, so such jobs are searched for each by itself.
-		const kind =
-			spec.types === null && spec.zone === null && spec.spot
-				? JSON.stringify([spec.team, job.rank, withinGuarantee, spec.cpus, spec.memoryGb, spec.gpus])
-				: null;
+		return false;
+	}
+
+	private stopFor(job: Job, withinGuarantee: boolean): boolean {
+		const kind = kindOf(job, withinGuarantee);
 		if (kind !== null && this.unservable.has(kind)) return false;
 		const plan = this.cheapestPlan(job, withinGuarantee);
 		if (!plan) {
@@ -174,7 +184,7 @@
 
 	private eligible(a: Attempt, job: Job, withinGuarantee: boolean): boolean {
 		if (this.victims.has(a)) return false;
-		const urgent = job.rank < 2;
+		const urgent = isUrgent(job);
 		const other = a.job.spec.team;
 		if (other === job.spec.team) return urgent && a.job.rank > job.rank;
 		// Placing serves guarantees before borrowing. Taking a guaranteed place for borrowed
@@ -238,6 +248,16 @@
 	}
 }
 
+function isUrgent(job: Job): boolean {
+	return job.rank < priorityRank.normal;
+}
+
+/** Work for which the same can be stopped; null: demands for types, zones and kinds are rare, each by itself. */
+function kindOf({ spec, rank }: Job, withinGuarantee: boolean): string | null {
+	if (spec.types !== null || spec.zone !== null || !spec.spot) return null;
+	return JSON.stringify([spec.team, rank, withinGuarantee, spec.cpus, spec.memoryGb, spec.gpus]);
+}
+
 function takesWork(machine: Machine): boolean {
 	return machine.schedulable && !machine.onProbation;
 }
--- a/src/coordination/shared-records.ts
+++ b/src/coordination/shared-records.ts
@@ -20,6 +20,12 @@
 	refused: boolean;
 }
 
+/** A value in a write that is on its way, with the entries that the write confirms. */
+interface Written<V> {
+	pack: SharedValue<V>;
+	fresh: Map<string, V>;
+}
+
 /** What all shared records of a term have in common. */
 export interface SharedRecordsEnvironment {
 	leaderCondition: StoreCondition;
@@ -197,76 +203,90 @@
 		const due = [...this.packs.values()]
 			.filter((pack) => wants(pack) || pack.parts?.size === 0)
 			.sort((a, b) => b.fresh.size - a.fresh.size);
-		if (due.length === 0) return;
-		const changes: StoreChange[] = [];
-		const written: { pack: SharedValue<V>; fresh: Map<string, V> }[] = [];
+		const written = this.firstOf(due);
+		const changes = written.flatMap(({ pack }) => this.changeOf(pack));
+		if (changes.length === 0) return;
+		this.nextWrite = now + this.pace.everyMs;
+		if (shrinkToo) this.nextShrink = now + this.pace.shrinkMs;
+		this.write(changes, written);
+	}
+
+	/** As many of them as one transaction may hold; what is set from now on is not in it. */
+	private firstOf(due: SharedValue<V>[]): Written<V>[] {
+		const most = Math.min(mostPerWrite, this.mostChanges);
+		const written: Written<V>[] = [];
 		let bytes = 0;
 		for (const pack of due) {
-			if (
-				written.length === Math.min(mostPerWrite, this.mostChanges) ||
-				(written.length > 0 && bytes + pack.bytes > mostBytesPerWrite)
-			)
-				break;
+			const tooMuch = written.length > 0 && bytes + pack.bytes > mostBytesPerWrite;
+			if (written.length === most || tooMuch) break;
 			bytes += pack.bytes;
 			written.push({ pack, fresh: pack.fresh });
 			pack.fresh = new Map();
 			pack.shrunk = false;
-			const value: SharedRecord<V> = { entries: Object.fromEntries(pack.entries) };
-			if (pack.entries.size > 0) changes.push({ put: pack.key, value });
-			else if (pack.revision > 0) changes.push({ delete: pack.key });
-			else this.forget(pack);
 		}
-		if (changes.length === 0) return;
-		this.nextWrite = now + this.pace.everyMs;
-		if (shrinkToo) this.nextShrink = now + this.pace.shrinkMs;
-		this.write(changes, written);
+		return written;
 	}
 
-	private write(changes: StoreChange[], written: { pack: SharedValue<V>; fresh: Map<string, V> }[]): void {
+	private changeOf(pack: SharedValue<V>): StoreChange[] {
+		const value: SharedRecord<V> = { entries: Object.fromEntries(pack.entries) };
+		if (pack.entries.size > 0) return [{ put: pack.key, value }];
+		if (pack.revision > 0) return [{ delete: pack.key }];
+		this.forget(pack);
+		return [];
+	}
+
+	private write(changes: StoreChange[], written: Written<V>[]): void {
 		this.writing = true;
 		const conditions = [
 			this.leaderCondition,
 			...written.map(({ pack }) => ({ key: pack.key, revision: pack.revision })),
 		];
-		const again = () => {
-			this.writing = false;
-			this.nextWrite = Math.max(this.nextWrite, this.options.now() + retryMs);
-			for (const { pack, fresh } of written) {
-				pack.shrunk = true;
-				for (const [name, value] of fresh) {
-					if (this.home.get(name) === pack && !pack.fresh.has(name)) pack.fresh.set(name, value);
-				}
-			}
-		};
 		this.options.store.transact(conditions, changes, this.pace.rateClass).then(
 			(result) =>
 				this.options.post(() => {
-					if (!result.ok) {
-						again();
-						if (result.failed.includes(this.leaderCondition.key)) this.options.lostKey();
-						else this.readBack(result.failed);
-						return;
-					}
-					this.writing = false;
-					for (const { pack, fresh } of written) {
-						const put = changes.some((c) => "put" in c && c.put === pack.key);
-						pack.revision = put ? result.epoch : 0;
-						if (!put && pack.entries.size === 0) this.forget(pack);
-						else this.written(pack);
-						// Versions before 0.5.0 forget a page when a value that held the same goes: they hear it once more.
-						for (const part of pack.parts === null ? [] : this.partsOf(pack.key)) part.shrunk = true;
-						this.options.confirmed(fresh);
-					}
-				}),
-			(error) =>
-				this.options.post(() => {
-					again();
-					if (error instanceof CallFailed && error.status === 400) this.shrinkValues(written);
-					else this.options.failed(error);
+					if (result.ok) this.succeeded(changes, written, result.epoch);
+					else this.conflicted(written, result.failed);
 				}),
+			(error) => this.options.post(() => this.notWritten(written, error)),
 		);
 	}
 
+	private succeeded(changes: StoreChange[], written: Written<V>[], revision: number): void {
+		this.writing = false;
+		for (const { pack, fresh } of written) {
+			const put = changes.some((change) => "put" in change && change.put === pack.key);
+			pack.revision = put ? revision : 0;
+			if (!put && pack.entries.size === 0) this.forget(pack);
+			else this.written(pack);
+			// Versions before 0.5.0 forget a page when a value that held the same goes: they hear it once more.
+			for (const part of pack.parts === null ? [] : this.partsOf(pack.key)) part.shrunk = true;
+			this.options.confirmed(fresh);
+		}
+	}
+
+	private conflicted(written: Written<V>[], failed: string[]): void {
+		this.writeAgain(written);
+		if (failed.includes(this.leaderCondition.key)) this.options.lostKey();
+		else this.readBack(failed);
+	}
+
+	private notWritten(written: Written<V>[], error: unknown): void {
+		this.writeAgain(written);
+		if (error instanceof CallFailed && error.status === 400) this.shrinkValues(written);
+		else this.options.failed(error);
+	}
+
+	private writeAgain(written: Written<V>[]): void {
+		this.writing = false;
+		this.nextWrite = Math.max(this.nextWrite, this.options.now() + retryMs);
+		for (const { pack, fresh } of written) {
+			pack.shrunk = true;
+			for (const [name, value] of fresh) {
+				if (this.home.get(name) === pack && !pack.fresh.has(name)) pack.fresh.set(name, value);
+			}
+		}
+	}
+
 	private forget(pack: SharedValue<V>): void {
 		this.packs.delete(pack.key);
 		this.written(pack);
@@ -281,10 +301,10 @@
 	 * Fewer values at once, then smaller ones; and what can't be smaller is not tried again as
 	 * it is: the rest must not wait behind it.
 	 */
-	private shrinkValues(written: { pack: SharedValue<V> }[]): void {
+	private shrinkValues(written: Written<V>[]): void {
 		if (written.length > 1) this.mostChanges = Math.max(1, Math.floor(written.length / 2));
 		else {
-			const { pack } = written[0] as { pack: SharedValue<V> };
+			const { pack } = written[0] as Written<V>;
 			this.mostBytes = Math.max(leastBytes, Math.floor(Math.min(this.mostBytes, pack.bytes) / 2));
 			pack.refused = pack.entries.size <= 1 || pack.bytes <= this.mostBytes;
 		}
--- /dev/null
+++ b/tests/support/trace-player.ts
@@ -0,0 +1,241 @@
+import assert from "node:assert/strict";
+import type { Expectation, Step, Trace } from "./trace.js";
+import { World } from "./world.js";
+
+/** Limits of the state service in traces where they become lower. */
+const lowerLimits = { valueBytes: 0.6 * 1024, changes: 4 };
+
+/** Steps that make links fail until `no_faults`. */
+const linkFaults = ["cut_workers", "lose_answers", "hold_zone"] as const;
+
+/** What each field of a step does. Fields of one step act in the order of the player's list. */
+type Actions = {
+	[Field in Exclude<keyof Step, "at" | "node">]-?: (
+		value: NonNullable<Step[Field]>,
+		step: Step,
+	) => void | Promise<void>;
+};
+
+/** Plays one trace in fake time, with the rules watched all along. */
+export class TracePlayer {
+	private readonly nodes: string[];
+	private readonly world: World;
+	private readonly frozen: string[] = [];
+	private cutFromWorkers: string[] = [];
+	private checks = 0;
+
+	constructor(
+		private readonly trace: Trace,
+		relayed: boolean,
+	) {
+		this.nodes = Array.from({ length: trace.controllers ?? 3 }, (_, i) => `runner-${i}`);
+		this.world = new World(trace.capacity, this.nodes, relayed);
+	}
+
+	async play(): Promise<void> {
+		for (const step of this.trace.steps) await this.playStep(step);
+		await this.world.checkKnown();
+		this.world.checkCancelled();
+		assert.deepEqual(this.world.broken, [], this.world.logs.slice(-20).join("\n"));
+		assert.ok(this.checks > 0, "a trace must expect something");
+		assert.ok(this.world.starts.size > 0, "nothing ran");
+	}
+
+	private async playStep(step: Step): Promise<void> {
+		const wait = step.at * 1000 - this.world.time.now();
+		if (wait > 0) await this.world.time.advance(wait);
+		for (const field of Object.keys(step))
+			assert.ok(field === "at" || field === "node" || field in this.actions, `no such step: ${field}`);
+		for (const [field, act] of Object.entries(this.actions)) {
+			const value = step[field as keyof Step];
+			if (value === undefined) continue;
+			if (field === "expect") this.noteTroubles(step);
+			await (act as (value: unknown, step: Step) => void | Promise<void>)(value, step);
+		}
+		this.noteTroubles(step);
+	}
+
+	private noteTroubles(step: Step): void {
+		const { world } = this;
+		world.troubled = !step.no_faults && (world.troubled || linkFaults.some((key) => key in step));
+	}
+
+	/** Nodes by the name that a step gives them. */
+	private named(who: string): string[] {
+		const { world, nodes } = this;
+		const leader = world.leaderNode();
+		const others = nodes.filter((node) => node !== leader);
+		switch (who) {
+			case "all":
+				return nodes;
+			case "others_of_cut":
+				return nodes.filter((node) => !this.cutFromWorkers.includes(node));
+			case "refused":
+				return [...world.state.refused];
+			case "other":
+				return others.filter((node) => !world.state.refused.has(node));
+			case "two others":
+				return others.slice(0, 2);
+			case "leader":
+				return [leader ?? "nobody"];
+			case "not frozen":
+				return nodes.filter((node) => !this.frozen.includes(node));
+			case "one other":
+				return others.slice(0, 1);
+			case "others":
+				return others;
+			default:
+				return [who];
+		}
+	}
+
+	private each(who: string, act: (node: string) => void): void {
+		for (const node of this.named(who)) act(node);
+	}
+
+	private get machines() {
+		return [...this.world.workers.values()];
+	}
+
+	private readonly actions: Actions = {
+		submit: async ({ node = "runner-0", ...job }) => {
+			const answer = await this.world.submit(this.named(node)[0] as string, job);
+			assert.equal(answer.status, 201, `${job.id}: ${JSON.stringify(answer.body)}`);
+		},
+		abort: async (job, step) => {
+			const node = this.named(step.node ?? "runner-1")[0] as string;
+			assert.equal((await this.world.abort(node, job)).status, 200);
+		},
+		crash: (who) => this.each(who, (node) => this.world.crash(node)),
+		restart: (who) => this.each(who, (node) => this.world.start(node)),
+		outage: (on) => this.world.state.setOutage(on),
+		refuse: (who) => this.each(who, (node) => this.world.state.refused.add(node)),
+		serve: (who) => this.each(who, (node) => this.world.state.refused.delete(node)),
+		cut_peer: (who) => this.each(who, (node) => this.world.cutPeer(node, true)),
+		join_peer: (who) => this.each(who, (node) => this.world.cutPeer(node, false)),
+		freeze: (who) =>
+			this.each(who, (node) => {
+				this.frozen.push(node);
+				this.world.freeze(node);
+			}),
+		thaw: () => {
+			for (const node of this.frozen.splice(0)) this.world.thaw(node);
+		},
+		hang: (pieces) => {
+			for (const piece of pieces) this.world.workerOf(piece).hang();
+		},
+		go_on: () => {
+			for (const machine of this.machines) machine.goOn();
+		},
+		hold_zone: ({ zone, late_s }) => this.holdZone(zone, late_s),
+		cut: (piece) => {
+			this.world.workerOf(piece).cut = true;
+		},
+		cut_zone: (zone) => {
+			for (const machine of this.machines) if (machine.hall === zone) machine.cut = true;
+		},
+		heal: () => {
+			for (const machine of this.machines) machine.cut = machine.deaf = machine.mute = machine.sick = false;
+		},
+		mute: (pieces) => {
+			for (const piece of pieces) this.world.workerOf(piece).mute = true;
+		},
+		late_writes: ({ every, late_s }) => {
+			let n = 0;
+			this.world.network.lateWrites = () => (every > 0 && ++n % every === 0 ? late_s * 1000 : null);
+		},
+		late_orders_s: (seconds) => {
+			this.world.network.lateOrdersMs = seconds * 1000;
+		},
+		limits_told: () => {
+			this.world.nextKnown = true;
+		},
+		limits_come: () => {
+			this.world.state.limits = lowerLimits;
+		},
+		slow_state_ms: (ms) => {
+			this.world.network.slowStateMs = ms;
+		},
+		deaf: (pieces) => {
+			for (const piece of [pieces].flat()) this.world.workerOf(piece).deaf = true;
+		},
+		copies: (seconds) => {
+			this.world.copiesAfterS = seconds;
+		},
+		die: (piece) => this.world.workerOf(piece).die(),
+		sick: (pieces) => {
+			for (const piece of [pieces].flat()) this.world.workerOf(piece).sick = true;
+		},
+		taken: ({ piece, in_s }) => {
+			const worker = this.world.workerOf(piece);
+			worker.recallAt = this.world.time.now() + in_s * 1000;
+			this.world.time.after(in_s * 1000, () => this.world.cloud.remove(worker.host));
+		},
+		cloud_outage: (on) => {
+			this.world.cloud.outage = on;
+		},
+		zone_full: (zone) => {
+			this.world.cloud.full.add(zone);
+		},
+		cut_workers: (who) => this.cutWorkers(who),
+		lose_answers: ({ to, path, method }) => {
+			this.world.network.fault = (_from, target, m, p) =>
+				(target === to || target.startsWith(to)) && p.startsWith(path) && (method ?? m) === m
+					? { loseAnswer: true }
+					: {};
+		},
+		no_faults: () => {
+			this.world.network.fault = () => ({});
+		},
+		expect: async (expectation) => {
+			this.checks += 1;
+			await this.check(expectation);
+		},
+	};
+
+	private holdZone(zone: string, lateS: number): void {
+		const { world } = this;
+		const until = world.time.now() + lateS * 1000;
+		const there = (host: string) => world.workers.get(host)?.hall === zone;
+		world.network.fault = (from, to) =>
+			there(from) || there(to) ? { delayMs: Math.max(0, until - world.time.now()) } : {};
+	}
+
+	private cutWorkers(who: string): void {
+		const { world } = this;
+		const nodes = this.named(who);
+		this.cutFromWorkers = nodes;
+		const cut = (from: string, to: string) =>
+			nodes.some(
+				(node) =>
+					(to === node && world.workers.has(from)) || (from.startsWith(`${node}#`) && world.workers.has(to)),
+			);
+		world.network.fault = (from, to) => (cut(from, to) ? { cut: true } : {});
+	}
+
+	private async check(expected: Expectation): Promise<void> {
+		const { world } = this;
+		const tail = () => world.logs.slice(-25).join("\n");
+		if (expected.job) await this.checkJob(expected.job, expected, tail);
+		for (const piece of expected.running ?? [])
+			assert.ok(world.running(piece), `${piece} should run\n${tail()}`);
+		for (const piece of expected.idle ?? [])
+			assert.ok(!world.running(piece), `${piece} should not run\n${tail()}`);
+		for (const [piece, n] of Object.entries(expected.starts ?? {}))
+			assert.equal(world.starts.get(piece)?.length ?? 0, n, `starts of ${piece}\n${tail()}`);
+		if (expected.leader) {
+			const leader = world.leaderNode();
+			assert.ok(leader !== null && this.named(expected.leader).includes(leader), `leader is ${leader}`);
+		}
+		if (expected.rentals !== undefined) assert.equal(world.cloud.requests.size, expected.rentals, tail());
+		if (expected.machines_at_most !== undefined)
+			assert.ok(world.cloud.hosts.size <= expected.machines_at_most, tail());
+	}
+
+	private async checkJob(job: string, expected: Expectation, tail: () => string): Promise<void> {
+		const node = expected.node ? (this.named(expected.node)[0] as string) : "runner-2";
+		const answer = await this.world.poll(node, job);
+		assert.equal(answer.status, expected.http ?? 200, tail());
+		if (expected.status) assert.equal(answer.body.status, expected.status, tail());
+	}
+}
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -417,41 +417,63 @@
 		});
 	}
 
+	/** Of an array nothing runs, or of a standing job some replicas do not, though they could. */
 	private couldStart(id: string, { body, told, cancelledAt }: KnownJob): boolean {
 		if (told.size === 0 || cancelledAt !== null) return false;
-		let left = false;
-		for (let i = 0; i < body.pieces; i++) {
-			if (this.on.has(`${id}/${i}`)) return false;
-			left ||= !this.finished.has(`${id}/${i}`);
-		}
-		const used = new Map<string, number>();
-		let ofTeam = 0;
-		for (const [piece, host] of this.on) {
-			const other = this.jobs.get(piece.split("/")[0] as string)?.body;
-			if (!other) continue;
-			used.set(host, (used.get(host) ?? 0) + other.cores);
-			if (other.desk === body.desk) ofTeam += other.cores;
-		}
-		if (!left || ofTeam + body.cores > (teams[String(body.desk)] ?? 0)) return false;
-		for (const [host, worker] of this.workers) {
-			if (!worker.well || worker.recallAt !== null || !this.cloud.hosts.has(host)) continue;
+		const pieces = Array.from({ length: body.pieces }, (_, i) => `${id}/${i}`);
+		if (body.form !== "standing" && pieces.some((piece) => this.on.has(piece))) return false;
+		if (pieces.every((piece) => this.on.has(piece) || this.finished.has(piece))) return false;
+		const used = this.coresUsed();
+		const ofTeam = used.byTeam.get(String(body.desk)) ?? 0;
+		if (ofTeam + body.cores > (teams[String(body.desk)] ?? 0)) return false;
+		return [...this.workers].some(([host, worker]) => {
 			const cores = this.cloud.types.find((t) => t.sku === worker.shape)?.cores ?? 0;
-			const allowed =
-				(!Array.isArray(body.shapes) || body.shapes.includes(worker.shape)) &&
-				(typeof body.hall !== "string" || body.hall === worker.hall) &&
-				(body.loaners === true || !worker.loaners);
-			if (allowed && (used.get(host) ?? 0) + body.cores <= cores) return true;
+			const room = (used.byHost.get(host) ?? 0) + body.cores <= cores;
+			return room && this.isUsable(host, worker) && this.isAllowed(id, body, worker);
+		});
+	}
+
+	private coresUsed(): { byHost: Map<string, number>; byTeam: Map<string, number> } {
+		const byHost = new Map<string, number>();
+		const byTeam = new Map<string, number>();
+		for (const [piece, host] of this.on) {
+			const body = this.jobs.get(piece.split("/")[0] as string)?.body;
+			if (!body) continue;
+			byHost.set(host, (byHost.get(host) ?? 0) + body.cores);
+			byTeam.set(String(body.desk), (byTeam.get(String(body.desk)) ?? 0) + body.cores);
 		}
-		return false;
+		return { byHost, byTeam };
 	}
 
-	private checkZones(id: string, body: KnownJob["body"]): void {
+	private isUsable(host: string, worker: FakeWorker): boolean {
+		return worker.well && worker.recallAt === null && this.cloud.hosts.has(host);
+	}
+
+	private isAllowed(id: string, body: KnownJob["body"], worker: FakeWorker): boolean {
+		const zones = this.zonesOf(id);
+		const others = [...zones.keys()].some((hall) => hall !== worker.hall);
+		return (
+			(!Array.isArray(body.shapes) || body.shapes.includes(worker.shape)) &&
+			(typeof body.hall !== "string" || body.hall === worker.hall) &&
+			(body.loaners === true || !worker.loaners) &&
+			!(body.one_zone === true && others) &&
+			!(body.spread === true && (zones.get(worker.hall) ?? 0) >= Math.ceil(body.pieces / 2))
+		);
+	}
+
+	/** Tasks of the job that are on machines, by zone. */
+	private zonesOf(id: string): Map<string, number> {
 		const zones = new Map<string, number>();
 		for (const [piece, host] of this.on) {
 			if (!piece.startsWith(`${id}/`)) continue;
 			const hall = this.workers.get(host)?.hall ?? "?";
 			zones.set(hall, (zones.get(hall) ?? 0) + 1);
 		}
+		return zones;
+	}
+
+	private checkZones(id: string, body: KnownJob["body"]): void {
+		const zones = this.zonesOf(id);
 		if (body.one_zone === true && zones.size > 1) this.broken.push(`wrong_place: ${id} in two zones`);
 		const most = Math.max(...zones.values());
 		if (body.spread === true && most > Math.ceil(body.pieces / 2))
