--- a/src/coordination/drain.ts
+++ b/src/coordination/drain.ts
@@ -30,9 +30,10 @@
 		const ranked = this.ranked(look, replicas);
 		let marked = this.choose(ranked, look);
 		// What is kept for replicas that may come would be rented again at once: others go in its place.
-		const shortage = replicas.shortageOfExpected(look.machines.filter((m) => !marked.has(m)));
-		if (shortage) {
-			const others = ranked.filter(({ machine }) => !machineAllowed(shortage.spec, machine));
+		const left = look.machines.filter((machine) => !marked.has(machine));
+		const lacking = replicas.lackingRoom(look.machines, left);
+		if (lacking) {
+			const others = ranked.filter(({ machine }) => !machineAllowed(lacking, machine));
 			marked = this.choose(others, look);
 		}
 		if (marked.size === 0) return;
--- a/src/coordination/preemption.ts
+++ b/src/coordination/preemption.ts
@@ -1,6 +1,6 @@
 import type { Attempt, Job } from "../bookkeeping/jobs.js";
 import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
-import { priorityRank } from "../protocol/model.js";
+import { type JobSpec, priorityRank } from "../protocol/model.js";
 import type { ClusterState } from "./cluster-state.js";
 
 /**
@@ -83,6 +83,7 @@
 	private readonly extra = new Map<Machine, Amount>();
 	/** Open machines with anything free, now or soon. */
 	private readonly withRoom = new Set<Machine>();
+	private readonly open: Machine[];
 	private readonly sampledMachines: Machine[];
 	private readonly cheapest = new Map<Machine, Attempt[]>();
 	private readonly own = new Map<string, Attempt[]>();
@@ -92,15 +93,15 @@
 	constructor(
 		private readonly clusterState: ClusterState,
 		private readonly now: number,
-		sample: (machines: Machine[]) => Machine[],
+		private readonly sample: (machines: Machine[]) => Machine[],
 	) {
-		const open = [...clusterState.machines.values()].filter(takesWork);
+		this.open = [...clusterState.machines.values()].filter(takesWork);
 		// What was stopped before and has not ended yet is on its way to being free.
 		for (const machine of clusterState.machines.values()) {
 			for (const attempt of machine.attempts.values()) if (attempt.stop !== null) this.free(attempt);
 		}
-		for (const m of open) if (m.freeCpus + (this.extra.get(m)?.cpus ?? 0) > slack) this.withRoom.add(m);
-		this.sampledMachines = sample(open);
+		for (const m of this.open) if (m.freeCpus + (this.extra.get(m)?.cpus ?? 0) > slack) this.withRoom.add(m);
+		this.sampledMachines = sample(this.open);
 	}
 
 	private add(machine: Machine, { spec }: Job, sign: 1 | -1): void {
@@ -210,10 +211,18 @@
 		return list;
 	}
 
+	/**
+	 * A sample of all would hold few of the machines that work with rare demands may use: replicas
+	 * that need ordinary machines waited for a pass whose sample had one of a handful.
+	 */
+	private machinesFor(job: Job): Machine[] {
+		if (!isRestricted(job.spec)) return this.sampledMachines;
+		return this.sample(this.open.filter((machine) => machineAllowed(job.spec, machine)));
+	}
+
 	private cheapestPlan(job: Job, withinGuarantee: boolean): { machine: Machine; attempts: Attempt[] } | null {
 		let best: { machine: Machine; attempts: Attempt[]; cost: number } | null = null;
-		for (const machine of this.sampledMachines) {
-			if (!machineAllowed(job.spec, machine)) continue;
+		for (const machine of this.machinesFor(job)) {
 			const room = this.roomOn(machine, job);
 			const attempts: Attempt[] = [];
 			let cost = 0;
@@ -254,10 +263,15 @@
 
 /** Work for which the same can be stopped; null: demands for types, zones and kinds are rare, each by itself. */
 function kindOf({ spec, rank }: Job, withinGuarantee: boolean): string | null {
-	if (spec.types !== null || spec.zone !== null || !spec.spot) return null;
+	if (isRestricted(spec)) return null;
 	return JSON.stringify([spec.team, rank, withinGuarantee, spec.cpus, spec.memoryGb, spec.gpus]);
 }
 
+/** Not every machine may be used for it. */
+function isRestricted({ types, zone, spot }: JobSpec): boolean {
+	return types !== null || zone !== null || !spot;
+}
+
 function takesWork(machine: Machine): boolean {
 	return machine.schedulable && !machine.onProbation;
 }
--- a/src/coordination/replica-capacity.ts
+++ b/src/coordination/replica-capacity.ts
@@ -91,12 +91,22 @@
 	 * not standing can run there meanwhile: replicas go before it.
 	 */
 	private serveExpected(look: FleetLook): boolean {
-		const shortage = this.shortageOfExpected(look.machines);
+		const { machines } = look;
+		const shortage = this.shortageOfExpected(machines) ?? this.shortageWithoutAZone(machines);
 		return shortage !== null && (this.rentals.pending || this.rent(shortage, look));
 	}
 
+	/** Expected work that would lack room if only these of the machines were left; null: none would. */
+	lackingRoom(machines: Machine[], left: Machine[]): JobSpec | null {
+		const shortage = this.shortageOfExpected(left);
+		if (shortage) return shortage.spec;
+		// Where there is no room in enough zones in any case, nothing is kept for the loss of one.
+		if (this.shortageWithoutAZone(machines)) return null;
+		return this.shortageWithoutAZone(left)?.spec ?? null;
+	}
+
 	/** The first of the expected jobs that would not find room on the machines. */
-	shortageOfExpected(machines: Machine[]): Shortage | null {
+	private shortageOfExpected(machines: Machine[]): Shortage | null {
 		const room = new FreeCapacity(freeBesideReplicas);
 		for (const spec of this.expected()) {
 			const zones: Record<string, number> = {};
@@ -106,6 +116,27 @@
 		return null;
 	}
 
+	/**
+	 * Replicas that are spread over zones have nowhere to go when one of only two zones with
+	 * machines for them is cut off: a machine elsewhere boots for longer than they may wait. So
+	 * what is expected has room whichever zone is lost.
+	 */
+	private shortageWithoutAZone(machines: Machine[]): Shortage | null {
+		const spread = this.expected().filter((spec) => spec.spread && spec.zone === null);
+		if (spread.length === 0) return null;
+		for (const lost of new Set(machines.map((machine) => machine.zone))) {
+			const left = machines.filter((machine) => machine.zone !== lost);
+			const room = new FreeCapacity(freeBesideReplicas);
+			for (const spec of spread) {
+				const zones: Record<string, number> = {};
+				const count = room.take(spec, spec.tasks, left, zones);
+				// As many as the spread allows are taken to be in the lost zone: nothing is rented there.
+				if (count > 0) return { spec, count, zones: { ...zones, [lost]: spec.tasks } };
+			}
+		}
+		return null;
+	}
+
 	private expected(): JobSpec[] {
 		const date = this.time.date().getTime();
 		const specs: JobSpec[] = [];
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -256,6 +256,32 @@
 	);
 });
 
+test("room for work that few machines may hold is sought on those, whatever the sample of all holds", () => {
+	const clusterState = tablesWith(30, 400);
+	const ordinary = new Machine("n-ordinary", small, "a", false, 0);
+	Object.assign(ordinary, { up: true, confirmed: true, durable: true });
+	clusterState.machines.set(ordinary.id, ordinary);
+	const batch = clusterState.addJob("j-1", specOf("j-1", { tasks: 40, cpus: 4, estimateS: 100 }), 0, 1);
+	batch.fillWaiting();
+	for (const machine of clusterState.machines.values()) {
+		const attempt = clusterState.decide(batch, machine);
+		if (attempt) Object.assign(attempt, { phase: "running", runningAt: 0 });
+	}
+	const live = clusterState.addJob(
+		"j-2",
+		specOf("j-2", { form: "standing", priority: "critical", tasks: 1, cpus: 1, spot: false, estimateS: 0 }),
+		0,
+		2,
+	);
+	live.fillWaiting();
+	const few = (machines: Machine[]) => machines.slice(0, 5);
+	const victims = chooseVictims(clusterState, [live], 1000, few);
+	assert.deepEqual(
+		victims.map((victim) => victim.machine.id),
+		["n-ordinary"],
+	);
+});
+
 test("a sample holds distinct machines and no more than asked for", () => {
 	const all = Array.from({ length: 50 }, (_, i) => i);
 	const some = sampled(all, 10, xoroshiro128plus(3));
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -20,7 +20,7 @@
 	price: 0.4,
 	spotPrice: 0.1,
 	bootS: 30,
-	zones: ["a", "b"],
+	zones: ["a", "b", "c"],
 };
 
 const teams = [{ name: "red", cpus: 400, cpus_max: 400, gpus: 0, gpus_max: 0 }];
@@ -106,15 +106,14 @@
 	const setup = new Setup([startWithin("live", 12), startWithin("batch", 12), startWithin("slow", 40)]);
 	atWork(setup);
 	await setup.run(10);
-	assert.deepEqual(
+	const zones = () =>
 		setup
 			.ordinary()
 			.map((request) => request.zone)
-			.sort(),
-		["a", "b"],
-	);
+			.sort();
+	assert.deepEqual(zones(), ["a", "b", "c"], "in two zones, whichever of three is lost");
 	await setup.run(20);
-	assert.equal(setup.ordinary().length, 2, "and no more than that");
+	assert.equal(zones().length, 3, "and no more than that");
 });
 
 test("no room is kept ahead for arrays, for what may wait for a boot, or where nothing runs", async () => {
