--- a/tests/support/state-service.ts
+++ b/tests/support/state-service.ts
@@ -28,6 +28,12 @@
 
 	/** Larger values and longer transactions get 400; what is stored stays readable. */
 	limits = { valueBytes: 16 * 1024, changes: 12 };
+	/** Puts and deletes a second, with bursts of a second's worth; those beyond get 429. */
+	writesPerS = Number.POSITIVE_INFINITY;
+	private writesLeft = 0;
+	private writesCountedAt = 0;
+	/** Transactions that got 429. */
+	refusedForRate = 0;
 
 	constructor(private readonly time: FakeTime) {
 		this.expireOften();
@@ -99,6 +105,20 @@
 			: { status: 404, body: { epoch: this.epoch } };
 	}
 
+	private admits(writes: number): boolean {
+		if (this.writesPerS === Number.POSITIVE_INFINITY) return true;
+		const now = this.time.now();
+		const earned = ((now - this.writesCountedAt) / 1000) * this.writesPerS;
+		this.writesLeft = Math.min(this.writesPerS, this.writesLeft + earned);
+		this.writesCountedAt = now;
+		if (writes > this.writesLeft) {
+			this.refusedForRate += 1;
+			return false;
+		}
+		this.writesLeft -= writes;
+		return true;
+	}
+
 	/** A change by somebody else than the controllers. */
 	write(key: string, v: unknown): void {
 		this.change({ put: key, v });
@@ -121,6 +141,7 @@
 				return { status: 400, body: { error: "no such lease" } };
 			}
 		}
+		if (!this.admits(then.length)) return { status: 429, body: {} };
 		const tooLarge = then.some(
 			(op) => Buffer.byteLength(JSON.stringify(op.v ?? null)) > this.limits.valueBytes,
 		);
--- a/tests/support/trace-player.ts
+++ b/tests/support/trace-player.ts
@@ -153,6 +153,9 @@
 		limits_come: () => {
 			this.world.state.limits = lowerLimits;
 		},
+		writes_per_s: (rate) => {
+			this.world.state.writesPerS = rate;
+		},
 		slow_state_ms: (ms) => {
 			this.world.network.slowStateMs = ms;
 		},
@@ -228,6 +231,8 @@
 			assert.ok(leader !== null && this.named(expected.leader).includes(leader), `leader is ${leader}`);
 		}
 		if (expected.rentals !== undefined) assert.equal(world.cloud.requests.size, expected.rentals, tail());
+		if (expected.refused_for_rate !== undefined)
+			assert.ok(world.state.refusedForRate >= expected.refused_for_rate, tail());
 		if (expected.machines_at_most !== undefined)
 			assert.ok(world.cloud.hosts.size <= expected.machines_at_most, tail());
 	}
--- a/tests/support/trace.ts
+++ b/tests/support/trace.ts
@@ -38,6 +38,8 @@
 	limits_told?: boolean;
 	/** The limits come. */
 	limits_come?: boolean;
+	/** The state service takes so many puts and deletes a second from now on, and 429 beyond. */
+	writes_per_s?: number;
 	/** Direct orders are held up for so long. */
 	late_orders_s?: number;
 	/** Answers of the state service take so long. */
@@ -66,6 +68,8 @@
 	starts?: Record<string, number>;
 	leader?: string;
 	machines_at_most?: number;
+	/** Transactions that were refused for their rate so far, at least. */
+	refused_for_rate?: number;
 	/** Rental requests by different names that got machines. */
 	rentals?: number;
 }
