--- a/src/bookkeeping/jobs.ts
+++ b/src/bookkeeping/jobs.ts
@@ -1,4 +1,4 @@
-import { type JobSpec, type MachineType, priorityRank } from "../protocol/model.js";
+import { isStanding, type JobSpec, type MachineType, priorityRank } from "../protocol/model.js";
 import type { Machine } from "./machines.js";
 import { TaskSet } from "./task-set.js";
 
@@ -70,7 +70,7 @@
 
 	/** Its tasks are replicas: they run until the job is cancelled, and none is ever done. */
 	get standing(): boolean {
-		return this.spec.form === "standing";
+		return isStanding(this.spec);
 	}
 
 	/** Estimated run time of a task: mean of those finished, else the stated one. Replicas have none: 0. */
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -6,7 +6,16 @@
 import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
 import type { OperatorSettings } from "../protocol/operator.js";
 import { unpackReport } from "../protocol/packed-report.js";
-import { claimedKind, type ForwardedReports, type PeerMessage, parsePeerMessage } from "../protocol/peer.js";
+import {
+	claimedKind,
+	type ForwardedReports,
+	type HeartbeatReply,
+	type LeaderHeartbeat,
+	type PeerMessage,
+	type PlacementProposal,
+	type PlacementRequest,
+	parsePeerMessage,
+} from "../protocol/peer.js";
 import type { PlatformSettings } from "../protocol/settings.js";
 import { CommandQueue } from "./command-queue.js";
 import { JobService } from "./job-service.js";
@@ -294,17 +303,22 @@
 			const { node, hearing } = this.leaderHeard;
 			if (!hearing && now - this.unexpectedToldAt >= unexpectedTellMs) {
 				this.unexpectedToldAt = now;
-				this.ports.peers.send(node, {
-					kind: "pong",
-					epoch: this.leaderHeard.term,
-					strays: this.countUnexpectedReports(),
-					standing: true,
-				});
+				this.sendHeartbeatReply(node, this.leaderHeard.term);
 			}
 			return { kind: "elsewhere", node: this.redirectTarget() };
 		});
 	}
 
+	private sendHeartbeatReply(leader: string, term: number): void {
+		const reply: HeartbeatReply = {
+			kind: "pong",
+			epoch: term,
+			strays: this.countUnexpectedReports(),
+			standing: true,
+		};
+		this.ports.peers.send(leader, reply);
+	}
+
 	/** null: this node may not answer. */
 	private async answerTo(leader: Leader, term: number, report: WorkerReport): Promise<Order[] | null> {
 		const orders = await leader.report(report);
@@ -373,61 +387,60 @@
 
 	peerMessage(from: string, raw: unknown): void {
 		const message = this.parsed(from, raw);
-		if (!message) return;
-		this.commands.post(() => {
-			this.peerHeardAt = this.ports.time.now();
-			// A late copy from an earlier leader tells nothing of now.
-			const ofLeader = message.kind === "running" || message.kind === "view";
-			if (ofLeader && message.epoch >= this.leaderHeard.term) {
-				if (message.epoch > this.leaderHeard.term) this.relay.newLeader(from, message.epoch);
-				const { hearing, relay } = message.kind === "running" ? message : this.leaderHeard;
-				this.leaderHeard = { node: from, term: message.epoch, at: this.peerHeardAt, hearing, relay };
-			}
-			switch (message.kind) {
-				case "view": {
-					const placements = placeFirstFit(
-						message.machines,
-						message.grants,
-						(id) => this.storeCopy.jobs.get(id)?.value.spec,
-						message.start,
-					);
-					this.ports.peers.send(from, {
-						kind: "placed",
-						epoch: message.epoch,
-						cycle: message.cycle,
-						placements,
-						unknown: message.grants.map((g) => g.job).filter((id) => !this.storeCopy.jobs.has(id)),
-					});
-					break;
-				}
-				case "running":
-					// A late copy from an earlier leader tells nothing of now.
-					if (message.epoch < (this.storeCopy.leader?.revision ?? 0)) break;
-					if (message.served) this.othersServedAt = this.peerHeardAt;
-					this.running = new Map(message.counts);
-					this.ports.peers.send(from, {
-						kind: "pong",
-						epoch: message.epoch,
-						strays: this.countUnexpectedReports(),
-						standing: true,
-					});
-					break;
-				case "reports":
-					this.relayed(from, message);
-					break;
-				case "answers":
-					this.relay.answered(from, message.epoch, message.answers);
-					break;
-				case "ask":
-				case "promise":
-				case "who":
-				case "leading":
-					this.leadership.message(from, message);
-					break;
-				default:
-					this.leader?.peerMessage(from, message);
-			}
-		});
+		if (message) this.commands.post(() => this.handle(from, message));
+	}
+
+	private handle(from: string, message: PeerMessage): void {
+		this.peerHeardAt = this.ports.time.now();
+		if (message.kind === "running" || message.kind === "view") this.noteLeader(from, message);
+		switch (message.kind) {
+			case "view":
+				this.propose(from, message);
+				break;
+			case "running":
+				this.heartbeat(from, message);
+				break;
+			case "reports":
+				this.relayed(from, message);
+				break;
+			case "answers":
+				this.relay.answered(from, message.epoch, message.answers);
+				break;
+			case "ask":
+			case "promise":
+			case "who":
+			case "leading":
+				this.leadership.message(from, message);
+				break;
+			default:
+				this.leader?.peerMessage(from, message);
+		}
+	}
+
+	/** A late copy from an earlier leader tells nothing of now. */
+	private noteLeader(from: string, message: LeaderHeartbeat | PlacementRequest): void {
+		const { epoch: term } = message;
+		if (term < this.leaderHeard.term) return;
+		if (term > this.leaderHeard.term) this.relay.newLeader(from, term);
+		const { hearing, relay } = message.kind === "running" ? message : this.leaderHeard;
+		this.leaderHeard = { node: from, term, at: this.peerHeardAt, hearing, relay };
+	}
+
+	private heartbeat(from: string, message: LeaderHeartbeat): void {
+		// As above: what users are told must not go back.
+		if (message.epoch < (this.storeCopy.leader?.revision ?? 0)) return;
+		if (message.served) this.othersServedAt = this.peerHeardAt;
+		this.running = new Map(message.counts);
+		this.sendHeartbeatReply(from, message.epoch);
+	}
+
+	/** This node as a placer. */
+	private propose(from: string, { epoch, cycle, machines, grants, start }: PlacementRequest): void {
+		const { jobs } = this.storeCopy;
+		const placements = placeFirstFit(machines, grants, (id) => jobs.get(id)?.value.spec, start);
+		const unknown = grants.map((grant) => grant.job).filter((id) => !jobs.has(id));
+		const proposal: PlacementProposal = { kind: "placed", epoch, cycle, placements, unknown };
+		this.ports.peers.send(from, proposal);
 	}
 }
 
--- a/src/coordination/job-service.ts
+++ b/src/coordination/job-service.ts
@@ -8,7 +8,7 @@
 } from "../bookkeeping/records.js";
 import type { StoreCopy } from "../bookkeeping/store-copy.js";
 import { MalformedMessageError } from "../protocol/checks.js";
-import type { JobSpec, JobStatus, MachineType } from "../protocol/model.js";
+import { isStanding, type JobSpec, type JobStatus, type MachineType } from "../protocol/model.js";
 import type { TeamSettings } from "../protocol/settings.js";
 import { CallFailed, type StorePort, type TimePort } from "./ports.js";
 import type { StoreSync } from "./store-sync.js";
@@ -48,7 +48,7 @@
 	}
 	const fitting = types.filter((type) => typeFits(spec, type));
 	if (fitting.length === 0) return "a task fits no allowed machine type";
-	return spec.form === "standing" ? impossibleTogether(spec, team, fitting) : null;
+	return isStanding(spec) ? impossibleTogether(spec, team, fitting) : null;
 }
 
 /** Replicas run all at the same time. */
@@ -94,7 +94,7 @@
 				return { kind: "later", reason: "the machine types are not known yet" };
 			}
 			// A controller that does not know this form would run its replicas to an end.
-			if (spec.form === "standing" && !this.storeCopy.features.standing) {
+			if (isStanding(spec) && !this.storeCopy.features.standing) {
 				return { kind: "later", reason: "not all controllers are known to serve standing jobs yet" };
 			}
 			const record: JobRecord = { spec, at: this.time.date().getTime() };
--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -1,6 +1,6 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import type { JobSpec } from "../protocol/model.js";
+import { isStanding, type JobSpec } from "../protocol/model.js";
 import type { Grant, Placement, ViewMachine } from "../protocol/placement.js";
 
 const slack = 1e-6;
@@ -86,7 +86,7 @@
 
 function passesFor(spec: JobSpec, count: number): PlacingPass[] {
 	const anywhere = [true, false].map((withImage) => ({ withImage, most: count, apart: false }));
-	if (spec.form !== "standing") return anywhere;
+	if (!isStanding(spec)) return anywhere;
 	// Replicas go to as many machines as there are, so that the end of one machine costs one.
 	return [...[true, false].map((withImage) => ({ withImage, most: 1, apart: true })), ...anywhere];
 }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -40,6 +40,11 @@
 	deadlineS: number | null;
 }
 
+/** Its tasks are replicas. Every decision that differs by form asks this. */
+export function isStanding({ form }: Pick<JobSpec, "form">): boolean {
+	return form === "standing";
+}
+
 /** What one task of a job takes, and of whose limit. */
 export type Demand = Pick<JobSpec, "team" | "cpus" | "gpus">;
 
--- a/src/protocol/user-api.ts
+++ b/src/protocol/user-api.ts
@@ -9,7 +9,7 @@
 	parseObject,
 	positive,
 } from "./checks.js";
-import type { JobSpec, JobStatus } from "./model.js";
+import { isStanding, type JobSpec, type JobStatus } from "./model.js";
 
 /** The users' API: wire words of jobs, mapped to the service's own. */
 
@@ -67,10 +67,10 @@
 
 export function parseJob(body: string): JobSpec {
 	const job = checkShape(JobBody, parseObject(body));
-	if (job.form === "standing" && job.guess_s !== 0) {
+	if (isStanding(job) && job.guess_s !== 0) {
 		throw new MalformedMessageError('field "guess_s" must be 0 for a standing job');
 	}
-	if (job.form === "array" && job.guess_s === 0) {
+	if (!isStanding(job) && job.guess_s === 0) {
 		throw new MalformedMessageError('field "guess_s" must be above 0');
 	}
 	return {
