--- a/src/coordination/expected-classes.ts
+++ b/src/coordination/expected-classes.ts
@@ -1,8 +1,5 @@
 import type { JobSpec, MachineType } from "../protocol/model.js";
-import type { PlatformSettings } from "../protocol/settings.js";
-
-/** What the platform expects of the classes of jobs. */
-export type Objective = PlatformSettings["cluster"]["objectives"][number];
+import type { StartObjective } from "../protocol/settings.js";
 
 /** Part of the cores in use that is kept for a class of which no job has come yet. */
 const reservedPart = 0.02;
@@ -13,16 +10,12 @@
  * be up before it comes.
  */
 export function classesWithFastStart(
-	objectives: readonly Objective[],
+	objectives: readonly StartObjective[],
 	types: Iterable<MachineType>,
 ): string[] {
 	const fastestBootS = Math.min(...[...types].map((type) => type.bootS));
-	const classes = new Set<string>();
-	for (const { kind, class: name, within_s: withinS } of objectives) {
-		if (kind !== "wait" || name === undefined || withinS === undefined) continue;
-		if (withinS <= fastestBootS) classes.add(name);
-	}
-	return [...classes];
+	const fast = objectives.filter(({ withinS }) => withinS <= fastestBootS);
+	return [...new Set(fast.map(({ jobClass }) => jobClass))];
 }
 
 /**
--- /dev/null
+++ b/src/coordination/feature-record.ts
@@ -0,0 +1,30 @@
+import { type FeaturesRecord, keys } from "../bookkeeping/records.js";
+import type { StoreCondition } from "../protocol/store-api.js";
+import type { StorePort, TimePort } from "./ports.js";
+
+const retryMs = 1000;
+
+/**
+ * Writes to the store, once and for good, that every controller serves standing jobs. Until then
+ * none is accepted: a controller that does not know them would run their replicas to an end.
+ */
+export class FeatureRecord {
+	private writing = false;
+
+	constructor(
+		private readonly leaderCondition: StoreCondition,
+		private readonly store: StorePort,
+		private readonly time: TimePort,
+		private readonly post: (command: () => void) => void,
+	) {}
+
+	writeStanding(): void {
+		if (this.writing) return;
+		this.writing = true;
+		const value: FeaturesRecord = { standing: true };
+		const done = () => this.post(() => (this.writing = false));
+		this.store
+			.transact([this.leaderCondition], [{ put: keys.features, value }], "normal")
+			.then(done, () => this.time.after(retryMs, done));
+	}
+}
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -1,9 +1,9 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import type { Machine } from "../bookkeeping/machines.js";
 import type { OperatorSettings } from "../protocol/operator.js";
+import type { StartObjective } from "../protocol/settings.js";
 import type { ClusterState } from "./cluster-state.js";
 import { Drain } from "./drain.js";
-import type { Objective } from "./expected-classes.js";
 import { couldHold, type FleetLook, lookAtFleet } from "./load.js";
 import { MachineList } from "./machine-list.js";
 import { MachineReturns } from "./machine-returns.js";
@@ -24,7 +24,8 @@
 	cloud: CloudPort;
 	time: TimePort;
 	settings: OperatorSettings;
-	objectives: readonly Objective[];
+	/** How soon tasks of which classes are to start. */
+	objectives: readonly StartObjective[];
 	/** How late the cloud's machine list is. */
 	listLagMs: number;
 	/** Lease of a worker. */
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -1,14 +1,15 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Attempt, Job } from "../bookkeeping/jobs.js";
 import { Machine, unknownType } from "../bookkeeping/machines.js";
-import { type FeaturesRecord, type JobRecord, keys, type MachineRecord } from "../bookkeeping/records.js";
+import { type JobRecord, keys, type MachineRecord } from "../bookkeeping/records.js";
 import type { StoreCopy, Versioned } from "../bookkeeping/store-copy.js";
 import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
 import type { OperatorSettings } from "../protocol/operator.js";
 import type { PeerMessage } from "../protocol/peer.js";
-import type { PlatformSettings } from "../protocol/settings.js";
+import { type PlatformSettings, startObjectives } from "../protocol/settings.js";
 import type { StoreCondition } from "../protocol/store-api.js";
 import { ClusterState } from "./cluster-state.js";
+import { FeatureRecord } from "./feature-record.js";
 import { Fleet } from "./fleet.js";
 import { HeldReports } from "./held-reports.js";
 import { JobCompletion } from "./job-completion.js";
@@ -72,7 +73,6 @@
 const busyMs = 40;
 /** Weight of the latest tick in that average. */
 const latenessWeight = 0.2;
-const featuresRetryMs = 1000;
 /** How often `tick` is called. */
 export const tickMs = 100;
 
@@ -98,6 +98,7 @@
 	private readonly peerMonitor: PeerMonitor;
 	private readonly takeover: Takeover;
 	private readonly machineRecords: SharedRecords<MachineRecord>;
+	private readonly featureRecord: FeatureRecord;
 	/** Machines with starts decided and not yet sent. */
 	private readonly assigned = new Set<Machine>();
 	private readonly beganAt: number;
@@ -108,7 +109,6 @@
 	private lastTick: number;
 	private rebuiltSaid = false;
 	private nextAudit = 0;
-	private recordingFeatures = false;
 
 	constructor(private readonly options: LeaderOptions) {
 		const { term, platform, settings, ports } = options;
@@ -167,7 +167,7 @@
 			cloud: ports.cloud,
 			time,
 			settings,
-			objectives: cluster.objectives,
+			objectives: startObjectives(cluster.objectives),
 			listLagMs: cluster.cloud.list_lag_s * 1000,
 			leaseMs,
 			requestPrefix: options.requestPrefix,
@@ -187,6 +187,7 @@
 			},
 			log,
 		);
+		this.featureRecord = new FeatureRecord(this.leaderCondition(), ports.store, time, post);
 		const records = this.recordsEnvironment();
 		this.machineRecords = new SharedRecords({
 			...records,
@@ -547,19 +548,7 @@
 		if (message.kind === "placed") this.placement.proposed(from, message, now);
 		if (message.kind !== "pong") return;
 		this.peerMonitor.answered(from, message.strays, message.standing === true, now);
-		this.recordFeatures();
-	}
-
-	/** Once every controller has said that it serves standing jobs, all are told, for good. */
-	private recordFeatures(): void {
-		if (this.recordingFeatures || this.storeCopy.features.standing || !this.active) return;
-		if (!this.peerMonitor.allServeStanding) return;
-		this.recordingFeatures = true;
-		const { store, time, post } = this.ports;
-		const value: FeaturesRecord = { standing: true };
-		const done = () => post(() => (this.recordingFeatures = false));
-		store
-			.transact([this.leaderCondition()], [{ put: keys.features, value }], "normal")
-			.then(done, () => time.after(featuresRetryMs, done));
+		const recorded = this.storeCopy.features.standing === true;
+		if (!recorded && this.active && this.peerMonitor.allServeStanding) this.featureRecord.writeStanding();
 	}
 }
--- a/src/coordination/replica-capacity.ts
+++ b/src/coordination/replica-capacity.ts
@@ -1,8 +1,9 @@
 import type { Job } from "../bookkeeping/jobs.js";
 import type { Machine } from "../bookkeeping/machines.js";
 import type { JobSpec } from "../protocol/model.js";
+import type { StartObjective } from "../protocol/settings.js";
 import type { ClusterState } from "./cluster-state.js";
-import { assumedReplicas, classesWithFastStart, type Objective } from "./expected-classes.js";
+import { assumedReplicas, classesWithFastStart } from "./expected-classes.js";
 import { FreeCapacity, freeBesideReplicas, freeOn } from "./free-capacity.js";
 import type { FleetLook } from "./load.js";
 import { zoneRoom } from "./placing.js";
@@ -36,7 +37,7 @@
 		private readonly clusterState: ClusterState,
 		private readonly time: TimePort,
 		private readonly rentals: Rentals,
-		private readonly objectives: readonly Objective[],
+		private readonly objectives: readonly StartObjective[],
 		/** Takes back the mark of a machine with room for the job; false if there is none. */
 		private readonly unmarkFor: (job: Job) => boolean,
 	) {}
--- a/src/protocol/checks.ts
+++ b/src/protocol/checks.ts
@@ -5,17 +5,11 @@
 /** What was received does not have the published form. The message names the field and what is expected. */
 export class MalformedMessageError extends Error {}
 
-export const positive = v.pipe(
-	v.number("must be a number"),
-	v.finite("must be finite"),
-	v.gtValue(0, "must be above 0"),
-);
+const finite = v.pipe(v.number("must be a number"), v.finite("must be finite"));
 
-export const amount = v.pipe(
-	v.number("must be a number"),
-	v.finite("must be finite"),
-	v.minValue(0, "must not be negative"),
-);
+export const positive = v.pipe(finite, v.gtValue(0, "must be above 0"));
+
+export const amount = v.pipe(finite, v.minValue(0, "must not be negative"));
 
 export const count = v.pipe(
 	v.number("must be a number"),
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -65,6 +65,24 @@
 export type PlatformSettings = v.InferOutput<typeof Platform>;
 export type TeamSettings = v.InferOutput<typeof Team>;
 
+export type Objective = v.InferOutput<typeof Objective>;
+
+/** A class of jobs whose tasks are to start within a time. */
+export interface StartObjective {
+	jobClass: string;
+	withinS: number;
+}
+
+/** Of what the platform expects, how soon tasks of which classes are to start. */
+export function startObjectives(objectives: readonly Objective[]): StartObjective[] {
+	const starts: StartObjective[] = [];
+	for (const { kind, class: jobClass, within_s: withinS } of objectives) {
+		if (kind === "wait" && jobClass !== undefined && withinS !== undefined)
+			starts.push({ jobClass, withinS });
+	}
+	return starts;
+}
+
 /** A settings file that cannot be used; the message names file, field and what is expected. */
 export class SettingsError extends Error {}
 
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -2,11 +2,11 @@
 import { test } from "node:test";
 import { Machine } from "../src/bookkeeping/machines.js";
 import { ClusterState } from "../src/coordination/cluster-state.js";
-import type { Objective } from "../src/coordination/expected-classes.js";
 import { Fleet } from "../src/coordination/fleet.js";
 import type { RentRequest } from "../src/protocol/cloud-api.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
 import { defaultOperator } from "../src/protocol/operator.js";
+import { type Objective, startObjectives } from "../src/protocol/settings.js";
 import { FakeTime } from "./support/fake-time.js";
 import { specOf } from "./support/specs.js";
 
@@ -47,7 +47,7 @@
 			},
 			time: this.time,
 			settings: defaultOperator(),
-			objectives,
+			objectives: startObjectives(objectives),
 			listLagMs: 1000,
 			leaseMs: 10_000,
 			requestPrefix: "r",
