--- a/src/bookkeeping/jobs.ts
+++ b/src/bookkeeping/job.ts
@@ -1,6 +1,6 @@
-import { isStanding, type JobSpec, type MachineType, priorityRank } from "../protocol/model.js";
-import type { Machine } from "./machines.js";
-import type { TeamCharge } from "./quotas.js";
+import { isStanding, type JobSpec, priorityRank } from "../protocol/model.js";
+import type { Machine } from "./machine.js";
+import type { TeamCharge } from "./quota-ledger.js";
 import { TaskSet } from "./task-set.js";
 
 export type AttemptPhase = "assigned" | "sent" | "fetching" | "running" | "saving";
@@ -139,14 +139,3 @@
 		return priorityRank[this.spec.priority];
 	}
 }
-
-/** Whether a task of the job could ever run on this type, going by the job's own demands. */
-export function typeFits(spec: JobSpec, type: MachineType): boolean {
-	return (
-		(spec.types === null || spec.types.includes(type.name)) &&
-		type.zones.some((zone) => spec.zone === null || spec.zone === zone) &&
-		type.cpus >= spec.cpus &&
-		type.gpus >= spec.gpus &&
-		type.memoryGb >= spec.memoryGb
-	);
-}
--- a/src/bookkeeping/machines.ts
+++ b/src/bookkeeping/machine.ts
@@ -1,6 +1,6 @@
 import type { Demand, JobSpec, MachineType } from "../protocol/model.js";
-import type { Attempt, Job } from "./jobs.js";
-import type { TeamCharge } from "./quotas.js";
+import type { Attempt, Job } from "./job.js";
+import type { TeamCharge } from "./quota-ledger.js";
 
 export interface UnwantedTask {
 	job: string;
@@ -248,18 +248,6 @@
 	return others >= 2 && machine.runRatio > (tooSlow * sum) / others;
 }
 
-/** Whether the job allows this machine at all. */
-export function machineAllowed(
-	spec: JobSpec,
-	machine: { type: MachineType; zone: string; spot: boolean },
-): boolean {
-	return (
-		(spec.types === null || spec.types.includes(machine.type.name)) &&
-		(spec.zone === null || spec.zone === machine.zone) &&
-		(spec.spot || !machine.spot)
-	);
-}
-
 /** A machine of a type that the cloud no longer names can hold tasks, but gets no new ones. */
 export function unknownType(name: string): MachineType {
 	return {
--- /dev/null
+++ b/src/bookkeeping/remaining-work.ts
@@ -0,0 +1,22 @@
+import type { Attempt } from "./job.js";
+
+/** Remaining core seconds of a running task; its percentage is capped at 99. */
+export function remainingOfRunning(cpus: number, elapsedS: number, estimateS: number, capS: number): number {
+	const percent = estimateS > 0 ? Math.min(99, (100 * elapsedS) / estimateS) : 99;
+	return cpus * Math.min(capS, (estimateS * (100 - percent)) / 100);
+}
+
+export function remainingOfWaiting(cpus: number, estimateS: number, capS: number): number {
+	return cpus * Math.min(capS, estimateS);
+}
+
+/** Core seconds that the attempt has left. */
+export function remainingOfAttempt(
+	attempt: Pick<Attempt, "runningAt" | "job">,
+	now: number,
+	capS: number,
+): number {
+	const { estimateS, spec } = attempt.job;
+	if (attempt.runningAt === null) return remainingOfWaiting(spec.cpus, estimateS, capS);
+	return remainingOfRunning(spec.cpus, (now - attempt.runningAt) / 1000, estimateS, capS);
+}
--- a/src/bookkeeping/store-copy.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -1,6 +1,6 @@
 import { MalformedMessageError } from "../protocol/checks.js";
+import type { StoreEvent, StoreRow } from "../protocol/http/store-api.js";
 import type { Demand, MachineType } from "../protocol/model.js";
-import type { StoreEvent, StoreRow } from "../protocol/store-api.js";
 import {
 	demandOf,
 	type FeaturesRecord,
@@ -13,7 +13,7 @@
 	type SharedRecord,
 	type StoredRecord,
 	type TerminalRecord,
-} from "./records.js";
+} from "../protocol/records/records.js";
 import { countInPage } from "./task-set.js";
 
 /** Forgets the oldest beyond the number kept, and returns it. */
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,30 +1,36 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import type { TeamLimits } from "../bookkeeping/quotas.js";
-import { keys } from "../bookkeeping/records.js";
-import { StoreCopy } from "../bookkeeping/store-copy.js";
+import type { TeamLimits } from "../bookkeeping/quota-ledger.js";
+import { StoreCopy } from "../bookkeeping/store-replica.js";
 import type { WorkerReport } from "../protocol/model.js";
-import type { OperatorSettings } from "../protocol/operator.js";
 import type {
 	HeartbeatReply,
 	LeaderHeartbeat,
 	PeerMessage,
 	PlacementProposal,
 	PlacementRequest,
-} from "../protocol/peer.js";
-import type { PlatformSettings } from "../protocol/settings.js";
-import { CommandQueue } from "./command-queue.js";
-import { JobService } from "./job-service.js";
+} from "../protocol/peer/messages.js";
+import { keys } from "../protocol/records/records.js";
+import type { OperatorSettings } from "../protocol/settings/operator.js";
+import type { PlatformSettings } from "../protocol/settings/platform.js";
+import { MachineTypeCatalog } from "./fleet/machine-type-catalog.js";
+import { JobService } from "./jobs/job-service.js";
 import { Leader, tickMs } from "./leader.js";
-import { Leadership } from "./leadership.js";
-import { MachineTypeCatalog } from "./machine-type-catalog.js";
-import { PeerMessageReader } from "./peer-message-reader.js";
-import { placeAdmitted } from "./place-admitted.js";
-import { placeFirstFit } from "./placing.js";
-import type { CloudPort, Log, PeerPort, StorePort, TeamQuotaPort, TimePort, WorkerPort } from "./ports.js";
-import { type ActiveLeader, type ReportResult, ReportRouter } from "./report-router.js";
-import { StallDetector } from "./stall-detector.js";
-import { StoreSync } from "./store-sync.js";
+import { Leadership } from "./leadership/leadership.js";
+import { PeerMessageReader } from "./leadership/peer-channel.js";
+import { placeAdmitted } from "./placement/admitted-placement.js";
+import { placeFirstFit } from "./placement/first-fit.js";
+import type { TimePort } from "./ports/clock.js";
+import type { CloudPort } from "./ports/cloud.js";
+import type { Log } from "./ports/log.js";
+import type { PeerPort } from "./ports/peers.js";
+import type { StorePort } from "./ports/store.js";
+import type { TeamQuotaPort } from "./ports/team-quota.js";
+import type { WorkerPort } from "./ports/workers.js";
+import { StoreSync } from "./replication/replica-sync.js";
+import { StallDetector } from "./runtime/pause-detector.js";
+import { CommandQueue } from "./runtime/serial-executor.js";
+import { type ActiveLeader, type ReportResult, ReportRouter } from "./workers/heartbeat-router.js";
 
 export interface ControllerPorts {
 	store: StorePort;
--- a/src/coordination/machine-list.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -1,8 +1,11 @@
-import { Machine } from "../bookkeeping/machines.js";
-import type { MachineListPage } from "../protocol/cloud-api.js";
-import type { ListedMachine } from "../protocol/model.js";
-import type { ClusterState } from "./cluster-state.js";
-import { CallFailed, type CloudPort, type Log, type TimePort } from "./ports.js";
+import { Machine } from "../../bookkeeping/machine.js";
+import type { MachineListPage } from "../../protocol/http/cloud-api.js";
+import type { ListedMachine } from "../../protocol/model.js";
+import { CallFailed } from "../ports/call-error.js";
+import type { TimePort } from "../ports/clock.js";
+import type { CloudPort } from "../ports/cloud.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
 
 const leastPauseMs = 5000;
 const retryMs = 1500;
--- a/src/coordination/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -1,10 +1,12 @@
-import type { Job } from "../bookkeeping/jobs.js";
-import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
-import type { ClusterState } from "./cluster-state.js";
-import { couldHold, type FleetLook, remainingOfAttempt } from "./load.js";
-import type { Log } from "./ports.js";
+import type { Job } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import { couldHold, machineAllowed } from "../../bookkeeping/machine-fit.js";
+import { remainingOfAttempt } from "../../bookkeeping/remaining-work.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { FleetLook } from "./fleet-load.js";
+import { type ClimbSettings, loadOf, machinesToSpare } from "./hill-climb.js";
 import type { ReplicaCapacity } from "./replica-capacity.js";
-import { type ClimbSettings, loadOf, machinesToSpare } from "./scaling.js";
 
 /** A job of which nothing runs has waited so long when a marked machine is asked for room. */
 const waitsBesideMarkedMs = 20_000;
--- a/src/coordination/expected-classes.ts
+++ b/src/coordination/fleet/expected-services.ts
@@ -1,5 +1,5 @@
-import type { JobSpec, MachineType } from "../protocol/model.js";
-import type { StartObjective } from "../protocol/settings.js";
+import type { JobSpec, MachineType } from "../../protocol/model.js";
+import type { StartObjective } from "../../protocol/settings/platform.js";
 
 /** Part of the cores in use that is kept for a class of which no job has come yet. */
 const reservedPart = 0.02;
--- a/src/coordination/load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -1,8 +1,8 @@
-import type { Attempt, Job } from "../bookkeeping/jobs.js";
-import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { ClimbSettings } from "./scaling.js";
-import { remainingOfRunning, remainingOfWaiting, tasksHeld } from "./scaling.js";
+import type { Job } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import { remainingOfAttempt, remainingOfWaiting } from "../../bookkeeping/remaining-work.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { ClimbSettings } from "./hill-climb.js";
 
 /** What the hill climb measures of the leader's tables. */
 
@@ -60,17 +60,6 @@
 	return work;
 }
 
-/** Core seconds that the attempt has left. */
-export function remainingOfAttempt(
-	attempt: Pick<Attempt, "runningAt" | "job">,
-	now: number,
-	capS: number,
-): number {
-	const { estimateS, spec } = attempt.job;
-	if (attempt.runningAt === null) return remainingOfWaiting(spec.cpus, estimateS, capS);
-	return remainingOfRunning(spec.cpus, (now - attempt.runningAt) / 1000, estimateS, capS);
-}
-
 /** Cores that the teams' limits let the present work use at once. */
 export function usableCpus(clusterState: ClusterState): number {
 	const byTeam = new Map<string, number>();
@@ -84,11 +73,6 @@
 	return sum;
 }
 
-/** Whether the machine, empty, could hold a task of the job. */
-export function couldHold(machine: Machine, job: Job): boolean {
-	return machineAllowed(job.spec, machine) && tasksHeld(job.spec, machine.type) > 0;
-}
-
 /** One look at the fleet by the hill climb. */
 export interface FleetLook {
 	now: number;
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -1,17 +1,20 @@
-import type { Job } from "../bookkeeping/jobs.js";
-import type { Machine } from "../bookkeeping/machines.js";
-import type { OperatorSettings } from "../protocol/operator.js";
-import type { StartObjective } from "../protocol/settings.js";
-import { BootTimes } from "./boot-times.js";
-import type { ClusterState } from "./cluster-state.js";
+import type { Job } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import { couldHold } from "../../bookkeeping/machine-fit.js";
+import type { OperatorSettings } from "../../protocol/settings/operator.js";
+import type { StartObjective } from "../../protocol/settings/platform.js";
+import type { TimePort } from "../ports/clock.js";
+import type { CloudPort } from "../ports/cloud.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import { MachineList } from "./cloud-inventory.js";
 import { Drain } from "./drain.js";
-import { couldHold, type FleetLook, lookAtFleet } from "./load.js";
-import { MachineList } from "./machine-list.js";
-import { MachineReturns } from "./machine-returns.js";
-import type { CloudPort, Log, TimePort } from "./ports.js";
-import { type RentalOutcome, Rentals } from "./rentals.js";
+import { type FleetLook, lookAtFleet } from "./fleet-load.js";
+import { type Counters, climb, loadOf } from "./hill-climb.js";
+import { BootTimes } from "./provisioning-times.js";
 import { ReplicaCapacity } from "./replica-capacity.js";
-import { type Counters, climb, loadOf } from "./scaling.js";
+import { MachineReturns } from "./scale-in.js";
+import { type RentalOutcome, Rentals } from "./scale-out.js";
 
 export interface FleetHooks {
 	post(command: () => void): void;
--- a/src/coordination/scaling.ts
+++ b/src/coordination/fleet/hill-climb.ts
@@ -1,5 +1,5 @@
-import { typeFits } from "../bookkeeping/jobs.js";
-import type { JobSpec, MachineType } from "../protocol/model.js";
+import { tasksHeld, typeFits } from "../../bookkeeping/machine-fit.js";
+import type { JobSpec, MachineType } from "../../protocol/model.js";
 
 /** The hill climb's decisions, without their effects. */
 
@@ -18,16 +18,6 @@
 
 export type ClimbAction = "up" | "down" | "none";
 
-/** Remaining core seconds of a running task; its percentage is capped at 99. */
-export function remainingOfRunning(cpus: number, elapsedS: number, estimateS: number, capS: number): number {
-	const percent = estimateS > 0 ? Math.min(99, (100 * elapsedS) / estimateS) : 99;
-	return cpus * Math.min(capS, (estimateS * (100 - percent)) / 100);
-}
-
-export function remainingOfWaiting(cpus: number, estimateS: number, capS: number): number {
-	return cpus * Math.min(capS, estimateS);
-}
-
 /** Load is remaining work over machines less one half. */
 export function loadOf(work: number, machines: number): number {
 	return work / (machines - 0.5);
@@ -130,14 +120,6 @@
 	return offers;
 }
 
-/** Tasks of the job that a machine of the type holds at once. */
-export function tasksHeld(spec: JobSpec, type: MachineType): number {
-	let n = Math.floor(type.cpus / spec.cpus);
-	if (spec.gpus > 0) n = Math.min(n, Math.floor(type.gpus / spec.gpus));
-	if (spec.memoryGb > 0) n = Math.min(n, Math.floor(type.memoryGb / spec.memoryGb));
-	return n;
-}
-
 /** Seconds of use that a rental is expected to bring, over which its boot time is spread. */
 const expectedUseS = 120;
 
--- a/src/coordination/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -1,6 +1,10 @@
-import { keys, type TypesRecord } from "../bookkeeping/records.js";
-import type { MachineType } from "../protocol/model.js";
-import { CallFailed, type CloudPort, type Log, type StorePort, type TimePort } from "./ports.js";
+import type { MachineType } from "../../protocol/model.js";
+import { keys, type TypesRecord } from "../../protocol/records/records.js";
+import { CallFailed } from "../ports/call-error.js";
+import type { TimePort } from "../ports/clock.js";
+import type { CloudPort } from "../ports/cloud.js";
+import type { Log } from "../ports/log.js";
+import type { StorePort } from "../ports/store.js";
 
 const refreshEveryMs = 60_000;
 const retryMs = 700;
--- a/src/coordination/boot-times.ts
+++ b/src/coordination/fleet/provisioning-times.ts
@@ -1,4 +1,4 @@
-import type { Machine } from "../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/machine.js";
 
 /** Machines usually boot in up to this many times the stated time. */
 const usualBootTimes = 1.6;
--- a/src/coordination/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -1,14 +1,14 @@
-import type { Job } from "../bookkeeping/jobs.js";
-import type { Machine } from "../bookkeeping/machines.js";
-import type { JobSpec } from "../protocol/model.js";
-import type { StartObjective } from "../protocol/settings.js";
-import type { ClusterState } from "./cluster-state.js";
-import { assumedReplicas, classesWithFastStart } from "./expected-classes.js";
-import { FreeCapacity, freeBesideReplicas, freeOn } from "./free-capacity.js";
-import type { FleetLook } from "./load.js";
-import { zoneRoom } from "./placing.js";
-import type { TimePort } from "./ports.js";
-import type { RentalNeed, Rentals } from "./rentals.js";
+import type { Job } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import type { JobSpec } from "../../protocol/model.js";
+import type { StartObjective } from "../../protocol/settings/platform.js";
+import { FreeCapacity, freeBesideReplicas, freeOn } from "../placement/free-capacity.js";
+import type { TimePort } from "../ports/clock.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import { assumedReplicas, classesWithFastStart } from "./expected-services.js";
+import type { FleetLook } from "./fleet-load.js";
+import type { RentalNeed, Rentals } from "./scale-out.js";
 
 /** Standing jobs that came so lately are expected once more. */
 const expectedMs = 60_000;
--- a/src/coordination/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -1,9 +1,10 @@
-import type { Attempt } from "../bookkeeping/jobs.js";
-import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { OrderSender } from "./order-sender.js";
-import { zoneRoom } from "./placing.js";
-import type { Log } from "./ports.js";
+import type { Attempt } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import { machineAllowed } from "../../bookkeeping/machine-fit.js";
+import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { OrderSender } from "../workers/direct-command-sender.js";
 
 const everyMs = 300;
 /** Replicas of a job move one after the other, unless a machine is taken as soon as this. */
--- a/src/coordination/machine-returns.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -1,7 +1,9 @@
-import type { Machine } from "../bookkeeping/machines.js";
-import type { BootTimes } from "./boot-times.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { CloudPort, Log, TimePort } from "./ports.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import type { TimePort } from "../ports/clock.js";
+import type { CloudPort } from "../ports/cloud.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { BootTimes } from "./provisioning-times.js";
 
 /** Machines that were returned are known as gone for so long: late copies of their reports may come. */
 const goneKeptMs = 10 * 60_000;
--- a/src/coordination/rentals.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -1,11 +1,15 @@
-import { Machine } from "../bookkeeping/machines.js";
-import type { RentRequest } from "../protocol/cloud-api.js";
-import type { JobSpec, MachineType } from "../protocol/model.js";
-import type { OperatorSettings } from "../protocol/operator.js";
-import type { ClusterState } from "./cluster-state.js";
-import { type FleetLook, usableCpus } from "./load.js";
-import { CallFailed, type CloudPort, type Log, type TimePort } from "./ports.js";
-import { machinesToCut, type Offer, offerKey, offersFor, rankOffers, tasksHeld } from "./scaling.js";
+import { Machine } from "../../bookkeeping/machine.js";
+import { tasksHeld } from "../../bookkeeping/machine-fit.js";
+import type { RentRequest } from "../../protocol/http/cloud-api.js";
+import type { JobSpec, MachineType } from "../../protocol/model.js";
+import type { OperatorSettings } from "../../protocol/settings/operator.js";
+import { CallFailed } from "../ports/call-error.js";
+import type { TimePort } from "../ports/clock.js";
+import type { CloudPort } from "../ports/cloud.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import { type FleetLook, usableCpus } from "./fleet-load.js";
+import { machinesToCut, type Offer, offerKey, offersFor, rankOffers } from "./hill-climb.js";
 
 /** An offer this many times as dear as the cheapest of its kind is not taken at once. */
 const dearFrom = 2;
--- a/src/coordination/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -1,4 +1,7 @@
-import type { Job } from "../bookkeeping/jobs.js";
+import type { Job } from "../../bookkeeping/job.js";
+import type { Versioned } from "../../bookkeeping/store-replica.js";
+import { tasksPerPage } from "../../bookkeeping/task-set.js";
+import type { StoreChange, StoreCondition } from "../../protocol/http/store-api.js";
 import {
 	demandOf,
 	keys,
@@ -6,12 +9,12 @@
 	pageOf,
 	type SharedRecord,
 	type TerminalRecord,
-} from "../bookkeeping/records.js";
-import type { Versioned } from "../bookkeeping/store-copy.js";
-import { tasksPerPage } from "../bookkeeping/task-set.js";
-import type { StoreChange, StoreCondition } from "../protocol/store-api.js";
-import { CallFailed, type Log, type StorePort, type TimePort } from "./ports.js";
-import { SharedRecords, type SharedRecordsEnvironment } from "./shared-records.js";
+} from "../../protocol/records/records.js";
+import { CallFailed } from "../ports/call-error.js";
+import type { TimePort } from "../ports/clock.js";
+import type { Log } from "../ports/log.js";
+import type { StorePort } from "../ports/store.js";
+import { SharedRecords, type SharedRecordsEnvironment } from "../replication/chunked-records.js";
 
 const progressEveryMs = 1000;
 const shrinkMs = 5000;
--- a/src/coordination/job-service.ts
+++ b/src/coordination/jobs/job-service.ts
@@ -1,17 +1,19 @@
-import { typeFits } from "../bookkeeping/jobs.js";
-import type { TeamLimits } from "../bookkeeping/quotas.js";
+import { typeFits } from "../../bookkeeping/machine-fit.js";
+import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import type { StoreCopy } from "../../bookkeeping/store-replica.js";
+import { MalformedMessageError } from "../../protocol/checks.js";
+import { isStanding, type JobSpec, type JobStatus, type MachineType } from "../../protocol/model.js";
 import {
 	demandOf,
 	type JobRecord,
 	keys,
 	parseTerminal,
 	type TerminalRecord,
-} from "../bookkeeping/records.js";
-import type { StoreCopy } from "../bookkeeping/store-copy.js";
-import { MalformedMessageError } from "../protocol/checks.js";
-import { isStanding, type JobSpec, type JobStatus, type MachineType } from "../protocol/model.js";
-import { CallFailed, type StorePort, type TimePort } from "./ports.js";
-import type { StoreSync } from "./store-sync.js";
+} from "../../protocol/records/records.js";
+import { CallFailed } from "../ports/call-error.js";
+import type { TimePort } from "../ports/clock.js";
+import type { StorePort } from "../ports/store.js";
+import type { StoreSync } from "../replication/replica-sync.js";
 
 export interface JobState {
 	status: JobStatus;
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -1,41 +1,38 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import type { Job } from "../bookkeeping/jobs.js";
-import { Machine, unknownType } from "../bookkeeping/machines.js";
-import { type JobRecord, keys, type MachineRecord } from "../bookkeeping/records.js";
-import type { StoreCopy, Versioned } from "../bookkeeping/store-copy.js";
+import type { Job } from "../bookkeeping/job.js";
+import { Machine, unknownType } from "../bookkeeping/machine.js";
+import type { StoreCopy, Versioned } from "../bookkeeping/store-replica.js";
+import type { StoreCondition } from "../protocol/http/store-api.js";
 import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
-import type { OperatorSettings } from "../protocol/operator.js";
-import type { PeerMessage } from "../protocol/peer.js";
-import { type PlatformSettings, startObjectives } from "../protocol/settings.js";
-import type { StoreCondition } from "../protocol/store-api.js";
-import { ClusterState } from "./cluster-state.js";
-import { FeatureRecord } from "./feature-record.js";
-import { Fleet } from "./fleet.js";
-import { JobCompletion } from "./job-completion.js";
-import { drift } from "./leadership.js";
-import { MachineReports } from "./machine-reports.js";
-import { MachineWatch } from "./machine-watch.js";
-import { OrderSender } from "./order-sender.js";
-import { PeerMonitor } from "./peer-monitor.js";
-import { PlacementCycle } from "./placement-cycle.js";
-import type {
-	CloudPort,
-	LeaderQuotaPort,
-	Log,
-	PeerPort,
-	StorePort,
-	TeamQuotaPort,
-	TimePort,
-	WorkerPort,
-} from "./ports.js";
-import { PreemptionCycle } from "./preemption-cycle.js";
-import { ReplicaRelocation } from "./replica-relocation.js";
-import { SharedRecords, type SharedRecordsEnvironment } from "./shared-records.js";
-import { Takeover } from "./takeover.js";
-import { TaskOutcomes } from "./task-outcomes.js";
-import { TeamAdmission } from "./team-admission.js";
-import { TickLateness } from "./tick-lateness.js";
-import { UnwantedTasks } from "./unwanted-tasks.js";
+import type { PeerMessage } from "../protocol/peer/messages.js";
+import { type JobRecord, keys, type MachineRecord } from "../protocol/records/records.js";
+import type { OperatorSettings } from "../protocol/settings/operator.js";
+import { type PlatformSettings, startObjectives } from "../protocol/settings/platform.js";
+import { Fleet } from "./fleet/fleet.js";
+import { ReplicaRelocation } from "./fleet/replica-relocation.js";
+import { JobCompletion } from "./jobs/job-completion.js";
+import { Takeover } from "./leadership/failover.js";
+import { PeerMonitor } from "./leadership/failure-detector.js";
+import { FeatureRecord } from "./leadership/feature-gate.js";
+import { drift } from "./leadership/leadership.js";
+import { PlacementCycle } from "./placement/placement-cycle.js";
+import { TeamAdmission } from "./placement/quota-admission.js";
+import type { TimePort } from "./ports/clock.js";
+import type { CloudPort } from "./ports/cloud.js";
+import type { Log } from "./ports/log.js";
+import type { PeerPort } from "./ports/peers.js";
+import type { StorePort } from "./ports/store.js";
+import type { LeaderQuotaPort, TeamQuotaPort } from "./ports/team-quota.js";
+import type { WorkerPort } from "./ports/workers.js";
+import { PreemptionCycle } from "./preemption/preemption-cycle.js";
+import { SharedRecords, type SharedRecordsEnvironment } from "./replication/chunked-records.js";
+import { TickLateness } from "./runtime/tick-delay.js";
+import { ClusterState } from "./state/cluster-state.js";
+import { OrderSender } from "./workers/direct-command-sender.js";
+import { TaskOutcomes } from "./workers/fault-attribution.js";
+import { MachineReports } from "./workers/heartbeat-service.js";
+import { MachineWatch } from "./workers/lease-monitor.js";
+import { UnwantedTasks } from "./workers/orphan-cleanup.js";
 
 export interface LeaderPorts {
 	store: StorePort;
@@ -229,7 +226,7 @@
 			orders: this.orders,
 			outcomes,
 			unwanted,
-			completion: this.completion,
+			finishIfDone: (job) => this.completion.finishIfDone(job),
 			lateness: this.lateness,
 			time,
 			log,
--- a/src/coordination/takeover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -1,7 +1,8 @@
-import { Machine, unknownType } from "../bookkeeping/machines.js";
-import type { WorkerReport } from "../protocol/model.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { Log, WorkerPort } from "./ports.js";
+import { Machine, unknownType } from "../../bookkeeping/machine.js";
+import type { WorkerReport } from "../../protocol/model.js";
+import type { Log } from "../ports/log.js";
+import type { WorkerPort } from "../ports/workers.js";
+import type { ClusterState } from "../state/cluster-state.js";
 
 /**
  * Machines asked straight for their tasks in each tick of a takeover, at least, and with a large
--- a/src/coordination/peer-monitor.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -1,15 +1,11 @@
-import type { OperatorSettings } from "../protocol/operator.js";
-import type { HeartbeatReply } from "../protocol/peer.js";
-import type { PlatformSettings } from "../protocol/settings.js";
-import type { ClusterState } from "./cluster-state.js";
-import { placerOf } from "./partitioning.js";
-import type { Log, PeerPort } from "./ports.js";
-
-/**
- * A worker that cannot reach the leader tries another node about once in this time: it waits
- * 4 s for an answer and a second before the next.
- */
-export const redirectedMs = 6000;
+import type { HeartbeatReply } from "../../protocol/peer/messages.js";
+import type { OperatorSettings } from "../../protocol/settings/operator.js";
+import type { PlatformSettings } from "../../protocol/settings/platform.js";
+import type { Log } from "../ports/log.js";
+import type { PeerPort } from "../ports/peers.js";
+import { placerOf } from "../sharding/rendezvous-hash.js";
+import type { ClusterState } from "../state/cluster-state.js";
+
 /** So long after a takeover workers still come from elsewhere. */
 const afterTakeoverMs = 8000;
 /** A machine that does not stay with its relay is left alone for this long. */
--- a/src/coordination/feature-record.ts
+++ b/src/coordination/leadership/feature-gate.ts
@@ -1,6 +1,7 @@
-import { type FeaturesRecord, keys } from "../bookkeeping/records.js";
-import type { StoreCondition } from "../protocol/store-api.js";
-import type { StorePort, TimePort } from "./ports.js";
+import type { StoreCondition } from "../../protocol/http/store-api.js";
+import { type FeaturesRecord, keys } from "../../protocol/records/records.js";
+import type { TimePort } from "../ports/clock.js";
+import type { StorePort } from "../ports/store.js";
 
 const retryMs = 1000;
 
--- a/src/coordination/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -1,7 +1,15 @@
-import { keys, type LeaderRecord } from "../bookkeeping/records.js";
-import type { Versioned } from "../bookkeeping/store-copy.js";
-import type { CampaignPromise, Cancellation, LeadershipMessage, PromiseRequest } from "../protocol/peer.js";
-import { CallFailed, type Log, type StorePort, type TimePort } from "./ports.js";
+import type { Versioned } from "../../bookkeeping/store-replica.js";
+import type {
+	CampaignPromise,
+	Cancellation,
+	LeadershipMessage,
+	PromiseRequest,
+} from "../../protocol/peer/messages.js";
+import { keys, type LeaderRecord } from "../../protocol/records/records.js";
+import { CallFailed } from "../ports/call-error.js";
+import type { TimePort } from "../ports/clock.js";
+import type { Log } from "../ports/log.js";
+import type { StorePort } from "../ports/store.js";
 
 export interface LeadershipSettings {
 	ttlMs: number;
--- a/src/coordination/peer-message-reader.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -1,6 +1,6 @@
-import { MalformedMessageError } from "../protocol/checks.js";
-import { claimedKind, type PeerMessage, parsePeerMessage } from "../protocol/peer.js";
-import type { Log } from "./ports.js";
+import { MalformedMessageError } from "../../protocol/checks.js";
+import { claimedKind, type PeerMessage, parsePeerMessage } from "../../protocol/peer/messages.js";
+import type { Log } from "../ports/log.js";
 
 /** More senders and kinds of malformed messages than this are not told apart. */
 const malformedKept = 200;
--- a/src/coordination/place-admitted.ts
+++ b/src/coordination/placement/admitted-placement.ts
@@ -1,8 +1,8 @@
-import { demandOf } from "../bookkeeping/records.js";
-import type { JobSpec } from "../protocol/model.js";
-import type { Grant, Placement, ViewMachine } from "../protocol/placement.js";
-import { placeFirstFit } from "./placing.js";
-import type { TeamQuotaPort } from "./ports.js";
+import type { JobSpec } from "../../protocol/model.js";
+import type { Grant, Placement, ViewMachine } from "../../protocol/peer/placement.js";
+import { demandOf } from "../../protocol/records/records.js";
+import type { TeamQuotaPort } from "../ports/team-quota.js";
+import { placeFirstFit } from "./first-fit.js";
 
 /**
  * Places what this controller can admit against its own allotments: admitted first, so that no place
--- a/src/coordination/placing.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -1,20 +1,11 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import { isStanding, type JobSpec } from "../protocol/model.js";
-import type { Grant, Placement, ViewMachine } from "../protocol/placement.js";
+import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { isStanding, type JobSpec } from "../../protocol/model.js";
+import type { Grant, Placement, ViewMachine } from "../../protocol/peer/placement.js";
 
 const slack = 1e-6;
 
-/** How many more tasks of the job its own zone rules allow in a zone. */
-export function zoneRoom(spec: JobSpec, zones: Record<string, number>, zone: string): number {
-	let room = Number.POSITIVE_INFINITY;
-	if (spec.oneZone) {
-		for (const [other, n] of Object.entries(zones)) if (other !== zone && n > 0) return 0;
-	}
-	if (spec.spread) room = Math.min(room, Math.ceil(spec.tasks / 2) - (zones[zone] ?? 0));
-	return Math.max(0, room);
-}
-
 function fits(spec: JobSpec, m: ViewMachine): number {
 	if (spec.types !== null && !spec.types.includes(m.type)) return 0;
 	if (spec.zone !== null && spec.zone !== m.zone) return 0;
--- a/src/coordination/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -1,8 +1,8 @@
-import type { Job } from "../bookkeeping/jobs.js";
-import type { Grant, ViewMachine } from "../protocol/placement.js";
-import type { ClusterState } from "./cluster-state.js";
-import { starved } from "./ordering.js";
-import { placeable } from "./placing.js";
+import type { Job } from "../../bookkeeping/job.js";
+import type { Grant, ViewMachine } from "../../protocol/peer/placement.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import { placeable } from "./first-fit.js";
+import { starved } from "./job-order.js";
 
 /** So long a job keeps off machines on which it failed, and off types that do not suit it. */
 const avoidMs = 20_000;
--- a/src/coordination/ordering.ts
+++ b/src/coordination/placement/job-order.ts
@@ -1,5 +1,5 @@
-import type { Job } from "../bookkeeping/jobs.js";
-import type { TeamLimits } from "../bookkeeping/quotas.js";
+import type { Job } from "../../bookkeeping/job.js";
+import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
 
 /** Best effort work counts as this many times as long as it is. */
 const bestEffortFactor = 1.2;
--- a/src/coordination/reserved-machines.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -1,8 +1,9 @@
-import type { Attempt, Job } from "../bookkeeping/jobs.js";
-import type { Machine } from "../bookkeeping/machines.js";
-import type { ClusterState } from "./cluster-state.js";
-import { couldHold, remainingOfAttempt } from "./load.js";
-import type { Log } from "./ports.js";
+import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import { couldHold } from "../../bookkeeping/machine-fit.js";
+import { remainingOfAttempt } from "../../bookkeeping/remaining-work.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
 
 /** A job of which nothing has begun for this long may have a machine reserved. */
 const waitsForRoomS = 60;
--- a/src/coordination/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -1,17 +1,20 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import type { Attempt, Job } from "../bookkeeping/jobs.js";
-import type { Machine } from "../bookkeeping/machines.js";
-import type { PlacementProposal } from "../protocol/peer.js";
-import type { Grant, Placement, ViewMachine } from "../protocol/placement.js";
-import type { ClusterState } from "./cluster-state.js";
+import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import type { PlacementProposal } from "../../protocol/peer/messages.js";
+import type { Grant, Placement, ViewMachine } from "../../protocol/peer/placement.js";
+import type { PeerMonitor } from "../leadership/failure-detector.js";
+import type { TimePort } from "../ports/clock.js";
+import type { Log } from "../ports/log.js";
+import type { PeerPort } from "../ports/peers.js";
+import type { LeaderQuotaPort } from "../ports/team-quota.js";
+import { placerOf } from "../sharding/rendezvous-hash.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import { placeFirstFit, sampled } from "./first-fit.js";
 import { grantsFor, type TeamGrant } from "./grants.js";
-import { servingOrder } from "./ordering.js";
-import { placerOf } from "./partitioning.js";
-import type { PeerMonitor } from "./peer-monitor.js";
-import { placeFirstFit, sampled } from "./placing.js";
-import type { LeaderQuotaPort, Log, PeerPort, TimePort } from "./ports.js";
-import { ReservedMachines } from "./reserved-machines.js";
-import type { TeamAdmission } from "./team-admission.js";
+import { servingOrder } from "./job-order.js";
+import { ReservedMachines } from "./machine-reservations.js";
+import type { TeamAdmission } from "./quota-admission.js";
 
 /** A job that its placer does not know is placed by the leader for so long. */
 const placedHereMs = 5000;
--- a/src/coordination/team-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -1,10 +1,11 @@
-import type { Attempt, Job } from "../bookkeeping/jobs.js";
-import { demandOf } from "../bookkeeping/records.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { OrderSender } from "./order-sender.js";
-import { placerOf } from "./partitioning.js";
-import type { PeerMonitor } from "./peer-monitor.js";
-import type { LeaderQuotaPort, Log, TeamQuotaPort } from "./ports.js";
+import type { Attempt, Job } from "../../bookkeeping/job.js";
+import { demandOf } from "../../protocol/records/records.js";
+import type { PeerMonitor } from "../leadership/failure-detector.js";
+import type { Log } from "../ports/log.js";
+import type { LeaderQuotaPort, TeamQuotaPort } from "../ports/team-quota.js";
+import { placerOf } from "../sharding/rendezvous-hash.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { OrderSender } from "../workers/direct-command-sender.js";
 
 const limitsEveryMs = 500;
 const scrubEveryMs = 10_000;
--- /dev/null
+++ b/src/coordination/ports/team-quota.ts
@@ -0,0 +1,51 @@
+import type { TeamCharge, TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import type { Demand } from "../../protocol/model.js";
+/**
+ * Team quota: limits divided among the controllers. What controllers tell each other of it is passed
+ * on as it is; `packages/team-quota` makes and checks it.
+ */
+export interface TeamQuotaPort {
+	/** News of a stored value; undefined: it is gone. */
+	stored(key: string, value: unknown, revision: number): void;
+	/** What the team may use for now; null: the platform's settings say it. */
+	limits(team: string): TeamLimits | null;
+	/** From the leader of the term. */
+	takeTerms(term: number, terms: unknown): void;
+	/** How many tasks of this size this controller admits, of `most`. */
+	admit(demand: Demand, most: number): number;
+	/** Gives back admissions since the last batch. */
+	withdraw(demand: Demand, count: number): void;
+	/** The reply that goes with the admissions since the last batch. */
+	sendBatch(): unknown;
+	reply(): unknown;
+	lead(term: number): LeaderQuotaPort;
+}
+/** Whether allotments let a task start, and whose allotment each task counts against. */
+export interface AdmissionControl {
+	/** This node, which holds allotments like any other. */
+	readonly self: string;
+	mayStart(demand: Demand, admittedBy: string): boolean;
+	charge(demand: Demand, admittedBy: string): TeamCharge;
+	/** Of a task that was found running: nobody knows who admitted it. */
+	chargeFound(demand: Demand): TeamCharge;
+	release(charge: TeamCharge): void;
+}
+/** The leader's side of team quota, for one term. */
+export interface LeaderQuotaPort extends AdmissionControl {
+	/** All tasks of earlier leaders are charged. */
+	start(): void;
+	end(): void;
+	tick(): void;
+	/** True: the admissions that came with the reply count. */
+	heard(node: string, reply: unknown): boolean;
+	/** What the node is to be told; undefined: nothing. */
+	termsFor(node: string): unknown;
+	hasRoom(demand: Demand, node: string): boolean;
+	prefer(team: string, preferred: string, nodes: readonly string[]): void;
+	/** This node is to admit so many tasks, whoever is preferred; 0: no longer. */
+	need(demand: Demand, count: number): void;
+	/** By the leader's own count, to be compared with what is charged. */
+	scrub(running: readonly Demand[]): void;
+	/** What the team runs above a lower limit that is pending. */
+	excess(team: string): { cpus: number; gpus: number } | null;
+}
--- a/src/coordination/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -1,10 +1,10 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import type { Job } from "../bookkeeping/jobs.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { OrderSender } from "./order-sender.js";
-import { sampled } from "./placing.js";
-import type { Log } from "./ports.js";
-import { chooseVictims } from "./preemption.js";
+import type { Job } from "../../bookkeeping/job.js";
+import { sampled } from "../placement/first-fit.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { OrderSender } from "../workers/direct-command-sender.js";
+import { chooseVictims } from "./preemption-planner.js";
 
 const everyMs = 500;
 /** Room may come by itself for so long after a job came to be known. */
--- a/src/coordination/preemption.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -1,7 +1,8 @@
-import type { Attempt, Job } from "../bookkeeping/jobs.js";
-import { type Machine, machineAllowed } from "../bookkeeping/machines.js";
-import { type JobSpec, priorityRank } from "../protocol/model.js";
-import type { ClusterState } from "./cluster-state.js";
+import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import { machineAllowed } from "../../bookkeeping/machine-fit.js";
+import { type JobSpec, priorityRank } from "../../protocol/model.js";
+import type { ClusterState } from "../state/cluster-state.js";
 
 /**
  * Which running tasks to stop so that waiting ones of more right can start. Only
--- a/src/coordination/shared-records.ts
+++ b/src/coordination/replication/chunked-records.ts
@@ -1,6 +1,7 @@
-import type { SharedRecord } from "../bookkeeping/records.js";
-import type { StoreChange, StoreCondition } from "../protocol/store-api.js";
-import { CallFailed, type RateClass, type StorePort } from "./ports.js";
+import type { StoreChange, StoreCondition } from "../../protocol/http/store-api.js";
+import type { SharedRecord } from "../../protocol/records/records.js";
+import { CallFailed } from "../ports/call-error.js";
+import type { RateClass, StorePort } from "../ports/store.js";
 
 interface SharedValue<V> {
 	readonly key: string;
--- a/src/coordination/store-sync.ts
+++ b/src/coordination/replication/replica-sync.ts
@@ -1,6 +1,9 @@
-import { keys } from "../bookkeeping/records.js";
-import type { StoreCopy } from "../bookkeeping/store-copy.js";
-import { CallFailed, type Log, type StorePort, type TimePort } from "./ports.js";
+import type { StoreCopy } from "../../bookkeeping/store-replica.js";
+import { keys } from "../../protocol/records/records.js";
+import { CallFailed } from "../ports/call-error.js";
+import type { TimePort } from "../ports/clock.js";
+import type { Log } from "../ports/log.js";
+import type { StorePort } from "../ports/store.js";
 
 const watchMs = 2500;
 const watchPauseMs = 100;
--- a/src/coordination/stall-detector.ts
+++ b/src/coordination/runtime/pause-detector.ts
@@ -1,4 +1,4 @@
-import type { TimePort } from "./ports.js";
+import type { TimePort } from "../ports/clock.js";
 
 /** A process that is merely short of processor time handles its commands more often than this. */
 const shortestStallMs = 2000;
--- a/src/coordination/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -1,12 +1,13 @@
-import type { Attempt } from "../bookkeeping/jobs.js";
-import { Job } from "../bookkeeping/jobs.js";
-import { type Machine, machineAllowed, type UnwantedTask } from "../bookkeeping/machines.js";
-import { Quotas, type TeamLimits } from "../bookkeeping/quotas.js";
-import { demandOf } from "../bookkeeping/records.js";
-import { tasksPerPage } from "../bookkeeping/task-set.js";
-import type { Demand, JobSpec, MachineType } from "../protocol/model.js";
-import { zoneRoom } from "./placing.js";
-import type { AdmissionControl } from "./ports.js";
+import type { Attempt } from "../../bookkeeping/job.js";
+import { Job } from "../../bookkeeping/job.js";
+import type { Machine, UnwantedTask } from "../../bookkeeping/machine.js";
+import { machineAllowed } from "../../bookkeeping/machine-fit.js";
+import { Quotas, type TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import { tasksPerPage } from "../../bookkeeping/task-set.js";
+import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import type { Demand, JobSpec, MachineType } from "../../protocol/model.js";
+import { demandOf } from "../../protocol/records/records.js";
+import type { AdmissionControl } from "../ports/team-quota.js";
 
 /** Attempts of one epoch; beyond them the leader must get itself a new epoch. */
 export const attemptsPerTerm = 2 ** 22;
--- a/src/coordination/order-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -1,8 +1,9 @@
-import type { Attempt } from "../bookkeeping/jobs.js";
-import type { Machine } from "../bookkeeping/machines.js";
-import type { Order } from "../protocol/model.js";
-import type { Log, WorkerPort } from "./ports.js";
-import { stopsFor } from "./reports.js";
+import type { Attempt } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import type { Order } from "../../protocol/model.js";
+import type { Log } from "../ports/log.js";
+import type { WorkerPort } from "../ports/workers.js";
+import { stopsFor } from "./heartbeat-reconciliation.js";
 
 interface WaitingOrders {
 	machine: Machine;
--- a/src/coordination/task-outcomes.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -1,8 +1,8 @@
-import type { Attempt, Job } from "../bookkeeping/jobs.js";
-import { type Machine, muchTooSlow, noteRun } from "../bookkeeping/machines.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { Log } from "./ports.js";
-import type { Outcome } from "./reports.js";
+import type { Attempt, Job } from "../../bookkeeping/job.js";
+import { type Machine, muchTooSlow, noteRun } from "../../bookkeeping/machine.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { Outcome } from "./heartbeat-reconciliation.js";
 
 /** Runs of a job after which their mean says something of its other tasks. */
 const runsForMean = 4;
--- a/src/coordination/relay.ts
+++ b/src/coordination/workers/heartbeat-forwarding.ts
@@ -1,6 +1,7 @@
-import type { Order, WorkerReport } from "../protocol/model.js";
-import { type PackedReport, packReport } from "../protocol/packed-report.js";
-import type { PeerPort, TimePort } from "./ports.js";
+import type { Order, WorkerReport } from "../../protocol/model.js";
+import { type PackedReport, packReport } from "../../protocol/peer/packed-heartbeat.js";
+import type { TimePort } from "../ports/clock.js";
+import type { PeerPort } from "../ports/peers.js";
 
 /** Reports, and answers, of this long pass between controllers as one message. */
 const gatherRelayedMs = 20;
--- a/src/coordination/reports.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -1,7 +1,7 @@
-import type { Attempt, Job } from "../bookkeeping/jobs.js";
-import { Machine } from "../bookkeeping/machines.js";
-import type { Order, ReportedTask, WorkerReport } from "../protocol/model.js";
-import { type ClusterState, taskKey } from "./cluster-state.js";
+import type { Attempt, Job } from "../../bookkeeping/job.js";
+import { Machine } from "../../bookkeeping/machine.js";
+import type { Order, ReportedTask, WorkerReport } from "../../protocol/model.js";
+import { type ClusterState, taskKey } from "../state/cluster-state.js";
 
 /** What a report tells about jobs and machines, for those who log and decide on it. */
 export interface Outcome {
--- a/src/coordination/report-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -1,24 +1,37 @@
-import type { Order, WorkerReport } from "../protocol/model.js";
-import { unpackReport } from "../protocol/packed-report.js";
+import type { Order, WorkerReport } from "../../protocol/model.js";
 import type {
 	ForwardedAnswers,
 	ForwardedReports,
 	LeaderHeartbeat,
 	PlacementRequest,
-} from "../protocol/peer.js";
-import type { Leader } from "./leader.js";
-import { redirectedMs } from "./peer-monitor.js";
-import type { PeerPort, TimePort } from "./ports.js";
-import { AnswerBatches, Relay } from "./relay.js";
+} from "../../protocol/peer/messages.js";
+import { unpackReport } from "../../protocol/peer/packed-heartbeat.js";
+import type { TimePort } from "../ports/clock.js";
+import type { PeerPort } from "../ports/peers.js";
+import { AnswerBatches, Relay } from "./heartbeat-forwarding.js";
 
 export type ReportResult =
 	| { kind: "orders"; token: number; orders: Order[] }
 	| { kind: "elsewhere"; node: string | null };
 
+/**
+ * A worker that cannot reach the leader tries another node about once in this time: it waits
+ * 4 s for an answer and a second before the next.
+ */
+const redirectedMs = 6000;
+
+/** What the router needs of a leader. */
+export interface HeartbeatHandler {
+	/** null: this process may not answer for the controllers. */
+	report(report: WorkerReport): Promise<Order[] | null>;
+	/** The controller that receives the machine's heartbeats, or null for this one. */
+	relayFor(machine: string): string | null;
+}
+
 /** The leader of a term, as far as this process acts for it. */
 export interface ActiveLeader {
 	term: number;
-	leader: Leader;
+	leader: HeartbeatHandler;
 }
 
 export interface ReportRouterOptions {
--- a/src/coordination/machine-reports.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -1,17 +1,16 @@
-import type { Attempt } from "../bookkeeping/jobs.js";
-import type { Machine } from "../bookkeeping/machines.js";
-import type { Order, WorkerReport } from "../protocol/model.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { Fleet } from "./fleet.js";
-import { HeldReports } from "./held-reports.js";
-import type { JobCompletion } from "./job-completion.js";
-import type { OrderSender } from "./order-sender.js";
-import type { Log, TimePort } from "./ports.js";
-import { type Applied, applyReport, ordersFor } from "./reports.js";
-import { stopBeforeTaken } from "./spot-notice.js";
-import type { TaskOutcomes } from "./task-outcomes.js";
-import type { TickLateness } from "./tick-lateness.js";
-import type { UnwantedTasks } from "./unwanted-tasks.js";
+import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import type { Order, WorkerReport } from "../../protocol/model.js";
+import type { TimePort } from "../ports/clock.js";
+import type { Log } from "../ports/log.js";
+import type { TickLateness } from "../runtime/tick-delay.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { OrderSender } from "./direct-command-sender.js";
+import type { TaskOutcomes } from "./fault-attribution.js";
+import { type Applied, applyReport, ordersFor } from "./heartbeat-reconciliation.js";
+import type { UnwantedTasks } from "./orphan-cleanup.js";
+import { HeldReports } from "./pending-heartbeats.js";
+import { stopBeforeTaken } from "./spot-reclaim.js";
 
 const answerHoldMs = 150;
 /** A machine without tasks is answered after this, or this part of a report interval, if nothing comes. */
@@ -20,16 +19,25 @@
 /** A machine that reported within this part of an interval is worth being asked for its next report. */
 const reportedLatelyPart = 0.6;
 
+/** What heartbeats tell the fleet, and what the fleet knows of machines. */
+export interface MachineLifecycleListener {
+	/** The cloud has confirmed that the machine is deleted: a late heartbeat of it must not be answered. */
+	isGone(machine: string): boolean;
+	/** The machine has sent its first heartbeat to this leader. */
+	cameUp(machine: Machine): void;
+}
+
 export interface MachineReportsOptions {
 	term: number;
 	/** Seconds between a worker's reports. */
 	reportS: number;
 	clusterState: ClusterState;
-	fleet: Fleet;
+	fleet: MachineLifecycleListener;
 	orders: OrderSender;
 	outcomes: TaskOutcomes;
 	unwanted: UnwantedTasks;
-	completion: JobCompletion;
+	/** Ends the job in the store if all its tasks are done. */
+	finishIfDone(job: Job): void;
 	lateness: TickLateness;
 	time: TimePort;
 	log: Log;
@@ -96,7 +104,7 @@
 
 	/** Without an answer: also for what a machine says when it is asked. */
 	apply(report: WorkerReport): Applied["kind"] {
-		const { clusterState, time, log, unwanted, fleet, outcomes, completion, orders } = this.options;
+		const { clusterState, time, log, unwanted, fleet, outcomes, orders } = this.options;
 		const now = time.now();
 		const toldBefore = clusterState.machines.get(report.machine)?.unwanted ?? [];
 		const applied = applyReport(clusterState, report, now);
@@ -112,7 +120,7 @@
 			outcomes.record(outcome, now);
 		}
 		// Not only by outcomes: a job's last tasks may have ended while nobody led.
-		for (const job of applied.progressed) completion.finishIfDone(job);
+		for (const job of applied.progressed) this.options.finishIfDone(job);
 		for (const attempt of applied.begun) this.logReplica(attempt, "replica runs");
 		for (const { job, index } of applied.vanished)
 			log.info({ machine: machine.id, job: job.id, task: index }, "task vanished");
--- a/src/coordination/machine-watch.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -1,6 +1,6 @@
-import type { Machine } from "../bookkeeping/machines.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { Log } from "./ports.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import type { Log } from "../ports/log.js";
+import type { ClusterState } from "../state/cluster-state.js";
 
 /** With more machines than these that answers seem not to reach, the fault is more likely on this side. */
 const fewUnreachable = 2;
--- a/src/coordination/unwanted-tasks.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -1,9 +1,10 @@
-import type { Machine, UnwantedTask } from "../bookkeeping/machines.js";
-import { keys, parseTerminal, type TerminalRecord } from "../bookkeeping/records.js";
-import type { Order } from "../protocol/model.js";
-import type { ClusterState } from "./cluster-state.js";
-import type { OrderSender } from "./order-sender.js";
-import type { StorePort, TimePort } from "./ports.js";
+import type { Machine, UnwantedTask } from "../../bookkeeping/machine.js";
+import type { Order } from "../../protocol/model.js";
+import { keys, parseTerminal, type TerminalRecord } from "../../protocol/records/records.js";
+import type { TimePort } from "../ports/clock.js";
+import type { StorePort } from "../ports/store.js";
+import type { ClusterState } from "../state/cluster-state.js";
+import type { OrderSender } from "./direct-command-sender.js";
 
 const retryMs = 500;
 
--- a/src/coordination/held-reports.ts
+++ b/src/coordination/workers/pending-heartbeats.ts
@@ -1,5 +1,5 @@
-import type { Order } from "../protocol/model.js";
-import type { TimePort } from "./ports.js";
+import type { Order } from "../../protocol/model.js";
+import type { TimePort } from "../ports/clock.js";
 
 /** How often held reports are looked at. */
 const sweepMs = 30;
--- a/src/coordination/spot-notice.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -1,5 +1,5 @@
-import type { Attempt } from "../bookkeeping/jobs.js";
-import type { Machine } from "../bookkeeping/machines.js";
+import type { Attempt } from "../../bookkeeping/job.js";
+import type { Machine } from "../../bookkeeping/machine.js";
 
 /** A task is given up on a machine about to be taken if it needs this many times what is left. */
 const needsTooLongFactor = 1.3;
--- a/src/protocol/store-api.ts
+++ b/src/protocol/http/store-api.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import { checkShape, count, name, orNull } from "./checks.js";
+import { checkShape, count, name, orNull } from "../checks.js";
 import { paths } from "./paths.js";
 
 /** The state service's API: rows, transactions, leases and watches. */
--- a/src/protocol/user-api.ts
+++ b/src/protocol/http/user-api.ts
@@ -8,8 +8,8 @@
 	orNull,
 	parseObject,
 	positive,
-} from "./checks.js";
-import { isStanding, type JobSpec, type JobStatus } from "./model.js";
+} from "../checks.js";
+import { isStanding, type JobSpec, type JobStatus } from "../model.js";
 
 /** The users' API: wire words of jobs, mapped to the service's own. */
 
--- a/src/protocol/worker-api.ts
+++ b/src/protocol/http/worker-api.ts
@@ -1,5 +1,5 @@
-import { MalformedMessageError, parseObject } from "./checks.js";
-import type { ExitCause, Order, ReportedTask, TaskState, WorkerReport } from "./model.js";
+import { MalformedMessageError, parseObject } from "../checks.js";
+import type { ExitCause, Order, ReportedTask, TaskState, WorkerReport } from "../model.js";
 
 /** The workers' API: reports, and orders in answers and in direct requests. */
 
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer/messages.ts
@@ -1,7 +1,7 @@
 import * as v from "valibot";
-import { checkShape, count, MalformedMessageError, name } from "./checks.js";
-import type { Order } from "./model.js";
-import { isOrder, isPackedReport, type PackedReport } from "./packed-report.js";
+import { checkShape, count, MalformedMessageError, name } from "../checks.js";
+import type { Order } from "../model.js";
+import { isOrder, isPackedReport, type PackedReport } from "./packed-heartbeat.js";
 import {
 	type Grant,
 	GrantSchema,
--- a/src/protocol/packed-report.ts
+++ b/src/protocol/peer/packed-heartbeat.ts
@@ -1,4 +1,4 @@
-import type { ExitCause, Order, TaskState, WorkerReport } from "./model.js";
+import type { ExitCause, Order, TaskState, WorkerReport } from "../model.js";
 
 /**
  * Workers' reports, and orders for them, as they pass between controllers: by the hundred a
--- a/src/protocol/placement.ts
+++ b/src/protocol/peer/placement.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import { amount, count, name } from "./checks.js";
+import { amount, count, name } from "../checks.js";
 
 /** What leader and placers tell each other of free machines and of tasks to start. */
 
--- a/src/bookkeeping/records.ts
+++ b/src/protocol/records/records.ts
@@ -1,14 +1,6 @@
 import * as v from "valibot";
-import {
-	amount,
-	checkShape,
-	count,
-	flag,
-	MalformedMessageError,
-	name,
-	positive,
-} from "../protocol/checks.js";
-import type { Demand, JobSpec, MachineType } from "../protocol/model.js";
+import { amount, checkShape, count, flag, MalformedMessageError, name, positive } from "../checks.js";
+import type { Demand, JobSpec, MachineType } from "../model.js";
 
 /**
  * What is kept in the state service. Everything that changes while jobs live is
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -10,10 +10,12 @@
 	showQuotas,
 	UnknownTeamError,
 } from "#team-quota";
-import { keys, parseStored } from "./bookkeeping/records.js";
-import { CallFailed, type StorePort, type TimePort } from "./coordination/ports.js";
-import { defaultOperator, parseOperator } from "./protocol/operator.js";
-import { parsePlatform, readText } from "./protocol/settings.js";
+import { CallFailed } from "./coordination/ports/call-error.js";
+import type { TimePort } from "./coordination/ports/clock.js";
+import type { StorePort } from "./coordination/ports/store.js";
+import { keys, parseStored } from "./protocol/records/records.js";
+import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
+import { parsePlatform, readText } from "./protocol/settings/platform.js";
 import { quotaStore } from "./team-quota.js";
 import { HttpClient } from "./transport/http-client.js";
 import { StoreClient } from "./transport/store-client.js";
--- a/src/team-quota.ts
+++ b/src/team-quota.ts
@@ -1,8 +1,11 @@
 import { limitAmount, QuotaService, type QuotaStore, type StoredChange, TeamQuota } from "#team-quota";
-import { keys } from "./bookkeeping/records.js";
-import type { Log, StorePort, TeamQuotaPort, TimePort } from "./coordination/ports.js";
-import type { OperatorSettings } from "./protocol/operator.js";
-import type { PlatformSettings } from "./protocol/settings.js";
+import type { TimePort } from "./coordination/ports/clock.js";
+import type { Log } from "./coordination/ports/log.js";
+import type { StorePort } from "./coordination/ports/store.js";
+import type { TeamQuotaPort } from "./coordination/ports/team-quota.js";
+import { keys } from "./protocol/records/records.js";
+import type { OperatorSettings } from "./protocol/settings/operator.js";
+import type { PlatformSettings } from "./protocol/settings/platform.js";
 
 /** Wires team quota to the service: its store, its clocks and the settings of platform and operators. */
 
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,4 +1,6 @@
-import { CallFailed, type CloudPort, type TimePort } from "../coordination/ports.js";
+import { CallFailed } from "../coordination/ports/call-error.js";
+import type { TimePort } from "../coordination/ports/clock.js";
+import type { CloudPort } from "../coordination/ports/cloud.js";
 import {
 	isNoCapacity,
 	listedFrom,
@@ -9,9 +11,9 @@
 	rentBody,
 	rentedFrom,
 	returnBody,
-} from "../protocol/cloud-api.js";
+} from "../protocol/http/cloud-api.js";
+import { paths } from "../protocol/http/paths.js";
 import type { MachineType } from "../protocol/model.js";
-import { paths } from "../protocol/paths.js";
 import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
 import { TokenBucket } from "./token-bucket.js";
 
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,5 +1,5 @@
 import { Agent, request } from "node:http";
-import { CallFailed } from "../coordination/ports.js";
+import { CallFailed } from "../coordination/ports/call-error.js";
 import { MalformedMessageError } from "../protocol/checks.js";
 
 export interface HttpResponse {
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,6 +1,7 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { Decoder, Encoder } from "cbor-x";
-import type { Log, PeerPort } from "../coordination/ports.js";
+import type { Log } from "../coordination/ports/log.js";
+import type { PeerPort } from "../coordination/ports/peers.js";
 
 const maxFrame = 4 * 1024 * 1024;
 const maxQueued = 2 * 1024 * 1024;
--- a/src/transport/public-api.ts
+++ b/src/transport/public-api.ts
@@ -1,14 +1,14 @@
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { getRequestListener } from "@hono/node-server";
 import { Hono } from "hono";
-import type { JobLookup, SubmitResult } from "../coordination/job-service.js";
-import type { Log } from "../coordination/ports.js";
-import type { ReportResult } from "../coordination/report-router.js";
+import type { JobLookup, SubmitResult } from "../coordination/jobs/job-service.js";
+import type { Log } from "../coordination/ports/log.js";
+import type { ReportResult } from "../coordination/workers/heartbeat-router.js";
 import { MalformedMessageError } from "../protocol/checks.js";
+import { paths } from "../protocol/http/paths.js";
+import { isJobId, jobAnswer, jobIdOf, parseJob } from "../protocol/http/user-api.js";
+import { elsewhereBody, ordersBody, parseReport } from "../protocol/http/worker-api.js";
 import type { JobSpec, WorkerReport } from "../protocol/model.js";
-import { paths } from "../protocol/paths.js";
-import { isJobId, jobAnswer, jobIdOf, parseJob } from "../protocol/user-api.js";
-import { elsewhereBody, ordersBody, parseReport } from "../protocol/worker-api.js";
 
 const maxBody = 64 * 1024;
 /** With more of its connections in use, those of workers are closed between reports. */
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -1,11 +1,7 @@
-import {
-	CallFailed,
-	type RateClass,
-	type StorePort,
-	type TimePort,
-	type TransactionResult,
-} from "../coordination/ports.js";
-import { paths } from "../protocol/paths.js";
+import { CallFailed } from "../coordination/ports/call-error.js";
+import type { TimePort } from "../coordination/ports/clock.js";
+import type { RateClass, StorePort, TransactionResult } from "../coordination/ports/store.js";
+import { paths } from "../protocol/http/paths.js";
 import {
 	conflictFrom,
 	epochFrom,
@@ -20,7 +16,7 @@
 	type StoreRow,
 	transactionBody,
 	watchPath,
-} from "../protocol/store-api.js";
+} from "../protocol/http/store-api.js";
 import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
 import { TokenBucket } from "./token-bucket.js";
 
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,7 +1,7 @@
-import type { WorkerPort } from "../coordination/ports.js";
+import type { WorkerPort } from "../coordination/ports/workers.js";
+import { paths } from "../protocol/http/paths.js";
+import { directOrdersBody, reportFrom } from "../protocol/http/worker-api.js";
 import type { Order, WorkerReport } from "../protocol/model.js";
-import { paths } from "../protocol/paths.js";
-import { directOrdersBody, reportFrom } from "../protocol/worker-api.js";
 import { expectStatus, type HttpCaller, HttpClient, parseResponse } from "./http-client.js";
 
 /** Orders sent straight to workers; each call has its own short-lived connection. */
--- a/tests/boot-times.test.ts
+++ b/tests/boot-times.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Machine, unknownType } from "../src/bookkeeping/machines.js";
-import { BootTimes } from "../src/coordination/boot-times.js";
+import { Machine, unknownType } from "../src/bookkeeping/machine.js";
+import { BootTimes } from "../src/coordination/fleet/provisioning-times.js";
 
 const type = { ...unknownType("t"), bootS: 40 };
 const other = { ...unknownType("u"), bootS: 40 };
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -2,28 +2,27 @@
 import { test } from "node:test";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import type { Job } from "../src/bookkeeping/jobs.js";
-import { Machine, muchTooSlow, noteRun } from "../src/bookkeeping/machines.js";
-import { Quotas } from "../src/bookkeeping/quotas.js";
+import type { Job } from "../src/bookkeeping/job.js";
+import { Machine, muchTooSlow, noteRun } from "../src/bookkeeping/machine.js";
+import { Quotas } from "../src/bookkeeping/quota-ledger.js";
+import { remainingOfRunning, remainingOfWaiting } from "../src/bookkeeping/remaining-work.js";
 import { countInPage, TaskSet, tasksPerPage } from "../src/bookkeeping/task-set.js";
-import { ClusterState } from "../src/coordination/cluster-state.js";
-import { Fleet } from "../src/coordination/fleet.js";
-import { servingOrder, starved } from "../src/coordination/ordering.js";
-import { placerOf } from "../src/coordination/partitioning.js";
-import { placeable, placeFirstFit, sampled } from "../src/coordination/placing.js";
-import { chooseVictims } from "../src/coordination/preemption.js";
+import { Fleet } from "../src/coordination/fleet/fleet.js";
 import {
 	climb,
 	loadOf,
 	machinesToCut,
 	machinesToSpare,
 	rankOffers,
-	remainingOfRunning,
-	remainingOfWaiting,
-} from "../src/coordination/scaling.js";
+} from "../src/coordination/fleet/hill-climb.js";
+import { placeable, placeFirstFit, sampled } from "../src/coordination/placement/first-fit.js";
+import { servingOrder, starved } from "../src/coordination/placement/job-order.js";
+import { chooseVictims } from "../src/coordination/preemption/preemption-planner.js";
+import { placerOf } from "../src/coordination/sharding/rendezvous-hash.js";
+import { ClusterState } from "../src/coordination/state/cluster-state.js";
 import type { JobSpec, MachineType, Priority } from "../src/protocol/model.js";
-import { defaultOperator } from "../src/protocol/operator.js";
-import type { Grant, ViewMachine } from "../src/protocol/placement.js";
+import type { Grant, ViewMachine } from "../src/protocol/peer/placement.js";
+import { defaultOperator } from "../src/protocol/settings/operator.js";
 import { FakeTime } from "./support/fake-time.js";
 import { silentLog } from "./support/silent-log.js";
 import { specOf } from "./support/specs.js";
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Attempt, Job } from "../src/bookkeeping/jobs.js";
-import { Machine } from "../src/bookkeeping/machines.js";
-import { ClusterState } from "../src/coordination/cluster-state.js";
-import { grantsFor } from "../src/coordination/grants.js";
-import { viewOf } from "../src/coordination/placement-cycle.js";
-import { TaskOutcomes } from "../src/coordination/task-outcomes.js";
+import type { Attempt, Job } from "../src/bookkeeping/job.js";
+import { Machine } from "../src/bookkeeping/machine.js";
+import { grantsFor } from "../src/coordination/placement/grants.js";
+import { viewOf } from "../src/coordination/placement/placement-cycle.js";
+import { ClusterState } from "../src/coordination/state/cluster-state.js";
+import { TaskOutcomes } from "../src/coordination/workers/fault-attribution.js";
 import { silentLog } from "./support/silent-log.js";
 import { mediumType, specOf } from "./support/specs.js";
 
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Machine } from "../src/bookkeeping/machines.js";
-import { ClusterState } from "../src/coordination/cluster-state.js";
-import { Fleet } from "../src/coordination/fleet.js";
-import type { RentRequest } from "../src/protocol/cloud-api.js";
+import { Machine } from "../src/bookkeeping/machine.js";
+import { Fleet } from "../src/coordination/fleet/fleet.js";
+import { ClusterState } from "../src/coordination/state/cluster-state.js";
+import type { RentRequest } from "../src/protocol/http/cloud-api.js";
 import type { JobSpec } from "../src/protocol/model.js";
-import { defaultOperator } from "../src/protocol/operator.js";
-import { type Objective, startObjectives } from "../src/protocol/settings.js";
+import { defaultOperator } from "../src/protocol/settings/operator.js";
+import { type Objective, startObjectives } from "../src/protocol/settings/platform.js";
 import { FakeTime } from "./support/fake-time.js";
 import { silentLog } from "./support/silent-log.js";
 import { specOf, mediumType as type } from "./support/specs.js";
--- a/tests/layers.test.ts
+++ b/tests/layers.test.ts
@@ -1,52 +1,128 @@
 import assert from "node:assert/strict";
-import { readdirSync, readFileSync } from "node:fs";
-import { test } from "node:test";
+import { readdirSync } from "node:fs";
+import { describe, test } from "node:test";
+import {
+	forbiddenImports,
+	type ImportRules,
+	importsOf,
+	layeredOrder,
+	readSourceTree,
+} from "./support/import-rules.js";
 
 // Compiled tests run from target/tests/tests; the sources stay in the source tree.
 const source = new URL("../../../src/", import.meta.url);
+const packages = new URL("../../../packages/", import.meta.url);
 
-/** What each layer may import of the others. */
-const allowed: Record<string, string[]> = {
+const protocolFolders = [
+	"protocol",
+	"protocol/http",
+	"protocol/peer",
+	"protocol/records",
+	"protocol/settings",
+];
+const domain = [...protocolFolders, "bookkeeping"];
+const shared = [...domain, "coordination/ports"];
+const clusterState = [...shared, "coordination/state"];
+
+/** What the modules of each folder may import. The order of the layers is in docs/architecture.md. */
+const rules: ImportRules = {
 	protocol: [],
-	bookkeeping: ["protocol"],
-	coordination: ["protocol", "bookkeeping"],
-	transport: ["protocol", "coordination"],
+	"protocol/http": ["protocol"],
+	"protocol/peer": ["protocol"],
+	"protocol/records": ["protocol"],
+	"protocol/settings": ["protocol"],
+	bookkeeping: protocolFolders,
+	"coordination/ports": domain,
+	"coordination/runtime": ["coordination/ports"],
+	"coordination/sharding": [],
+	"coordination/replication": shared,
+	"coordination/state": shared,
+	"coordination/leadership": [...clusterState, "coordination/sharding"],
+	"coordination/jobs": [...shared, "coordination/replication"],
+	"coordination/workers": [...clusterState, "coordination/runtime"],
+	"coordination/placement": [
+		...clusterState,
+		"coordination/sharding",
+		"coordination/leadership",
+		"coordination/workers",
+	],
+	"coordination/preemption": [...clusterState, "coordination/placement", "coordination/workers"],
+	"coordination/fleet": [...clusterState, "coordination/placement", "coordination/workers"],
+	coordination: [
+		...clusterState,
+		"coordination/runtime",
+		"coordination/replication",
+		"coordination/leadership",
+		"coordination/jobs",
+		"coordination/workers",
+		"coordination/placement",
+		"coordination/preemption",
+		"coordination/fleet",
+	],
+	transport: [...protocolFolders, "coordination/ports", "coordination/jobs", "coordination/workers"],
+	".": [...shared, "coordination", "transport"],
 };
 
-for (const [layer, others] of Object.entries(allowed)) {
-	test(`${layer} imports nothing of ${Object.keys(allowed).filter((l) => l !== layer && !others.includes(l))}`, () => {
-		const folder = new URL(`${layer}/`, source);
-		const files = readdirSync(folder).filter((file) => file.endsWith(".ts"));
-		assert.ok(files.length > 0);
-		for (const file of files) {
-			const text = readFileSync(new URL(file, folder), "utf8");
-			for (const [, other] of text.matchAll(/from "\.\.\/(\w+)\//g))
-				assert.ok(others.includes(other as string), `${layer}/${file} imports from ${other}`);
-		}
+describe("imports between the folders of src", () => {
+	const tree = readSourceTree(source);
+
+	test("follow the rules in every module, at any depth", () => {
+		assert.ok(tree.size > 80, `only ${tree.size} modules were read`);
+		assert.deepEqual(forbiddenImports(tree, rules), []);
+	});
+
+	test("have a rule for each folder, and no rule for a folder that is not there", () => {
+		const folders = new Set([...tree.keys()].map((file) => file.split("/").slice(0, -1).join("/") || "."));
+		assert.deepEqual([...folders].sort(), Object.keys(rules).sort());
+	});
+
+	test("have no cycles", () => {
+		assert.equal(layeredOrder(rules).length, Object.keys(rules).length);
 	});
-}
+
+	for (const folder of Object.keys(rules))
+		test(`a planted import is caught in ${folder}`, () => {
+			const forbidden = Object.keys(rules).filter(
+				(other) => other !== folder && !rules[folder]?.includes(other),
+			);
+			assert.ok(forbidden.length > 0);
+			const up = folder === "." ? "./" : "../".repeat(folder.split("/").length);
+			for (const other of forbidden) {
+				const path = other === "." ? "" : `${other}/`;
+				for (const statement of [
+					`import { planted } from "${up}${path}planted.js";`,
+					`import type { Planted } from "${up}${path}planted.js";`,
+					`export * from "${up}${path}planted.js";`,
+					`const planted = await import("${up}${path}planted.js");`,
+				]) {
+					const file = folder === "." ? "planting.ts" : `${folder}/planting.ts`;
+					const found = forbiddenImports(new Map([[file, statement]]), rules);
+					assert.deepEqual(found, [`${file} imports ${other}`]);
+				}
+			}
+		});
+
+	test("a module in a folder without a rule is caught", () => {
+		const found = forbiddenImports(new Map([["coordination/new/module.ts", ""]]), rules);
+		assert.deepEqual(found, ["coordination/new/module.ts: no rule for folder coordination/new"]);
+	});
+});
 
 test("coordination reaches the world outside by its ports only", () => {
-	const folder = new URL("coordination/", source);
-	for (const file of readdirSync(folder)) {
-		const text = readFileSync(new URL(file, folder), "utf8");
-		assert.doesNotMatch(text, /from "node:(net|http|https|dns|fs)"/, file);
-	}
+	const outside = /^(node:)?(net|http|https|dns|fs)(\/|$)/;
+	for (const [file, text] of readSourceTree(new URL("coordination/", source)))
+		for (const specifier of importsOf(text)) assert.doesNotMatch(specifier, outside, file);
 });
 
 test("packages import nothing of the service, and its layers nothing of a package", () => {
-	const sourcesIn = (folder: URL): string[] =>
-		readdirSync(folder, { recursive: true, encoding: "utf8" })
-			.filter((file) => file.endsWith(".ts"))
-			.map((file) => readFileSync(new URL(file, folder), "utf8"));
-	const packages = new URL("../../../packages/", import.meta.url);
 	for (const name of readdirSync(packages)) {
-		const sources = sourcesIn(new URL(`${name}/src/`, packages));
-		assert.ok(sources.length > 0, name);
-		for (const text of sources)
-			for (const [, from] of text.matchAll(/from "([^"]+)"/g))
-				assert.ok(!from?.includes("..") && !from?.startsWith("#"), `${name} imports ${from}`);
+		const sources = readSourceTree(new URL(`${name}/src/`, packages));
+		assert.ok(sources.size > 0, name);
+		for (const [file, text] of sources)
+			for (const specifier of importsOf(text))
+				assert.ok(!specifier.includes("..") && !specifier.startsWith("#"), `${file} imports ${specifier}`);
 	}
-	for (const layer of Object.keys(allowed))
-		for (const text of sourcesIn(new URL(`${layer}/`, source))) assert.doesNotMatch(text, /from "#/, layer);
+	for (const layer of ["protocol", "bookkeeping", "coordination", "transport"])
+		for (const [file, text] of readSourceTree(new URL(`${layer}/`, source)))
+			for (const specifier of importsOf(text)) assert.ok(!specifier.startsWith("#"), `${layer}/${file}`);
 });
--- a/tests/malformed.test.ts
+++ b/tests/malformed.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { CallFailed } from "../src/coordination/ports.js";
+import { CallFailed } from "../src/coordination/ports/call-error.js";
 import { MalformedMessageError } from "../src/protocol/checks.js";
-import { listedFrom, machineTypesFrom, rentedFrom } from "../src/protocol/cloud-api.js";
-import { epochFrom, eventsFrom, leaseFrom, rowFrom, rowsFrom } from "../src/protocol/store-api.js";
+import { listedFrom, machineTypesFrom, rentedFrom } from "../src/protocol/http/cloud-api.js";
+import { epochFrom, eventsFrom, leaseFrom, rowFrom, rowsFrom } from "../src/protocol/http/store-api.js";
 import { parseResponse } from "../src/transport/http-client.js";
 import { World } from "./support/world.js";
 
--- a/tests/production.test.ts
+++ b/tests/production.test.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
 import { MalformedMessageError } from "../src/protocol/checks.js";
-import { parsePeerMessage } from "../src/protocol/peer.js";
+import { parsePeerMessage } from "../src/protocol/peer/messages.js";
 import { type RecordedRun, recordRun } from "./support/recorded-run.js";
 import { nodeNames, World } from "./support/world.js";
 
--- a/tests/relay.test.ts
+++ b/tests/relay.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { AnswerBatches, Relay } from "../src/coordination/relay.js";
+import { AnswerBatches, Relay } from "../src/coordination/workers/heartbeat-forwarding.js";
 import type { Order, WorkerReport } from "../src/protocol/model.js";
-import { packReport, unpackReport } from "../src/protocol/packed-report.js";
-import type { PeerMessage } from "../src/protocol/peer.js";
+import type { PeerMessage } from "../src/protocol/peer/messages.js";
+import { packReport, unpackReport } from "../src/protocol/peer/packed-heartbeat.js";
 import { FakeTime } from "./support/fake-time.js";
 
 const report: WorkerReport = {
--- a/tests/reports.test.ts
+++ b/tests/reports.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { keys } from "../src/bookkeeping/records.js";
-import { StoreCopy } from "../src/bookkeeping/store-copy.js";
-import { ClusterState } from "../src/coordination/cluster-state.js";
-import { applyReport, ordersFor } from "../src/coordination/reports.js";
+import { StoreCopy } from "../src/bookkeeping/store-replica.js";
+import { ClusterState } from "../src/coordination/state/cluster-state.js";
+import { applyReport, ordersFor } from "../src/coordination/workers/heartbeat-reconciliation.js";
 import type { Demand, ReportedTask, WorkerReport } from "../src/protocol/model.js";
+import { keys } from "../src/protocol/records/records.js";
 import { specOf } from "./support/specs.js";
 
 const type = {
--- a/tests/support/fake-time.ts
+++ b/tests/support/fake-time.ts
@@ -1,4 +1,4 @@
-import type { TimePort } from "../../src/coordination/ports.js";
+import type { TimePort } from "../../src/coordination/ports/clock.js";
 
 interface Timer {
 	at: number;
--- a/tests/support/network.ts
+++ b/tests/support/network.ts
@@ -1,4 +1,4 @@
-import { CallFailed } from "../../src/coordination/ports.js";
+import { CallFailed } from "../../src/coordination/ports/call-error.js";
 import type { HttpCaller, HttpResponse } from "../../src/transport/http-client.js";
 import type { FakeTime } from "./fake-time.js";
 
--- /dev/null
+++ b/tests/support/play-traces.ts
@@ -0,0 +1,36 @@
+import { readdirSync, readFileSync } from "node:fs";
+import { test } from "node:test";
+import { parse } from "yaml";
+import type { Trace } from "./trace.js";
+import { TracePlayer } from "./trace-player.js";
+
+// Compiled tests run from target/tests/tests; traces stay in the source tree.
+const folder = new URL("../../../../tests/traces/", import.meta.url);
+
+/** How the controllers of a trace are set up. */
+export type TraceMode = "plain" | "team quota" | "forwarded heartbeats";
+
+/** So that they run beside each other, the traces of a mode are played in two test files. */
+export type TraceHalf = "first" | "second";
+
+function filesOf(half: TraceHalf): string[] {
+	const files = readdirSync(folder)
+		.filter((file) => file.endsWith(".yaml"))
+		.sort();
+	const middle = Math.ceil(files.length / 2);
+	return half === "first" ? files.slice(0, middle) : files.slice(middle);
+}
+
+/** Defines one test for each story of each kept trace; a trace with variants is one story for each. */
+export function defineTraceTests(mode: TraceMode, half: TraceHalf): void {
+	for (const file of filesOf(half)) {
+		const trace = parse(readFileSync(new URL(file, folder), "utf8")) as Trace;
+		if (mode === "forwarded heartbeats" && !trace.relayed) continue;
+		for (const [variant, more] of Object.entries(trace.variants ?? { "": [] })) {
+			const steps = [...trace.steps, ...more].sort((a, b) => a.at - b.at);
+			const story = variant === "" ? trace.title : `${trace.title}; ${variant}`;
+			const options = { forwarding: mode === "forwarded heartbeats", teamQuota: mode === "team quota" };
+			test(`${file}: ${story} (${mode})`, () => new TracePlayer({ ...trace, steps }, options).play());
+		}
+	}
+}
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -3,9 +3,9 @@
  * the others, and team quota with nothing beside it that checks limits. The parent is its workers.
  */
 import { type AllotmentManager, type Amount, TeamQuota } from "#team-quota";
-import { Leadership } from "../../src/coordination/leadership.js";
-import type { TimePort } from "../../src/coordination/ports.js";
-import { parsePeerMessage } from "../../src/protocol/peer.js";
+import { Leadership } from "../../src/coordination/leadership/leadership.js";
+import type { TimePort } from "../../src/coordination/ports/clock.js";
+import { parsePeerMessage } from "../../src/protocol/peer/messages.js";
 import { quotaStore } from "../../src/team-quota.js";
 import { HttpClient } from "../../src/transport/http-client.js";
 import { PeerLinks } from "../../src/transport/peer-link.js";
--- a/tests/support/trace-player.ts
+++ b/tests/support/trace-player.ts
@@ -16,6 +16,14 @@
 	) => void | Promise<void>;
 };
 
+/** How the controllers of a trace are set up. */
+export interface TraceOptions {
+	/** All controllers receive heartbeats and forward them to the leader. */
+	forwarding: boolean;
+	/** Teams' limits are divided among the controllers. */
+	teamQuota: boolean;
+}
+
 /** Plays one trace in fake time, with the rules watched all along. */
 export class TracePlayer {
 	private readonly nodes: string[];
@@ -26,11 +34,10 @@
 
 	constructor(
 		private readonly trace: Trace,
-		relayed: boolean,
-		teamQuota = false,
+		options: TraceOptions,
 	) {
 		this.nodes = Array.from({ length: trace.controllers ?? 3 }, (_, i) => `runner-${i}`);
-		this.world = new World(trace.capacity, this.nodes, relayed, teamQuota);
+		this.world = new World(trace.capacity, this.nodes, options.forwarding, options.teamQuota);
 	}
 
 	async play(): Promise<void> {
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -1,9 +1,10 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { Controller } from "../../src/coordination/controller.js";
-import type { Log, TimePort } from "../../src/coordination/ports.js";
-import { defaultOperator } from "../../src/protocol/operator.js";
-import { parsePlatform } from "../../src/protocol/settings.js";
-import { elsewhereBody, ordersBody, parseReport } from "../../src/protocol/worker-api.js";
+import type { TimePort } from "../../src/coordination/ports/clock.js";
+import type { Log } from "../../src/coordination/ports/log.js";
+import { elsewhereBody, ordersBody, parseReport } from "../../src/protocol/http/worker-api.js";
+import { defaultOperator } from "../../src/protocol/settings/operator.js";
+import { parsePlatform } from "../../src/protocol/settings/platform.js";
 import { makeTeamQuota } from "../../src/team-quota.js";
 import { CloudClient } from "../../src/transport/cloud-client.js";
 import type { HttpCaller, HttpResponse } from "../../src/transport/http-client.js";
--- /dev/null
+++ b/tests/traces-plain-second-half.test.ts
@@ -0,0 +1,3 @@
+import { defineTraceTests } from "./support/play-traces.js";
+
+defineTraceTests("plain", "second");
