--- a/src/bookkeeping/job.ts
+++ b/src/bookkeeping/job.ts
@@ -1,4 +1,4 @@
-import { isStanding, type JobSpec, priorityRank } from "../protocol/model.js";
+import { isService, type JobSpec, priorityRank } from "../protocol/model.js";
 import type { Machine } from "./machine.js";
 import type { TeamCharge } from "./quota-ledger.js";
 import { TaskSet } from "./task-set.js";
@@ -75,34 +75,34 @@
 		readonly at: number,
 		readonly revision: number,
 	) {
-		const { types, zone, spot, cpus, gpus, memoryGb } = spec;
+		const { machineTypes: types, zone, allowSpot: spot, cpus, gpus, memoryGb } = spec;
 		this.demandKey = JSON.stringify([types, zone, spot, cpus, gpus, memoryGb]);
-		this.done = new TaskSet(spec.tasks);
-		this.durable = new TaskSet(spec.tasks);
+		this.done = new TaskSet(spec.taskCount);
+		this.durable = new TaskSet(spec.taskCount);
 	}
 
 	/** Tasks neither done nor on a machine, lowest number first. */
 	fillWaiting(): void {
 		this.waiting.length = 0;
-		for (let i = this.spec.tasks - 1; i >= 0; i--) {
+		for (let i = this.spec.taskCount - 1; i >= 0; i--) {
 			if (!this.done.has(i) && !this.attempts.has(i)) this.waiting.push(i);
 		}
 	}
 
 	/** Its tasks are replicas: they run until the job is cancelled, and none is ever done. */
-	get standing(): boolean {
-		return isStanding(this.spec);
+	get isService(): boolean {
+		return isService(this.spec);
 	}
 
 	/** Estimated run time of a task: mean of those finished, else the stated one. Replicas have none: 0. */
-	get estimateS(): number {
-		if (this.standing) return 0;
-		return this.finishedRuns > 0 ? this.finishedSeconds / this.finishedRuns : this.spec.estimateS;
+	get estimatedRunS(): number {
+		if (this.isService) return 0;
+		return this.finishedRuns > 0 ? this.finishedSeconds / this.finishedRuns : this.spec.estimatedRunS;
 	}
 
 	/** Failing wherever it goes: tried again now and then, and kept out of the load. A replica is tried all along. */
 	get failsEverywhere(): boolean {
-		if (this.standing || !this.failsOnSeveral) return false;
+		if (this.isService || !this.failsOnSeveral) return false;
 		let machines = 0;
 		// What a faulty machine does to a job says nothing of the job.
 		for (const machine of this.failedOn) if (!machine.quarantinedForFailures) machines += 1;
--- a/src/bookkeeping/machine-fit.ts
+++ b/src/bookkeeping/machine-fit.ts
@@ -21,16 +21,16 @@
 	machine: { type: MachineType; zone: string; spot: boolean },
 ): boolean {
 	return (
-		(spec.types === null || spec.types.includes(machine.type.name)) &&
+		(spec.machineTypes === null || spec.machineTypes.includes(machine.type.name)) &&
 		(spec.zone === null || spec.zone === machine.zone) &&
-		(spec.spot || !machine.spot)
+		(spec.allowSpot || !machine.spot)
 	);
 }
 
 /** Whether a task of the job could ever run on this type, going by the job's own demands. */
 export function typeFits(spec: JobSpec, type: MachineType): boolean {
 	return (
-		(spec.types === null || spec.types.includes(type.name)) &&
+		(spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
 		type.zones.some((zone) => spec.zone === null || spec.zone === zone) &&
 		type.cpus >= spec.cpus &&
 		type.gpus >= spec.gpus &&
--- a/src/bookkeeping/machine.ts
+++ b/src/bookkeeping/machine.ts
@@ -1,4 +1,4 @@
-import type { Demand, JobSpec, MachineType } from "../protocol/model.js";
+import type { JobSpec, MachineType, TaskDemand } from "../protocol/model.js";
 import type { Attempt, Job } from "./job.js";
 import type { TeamCharge } from "./quota-ledger.js";
 
@@ -6,7 +6,7 @@
 	job: string;
 	index: number;
 	attempt: number;
-	demand: Demand | null;
+	demand: TaskDemand | null;
 	/** What it takes of its team's allotments; null: not known, or no allotments are used. */
 	charge: TeamCharge | null;
 }
--- a/src/bookkeeping/remaining-work.ts
+++ b/src/bookkeeping/remaining-work.ts
@@ -16,7 +16,7 @@
 	now: number,
 	capS: number,
 ): number {
-	const { estimateS, spec } = attempt.job;
+	const { estimatedRunS: estimateS, spec } = attempt.job;
 	if (attempt.runningAt === null) return remainingOfWaiting(spec.cpus, estimateS, capS);
 	return remainingOfRunning(spec.cpus, (now - attempt.runningAt) / 1000, estimateS, capS);
 }
--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -1,19 +1,14 @@
 import { MalformedMessageError } from "../protocol/checks.js";
 import type { StoreEvent, StoreRow } from "../protocol/http/store-api.js";
-import type { Demand, MachineType } from "../protocol/model.js";
-import {
-	demandOf,
-	type FeaturesRecord,
-	type JobRecord,
-	keys,
-	type LeaderRecord,
-	type MachineRecord,
-	pageOf,
-	parseStored,
-	type SharedRecord,
-	type StoredRecord,
-	type TerminalRecord,
-} from "../protocol/records/records.js";
+import type { MachineType, TaskDemand } from "../protocol/model.js";
+import { taskDemandOf } from "../protocol/model.js";
+import { parsePageName, type StoredChunk } from "../protocol/records/chunk.js";
+import type { FinalJobRecord } from "../protocol/records/final-record.js";
+import type { JobRecord } from "../protocol/records/job-record.js";
+import { keys } from "../protocol/records/keys.js";
+import type { StoredMachineRecord } from "../protocol/records/machine-record.js";
+import { type FeatureSet, type LeaderRecord, noFeatures } from "../protocol/records/singleton-records.js";
+import { decodeStoredRecord, type StoredRecord } from "../protocol/records/stored-record.js";
 import { countInPage } from "./task-set.js";
 
 /** Forgets the oldest beyond the number kept, and returns it. */
@@ -40,7 +35,7 @@
 /** A job whose cancellation is in the store, and the revision of that. */
 export interface CancelledJob {
 	id: string;
-	record: TerminalRecord;
+	record: FinalJobRecord;
 	revision: number;
 }
 
@@ -54,23 +49,23 @@
 	loaded = false;
 	leader: Versioned<LeaderRecord> | null = null;
 	types: Versioned<MachineType[]> | null = null;
-	features: FeaturesRecord = {};
+	features: FeatureSet = noFeatures;
 	readonly jobs = new Map<string, Versioned<JobRecord>>();
 	/** Shared values by their keys. */
-	readonly progress = new Map<string, Versioned<SharedRecord<string>>>();
-	readonly machines = new Map<string, Versioned<SharedRecord<MachineRecord>>>();
+	readonly progress = new Map<string, Versioned<StoredChunk<string>>>();
+	readonly machines = new Map<string, Versioned<StoredChunk<StoredMachineRecord>>>();
 	/** Team quota's values as they are; undefined: gone. */
 	readonly quota = new Map<string, Versioned<unknown>>();
 	/** Pages of done-sets by job, as the values of `progress` have them. */
 	private readonly pages = new Map<string, Map<number, string>>();
 	/** The latest terminal records seen; older ones are read from the store when asked for. */
-	readonly terminal = new Map<string, TerminalRecord>();
+	readonly terminal = new Map<string, FinalJobRecord>();
 	/** Cancellations seen since the first load, of which a user may have been told here. */
 	private readonly cancelled = new Map<string, CancelledJob>();
 	/** Cancellations up to this revision are not, or no longer, kept one by one. */
 	private cancelledAfter = Number.POSITIVE_INFINITY;
 	/** What tasks of jobs took that were live here and are over, the latest last. */
-	private readonly demands = new Map<string, Demand>();
+	private readonly demands = new Map<string, TaskDemand>();
 	/** Keys of values that cannot be read. */
 	private readonly malformed = new Set<string>();
 	private readonly listeners: ((key: string) => void)[] = [];
@@ -101,7 +96,7 @@
 		this.machines.clear();
 		this.leader = null;
 		this.types = null;
-		this.features = {};
+		this.features = noFeatures;
 		this.malformed.clear();
 		// Of two values that name one thing the later tells: a leader may have ended while it split one.
 		for (const row of [...rows].sort((a, b) => a.revision - b.revision))
@@ -138,7 +133,7 @@
 	private put(key: string, value: unknown, revision: number): void {
 		let record: StoredRecord;
 		try {
-			record = parseStored(key, value);
+			record = decodeStoredRecord(key, value);
 		} catch (error) {
 			if (!(error instanceof MalformedMessageError)) throw error;
 			this.putMalformed(key, revision, error);
@@ -163,11 +158,11 @@
 		switch (record.kind) {
 			case "job":
 				// Final states never change: a live record of such a job was read before it ended.
-				if (!this.terminal.has(record.id) && newer(this.jobs.get(record.id)))
-					this.jobs.set(record.id, { value: record.value, revision });
+				if (!this.terminal.has(record.jobId) && newer(this.jobs.get(record.jobId)))
+					this.jobs.set(record.jobId, { value: record.value, revision });
 				break;
 			case "final":
-				this.recordTerminal(record.id, record.value, revision);
+				this.recordTerminal(record.jobId, record.value, revision);
 				break;
 			case "progress": {
 				const old = this.progress.get(key);
@@ -188,8 +183,8 @@
 			case "features":
 				this.features = record.value;
 				break;
-			case "types":
-				if (newer(this.types)) this.types = { value: record.value.types, revision };
+			case "machine types":
+				if (newer(this.types)) this.types = { value: record.value, revision };
 				break;
 		}
 	}
@@ -212,15 +207,15 @@
 		} else if (key === keys.leader) {
 			if (older(this.leader)) this.leader = null;
 		} else if (key === keys.features) {
-			this.features = {};
-		} else if (key === keys.types && older(this.types)) this.types = null;
+			this.features = noFeatures;
+		} else if (key === keys.machineTypes && older(this.types)) this.types = null;
 	}
 
 	/** Only what one value held and no longer holds leaves the index: pages may move between values. */
-	private index(before: SharedRecord<string> | undefined, after: SharedRecord<string>): void {
+	private index(before: StoredChunk<string> | undefined, after: StoredChunk<string>): void {
 		for (const [name, bits] of Object.entries(before?.entries ?? {})) {
 			if (name in after.entries) continue;
-			const { job, page } = pageOf(name);
+			const { jobId: job, page } = parsePageName(name);
 			const pages = this.pages.get(job);
 			if (pages?.get(page) !== bits) continue;
 			// It may have been copied from a value that was split, which now goes.
@@ -230,7 +225,7 @@
 			if (pages.size === 0) this.pages.delete(job);
 		}
 		for (const [name, bits] of Object.entries(after.entries)) {
-			const { job, page } = pageOf(name);
+			const { jobId: job, page } = parsePageName(name);
 			const pages = this.pages.get(job);
 			if (pages) pages.set(page, bits);
 			else this.pages.set(job, new Map([[page, bits]]));
@@ -253,7 +248,7 @@
 	}
 
 	/** Whoever brings the news, the job is no longer live: the watch may be stuck from here on. */
-	recordTerminal(id: string, record: TerminalRecord, revision: number): void {
+	recordTerminal(id: string, record: FinalJobRecord, revision: number): void {
 		this.terminal.set(id, record);
 		trim(this.terminal, this.terminalKept);
 		if (record.status === "cancelled") this.noteCancelled({ id, record, revision });
@@ -263,13 +258,13 @@
 	private dropLive(id: string): boolean {
 		const live = this.jobs.get(id);
 		if (!live) return false;
-		this.demands.set(id, demandOf(live.value.spec));
+		this.demands.set(id, taskDemandOf(live.value.spec));
 		trim(this.demands, this.terminalKept);
 		return this.jobs.delete(id);
 	}
 
 	/** What a task of a job that is over takes; null: this process cannot say without asking the store. */
-	demandOf(id: string): Demand | null {
+	demandOf(id: string): TaskDemand | null {
 		return this.demands.get(id) ?? this.terminal.get(id)?.demand ?? null;
 	}
 
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -2,7 +2,7 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { TeamLimits } from "../bookkeeping/quota-ledger.js";
 import { StoreCopy } from "../bookkeeping/store-replica.js";
-import type { WorkerReport } from "../protocol/model.js";
+import type { WorkerHeartbeat } from "../protocol/model.js";
 import type {
 	HeartbeatReply,
 	LeaderHeartbeat,
@@ -10,7 +10,8 @@
 	PlacementProposal,
 	PlacementRequest,
 } from "../protocol/peer/messages.js";
-import { keys } from "../protocol/records/records.js";
+import { encodeFinalRecord } from "../protocol/records/final-record.js";
+import { keys } from "../protocol/records/keys.js";
 import type { OperatorSettings } from "../protocol/settings/operator.js";
 import type { PlatformSettings } from "../protocol/settings/platform.js";
 import { MachineTypeCatalog } from "./fleet/machine-type-catalog.js";
@@ -109,10 +110,14 @@
 				cancelledSince: (revision) =>
 					this.storeCopy
 						.cancelledSince(revision)
-						?.map(({ id, record, revision: at }) => [id, at, record.tasks, record.done]) ?? null,
+						?.map(({ id, record, revision: at }) => [id, at, record.taskCount, record.doneCount]) ?? null,
 				learn: (cancelled) => {
 					for (const [id, revision, tasks, done] of cancelled)
-						this.storeCopy.applyOwn(keys.final(id), { status: "cancelled", tasks, done }, revision);
+						this.storeCopy.applyOwn(
+							keys.final(id),
+							encodeFinalRecord({ status: "cancelled", taskCount: tasks, doneCount: done }),
+							revision,
+						);
 				},
 			},
 			platform.others.map((other) => other.node),
@@ -273,7 +278,7 @@
 		if (quota) this.teamQuota?.stored(key, quota.value, quota.revision);
 	}
 
-	report(report: WorkerReport): Promise<ReportResult> {
+	report(report: WorkerHeartbeat): Promise<ReportResult> {
 		return this.commands.ask(() => this.reports.report(report));
 	}
 
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -115,7 +115,7 @@
 	}
 
 	private takeIn(listed: ListedMachine, now: number): Machine | null {
-		const type = this.clusterState.types.get(listed.type);
+		const type = this.clusterState.types.get(listed.machineType);
 		if (!type) return null;
 		const machine = new Machine(listed.id, type, listed.zone, listed.spot, now - listed.ageS * 1000);
 		machine.onlyListed = true;
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -57,7 +57,8 @@
 	private unsettled(): Job[] {
 		return [...this.clusterState.jobs.values()].filter(
 			(job) =>
-				job.standing && (job.waiting.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)),
+				job.isService &&
+				(job.waiting.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)),
 		);
 	}
 
@@ -79,7 +80,7 @@
 		let replicas = false;
 		for (const attempt of machine.attempts.values()) {
 			left += remainingOfAttempt(attempt, now, this.climb.cap_s);
-			replicas ||= attempt.job.standing;
+			replicas ||= attempt.job.isService;
 		}
 		return { machine, replicas, worth: left / Math.max(machine.hourlyPrice, 1e-6) };
 	}
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -15,10 +15,10 @@
 	let cpus = 0;
 	let sum = 0;
 	for (const job of clusterState.jobs.values()) {
-		if (job.failsEverywhere || job.standing) continue;
+		if (job.failsEverywhere || job.isService) continue;
 		const share = (job.waiting.length + job.attempts.size) * job.spec.cpus;
 		cpus += share;
-		sum += share * Math.min(job.estimateS, capS);
+		sum += share * Math.min(job.estimatedRunS, capS);
 	}
 	return cpus > 0 ? Math.max(1, sum / cpus / 2) : 1;
 }
@@ -54,8 +54,8 @@
  * on the average, which lies between the marks: it neither rents nor returns machines.
  */
 function remainingOfJob(job: Job, now: number, secondsLeft: number, capS: number): number {
-	if (job.standing) return (job.waiting.length + job.attempts.size) * job.spec.cpus * secondsLeft;
-	let work = job.waiting.length * remainingOfWaiting(job.spec.cpus, job.estimateS, capS);
+	if (job.isService) return (job.waiting.length + job.attempts.size) * job.spec.cpus * secondsLeft;
+	let work = job.waiting.length * remainingOfWaiting(job.spec.cpus, job.estimatedRunS, capS);
 	for (const attempt of job.attempts.values()) work += remainingOfAttempt(attempt, now, capS);
 	return work;
 }
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -204,7 +204,7 @@
 			a.failsEverywhere === b.failsEverywhere ? a.at < b.at : b.failsEverywhere;
 		for (const job of this.clusterState.jobs.values()) {
 			// Replicas have machines rented by themselves, and of no other kind than they need.
-			if (job.standing || !this.clusterState.mayRun(job, now)) continue;
+			if (job.isService || !this.clusterState.mayRun(job, now)) continue;
 			const best = byDemand.get(job.demandKey);
 			if (!best || before(job, best)) byDemand.set(job.demandKey, job);
 		}
--- a/src/coordination/fleet/hill-climb.ts
+++ b/src/coordination/fleet/hill-climb.ts
@@ -113,7 +113,7 @@
 		if (!typeFits(spec, type)) continue;
 		for (const zone of type.zones) {
 			if (spec.zone !== null && spec.zone !== zone) continue;
-			if (spec.spot) offers.push({ type, zone, spot: true, price: type.spotPrice });
+			if (spec.allowSpot) offers.push({ type, zone, spot: true, price: type.spotPrice });
 			offers.push({ type, zone, spot: false, price: type.price });
 		}
 	}
--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -1,5 +1,6 @@
 import type { MachineType } from "../../protocol/model.js";
-import { keys, type TypesRecord } from "../../protocol/records/records.js";
+import { keys } from "../../protocol/records/keys.js";
+import type { StoredMachineTypes } from "../../protocol/records/singleton-records.js";
 import { CallFailed } from "../ports/call-error.js";
 import type { TimePort } from "../ports/clock.js";
 import type { CloudPort } from "../ports/cloud.js";
@@ -69,14 +70,14 @@
 		const { store, log, post, authority, stored } = this.options;
 		const term = authority();
 		if (term === null || sameTypes(stored() ?? [], types)) return;
-		const value: TypesRecord = { types };
+		const value: StoredMachineTypes = { types };
 		store
-			.transact([{ key: keys.leader, revision: term }], [{ put: keys.types, value }], "first")
+			.transact([{ key: keys.leader, revision: term }], [{ put: keys.machineTypes, value }], "first")
 			.catch((error) =>
 				post(() => {
 					// Too many types for one value: they are read from the cloud then, by each leader.
 					if (error instanceof CallFailed && error.kind === "rejected")
-						log.error({ key: keys.types, err: error.message }, "not written");
+						log.error({ key: keys.machineTypes, err: error.message }, "not written");
 					else this.nextReadAt = 0;
 				}),
 			);
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -48,7 +48,7 @@
 		const free = new FreeCapacity(freeOn);
 		const besideReplicas = new FreeCapacity(freeBesideReplicas);
 		for (const job of this.clusterState.jobs.values()) {
-			if (!job.standing) continue;
+			if (!job.isService) continue;
 			const shortage = this.shortageOfWaiting(
 				job,
 				look,
@@ -64,7 +64,7 @@
 	private noteWaiting(now: number): void {
 		for (const job of this.waitingSince.keys()) if (job.waiting.length === 0) this.waitingSince.delete(job);
 		for (const job of this.clusterState.jobs.values())
-			if (job.standing && job.waiting.length > 0 && !this.waitingSince.has(job))
+			if (job.isService && job.waiting.length > 0 && !this.waitingSince.has(job))
 				this.waitingSince.set(job, now);
 	}
 
@@ -111,7 +111,7 @@
 		const room = new FreeCapacity(freeBesideReplicas);
 		for (const spec of this.expected()) {
 			const zones: Record<string, number> = {};
-			const count = room.take(spec, spec.tasks, machines, zones);
+			const count = room.take(spec, spec.taskCount, machines, zones);
 			if (count > 0) return { spec, count, zones };
 		}
 		return null;
@@ -123,16 +123,16 @@
 	 * what is expected has room whichever zone is lost.
 	 */
 	private shortageWithoutAZone(machines: Machine[]): Shortage | null {
-		const spread = this.expected().filter((spec) => spec.spread && spec.zone === null);
+		const spread = this.expected().filter((spec) => spec.spreadZones && spec.zone === null);
 		if (spread.length === 0) return null;
 		for (const lost of new Set(machines.map((machine) => machine.zone))) {
 			const left = machines.filter((machine) => machine.zone !== lost);
 			const room = new FreeCapacity(freeBesideReplicas);
 			for (const spec of spread) {
 				const zones: Record<string, number> = {};
-				const count = room.take(spec, spec.tasks, left, zones);
+				const count = room.take(spec, spec.taskCount, left, zones);
 				// As many as the spread allows are taken to be in the lost zone: nothing is rented there.
-				if (count > 0) return { spec, count, zones: { ...zones, [lost]: spec.tasks } };
+				if (count > 0) return { spec, count, zones: { ...zones, [lost]: spec.taskCount } };
 			}
 		}
 		return null;
@@ -143,10 +143,10 @@
 		const specs: JobSpec[] = [];
 		/** Classes with a job of more than a minute ago: what comes of them shows. */
 		const known = new Set<string>();
-		for (const { standing, spec, at } of this.clusterState.jobs.values()) {
-			if (!standing) this.arrayClasses.add(spec.lane);
+		for (const { isService: standing, spec, at } of this.clusterState.jobs.values()) {
+			if (!standing) this.arrayClasses.add(spec.jobClass);
 			else if (date - at <= expectedMs) specs.push(spec);
-			else known.add(spec.lane);
+			else known.add(spec.jobClass);
 		}
 		if (this.clusterState.jobs.size === 0) return specs;
 		for (const name of classesWithFastStart(this.objectives, this.clusterState.types.values()))
@@ -159,7 +159,7 @@
 		const fullZones = new Set(Object.keys(zones).filter((zone) => zoneRoom(spec, zones, zone) < 1));
 		// More are on their way as a rule, so a machine for many may be worth its price.
 		let comingCpus = count * spec.cpus;
-		for (const expected of this.expected()) comingCpus += expected.tasks * expected.cpus;
+		for (const expected of this.expected()) comingCpus += expected.taskCount * expected.cpus;
 		const need: RentalNeed = { spec, work: 0, replicas: { count, comingCpus, fullZones } };
 		return this.rentals.rent(need, look) === "asked";
 	}
@@ -173,7 +173,7 @@
 		const others = machines.filter((m) => m !== machine && m.up && !m.onProbation);
 		const room = new FreeCapacity(freeOn);
 		for (const attempt of machine.attempts.values()) {
-			if (!attempt.job.standing) continue;
+			if (!attempt.job.isService) continue;
 			const zones = this.clusterState.zonesWithout(attempt.job, [attempt]);
 			if (room.take(attempt.job.spec, 1, others, zones) > 0) return false;
 		}
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -42,7 +42,7 @@
 		const moved: Attempt[] = [];
 		for (const attempt of machine.attempts.values()) {
 			const { job } = attempt;
-			if (!job.standing || attempt.stop !== null || attempt.phase === "assigned") continue;
+			if (!job.isService || attempt.stop !== null || attempt.phase === "assigned") continue;
 			if (!takenSoon && [...job.attempts.values()].some((a) => a.moveTo !== null)) continue;
 			const target = this.targetFor(attempt);
 			if (!target) continue;
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -1,6 +1,6 @@
 import { Machine } from "../../bookkeeping/machine.js";
 import { tasksHeld } from "../../bookkeeping/machine-fit.js";
-import type { RentRequest } from "../../protocol/http/cloud-api.js";
+import type { ScaleOutRequest } from "../../protocol/http/cloud-api.js";
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
 import { CallFailed } from "../ports/call-error.js";
@@ -40,7 +40,7 @@
 export type RentalOutcome = "asked" | "not now" | "nothing to be had";
 
 interface Rental {
-	request: RentRequest;
+	request: ScaleOutRequest;
 	type: MachineType;
 	firstSentAt: number;
 }
@@ -123,7 +123,9 @@
 
 	private countOf({ spec, work, replicas }: RentalNeed, { type }: Offer, look: FleetLook, usable: number) {
 		if (replicas) {
-			const here = spec.spread ? Math.min(replicas.count, Math.ceil(spec.tasks / 2)) : replicas.count;
+			const here = spec.spreadZones
+				? Math.min(replicas.count, Math.ceil(spec.taskCount / 2))
+				: replicas.count;
 			return Math.ceil(here / tasksHeld(spec, type));
 		}
 		const highPerCpu = this.climb.high * look.secondsLeft;
@@ -135,7 +137,7 @@
 	private send({ type, zone, spot }: Offer, count: number, now: number): void {
 		this.requestNumber += 1;
 		const name = `${this.requestPrefix}-${this.requestNumber}`;
-		this.rental = { request: { name, type: type.name, zone, spot, count }, type, firstSentAt: now };
+		this.rental = { request: { name, machineType: type.name, zone, spot, count }, type, firstSentAt: now };
 		this.call(this.rental);
 	}
 
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -2,14 +2,10 @@
 import type { Versioned } from "../../bookkeeping/store-replica.js";
 import { tasksPerPage } from "../../bookkeeping/task-set.js";
 import type { StoreChange, StoreCondition } from "../../protocol/http/store-api.js";
-import {
-	demandOf,
-	keys,
-	pageName,
-	pageOf,
-	type SharedRecord,
-	type TerminalRecord,
-} from "../../protocol/records/records.js";
+import { taskDemandOf } from "../../protocol/model.js";
+import { pageName, parsePageName, type StoredChunk } from "../../protocol/records/chunk.js";
+import { encodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
+import { keys } from "../../protocol/records/keys.js";
 import { CallFailed } from "../ports/call-error.js";
 import type { TimePort } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
@@ -31,7 +27,7 @@
 	jobs(): Iterable<Job>;
 	jobOf(id: string): Job | undefined;
 	/** The end of the job is in the store, as of this revision. */
-	finished(job: Job, final: TerminalRecord, revision: number): void;
+	finished(job: Job, final: FinalJobRecord, revision: number): void;
 	/** The leader's key has changed hands. */
 	lostKey(): void;
 }
@@ -51,7 +47,7 @@
 	}
 
 	/** What the store held when the term began. */
-	load(values: Iterable<[string, Versioned<SharedRecord<string>>]>): void {
+	load(values: Iterable<[string, Versioned<StoredChunk<string>>]>): void {
 		this.progress.load(values);
 	}
 
@@ -69,14 +65,14 @@
 
 	private confirmed(entries: Map<string, string>): void {
 		for (const [name, bits] of entries) {
-			const { job, page } = pageOf(name);
+			const { jobId: job, page } = parsePageName(name);
 			this.options.jobOf(job)?.durable.addPage(page, bits);
 		}
 	}
 
 	/** The job is over: its done-set is of no use any more. */
 	forget(job: Job): void {
-		for (let page = 0; page * tasksPerPage < job.spec.tasks; page++)
+		for (let page = 0; page * tasksPerPage < job.spec.taskCount; page++)
 			this.progress.delete(pageName(job.id, page));
 	}
 
@@ -92,13 +88,16 @@
 		if (options.ended() || job.cancelled) return;
 		job.endingAt = options.time.now();
 		const { spec } = job;
-		const final: TerminalRecord = {
+		const final: FinalJobRecord = {
 			status: "done",
-			tasks: spec.tasks,
-			done: spec.tasks,
-			demand: demandOf(spec),
+			taskCount: spec.taskCount,
+			doneCount: spec.taskCount,
+			demand: taskDemandOf(spec),
 		};
-		const changes: StoreChange[] = [{ delete: keys.job(job.id) }, { put: keys.final(job.id), value: final }];
+		const changes: StoreChange[] = [
+			{ delete: keys.job(job.id) },
+			{ put: keys.final(job.id), value: encodeFinalRecord(final) },
+		];
 		const conditions = [options.leaderCondition, { key: keys.job(job.id), revision: job.revision }];
 		options.store.transact(conditions, changes, "first").then(
 			(result) =>
@@ -111,10 +110,10 @@
 		);
 	}
 
-	private written(job: Job, final: TerminalRecord, revision: number): void {
+	private written(job: Job, final: FinalJobRecord, revision: number): void {
 		const tookS = Math.round((this.options.time.date().getTime() - job.at) / 100) / 10;
-		const { lane, deadlineS } = job.spec;
-		this.options.log.info({ job: job.id, lane, tookS, dueS: deadlineS }, "job done");
+		const { jobClass, deadlineS } = job.spec;
+		this.options.log.info({ job: job.id, jobClass, tookS, dueS: deadlineS }, "job done");
 		this.options.finished(job, final, revision);
 	}
 
--- a/src/coordination/jobs/job-service.ts
+++ b/src/coordination/jobs/job-service.ts
@@ -2,14 +2,20 @@
 import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import type { StoreCopy } from "../../bookkeeping/store-replica.js";
 import { MalformedMessageError } from "../../protocol/checks.js";
-import { isStanding, type JobSpec, type JobStatus, type MachineType } from "../../protocol/model.js";
 import {
-	demandOf,
-	type JobRecord,
-	keys,
-	parseTerminal,
-	type TerminalRecord,
-} from "../../protocol/records/records.js";
+	isService,
+	type JobSpec,
+	type JobStatus,
+	type MachineType,
+	taskDemandOf,
+} from "../../protocol/model.js";
+import {
+	decodeFinalRecord,
+	encodeFinalRecord,
+	type FinalJobRecord,
+} from "../../protocol/records/final-record.js";
+import { encodeJobRecord, type JobRecord, type StoredJobRecord } from "../../protocol/records/job-record.js";
+import { keys } from "../../protocol/records/keys.js";
 import { CallFailed } from "../ports/call-error.js";
 import type { TimePort } from "../ports/clock.js";
 import type { StorePort } from "../ports/store.js";
@@ -50,17 +56,17 @@
 	}
 	const fitting = types.filter((type) => typeFits(spec, type));
 	if (fitting.length === 0) return "a task fits no allowed machine type";
-	return isStanding(spec) ? impossibleTogether(spec, team, fitting) : null;
+	return isService(spec) ? impossibleTogether(spec, team, fitting) : null;
 }
 
 /** Replicas run all at the same time. */
 function impossibleTogether(spec: JobSpec, team: TeamLimits, fitting: MachineType[]): string | null {
-	if (spec.tasks * spec.cpus > team.cpus_max || spec.tasks * spec.gpus > team.gpus_max) {
+	if (spec.taskCount * spec.cpus > team.cpus_max || spec.taskCount * spec.gpus > team.gpus_max) {
 		return `all replicas together need more than the limit of team "${spec.team}"`;
 	}
 	const zones = new Set(fitting.flatMap((type) => type.zones));
-	const oneZone = spec.oneZone || spec.zone !== null || zones.size < 2;
-	if (spec.spread && oneZone && Math.ceil(spec.tasks / 2) < spec.tasks) {
+	const oneZone = spec.singleZone || spec.zone !== null || zones.size < 2;
+	if (spec.spreadZones && oneZone && Math.ceil(spec.taskCount / 2) < spec.taskCount) {
 		return "the replicas can't be spread over zones: they are allowed in one only";
 	}
 	return null;
@@ -96,11 +102,12 @@
 				return { kind: "later", reason: "the machine types are not known yet" };
 			}
 			// A controller that does not know this form would run its replicas to an end.
-			if (isStanding(spec) && !this.storeCopy.features.standing) {
+			if (isService(spec) && !this.storeCopy.features.serviceJobs) {
 				return { kind: "later", reason: "not all controllers are known to serve standing jobs yet" };
 			}
-			const record: JobRecord = { spec, at: this.time.date().getTime() };
-			const refused = this.refusal(record, types);
+			const record: JobRecord = { spec, acceptedAt: this.time.date().getTime() };
+			const value = encodeJobRecord(record);
+			const refused = this.refusal(spec, value, types);
 			if (refused) {
 				const known = await this.currentState(spec.id);
 				return known ? { kind: "known", status: known.status } : refused;
@@ -111,24 +118,23 @@
 					{ key, revision: 0 },
 					{ key: keys.final(spec.id), revision: 0 },
 				],
-				[{ put: key, value: record }],
+				[{ put: key, value }],
 				"first",
 			);
 			if (!result.ok) return await this.known(spec.id);
-			await this.enqueue(() => this.storeCopy.applyOwn(key, record, result.epoch));
+			await this.enqueue(() => this.storeCopy.applyOwn(key, value, result.epoch));
 			return { kind: "accepted", status: "pending" };
 		} catch (error) {
 			return later(error);
 		}
 	}
 
-	private refusal(record: JobRecord, types: MachineType[]): SubmitResult | null {
-		const { spec } = record;
+	private refusal(spec: JobSpec, value: StoredJobRecord, types: MachineType[]): SubmitResult | null {
 		// A zone that does not exist is a mistake in the field; one that offers no fitting type is not.
 		if (spec.zone !== null && this.zones.length > 0 && !this.zones.includes(spec.zone)) {
 			return { kind: "malformed", reason: `field "hall": there is no zone "${spec.zone}"` };
 		}
-		const size = Buffer.byteLength(JSON.stringify(record));
+		const size = Buffer.byteLength(JSON.stringify(value));
 		const reason =
 			reasonImpossible(spec, this.limitsOf(spec.team), types) ??
 			(size > this.valueKb * 1024 ? "the job's description is too long to be kept" : null);
@@ -159,19 +165,20 @@
 				if (state.status === "done" || state.status === "cancelled") return { kind: "job", ...state };
 				const record = await this.enqueue(() => this.storeCopy.jobs.get(id));
 				if (!record) continue;
-				const final: TerminalRecord = {
+				const final: FinalJobRecord = {
 					status: "cancelled",
-					tasks: record.value.spec.tasks,
-					done: state.done,
-					demand: demandOf(record.value.spec),
+					taskCount: record.value.spec.taskCount,
+					doneCount: state.done,
+					demand: taskDemandOf(record.value.spec),
 				};
+				const value = encodeFinalRecord(final);
 				const result = await this.store.transact(
 					[{ key: keys.job(id), revision: record.revision }],
-					[{ delete: keys.job(id) }, { put: keys.final(id), value: final }],
+					[{ delete: keys.job(id) }, { put: keys.final(id), value }],
 					"first",
 				);
 				if (result.ok) {
-					await this.enqueue(() => this.storeCopy.applyOwn(keys.final(id), final, result.epoch));
+					await this.enqueue(() => this.storeCopy.applyOwn(keys.final(id), value, result.epoch));
 					return { kind: "job", status: "cancelled", done: state.done, running: 0 };
 				}
 			}
@@ -195,7 +202,7 @@
 		if (live.row) throw new CallFailed("refused", 0, "the job is not in the local copy yet");
 		const { row } = await this.store.read(keys.final(id));
 		if (!row) return null;
-		const record = parseTerminal(row.value);
+		const record = decodeFinalRecord(row.value);
 		await this.enqueue(() => this.storeCopy.recordTerminal(id, record, row.revision));
 		return stateOf(record);
 	}
@@ -215,8 +222,8 @@
 	}
 }
 
-function stateOf(final: TerminalRecord): JobState {
-	return { status: final.status, done: final.done, running: 0 };
+function stateOf(final: FinalJobRecord): JobState {
+	return { status: final.status, done: final.doneCount, running: 0 };
 }
 
 function later(error: unknown): { kind: "later"; reason: string } {
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -3,9 +3,17 @@
 import { Machine, unknownType } from "../bookkeeping/machine.js";
 import type { StoreCopy, Versioned } from "../bookkeeping/store-replica.js";
 import type { StoreCondition } from "../protocol/http/store-api.js";
-import type { MachineType, Order, WorkerReport } from "../protocol/model.js";
+import type { MachineType, Order, WorkerHeartbeat } from "../protocol/model.js";
 import type { PeerMessage } from "../protocol/peer/messages.js";
-import { type JobRecord, keys, type MachineRecord } from "../protocol/records/records.js";
+import { encodeFinalRecord } from "../protocol/records/final-record.js";
+import type { JobRecord } from "../protocol/records/job-record.js";
+import { keys } from "../protocol/records/keys.js";
+import {
+	decodeMachineRecord,
+	encodeMachineRecord,
+	type MachineRecord,
+	type StoredMachineRecord,
+} from "../protocol/records/machine-record.js";
 import type { OperatorSettings } from "../protocol/settings/operator.js";
 import { type PlatformSettings, startObjectives } from "../protocol/settings/platform.js";
 import { Fleet } from "./fleet/fleet.js";
@@ -99,7 +107,7 @@
 	private readonly takeover: Takeover;
 	private readonly lateness: TickLateness;
 	private readonly watch: MachineWatch;
-	private readonly machineRecords: SharedRecords<MachineRecord>;
+	private readonly machineRecords: SharedRecords<StoredMachineRecord>;
 	private readonly featureRecord: FeatureRecord;
 	private readonly leaderQuota: LeaderQuotaPort | null;
 	private readonly teamAdmission: TeamAdmission | null;
@@ -213,7 +221,7 @@
 			jobs: () => clusterState.jobs.values(),
 			jobOf: (id) => clusterState.jobs.get(id),
 			finished: (job, final, revision) => {
-				this.storeCopy.applyOwn(keys.final(job.id), final, revision);
+				this.storeCopy.applyOwn(keys.final(job.id), encodeFinalRecord(final), revision);
 				this.jobEnded(job.id);
 			},
 			lostKey: () => this.lostKey(),
@@ -249,7 +257,7 @@
 			orders,
 			nodes: [node, ...others.map((other) => other.node)],
 			preemptAfterMs: options.settings.team_quota.preempt_after_s * 1000,
-			servedByAll: () => this.storeCopy.features.quota === true || peerMonitor.allServeQuota,
+			servedByAll: () => this.storeCopy.features.teamQuota === true || peerMonitor.allServeQuota,
 			log: this.ports.log,
 		});
 	}
@@ -298,7 +306,8 @@
 		for (const [id, record] of storeCopy.jobs) this.loadJob(id, record);
 		this.machineRecords.load(storeCopy.machines);
 		for (const { value } of storeCopy.machines.values()) {
-			for (const [id, record] of Object.entries(value.entries)) this.loadMachine(id, record);
+			for (const [id, record] of Object.entries(value.entries))
+				this.loadMachine(id, decodeMachineRecord(record));
 		}
 		if (storeCopy.machinesMalformed) this.takeover.waitForUnreadable();
 		this.takeover.sendProbes(false);
@@ -310,15 +319,15 @@
 
 	private loadMachine(id: string, record: MachineRecord): void {
 		if (this.clusterState.machines.has(id)) return;
-		const type = this.clusterState.types.get(record.type) ?? unknownType(record.type);
+		const type = this.clusterState.types.get(record.machineType) ?? unknownType(record.machineType);
 		const machine = new Machine(id, type, record.zone, record.spot, this.beganAt);
 		this.clusterState.machines.set(id, machine);
 		machine.endpoint = record.endpoint;
 		machine.durable = true;
-		this.takeover.hide(machine, record.session);
+		this.takeover.hide(machine, record.agentEpoch);
 	}
 
-	private loadJob(id: string, { value: { spec, at }, revision }: Versioned<JobRecord>): void {
+	private loadJob(id: string, { value: { spec, acceptedAt: at }, revision }: Versioned<JobRecord>): void {
 		const job = this.clusterState.addJob(id, spec, at, revision);
 		for (const [page, bits] of this.storeCopy.pagesOf(id)) {
 			job.done.addPage(page, bits);
@@ -326,15 +335,15 @@
 		}
 		job.knownAt = this.ports.time.now();
 		job.fillWaiting();
-		const { lane, team, tasks, estimateS, deadlineS } = spec;
-		this.ports.log.debug({ job: id, lane, team, tasks, estimateS, dueS: deadlineS }, "job known");
+		const { jobClass, team, taskCount: tasks, estimatedRunS, deadlineS } = spec;
+		this.ports.log.debug({ job: id, jobClass, team, tasks, estimatedRunS, dueS: deadlineS }, "job known");
 		this.completion.finishIfDone(job);
 	}
 
 	// --- reports ---
 
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerReport): Promise<Order[] | null> {
+	report(report: WorkerHeartbeat): Promise<Order[] | null> {
 		return this.reports.report(report);
 	}
 
@@ -354,7 +363,16 @@
 	private record(machine: Machine): void {
 		if (this.machineRecords.has(machine.id)) return;
 		const { endpoint, type, zone, spot, session } = machine;
-		this.machineRecords.set(machine.id, { endpoint, type: type.name, zone, spot, session });
+		this.machineRecords.set(
+			machine.id,
+			encodeMachineRecord({
+				endpoint,
+				machineType: type.name,
+				zone,
+				spot,
+				agentEpoch: session,
+			}),
+		);
 		this.machineRecords.flush();
 	}
 
@@ -482,8 +500,8 @@
 	private recordFeatures(): void {
 		const { allServeStanding, allServeQuota } = this.peerMonitor;
 		this.featureRecord.write(this.storeCopy.features, {
-			...(allServeStanding && { standing: true }),
-			...(allServeQuota && this.leaderQuota && { quota: true }),
+			serviceJobs: allServeStanding,
+			teamQuota: allServeQuota && this.leaderQuota !== null,
 		});
 	}
 }
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -1,5 +1,5 @@
 import { Machine, unknownType } from "../../bookkeeping/machine.js";
-import type { WorkerReport } from "../../protocol/model.js";
+import type { WorkerHeartbeat } from "../../protocol/model.js";
 import type { Log } from "../ports/log.js";
 import type { WorkerPort } from "../ports/workers.js";
 import type { ClusterState } from "../state/cluster-state.js";
@@ -27,7 +27,7 @@
 	active(): boolean;
 	/** The term is over for good. */
 	ended(): boolean;
-	apply(report: WorkerReport): void;
+	apply(report: WorkerHeartbeat): void;
 	/** The cloud has named its machines, and this one is not among them. */
 	unlisted(id: string): boolean;
 }
@@ -99,9 +99,9 @@
 			({ executed, report }) =>
 				this.hooks.post(() => {
 					if (!this.clusterState.awaited.has(machine) || this.hooks.ended()) return;
-					if (executed && report.machine === machine.id) this.hooks.apply(report);
-					else if (report.token <= this.clusterState.term && tries > 1) {
-						this.probes.unshift({ machine, session: report.session, tries: tries - 1 });
+					if (executed && report.machineId === machine.id) this.hooks.apply(report);
+					else if (report.fencingToken <= this.clusterState.term && tries > 1) {
+						this.probes.unshift({ machine, session: report.agentEpoch, tries: tries - 1 });
 					}
 				}),
 			() =>
--- a/src/coordination/leadership/feature-gate.ts
+++ b/src/coordination/leadership/feature-gate.ts
@@ -1,5 +1,6 @@
 import type { StoreCondition } from "../../protocol/http/store-api.js";
-import { type FeaturesRecord, keys } from "../../protocol/records/records.js";
+import { keys } from "../../protocol/records/keys.js";
+import { encodeFeatures, type FeatureSet } from "../../protocol/records/singleton-records.js";
 import type { TimePort } from "../ports/clock.js";
 import type { StorePort } from "../ports/store.js";
 
@@ -20,13 +21,16 @@
 	) {}
 
 	/** Adds to what is recorded, if that lacks something. */
-	write(recorded: FeaturesRecord, served: FeaturesRecord): void {
-		const lacking = (Object.keys(served) as (keyof FeaturesRecord)[]).some(
-			(feature) => served[feature] === true && recorded[feature] !== true,
-		);
+	write(recorded: FeatureSet, served: Omit<FeatureSet, "unknown">): void {
+		const lacking =
+			(served.serviceJobs && !recorded.serviceJobs) || (served.teamQuota && !recorded.teamQuota);
 		if (this.writing || !lacking) return;
 		this.writing = true;
-		const value: FeaturesRecord = { ...recorded, ...served };
+		const value = encodeFeatures({
+			serviceJobs: recorded.serviceJobs || served.serviceJobs,
+			teamQuota: recorded.teamQuota || served.teamQuota,
+			unknown: recorded.unknown,
+		});
 		const done = () => this.post(() => (this.writing = false));
 		this.store
 			.transact([this.leaderCondition], [{ put: keys.features, value }], "normal")
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -5,7 +5,8 @@
 	LeadershipMessage,
 	PromiseRequest,
 } from "../../protocol/peer/messages.js";
-import { keys, type LeaderRecord } from "../../protocol/records/records.js";
+import { keys } from "../../protocol/records/keys.js";
+import type { LeaderRecord } from "../../protocol/records/singleton-records.js";
 import { CallFailed } from "../ports/call-error.js";
 import type { TimePort } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
@@ -333,7 +334,7 @@
 		try {
 			const result = await this.store.transact(
 				[{ key: keys.leader, revision: expected }],
-				[{ put: keys.leader, value, lease }],
+				[{ put: keys.leader, value, leaseId: lease }],
 				"first",
 			);
 			if (result.ok) return { term: result.epoch, lease };
--- a/src/coordination/placement/admitted-placement.ts
+++ b/src/coordination/placement/admitted-placement.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from "../../protocol/model.js";
+import { taskDemandOf } from "../../protocol/model.js";
 import type { Grant, Placement, ViewMachine } from "../../protocol/peer/placement.js";
-import { demandOf } from "../../protocol/records/records.js";
 import type { TeamQuotaPort } from "../ports/team-quota.js";
 import { placeFirstFit } from "./first-fit.js";
 
@@ -18,7 +18,7 @@
 	const admitted: Grant[] = [];
 	for (const grant of grants) {
 		const spec = specOf(grant.job);
-		const count = spec ? quota.admit(demandOf(spec), grant.count) : 0;
+		const count = spec ? quota.admit(taskDemandOf(spec), grant.count) : 0;
 		if (count > 0) admitted.push({ ...grant, count });
 	}
 	const placements = placeFirstFit(machines, admitted, specOf, start);
@@ -27,7 +27,7 @@
 	for (const { job, count } of admitted) {
 		const spec = specOf(job);
 		const left = count - (placed.get(job) ?? 0);
-		if (spec && left > 0) quota.withdraw(demandOf(spec), left);
+		if (spec && left > 0) quota.withdraw(taskDemandOf(spec), left);
 	}
 	return placements;
 }
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -1,15 +1,15 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
-import { isStanding, type JobSpec } from "../../protocol/model.js";
+import { isService, type JobSpec } from "../../protocol/model.js";
 import type { Grant, Placement, ViewMachine } from "../../protocol/peer/placement.js";
 
 const slack = 1e-6;
 
 function fits(spec: JobSpec, m: ViewMachine): number {
-	if (spec.types !== null && !spec.types.includes(m.type)) return 0;
+	if (spec.machineTypes !== null && !spec.machineTypes.includes(m.type)) return 0;
 	if (spec.zone !== null && spec.zone !== m.zone) return 0;
-	if (m.spot && !spec.spot) return 0;
+	if (m.spot && !spec.allowSpot) return 0;
 	let n = m.slots;
 	if (spec.cpus > 0) n = Math.min(n, Math.floor((m.cpus + slack) / spec.cpus));
 	if (spec.gpus > 0) n = Math.min(n, Math.floor((m.gpus + slack) / spec.gpus));
@@ -31,7 +31,7 @@
 		sum += room;
 		most = Math.max(most, room);
 	}
-	return spec.oneZone ? most : sum;
+	return spec.singleZone ? most : sum;
 }
 
 /** With very many machines a sample stands for them. */
@@ -77,7 +77,7 @@
 
 function passesFor(spec: JobSpec, count: number): PlacingPass[] {
 	const anywhere = [true, false].map((withImage) => ({ withImage, most: count, apart: false }));
-	if (!isStanding(spec)) return anywhere;
+	if (!isService(spec)) return anywhere;
 	// Replicas go to as many machines as there are, so that the end of one machine costs one.
 	return [...[true, false].map((withImage) => ({ withImage, most: 1, apart: true })), ...anywhere];
 }
--- a/src/coordination/placement/free-capacity.ts
+++ b/src/coordination/placement/free-capacity.ts
@@ -19,7 +19,7 @@
 	const { cpus, gpus, memoryGb } = machine.type;
 	const free = { cpus, gpus, memory: memoryGb };
 	for (const { job } of machine.attempts.values()) {
-		if (!job.standing) continue;
+		if (!job.isService) continue;
 		free.cpus -= job.spec.cpus;
 		free.gpus -= job.spec.gpus;
 		free.memory -= job.spec.memoryGb;
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -90,7 +90,7 @@
 	/** Tasks of the job that the machines could take, worked out once for jobs with the same demands. */
 	private usableTasks(job: Job): number {
 		const { spec } = job;
-		const zoneRule = spec.oneZone || spec.spread;
+		const zoneRule = spec.singleZone || spec.spreadZones;
 		const key = zoneRule ? job.id : job.demandKey;
 		let count = this.usable.get(key);
 		if (count === undefined) {
@@ -123,7 +123,7 @@
 		job: job.id,
 		count,
 		avoid: machinesToAvoid(job, views, now),
-		zones: spec.oneZone || spec.spread ? clusterState.zonesOf(job) : {},
-		...(job.standing && { beside: [...job.attempts.values()].map((a) => a.machine.id) }),
+		zones: spec.singleZone || spec.spreadZones ? clusterState.zonesOf(job) : {},
+		...(job.isService && { beside: [...job.attempts.values()].map((a) => a.machine.id) }),
 	};
 }
--- a/src/coordination/placement/job-order.ts
+++ b/src/coordination/placement/job-order.ts
@@ -18,9 +18,9 @@
  */
 export function remainingSeconds(job: Job, team: TeamLimits | undefined, evenCpus: number): number {
 	const { spec } = job;
-	const tasks = spec.tasks - job.done.count;
+	const tasks = spec.taskCount - job.done.count;
 	const cpus = Math.min(team?.cpus_max ?? spec.cpus, evenCpus);
-	return Math.max(1, (tasks * spec.cpus) / Math.max(cpus, spec.cpus)) * job.estimateS;
+	return Math.max(1, (tasks * spec.cpus) / Math.max(cpus, spec.cpus)) * job.estimatedRunS;
 }
 
 function ageS(job: Job, date: number): number {
@@ -44,7 +44,7 @@
 function dueAt(job: Job, date: number): number {
 	const { deadlineS } = job.spec;
 	if (deadlineS === null) return Number.MAX_VALUE;
-	const ready = date + job.estimateS * 1000;
+	const ready = date + job.estimatedRunS * 1000;
 	const due = job.at + deadlineS * 1000;
 	if (ready <= due || job.attempts.size > 0) return due;
 	const late = job.at + lateTimes * deadlineS * 1000;
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -143,7 +143,7 @@
 	private prospect(machine: Machine, { spec }: Job, now: number): Prospect | null {
 		const left = { cpus: machine.freeCpus, gpus: machine.freeGpus, memory: machine.freeMemory };
 		const ending = [...machine.attempts.values()]
-			.filter((attempt) => !attempt.job.standing)
+			.filter((attempt) => !attempt.job.isService)
 			.map((attempt) => ({
 				spec: attempt.job.spec,
 				seconds: remainingOfAttempt(attempt, now, this.capS) / attempt.job.spec.cpus,
@@ -166,6 +166,6 @@
 
 /** Nothing of the job has begun, and nothing but room is in the way. */
 function stillWaits(job: Job): boolean {
-	if (job.hadReservation || job.standing || job.cancelled || job.ending || job.failsOnSeveral) return false;
+	if (job.hadReservation || job.isService || job.cancelled || job.ending || job.failsOnSeveral) return false;
 	return job.attempts.size === 0 && job.done.count === 0 && job.waiting.length > 0;
 }
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -1,5 +1,5 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
-import { demandOf } from "../../protocol/records/records.js";
+import { taskDemandOf } from "../../protocol/model.js";
 import type { PeerMonitor } from "../leadership/failure-detector.js";
 import type { Log } from "../ports/log.js";
 import type { LeaderQuotaPort, TeamQuotaPort } from "../ports/team-quota.js";
@@ -90,14 +90,14 @@
 
 	/** Who can admit a task of the job now: its team's placer, or another that still holds an allotment. */
 	placerFor(job: Job, preferred: string, live: readonly string[]): string | null {
-		const demand = demandOf(job.spec);
+		const demand = taskDemandOf(job.spec);
 		const { leaderQuota } = this.options;
 		if (leaderQuota.hasRoom(demand, preferred)) return preferred;
 		return live.find((node) => leaderQuota.hasRoom(demand, node)) ?? null;
 	}
 
 	mayPlaceHere(job: Job): boolean {
-		return this.options.leaderQuota.hasRoom(demandOf(job.spec), this.options.leaderQuota.self);
+		return this.options.leaderQuota.hasRoom(taskDemandOf(job.spec), this.options.leaderQuota.self);
 	}
 
 	/** Tasks that this node itself has to admit, since nobody else can place them: one job of each team. */
@@ -116,7 +116,7 @@
 	private need(job: Job, tasks: number): void {
 		const { leaderQuota } = this.options;
 		if (placerOf(job.spec.team, this.placers) !== leaderQuota.self)
-			leaderQuota.need(demandOf(job.spec), tasks);
+			leaderQuota.need(taskDemandOf(job.spec), tasks);
 	}
 
 	// --- limits ---
@@ -148,11 +148,11 @@
 		const stopped: Attempt[] = [];
 		for (const attempt of running) {
 			if (left.cpus <= 0 && left.gpus <= 0) break;
-			const { cpus, gpus, saveS } = attempt.job.spec;
+			const { cpus, gpus, checkpointCostS } = attempt.job.spec;
 			left.cpus -= cpus;
 			left.gpus -= gpus;
 			if (attempt.stop !== null) continue;
-			attempt.stop = { graceS: saveS, why: "the team's limit was lowered" };
+			attempt.stop = { graceS: checkpointCostS, why: "the team's limit was lowered" };
 			stopped.push(attempt);
 		}
 		if (stopped.length === 0) return;
--- a/src/coordination/ports/cloud.ts
+++ b/src/coordination/ports/cloud.ts
@@ -1,8 +1,8 @@
-import type { MachineListPage, RentRequest } from "../../protocol/http/cloud-api.js";
+import type { MachineListPage, ScaleOutRequest } from "../../protocol/http/cloud-api.js";
 import type { MachineType } from "../../protocol/model.js";
 export interface CloudPort {
 	machineTypes(): Promise<MachineType[]>;
-	rent(request: RentRequest): Promise<string[]>;
+	rent(request: ScaleOutRequest): Promise<string[]>;
 	giveBack(machines: string[]): Promise<void>;
 	list(after: string): Promise<MachineListPage>;
 }
--- a/src/coordination/ports/team-quota.ts
+++ b/src/coordination/ports/team-quota.ts
@@ -1,5 +1,5 @@
 import type { TeamCharge, TeamLimits } from "../../bookkeeping/quota-ledger.js";
-import type { Demand } from "../../protocol/model.js";
+import type { TaskDemand } from "../../protocol/model.js";
 /**
  * Team quota: limits divided among the controllers. What controllers tell each other of it is passed
  * on as it is; `packages/team-quota` makes and checks it.
@@ -12,9 +12,9 @@
 	/** From the leader of the term. */
 	takeTerms(term: number, terms: unknown): void;
 	/** How many tasks of this size this controller admits, of `most`. */
-	admit(demand: Demand, most: number): number;
+	admit(demand: TaskDemand, most: number): number;
 	/** Gives back admissions since the last batch. */
-	withdraw(demand: Demand, count: number): void;
+	withdraw(demand: TaskDemand, count: number): void;
 	/** The reply that goes with the admissions since the last batch. */
 	sendBatch(): unknown;
 	reply(): unknown;
@@ -24,10 +24,10 @@
 export interface AdmissionControl {
 	/** This node, which holds allotments like any other. */
 	readonly self: string;
-	mayStart(demand: Demand, admittedBy: string): boolean;
-	charge(demand: Demand, admittedBy: string): TeamCharge;
+	mayStart(demand: TaskDemand, admittedBy: string): boolean;
+	charge(demand: TaskDemand, admittedBy: string): TeamCharge;
 	/** Of a task that was found running: nobody knows who admitted it. */
-	chargeFound(demand: Demand): TeamCharge;
+	chargeFound(demand: TaskDemand): TeamCharge;
 	release(charge: TeamCharge): void;
 }
 /** The leader's side of team quota, for one term. */
@@ -40,12 +40,12 @@
 	heard(node: string, reply: unknown): boolean;
 	/** What the node is to be told; undefined: nothing. */
 	termsFor(node: string): unknown;
-	hasRoom(demand: Demand, node: string): boolean;
+	hasRoom(demand: TaskDemand, node: string): boolean;
 	prefer(team: string, preferred: string, nodes: readonly string[]): void;
 	/** This node is to admit so many tasks, whoever is preferred; 0: no longer. */
-	need(demand: Demand, count: number): void;
+	need(demand: TaskDemand, count: number): void;
 	/** By the leader's own count, to be compared with what is charged. */
-	scrub(running: readonly Demand[]): void;
+	scrub(running: readonly TaskDemand[]): void;
 	/** What the team runs above a lower limit that is pending. */
 	excess(team: string): { cpus: number; gpus: number } | null;
 }
--- a/src/coordination/ports/workers.ts
+++ b/src/coordination/ports/workers.ts
@@ -1,4 +1,4 @@
-import type { Order, WorkerReport } from "../../protocol/model.js";
+import type { Order, WorkerHeartbeat } from "../../protocol/model.js";
 export interface WorkerPort {
 	/** Sends orders straight to a worker. The report says whether they were executed. */
 	command(
@@ -6,5 +6,5 @@
 		token: number,
 		session: number,
 		orders: Order[],
-	): Promise<{ executed: boolean; report: WorkerReport }>;
+	): Promise<{ executed: boolean; report: WorkerHeartbeat }>;
 }
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -35,8 +35,8 @@
 		);
 		if (victims.length === 0) return;
 		for (const victim of victims) {
-			const { checkpointS, saveS } = victim.job.spec;
-			victim.stop = { graceS: checkpointS > 0 ? graceFactor * saveS : 0, why: "preempted" };
+			const { checkpointIntervalS, checkpointCostS } = victim.job.spec;
+			victim.stop = { graceS: checkpointIntervalS > 0 ? graceFactor * checkpointCostS : 0, why: "preempted" };
 		}
 		this.log.debug({ tasks: victims.map((v) => `${v.job.id}/${v.index}`) }, "preempted");
 		this.orders.stop(victims);
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -26,8 +26,8 @@
 	let all = 0;
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
-		if (job.standing) continue;
-		const places = (turnoverS * job.attempts.size) / job.estimateS;
+		if (job.isService) continue;
+		const places = (turnoverS * job.attempts.size) / job.estimatedRunS;
 		all += places;
 		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + places);
 	}
@@ -39,7 +39,7 @@
 	const { spec } = attempt.job;
 	if (attempt.runningAt === null) return 0;
 	const elapsedS = (now - attempt.runningAt) / 1000;
-	const lost = spec.checkpointS > 0 ? Math.min(elapsedS, spec.saveS) : elapsedS;
+	const lost = spec.checkpointIntervalS > 0 ? Math.min(elapsedS, spec.checkpointCostS) : elapsedS;
 	return lost * spec.cpus;
 }
 
@@ -48,7 +48,7 @@
 	// A replica that was stopped would only be started elsewhere.
 	return (
 		attempt.stop === null &&
-		!attempt.job.standing &&
+		!attempt.job.isService &&
 		attempt.phase !== "assigned" &&
 		attempt.phase !== "saving"
 	);
@@ -56,8 +56,8 @@
 
 /** Work mostly done is not thrown away. */
 function cheapToStop(attempt: Attempt, now: number): boolean {
-	if (attempt.runningAt === null || attempt.job.spec.checkpointS > 0) return true;
-	return now - attempt.runningAt < 0.5 * attempt.job.estimateS * 1000;
+	if (attempt.runningAt === null || attempt.job.spec.checkpointIntervalS > 0) return true;
+	return now - attempt.runningAt < 0.5 * attempt.job.estimatedRunS * 1000;
 }
 
 function beyondGuarantee(clusterState: ClusterState, team: string, freedCpus: number): boolean {
@@ -273,7 +273,7 @@
 }
 
 /** Not every machine may be used for it. */
-function isRestricted({ types, zone, spot }: JobSpec): boolean {
+function isRestricted({ machineTypes: types, zone, allowSpot: spot }: JobSpec): boolean {
 	return types !== null || zone !== null || !spot;
 }
 
@@ -303,7 +303,7 @@
 		const atLimit = !clusterState.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus);
 		const own = soonFree.byTeam.get(spec.team) ?? 0;
 		// Which machines they come free on nobody knows, and a replica can't wait for the next.
-		const served = job.standing
+		const served = job.isService
 			? 0
 			: Math.floor(Math.min(soonFree.all, atLimit ? own : soonFree.all, job.waiting.length));
 		soonFree.all -= served;
--- a/src/coordination/replication/chunked-records.ts
+++ b/src/coordination/replication/chunked-records.ts
@@ -1,5 +1,5 @@
 import type { StoreChange, StoreCondition } from "../../protocol/http/store-api.js";
-import type { SharedRecord } from "../../protocol/records/records.js";
+import type { StoredChunk } from "../../protocol/records/chunk.js";
 import { CallFailed } from "../ports/call-error.js";
 import type { RateClass, StorePort } from "../ports/store.js";
 
@@ -98,7 +98,7 @@
 	}
 
 	/** What the store held when the term began. */
-	load(values: Iterable<[string, { value: SharedRecord<V>; revision: number }]>): void {
+	load(values: Iterable<[string, { value: StoredChunk<V>; revision: number }]>): void {
 		// Two values name one thing if a leader ended while it split one; the older copy is dropped.
 		for (const [key, { value, revision }] of [...values].sort((a, b) => b[1].revision - a[1].revision)) {
 			const pack = this.newPack(key, revision);
@@ -229,7 +229,7 @@
 	}
 
 	private changeOf(pack: SharedValue<V>): StoreChange[] {
-		const value: SharedRecord<V> = { entries: Object.fromEntries(pack.entries) };
+		const value: StoredChunk<V> = { entries: Object.fromEntries(pack.entries) };
 		if (pack.entries.size > 0) return [{ put: pack.key, value }];
 		if (pack.revision > 0) return [{ delete: pack.key }];
 		this.forget(pack);
--- a/src/coordination/replication/replica-sync.ts
+++ b/src/coordination/replication/replica-sync.ts
@@ -1,5 +1,5 @@
 import type { StoreCopy } from "../../bookkeeping/store-replica.js";
-import { keys } from "../../protocol/records/records.js";
+import { keys } from "../../protocol/records/keys.js";
 import { CallFailed } from "../ports/call-error.js";
 import type { TimePort } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
@@ -104,7 +104,7 @@
 		const parts = [];
 		const beganAt = this.time.now();
 		// One after the other, machines last: a burst of calls would use up a starting node's share.
-		for (const prefix of [keys.one, keys.jobs, keys.progress, keys.machines])
+		for (const prefix of [keys.singletons, keys.jobs, keys.progress, keys.machines])
 			parts.push(await this.store.rows(prefix));
 		const rows = parts.flatMap((p) => p.rows);
 		const revision = Math.min(...parts.map((p) => p.epoch));
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -5,8 +5,8 @@
 import { Quotas, type TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import { tasksPerPage } from "../../bookkeeping/task-set.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
-import type { Demand, JobSpec, MachineType } from "../../protocol/model.js";
-import { demandOf } from "../../protocol/records/records.js";
+import type { JobSpec, MachineType, TaskDemand } from "../../protocol/model.js";
+import { taskDemandOf } from "../../protocol/model.js";
 import type { AdmissionControl } from "../ports/team-quota.js";
 
 /** Attempts of one epoch; beyond them the leader must get itself a new epoch. */
@@ -43,7 +43,7 @@
 		/** A lease renewed this long ago, or earlier, has certainly run out. */
 		readonly certainMs = Number.POSITIVE_INFINITY,
 		/** What a task of a job that is over takes; null: not known. */
-		private readonly demandOf: (job: string) => Demand | null = () => null,
+		private readonly demandOf: (job: string) => TaskDemand | null = () => null,
 	) {
 		this.quotas = new Quotas(teams);
 	}
@@ -65,7 +65,7 @@
 		this.admission = admission;
 		for (const machine of this.machines.values()) {
 			for (const attempt of machine.attempts.values())
-				attempt.charge = admission.chargeFound(demandOf(attempt.job.spec));
+				attempt.charge = admission.chargeFound(taskDemandOf(attempt.job.spec));
 			for (const task of machine.unwanted) if (task.demand) task.charge = admission.chargeFound(task.demand);
 		}
 		this.placementDue = true;
@@ -77,7 +77,7 @@
 	 */
 	addUnwanted(machine: Machine, task: Omit<UnwantedTask, "demand" | "charge">): void {
 		const spec = this.jobs.get(task.job)?.spec;
-		const demand = spec ? demandOf(spec) : this.demandOf(task.job);
+		const demand = spec ? taskDemandOf(spec) : this.demandOf(task.job);
 		const charge = demand && this.admission ? this.admission.chargeFound(demand) : null;
 		machine.unwanted.push({ ...task, demand, charge });
 		this.count(machine, demand, 1);
@@ -91,7 +91,7 @@
 		machine.unwanted = [];
 	}
 
-	private count(machine: Machine, demand: Demand | null, sign: 1 | -1): void {
+	private count(machine: Machine, demand: TaskDemand | null, sign: 1 | -1): void {
 		this.placementDue = true;
 		if (demand && sign > 0) this.quotas.add(demand.team, demand.cpus, demand.gpus);
 		else if (demand) this.quotas.remove(demand.team, demand.cpus, demand.gpus);
@@ -184,7 +184,7 @@
 	/** `admittedBy`: whose allotment it counts against; null: it was found, and nobody knows. */
 	private register(attempt: Attempt, admittedBy: string | null): void {
 		const { job, machine, index } = attempt;
-		const demand = demandOf(job.spec);
+		const demand = taskDemandOf(job.spec);
 		if (this.admission)
 			attempt.charge =
 				admittedBy === null ? this.admission.chargeFound(demand) : this.admission.charge(demand, admittedBy);
@@ -205,10 +205,10 @@
 		if (!machine.hasRoomFor(spec)) return "no room";
 		if (machine.onProbation && machine.attempts.size > 0) return "machine is on trial";
 		if (!this.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus)) return "team is at its limit";
-		if ((spec.oneZone || spec.spread) && zoneRoom(spec, this.zonesOf(job), machine.zone) < 1) {
+		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, this.zonesOf(job), machine.zone) < 1) {
 			return "zone rule";
 		}
-		if (this.admission && !this.admission.mayStart(demandOf(spec), admittedBy)) return "no allotment";
+		if (this.admission && !this.admission.mayStart(taskDemandOf(spec), admittedBy)) return "no allotment";
 		return null;
 	}
 
@@ -282,12 +282,12 @@
 	move(attempt: Attempt, to: Machine): void {
 		attempt.moveTo = to;
 		to.reserve(attempt.job.spec, 1);
-		attempt.stop = { graceS: attempt.job.spec.saveS, why: "moved" };
+		attempt.stop = { graceS: attempt.job.spec.checkpointCostS, why: "moved" };
 	}
 
 	markDone(job: Job, index: number): void {
 		// Whatever a replica reports, it runs again.
-		if (job.standing) return;
+		if (job.isService) return;
 		if (job.done.add(index)) {
 			job.dirtyPages.add(Math.floor(index / tasksPerPage));
 			this.placementDue = true;
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -62,7 +62,7 @@
 
 	private recordRun(job: Job, machine: Machine, seconds: number, now: number): void {
 		// Enough runs for a mean, mostly on other machines.
-		if (job.finishedRuns >= runsForMean) noteRun(machine, seconds, job.estimateS);
+		if (job.finishedRuns >= runsForMean) noteRun(machine, seconds, job.estimatedRunS);
 		if (!machine.quarantined && muchTooSlow(machine, this.clusterState.machines.values())) {
 			machine.quarantine(now);
 			this.log.info({ machine: machine.id, ratio: machine.runRatio }, "set aside as much too slow");
@@ -76,11 +76,11 @@
 		this.log.info({ machine: machine.id, job: job.id, task: index, cause }, "task failed");
 		// One that ran for long and failed says little of where it starts next.
 		const ranWell = attempt.runningAt !== null && now - attempt.runningAt > steadyMs;
-		if (job.standing && ranWell) job.failedOn.clear();
+		if (job.isService && ranWell) job.failedOn.clear();
 		job.failedOn.add(machine);
 		job.failuresInRow += 1;
 		job.failedAt = now;
-		if (job.standing) job.notBefore = now + pauseMs(replicaPause, job.failedOn.size);
+		if (job.isService) job.notBefore = now + pauseMs(replicaPause, job.failedOn.size);
 		// Perhaps it fails everywhere: tried again with growing pauses.
 		else if (job.failsOnSeveral) job.notBefore = now + pauseMs(failsOnSeveralPause, failureSteps(job));
 		if (cause !== "error" || job.unfitTypes.has(machine.type.name)) return;
--- a/src/coordination/workers/heartbeat-forwarding.ts
+++ b/src/coordination/workers/heartbeat-forwarding.ts
@@ -1,4 +1,4 @@
-import type { Order, WorkerReport } from "../../protocol/model.js";
+import type { Order, WorkerHeartbeat } from "../../protocol/model.js";
 import { type PackedReport, packReport } from "../../protocol/peer/packed-heartbeat.js";
 import type { TimePort } from "../ports/clock.js";
 import type { PeerPort } from "../ports/peers.js";
@@ -43,7 +43,7 @@
 	}
 
 	/** null: reports cannot be passed on for now. Otherwise the leader's orders, or null if it may not answer. */
-	take(report: WorkerReport): Promise<Order[] | null> | null {
+	take(report: WorkerHeartbeat): Promise<Order[] | null> | null {
 		const now = this.time.now();
 		if (now < this.pausedUntil) return null;
 		this.count += 1;
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -1,12 +1,12 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import { Machine } from "../../bookkeeping/machine.js";
-import type { Order, ReportedTask, WorkerReport } from "../../protocol/model.js";
+import type { Order, TaskStatus, WorkerHeartbeat } from "../../protocol/model.js";
 import { type ClusterState, taskKey } from "../state/cluster-state.js";
 
 /** What a report tells about jobs and machines, for those who log and decide on it. */
 export interface Outcome {
 	attempt: Attempt;
-	cause: NonNullable<ReportedTask["cause"]>;
+	cause: NonNullable<TaskStatus["exitCause"]>;
 }
 
 export type Applied =
@@ -34,13 +34,13 @@
  * a larger (session, seq) was sent after the answer to the one before was carried
  * out or can no longer be: what it does not list is not there.
  */
-export function applyReport(clusterState: ClusterState, report: WorkerReport, now: number): Applied {
-	const known = clusterState.machines.get(report.machine);
+export function applyReport(clusterState: ClusterState, report: WorkerHeartbeat, now: number): Applied {
+	const known = clusterState.machines.get(report.machineId);
 	const machine = known ?? newMachine(clusterState, report, now);
 	if (!machine) return { kind: "unknown type" };
 	const refused = refusal(clusterState, machine, report, now);
 	if (refused) return { kind: refused };
-	const newSession = machine.session !== 0 && report.session > machine.session;
+	const newSession = machine.session !== 0 && report.agentEpoch > machine.session;
 	// Its lease ran out although it was answered lately. Once, the answer may just have come too late.
 	const ranOut = newSession && now - machine.answeredAt < clusterState.certainMs / 2;
 	const cameUp = !machine.up;
@@ -60,10 +60,10 @@
 }
 
 /** null: of its type nothing is known. */
-function newMachine(clusterState: ClusterState, report: WorkerReport, now: number): Machine | null {
-	const type = clusterState.types.get(report.type);
+function newMachine(clusterState: ClusterState, report: WorkerHeartbeat, now: number): Machine | null {
+	const type = clusterState.types.get(report.machineType);
 	if (!type) return null;
-	const machine = new Machine(report.machine, type, report.zone, report.spot, now);
+	const machine = new Machine(report.machineId, type, report.zone, report.spot, now);
 	clusterState.machines.set(machine.id, machine);
 	return machine;
 }
@@ -72,10 +72,10 @@
 function refusal(
 	clusterState: ClusterState,
 	machine: Machine,
-	report: WorkerReport,
+	report: WorkerHeartbeat,
 	now: number,
 ): "expired" | "old" | null {
-	const { session, seq, token } = report;
+	const { agentEpoch: session, sequence: seq, fencingToken: token } = report;
 	if (session < machine.leastSession) return "expired";
 	if (session < machine.session) return "old";
 	if (session > machine.session) return null;
@@ -89,16 +89,16 @@
 	return "expired";
 }
 
-function update(clusterState: ClusterState, machine: Machine, report: WorkerReport, now: number): void {
-	machine.session = report.session;
-	machine.reportNumber = report.seq;
+function update(clusterState: ClusterState, machine: Machine, report: WorkerHeartbeat, now: number): void {
+	machine.session = report.agentEpoch;
+	machine.reportNumber = report.sequence;
 	machine.endpoint = report.endpoint;
 	machine.reportedAt = now;
 	machine.up = true;
 	machine.overdue = false;
 	machine.leaseExpired = false;
-	machine.takenAt = report.noticeS === null ? null : now + report.noticeS * 1000;
-	if (report.token !== clusterState.term || machine.confirmed) return;
+	machine.takenAt = report.reclaimInS === null ? null : now + report.reclaimInS * 1000;
+	if (report.fencingToken !== clusterState.term || machine.confirmed) return;
 	machine.confirmed = true;
 	clusterState.stopAwaiting(machine);
 	clusterState.placementDue = true;
@@ -118,7 +118,7 @@
 function applyListed(
 	clusterState: ClusterState,
 	machine: Machine,
-	tasks: ReportedTask[],
+	tasks: TaskStatus[],
 	now: number,
 ): Listing {
 	const listing: Listing = {
@@ -131,7 +131,7 @@
 	machine.exited = [];
 	clusterState.clearUnwanted(machine);
 	for (const task of tasks) {
-		const key = taskKey(task.job, task.index);
+		const key = taskKey(task.jobId, task.taskIndex);
 		const attempt = machine.attempts.get(key);
 		if (attempt?.number === task.attempt) {
 			listing.listed.add(key);
@@ -145,16 +145,16 @@
 function applyKnown(
 	clusterState: ClusterState,
 	attempt: Attempt,
-	task: ReportedTask,
+	task: TaskStatus,
 	listing: Listing,
 	now: number,
 ): void {
 	listing.startSeen ||= attempt.phase === "sent";
 	if (task.state !== "exited") {
-		if (progress(attempt, task, now) && attempt.job.standing) listing.begun.push(attempt);
+		if (progress(attempt, task, now) && attempt.job.isService) listing.begun.push(attempt);
 		return;
 	}
-	const cause = task.cause ?? "error";
+	const cause = task.exitCause ?? "error";
 	exited(clusterState, attempt.machine, task);
 	if (cause === "done") {
 		clusterState.markDone(attempt.job, attempt.index);
@@ -167,13 +167,13 @@
 function applyUnknownExit(
 	clusterState: ClusterState,
 	machine: Machine,
-	task: ReportedTask,
+	task: TaskStatus,
 	listing: Listing,
 ): void {
 	exited(clusterState, machine, task);
-	const job = clusterState.jobs.get(task.job);
-	if (task.cause !== "done" || !job || task.index >= job.spec.tasks) return;
-	foundDone(clusterState, job, task.index);
+	const job = clusterState.jobs.get(task.jobId);
+	if (task.exitCause !== "done" || !job || task.taskIndex >= job.spec.taskCount) return;
+	foundDone(clusterState, job, task.taskIndex);
 	listing.progressed.add(job);
 }
 
@@ -241,18 +241,18 @@
 	}
 }
 
-function exited(clusterState: ClusterState, machine: Machine, task: ReportedTask): void {
+function exited(clusterState: ClusterState, machine: Machine, task: TaskStatus): void {
 	machine.exited.push({
-		job: task.job,
-		index: task.index,
+		job: task.jobId,
+		index: task.taskIndex,
 		attempt: task.attempt,
-		done: task.cause === "done" && clusterState.jobs.get(task.job)?.standing === false,
+		done: task.exitCause === "done" && clusterState.jobs.get(task.jobId)?.isService === false,
 	});
 }
 
 /** Completed under an attempt that this leader did not know; the result counts all the same. */
 function foundDone(clusterState: ClusterState, job: Job, index: number): void {
-	if (job.standing) return;
+	if (job.isService) return;
 	clusterState.markDone(job, index);
 	const other = job.attempts.get(index);
 	if (!other) return;
@@ -261,7 +261,7 @@
 }
 
 /** True if it is reported running for the first time. */
-function progress(attempt: Attempt, task: ReportedTask, now: number): boolean {
+function progress(attempt: Attempt, task: TaskStatus, now: number): boolean {
 	if (task.state === "exited") return false;
 	attempt.phase = task.state;
 	if (task.state !== "running" || attempt.runningAt !== null) return false;
@@ -271,27 +271,22 @@
 }
 
 /** True if the task is this machine's from now on. */
-function adoptOrRefuse(
-	clusterState: ClusterState,
-	machine: Machine,
-	task: ReportedTask,
-	now: number,
-): boolean {
-	const job = clusterState.jobs.get(task.job);
-	const other = job?.attempts.get(task.index);
+function adoptOrRefuse(clusterState: ClusterState, machine: Machine, task: TaskStatus, now: number): boolean {
+	const job = clusterState.jobs.get(task.jobId);
+	const other = job?.attempts.get(task.taskIndex);
 	const wanted =
 		job !== undefined &&
-		task.index < job.spec.tasks &&
-		!job.done.has(task.index) &&
+		task.taskIndex < job.spec.taskCount &&
+		!job.done.has(task.taskIndex) &&
 		// An attempt is decided only when the one before is proved over. A late copy of a
 		// report may have listed that one again after a change of leader.
 		(other === undefined || other.number < task.attempt);
 	if (!wanted) {
-		clusterState.addUnwanted(machine, { job: task.job, index: task.index, attempt: task.attempt });
+		clusterState.addUnwanted(machine, { job: task.jobId, index: task.taskIndex, attempt: task.attempt });
 		return false;
 	}
 	if (other) clusterState.finish(other);
-	progress(clusterState.adopt(job, task.index, task.attempt, machine), task, now);
+	progress(clusterState.adopt(job, task.taskIndex, task.attempt, machine), task, now);
 	return true;
 }
 
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -1,4 +1,4 @@
-import type { Order, WorkerReport } from "../../protocol/model.js";
+import type { Order, WorkerHeartbeat } from "../../protocol/model.js";
 import type {
 	ForwardedAnswers,
 	ForwardedReports,
@@ -23,7 +23,7 @@
 /** What the router needs of a leader. */
 export interface HeartbeatHandler {
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerReport): Promise<Order[] | null>;
+	report(report: WorkerHeartbeat): Promise<Order[] | null>;
 	/** The controller that receives the machine's heartbeats, or null for this one. */
 	relayFor(machine: string): string | null;
 }
@@ -76,17 +76,17 @@
 		this.answers = new AnswerBatches(options.peers, options.time);
 	}
 
-	async report(report: WorkerReport): Promise<ReportResult> {
+	async report(report: WorkerHeartbeat): Promise<ReportResult> {
 		const active = this.options.active();
 		if (active) {
-			const relay = active.leader.relayFor(report.machine);
+			const relay = active.leader.relayFor(report.machineId);
 			if (relay !== null) return { kind: "elsewhere", node: relay };
 			const orders = await this.answerTo(active, report);
 			return orders ? { kind: "orders", token: active.term, orders } : { kind: "elsewhere", node: null };
 		}
 		const passedOn = this.passOn(report);
 		if (passedOn) return passedOn;
-		this.noteUnexpected(report.machine, this.options.time.now());
+		this.noteUnexpected(report.machineId, this.options.time.now());
 		return { kind: "elsewhere", node: this.redirectTarget() };
 	}
 
@@ -99,16 +99,16 @@
 	}
 
 	/** null: this node may not answer. */
-	private async answerTo({ leader, term }: ActiveLeader, report: WorkerReport): Promise<Order[] | null> {
+	private async answerTo({ leader, term }: ActiveLeader, report: WorkerHeartbeat): Promise<Order[] | null> {
 		const orders = await leader.report(report);
 		// Authority may have ended while the answer waited for places to be filled.
 		return this.options.active()?.term === term ? orders : null;
 	}
 
 	/** Where the leader wants reports passed on, the worker need not know who leads. */
-	private passOn(report: WorkerReport): Promise<ReportResult> | null {
+	private passOn(report: WorkerHeartbeat): Promise<ReportResult> | null {
 		const { term, at, relay } = this.leaderHeard;
-		if (!relay || report.token > term || this.options.time.now() - at > leaderSilentMs) return null;
+		if (!relay || report.fencingToken > term || this.options.time.now() - at > leaderSilentMs) return null;
 		const taken = this.relay.take(report);
 		if (!taken) return null;
 		return taken.then((orders) => {
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -1,6 +1,6 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import type { Order, WorkerReport } from "../../protocol/model.js";
+import type { Order, WorkerHeartbeat } from "../../protocol/model.js";
 import type { TimePort } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
 import type { TickLateness } from "../runtime/tick-delay.js";
@@ -65,17 +65,17 @@
 	}
 
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerReport): Promise<Order[] | null> {
+	report(report: WorkerHeartbeat): Promise<Order[] | null> {
 		const { clusterState, fleet, time, reportS } = this.options;
 		// A worker that has seen a later token drops our answer, and would wait here while its lease runs out.
-		if (!this.options.active() || report.token > this.options.term) return Promise.resolve(null);
-		if (fleet.isGone(report.machine)) return Promise.resolve(null);
+		if (!this.options.active() || report.fencingToken > this.options.term) return Promise.resolve(null);
+		if (fleet.isGone(report.machineId)) return Promise.resolve(null);
 		const now = time.now();
 		const applied = this.apply(report);
 		// Of a type that nobody knows no task can be told from another: it gets no answer that keeps them.
 		if (applied === "expired" || applied === "unknown type") return Promise.resolve(null);
 		if (applied === "old") return Promise.resolve([]);
-		const machine = clusterState.machines.get(report.machine) as Machine;
+		const machine = clusterState.machines.get(report.machineId) as Machine;
 		machine.answeredAt = now;
 		if (!machine.durable) this.options.record(machine);
 		this.held.supersede(machine.id);
@@ -103,10 +103,10 @@
 	}
 
 	/** Without an answer: also for what a machine says when it is asked. */
-	apply(report: WorkerReport): Applied["kind"] {
+	apply(report: WorkerHeartbeat): Applied["kind"] {
 		const { clusterState, time, log, unwanted, fleet, outcomes, orders } = this.options;
 		const now = time.now();
-		const toldBefore = clusterState.machines.get(report.machine)?.unwanted ?? [];
+		const toldBefore = clusterState.machines.get(report.machineId)?.unwanted ?? [];
 		const applied = applyReport(clusterState, report, now);
 		if (applied.kind !== "applied") return applied.kind;
 		const { machine } = applied;
@@ -116,7 +116,7 @@
 		if (applied.isNew) log.info({ machine: machine.id, type: machine.type.name }, "machine up");
 		for (const outcome of applied.outcomes) {
 			const { attempt, cause } = outcome;
-			if (attempt.job.standing) this.logReplica(attempt, `replica ended: ${cause}`);
+			if (attempt.job.isService) this.logReplica(attempt, `replica ended: ${cause}`);
 			outcomes.record(outcome, now);
 		}
 		// Not only by outcomes: a job's last tasks may have ended while nobody led.
@@ -149,7 +149,7 @@
 	/** A start was decided; it goes out with the answer to the machine's report. */
 	decided(attempt: Attempt): void {
 		this.assigned.add(attempt.machine);
-		if (attempt.job.standing) this.logReplica(attempt, "replica start decided");
+		if (attempt.job.isService) this.logReplica(attempt, "replica start decided");
 	}
 
 	/** Starts were decided for the machine apart from placing. */
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -1,6 +1,7 @@
 import type { Machine, UnwantedTask } from "../../bookkeeping/machine.js";
 import type { Order } from "../../protocol/model.js";
-import { keys, parseTerminal, type TerminalRecord } from "../../protocol/records/records.js";
+import { decodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
+import { keys } from "../../protocol/records/keys.js";
 import type { TimePort } from "../ports/clock.js";
 import type { StorePort } from "../ports/store.js";
 import type { ClusterState } from "../state/cluster-state.js";
@@ -12,7 +13,7 @@
 	post(command: () => void): void;
 	active(): boolean;
 	/** The end of a job was read from the store. */
-	learned(job: string, final: TerminalRecord, revision: number): void;
+	learned(job: string, final: FinalJobRecord, revision: number): void;
 }
 
 const nameOf = ({ job, index, attempt }: UnwantedTask) => `${job}/${index}/${attempt}`;
@@ -50,7 +51,7 @@
 		this.store.read(keys.final(job)).then(
 			({ row }) =>
 				this.hooks.post(() => {
-					if (row) this.hooks.learned(job, parseTerminal(row.value), row.revision);
+					if (row) this.hooks.learned(job, decodeFinalRecord(row.value), row.revision);
 					this.clusterState.resolveDemand(job);
 				}),
 			() => this.time.after(retryMs, () => this.hooks.post(() => this.lookUpAgain(job))),
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -19,10 +19,10 @@
 	const atOnce: Attempt[] = [];
 	for (const attempt of machine.attempts.values()) {
 		const { job, phase } = attempt;
-		if (attempt.stop !== null || phase === "assigned" || job.standing) continue;
-		if (job.spec.checkpointS > 0 && phase === "running") {
+		if (attempt.stop !== null || phase === "assigned" || job.isService) continue;
+		if (job.spec.checkpointIntervalS > 0 && phase === "running") {
 			// It goes out with the answer to a report, the next or the one after.
-			if (leftS <= job.spec.saveS + 2 * reportS) attempt.stop = { graceS: leftS, why };
+			if (leftS <= job.spec.checkpointCostS + 2 * reportS) attempt.stop = { graceS: leftS, why };
 		} else if (secondsNeeded(attempt, now) > leftS * needsTooLongFactor) {
 			attempt.stop = { graceS: 0, why };
 			atOnce.push(attempt);
@@ -33,5 +33,5 @@
 
 function secondsNeeded({ job, runningAt }: Attempt, now: number): number {
 	const elapsedS = runningAt === null ? 0 : (now - runningAt) / 1000;
-	return job.estimateS - elapsedS;
+	return job.estimatedRunS - elapsedS;
 }
--- a/src/protocol/http/cloud-api.ts
+++ b/src/protocol/http/cloud-api.ts
@@ -42,18 +42,18 @@
 }
 
 /** A request to rent machines of one type, zone and kind. A name is used for one request only. */
-export interface RentRequest {
+export interface ScaleOutRequest {
 	name: string;
-	type: string;
+	machineType: string;
 	zone: string;
 	spot: boolean;
 	count: number;
 }
 
-export function rentBody(request: RentRequest) {
+export function createMachinesBody(request: ScaleOutRequest) {
 	return {
 		hire: request.name,
-		shape: request.type,
+		shape: request.machineType,
 		hall: request.zone,
 		loaners: request.spot,
 		count: request.count,
@@ -62,7 +62,7 @@
 
 const Rented = v.object({ hosts: v.array(name) });
 
-export function rentedFrom(raw: unknown): string[] {
+export function createdMachinesFrom(raw: unknown): string[] {
 	return checkShape(Rented, raw).hosts;
 }
 
@@ -70,11 +70,11 @@
 	return (raw as { error?: unknown } | null)?.error === "no capacity";
 }
 
-export function returnBody(machines: string[]) {
+export function deleteMachinesBody(machines: string[]) {
 	return { hosts: machines };
 }
 
-export function listPath(after: string, limit: number): string {
+export function machineListPath(after: string, limit: number): string {
 	return `${paths.machines}?${after ? `from=${encodeURIComponent(after)}&` : ""}limit=${limit}`;
 }
 
@@ -99,13 +99,13 @@
 	more: boolean;
 }
 
-export function listedFrom(raw: unknown): MachineListPage {
+export function machineListFrom(raw: unknown): MachineListPage {
 	const page = checkShape(Listed, raw);
 	return {
 		machines: page.hosts.map((host) => ({
 			id: host.id,
 			endpoint: host.endpoint ?? "",
-			type: host.shape,
+			machineType: host.shape,
 			zone: host.hall,
 			spot: host.loaners === true,
 			// Any other state is one of a machine that may hold tasks.
--- a/src/protocol/http/store-api.ts
+++ b/src/protocol/http/store-api.ts
@@ -16,7 +16,7 @@
 	revision: number;
 }
 
-export type StoreChange = { put: string; value: unknown; lease?: number } | { delete: string };
+export type StoreChange = { put: string; value: unknown; leaseId?: number } | { delete: string };
 
 export interface StoreEvent {
 	key: string;
@@ -25,7 +25,7 @@
 	revision: number;
 }
 
-export function transactionBody(conditions: StoreCondition[], changes: StoreChange[]) {
+export function compareAndSwapBody(conditions: StoreCondition[], changes: StoreChange[]) {
 	const when = conditions.map((c) => ({ key: c.key, stamp: c.revision }));
 	if (changes.length === 0) return { when };
 	// biome-ignore lint/suspicious/noThenProperty: the state service's own word for the changes
@@ -35,7 +35,7 @@
 function changeBody(change: StoreChange) {
 	if (!("put" in change)) return { drop: change.delete };
 	const put = { put: change.put, v: change.value };
-	return change.lease === undefined ? put : { ...put, permit: change.lease };
+	return change.leaseId === undefined ? put : { ...put, permit: change.leaseId };
 }
 
 const Row = v.object({ key: name, v: v.unknown(), stamp: count });
@@ -58,20 +58,20 @@
 
 const Epoch = v.object({ epoch: count });
 
-export function epochFrom(raw: unknown): number {
+export function revisionFrom(raw: unknown): number {
 	return checkShape(Epoch, raw).epoch;
 }
 
 const Conflict = v.object({ failed: v.array(v.string()), epoch: count });
 
 /** The keys whose conditions did not hold, as of an epoch. */
-export function conflictFrom(raw: unknown): { failed: string[]; epoch: number } {
+export function conflictsFrom(raw: unknown): { failed: string[]; epoch: number } {
 	return checkShape(Conflict, raw);
 }
 
 const Lease = v.object({ permit: count });
 
-export function leaseFrom(raw: unknown): number {
+export function leaseIdFrom(raw: unknown): number {
 	return checkShape(Lease, raw).permit;
 }
 
--- a/src/protocol/http/user-api.ts
+++ b/src/protocol/http/user-api.ts
@@ -9,7 +9,7 @@
 	parseObject,
 	positive,
 } from "../checks.js";
-import { isStanding, type JobSpec, type JobStatus } from "../model.js";
+import type { JobSpec, JobStatus } from "../model.js";
 
 /** The users' API: wire words of jobs, mapped to the service's own. */
 
@@ -65,38 +65,39 @@
 	return v.is(jobId, id);
 }
 
-export function parseJob(body: string): JobSpec {
+export function parseJobSpec(body: string): JobSpec {
 	const job = checkShape(JobBody, parseObject(body));
-	if (isStanding(job) && job.guess_s !== 0) {
+	const standing = job.form === "standing";
+	if (standing && job.guess_s !== 0) {
 		throw new MalformedMessageError('field "guess_s" must be 0 for a standing job');
 	}
-	if (!isStanding(job) && job.guess_s === 0) {
+	if (!standing && job.guess_s === 0) {
 		throw new MalformedMessageError('field "guess_s" must be above 0');
 	}
 	return {
 		id: job.id,
-		form: job.form,
-		lane: job.lane,
+		form: standing ? "service" : "array",
+		jobClass: job.lane,
 		team: job.desk,
 		priority: job.urgency,
-		tasks: job.pieces,
+		taskCount: job.pieces,
 		cpus: job.cores,
 		gpus: job.accelerators,
 		memoryGb: job.ram_gb,
-		types: job.shapes,
+		machineTypes: job.shapes,
 		zone: job.hall,
-		oneZone: job.one_zone,
-		spread: job.spread,
-		spot: job.loaners,
+		singleZone: job.one_zone,
+		spreadZones: job.spread,
+		allowSpot: job.loaners,
 		image: job.bundle,
 		imageGb: job.image_gb,
-		estimateS: job.guess_s,
-		checkpointS: job.bookmark_s,
-		saveS: job.bookmark_cost_s,
+		estimatedRunS: job.guess_s,
+		checkpointIntervalS: job.bookmark_s,
+		checkpointCostS: job.bookmark_cost_s,
 		deadlineS: job.due_s,
 	};
 }
 
-export function jobAnswer(id: string, status: JobStatus, counts?: { done: number; running: number }) {
+export function jobResponseBody(id: string, status: JobStatus, counts?: { done: number; running: number }) {
 	return counts ? { id, status, ...counts } : { id, status };
 }
--- a/src/protocol/http/worker-api.ts
+++ b/src/protocol/http/worker-api.ts
@@ -1,5 +1,6 @@
 import { MalformedMessageError, parseObject } from "../checks.js";
-import type { ExitCause, Order, ReportedTask, TaskState, WorkerReport } from "../model.js";
+import type { JobId } from "../model/identifiers.js";
+import type { ExitCause, Order, TaskState, TaskStatus, WorkerHeartbeat } from "../model.js";
 
 /** The workers' API: reports, and orders in answers and in direct requests. */
 
@@ -22,8 +23,8 @@
  * Reports come by the dozen a second and from our own machines, so they are
  * checked by hand-written tests of the fields used, not by schema.
  */
-export function parseReport(body: string): WorkerReport {
-	return reportFrom(parseObject(body));
+export function parseHeartbeat(body: string): WorkerHeartbeat {
+	return heartbeatFrom(parseObject(body));
 }
 
 function whole(value: unknown, field: string): number {
@@ -40,16 +41,16 @@
 	return value;
 }
 
-export function splitTask(name: string): { job: string; index: number } | null {
+export function parseTaskId(name: string): { jobId: JobId; taskIndex: number } | null {
 	const at = name.indexOf("/");
 	const index = Number(name.slice(at + 1));
 	if (at <= 0 || at === name.length - 1 || !Number.isSafeInteger(index) || index < 0) return null;
-	return { job: name.slice(0, at), index };
+	return { jobId: name.slice(0, at), taskIndex: index };
 }
 
-function taskFrom(raw: unknown): ReportedTask {
+function taskFrom(raw: unknown): TaskStatus {
 	const item = (raw ?? {}) as Record<string, unknown>;
-	const name = splitTask(string(item.piece, "pieces.piece"));
+	const name = parseTaskId(string(item.piece, "pieces.piece"));
 	if (!name) throw new MalformedMessageError('field "pieces.piece" must look like "j-000412/3"');
 	const state = taskStates[String(item.status)];
 	if (!state) throw new MalformedMessageError('field "pieces.status" is not a known state');
@@ -59,27 +60,27 @@
 		attempt: whole(item.try, "pieces.try"),
 		state,
 		// A cause we have never heard of still means that the attempt has ended without success.
-		cause: state === "exited" ? (cause ?? "error") : null,
-		saved: item.stored === true,
+		exitCause: state === "exited" ? (cause ?? "error") : null,
+		checkpointed: item.stored === true,
 	};
 }
 
-export function reportFrom(raw: Record<string, unknown>): WorkerReport {
+export function heartbeatFrom(raw: Record<string, unknown>): WorkerHeartbeat {
 	if (!Array.isArray(raw.pieces)) throw new MalformedMessageError('field "pieces" must be a list');
 	const notice = raw.recall_s;
 	if (notice !== null && notice !== undefined && (typeof notice !== "number" || !Number.isFinite(notice))) {
 		throw new MalformedMessageError('field "recall_s" must be a number or null');
 	}
 	return {
-		machine: string(raw.host, "host"),
+		machineId: string(raw.host, "host"),
 		endpoint: string(raw.endpoint, "endpoint"),
-		type: string(raw.shape, "shape"),
+		machineType: string(raw.shape, "shape"),
 		zone: string(raw.hall, "hall"),
 		spot: raw.loaners === true,
-		session: whole(raw.shift, "shift"),
-		seq: whole(raw.tick, "tick"),
-		token: whole(raw.baton ?? 0, "baton"),
-		noticeS: notice ?? null,
+		agentEpoch: whole(raw.shift, "shift"),
+		sequence: whole(raw.tick, "tick"),
+		fencingToken: whole(raw.baton ?? 0, "baton"),
+		reclaimInS: notice ?? null,
 		tasks: raw.pieces.map(taskFrom),
 	};
 }
@@ -91,14 +92,14 @@
 	return { verb: "forget", piece, try: order.attempt };
 }
 
-export function ordersBody(token: number, orders: Order[]) {
+export function heartbeatResponseBody(token: number, orders: Order[]) {
 	return { baton: token, orders: orders.map(orderBody) };
 }
 
-export function directOrdersBody(token: number, session: number, orders: Order[]) {
+export function directCommandsBody(token: number, session: number, orders: Order[]) {
 	return { baton: token, shift: session, orders: orders.map(orderBody) };
 }
 
-export function elsewhereBody(node: string | null) {
+export function redirectBody(node: string | null) {
 	return node === null ? {} : { foreman: node };
 }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -14,39 +14,43 @@
  * array: independent tasks, each runs to completion. standing: replicas, which run until the job is
  * cancelled and run again wherever one ends.
  */
-export type JobForm = "array" | "standing";
+export type JobForm = "array" | "service";
 
 export interface JobSpec {
 	id: string;
-	/** Records of versions before 0.5.0 have none: they are arrays. */
-	form?: JobForm;
-	lane: string;
+	form: JobForm;
+	jobClass: string;
 	team: string;
 	priority: Priority;
-	tasks: number;
+	taskCount: number;
 	cpus: number;
 	gpus: number;
 	memoryGb: number;
-	types: string[] | null;
+	machineTypes: string[] | null;
 	zone: string | null;
-	oneZone: boolean;
-	spread: boolean;
-	spot: boolean;
+	singleZone: boolean;
+	spreadZones: boolean;
+	allowSpot: boolean;
 	image: string;
 	imageGb: number;
-	estimateS: number;
-	checkpointS: number;
-	saveS: number;
+	estimatedRunS: number;
+	checkpointIntervalS: number;
+	checkpointCostS: number;
 	deadlineS: number | null;
 }
 
 /** Its tasks are replicas. Every decision that differs by form asks this. */
-export function isStanding({ form }: Pick<JobSpec, "form">): boolean {
-	return form === "standing";
+export function isService({ form }: Pick<JobSpec, "form">): boolean {
+	return form === "service";
 }
 
 /** What one task of a job takes, and of whose limit. */
-export type Demand = Pick<JobSpec, "team" | "cpus" | "gpus">;
+export type TaskDemand = Pick<JobSpec, "team" | "cpus" | "gpus">;
+
+/** What one task of the job takes. */
+export function taskDemandOf({ team, cpus, gpus }: JobSpec): TaskDemand {
+	return { team, cpus, gpus };
+}
 
 export type JobStatus = "pending" | "running" | "done" | "cancelled";
 
@@ -66,26 +70,26 @@
 export type TaskState = "fetching" | "running" | "saving" | "exited";
 export type ExitCause = "done" | "stopped" | "error" | "no_room" | "busy" | "unknown";
 
-export interface ReportedTask {
-	job: string;
-	index: number;
+export interface TaskStatus {
+	jobId: string;
+	taskIndex: number;
 	attempt: number;
 	state: TaskState;
-	cause: ExitCause | null;
-	saved: boolean;
+	exitCause: ExitCause | null;
+	checkpointed: boolean;
 }
 
-export interface WorkerReport {
-	machine: string;
+export interface WorkerHeartbeat {
+	machineId: string;
 	endpoint: string;
-	type: string;
+	machineType: string;
 	zone: string;
 	spot: boolean;
-	session: number;
-	seq: number;
-	token: number;
-	noticeS: number | null;
-	tasks: ReportedTask[];
+	agentEpoch: number;
+	sequence: number;
+	fencingToken: number;
+	reclaimInS: number | null;
+	tasks: TaskStatus[];
 }
 
 export type Order =
@@ -96,7 +100,7 @@
 export interface ListedMachine {
 	id: string;
 	endpoint: string;
-	type: string;
+	machineType: string;
 	zone: string;
 	spot: boolean;
 	status: "booting" | "running" | "failed";
--- a/src/protocol/peer/packed-heartbeat.ts
+++ b/src/protocol/peer/packed-heartbeat.ts
@@ -1,4 +1,4 @@
-import type { ExitCause, Order, TaskState, WorkerReport } from "../model.js";
+import type { ExitCause, Order, TaskState, WorkerHeartbeat } from "../model.js";
 
 /**
  * Workers' reports, and orders for them, as they pass between controllers: by the hundred a
@@ -23,39 +23,50 @@
 const causes: ExitCause[] = ["done", "stopped", "error", "no_room", "busy", "unknown"];
 const noCause = -1;
 
-export function packReport(r: WorkerReport): PackedReport {
+export function packReport(r: WorkerHeartbeat): PackedReport {
 	const tasks = r.tasks.map(
 		(t): PackedTask => [
-			t.job,
-			t.index,
+			t.jobId,
+			t.taskIndex,
 			t.attempt,
 			states.indexOf(t.state),
-			t.cause === null ? noCause : causes.indexOf(t.cause),
-			t.saved,
+			t.exitCause === null ? noCause : causes.indexOf(t.exitCause),
+			t.checkpointed,
 		],
 	);
-	return [r.machine, r.endpoint, r.type, r.zone, r.spot, r.session, r.seq, r.token, r.noticeS, tasks];
+	return [
+		r.machineId,
+		r.endpoint,
+		r.machineType,
+		r.zone,
+		r.spot,
+		r.agentEpoch,
+		r.sequence,
+		r.fencingToken,
+		r.reclaimInS,
+		tasks,
+	];
 }
 
-export function unpackReport(packed: PackedReport): WorkerReport {
+export function unpackReport(packed: PackedReport): WorkerHeartbeat {
 	const [machine, endpoint, type, zone, spot, session, seq, token, noticeS, tasks] = packed;
 	return {
-		machine,
+		machineId: machine,
 		endpoint,
-		type,
+		machineType: type,
 		zone,
 		spot,
-		session,
-		seq,
-		token,
-		noticeS,
+		agentEpoch: session,
+		sequence: seq,
+		fencingToken: token,
+		reclaimInS: noticeS,
 		tasks: tasks.map(([job, index, attempt, state, cause, saved]) => ({
-			job,
-			index,
+			jobId: job,
+			taskIndex: index,
 			attempt,
 			state: states[state] as TaskState,
-			cause: causes[cause] ?? null,
-			saved,
+			exitCause: causes[cause] ?? null,
+			checkpointed: saved,
 		})),
 	};
 }
--- /dev/null
+++ b/src/protocol/records/machine-record.ts
@@ -0,0 +1,45 @@
+/** Records of machines that may run tasks, as they are stored below `r/machs/`, many to a chunk. */
+
+import * as v from "valibot";
+import { count, flag } from "../checks.js";
+import type { AgentEpoch } from "../model/identifiers.js";
+
+/** What a later leader must know of a machine that may run tasks. */
+export interface MachineRecord {
+	/** Address of its worker, `host:port`. */
+	endpoint: string;
+	machineType: string;
+	zone: string;
+	spot: boolean;
+	/** The worker's epoch when the record was written. */
+	agentEpoch: AgentEpoch;
+}
+
+const StoredMachineSchema = v.looseObject({
+	endpoint: v.string(),
+	type: v.string(),
+	zone: v.string(),
+	spot: flag,
+	session: count,
+});
+
+/** The stored form of a machine's record. */
+export type StoredMachineRecord = v.InferOutput<typeof StoredMachineSchema>;
+
+/**
+ * A stored chunk of machines. Its entries stay in their stored form until they are used: a chunk is written
+ * back as a whole, and fields that a later version has added to an entry must not be lost by that.
+ */
+export const StoredMachineChunkSchema = v.looseObject({ entries: v.record(v.string(), StoredMachineSchema) });
+
+/** Maps a machine's record to its stored form. */
+export function encodeMachineRecord(record: MachineRecord): StoredMachineRecord {
+	const { endpoint, machineType, zone, spot, agentEpoch } = record;
+	return { endpoint, type: machineType, zone, spot, session: agentEpoch };
+}
+
+/** Maps an entry of a chunk that was checked when it was read. */
+export function decodeMachineRecord(stored: StoredMachineRecord): MachineRecord {
+	const { endpoint, type, zone, spot, session } = stored;
+	return { endpoint, machineType: type, zone, spot, agentEpoch: session };
+}
--- /dev/null
+++ b/src/protocol/records/singleton-records.ts
@@ -0,0 +1,80 @@
+/** Records of which there is one each, as they are stored below `r/one/`. */
+
+import * as v from "valibot";
+import { amount, checkShape, name } from "../checks.js";
+import type { Incarnation, NodeId } from "../model/identifiers.js";
+import type { MachineType } from "../model.js";
+
+/** The value of the leader key. */
+export interface LeaderRecord {
+	node: NodeId;
+	/** Names the one attempt to become leader that wrote the value. */
+	incarnation: Incarnation;
+}
+
+const StoredLeaderSchema = v.looseObject({ node: v.string(), incarnation: v.string() });
+
+/** Reads the stored leader key. Throws a MalformedMessageError that names the first faulty field. */
+export function decodeLeaderRecord(value: unknown): LeaderRecord {
+	return checkShape(StoredLeaderSchema, value);
+}
+
+/**
+ * Features that every controller has said it supports, so that they may be used. Once recorded a feature
+ * stays recorded.
+ */
+export interface FeatureSet {
+	/** Service jobs, whose replicas run until the job is cancelled; since 0.5.0. */
+	serviceJobs: boolean;
+	/** Team quota: limits are divided among the controllers from the beginning of each term; since 0.8.0. */
+	teamQuota: boolean;
+	/** Fields of later versions, which are written back as they are. */
+	unknown: Readonly<Record<string, unknown>>;
+}
+
+/** No controller has said anything yet. */
+export const noFeatures: FeatureSet = { serviceJobs: false, teamQuota: false, unknown: {} };
+
+const StoredFeaturesSchema = v.looseObject({
+	standing: v.optional(v.boolean()),
+	quota: v.optional(v.boolean()),
+});
+
+/** The stored form of a set of features: a feature that is not supported by all is left out. */
+export type StoredFeatures = v.InferOutput<typeof StoredFeaturesSchema>;
+
+/** Maps a set of features to its stored form. */
+export function encodeFeatures({ serviceJobs, teamQuota, unknown }: FeatureSet): StoredFeatures {
+	return { ...unknown, ...(serviceJobs && { standing: true }), ...(teamQuota && { quota: true }) };
+}
+
+/** Reads stored features. Throws a MalformedMessageError that names the first faulty field. */
+export function decodeFeatures(value: unknown): FeatureSet {
+	const { standing, quota, ...unknown } = checkShape(StoredFeaturesSchema, value);
+	return { serviceJobs: standing === true, teamQuota: quota === true, unknown };
+}
+
+/** The stored form of the machine types; the fields of a type are stored under their own names. */
+export interface StoredMachineTypes {
+	types: MachineType[];
+}
+
+const StoredMachineTypeSchema = v.looseObject({
+	name,
+	cpus: amount,
+	gpus: amount,
+	memoryGb: amount,
+	cacheGb: amount,
+	fetchGbPerS: amount,
+	price: amount,
+	spotPrice: amount,
+	bootS: amount,
+	zones: v.array(v.string()),
+});
+
+const StoredMachineTypesSchema = v.looseObject({ types: v.array(StoredMachineTypeSchema) });
+
+/** Reads the stored machine types. Throws a MalformedMessageError that names the first faulty field. */
+export function decodeMachineTypes(value: unknown): MachineType[] {
+	return checkShape(StoredMachineTypesSchema, value).types;
+}
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -13,7 +13,8 @@
 import { CallFailed } from "./coordination/ports/call-error.js";
 import type { TimePort } from "./coordination/ports/clock.js";
 import type { StorePort } from "./coordination/ports/store.js";
-import { keys, parseStored } from "./protocol/records/records.js";
+import { keys } from "./protocol/records/keys.js";
+import { decodeStoredRecord } from "./protocol/records/stored-record.js";
 import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
 import { parsePlatform, readText } from "./protocol/settings/platform.js";
 import { quotaStore } from "./team-quota.js";
@@ -123,10 +124,10 @@
 			: await parseOperator(options.operator, readText(options.operator));
 	const machines = operator.climb.most_machines;
 	if (machines === 0) return null;
-	const { row } = await store.read(keys.types);
-	const record = row ? parseStored(keys.types, row.value) : null;
-	if (record?.kind !== "types") return null;
-	const most = (of: "cpus" | "gpus") => Math.max(0, ...record.value.types.map((type) => type[of]));
+	const { row } = await store.read(keys.machineTypes);
+	const record = row ? decodeStoredRecord(keys.machineTypes, row.value) : null;
+	if (record?.kind !== "machine types") return null;
+	const most = (of: "cpus" | "gpus") => Math.max(0, ...record.value.map((type) => type[of]));
 	return limitAmount(machines * most("cpus"), machines * most("gpus"));
 }
 
--- a/src/team-quota.ts
+++ b/src/team-quota.ts
@@ -3,7 +3,7 @@
 import type { Log } from "./coordination/ports/log.js";
 import type { StorePort } from "./coordination/ports/store.js";
 import type { TeamQuotaPort } from "./coordination/ports/team-quota.js";
-import { keys } from "./protocol/records/records.js";
+import { keys } from "./protocol/records/keys.js";
 import type { OperatorSettings } from "./protocol/settings/operator.js";
 import type { PlatformSettings } from "./protocol/settings/platform.js";
 
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -2,15 +2,15 @@
 import type { TimePort } from "../coordination/ports/clock.js";
 import type { CloudPort } from "../coordination/ports/cloud.js";
 import {
+	createdMachinesFrom,
+	createMachinesBody,
+	deleteMachinesBody,
 	isNoCapacity,
-	listedFrom,
-	listPath,
 	type MachineListPage,
+	machineListFrom,
+	machineListPath,
 	machineTypesFrom,
-	type RentRequest,
-	rentBody,
-	rentedFrom,
-	returnBody,
+	type ScaleOutRequest,
 } from "../protocol/http/cloud-api.js";
 import { paths } from "../protocol/http/paths.js";
 import type { MachineType } from "../protocol/model.js";
@@ -51,26 +51,26 @@
 		return parseResponse(answer, "machine types", machineTypesFrom);
 	}
 
-	async rent(request: RentRequest): Promise<string[]> {
+	async rent(request: ScaleOutRequest): Promise<string[]> {
 		await this.admit(0);
-		const answer = await this.http.call("POST", paths.machines, rentBody(request), callMs);
+		const answer = await this.http.call("POST", paths.machines, createMachinesBody(request), callMs);
 		// Only this answer speaks of capacity; during an outage there is another 503.
 		if (answer.status === 503 && isNoCapacity(answer.body)) return [];
 		expectStatus(answer, "rental", 200, 201);
-		return parseResponse(answer, "rental", rentedFrom);
+		return parseResponse(answer, "rental", createdMachinesFrom);
 	}
 
 	async giveBack(machines: string[]): Promise<void> {
 		await this.admit(0);
-		const answer = await this.http.call("POST", paths.machinesReturn, returnBody(machines), callMs);
+		const answer = await this.http.call("POST", paths.machinesReturn, deleteMachinesBody(machines), callMs);
 		expectStatus(answer, "return", 200);
 	}
 
 	async list(after: string): Promise<MachineListPage> {
 		await this.admit(this.reserve);
-		const answer = await this.http.call("GET", listPath(after, 500), undefined, callMs);
+		const answer = await this.http.call("GET", machineListPath(after, 500), undefined, callMs);
 		expectStatus(answer, "list", 200);
-		return parseResponse(answer, "list", listedFrom);
+		return parseResponse(answer, "list", machineListFrom);
 	}
 
 	close(): void {
--- a/src/transport/public-api.ts
+++ b/src/transport/public-api.ts
@@ -6,9 +6,9 @@
 import type { ReportResult } from "../coordination/workers/heartbeat-router.js";
 import { MalformedMessageError } from "../protocol/checks.js";
 import { paths } from "../protocol/http/paths.js";
-import { isJobId, jobAnswer, jobIdOf, parseJob } from "../protocol/http/user-api.js";
-import { elsewhereBody, ordersBody, parseReport } from "../protocol/http/worker-api.js";
-import type { JobSpec, WorkerReport } from "../protocol/model.js";
+import { isJobId, jobIdOf, jobResponseBody, parseJobSpec } from "../protocol/http/user-api.js";
+import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../protocol/http/worker-api.js";
+import type { JobSpec, WorkerHeartbeat } from "../protocol/model.js";
 
 const maxBody = 64 * 1024;
 /** With more of its connections in use, those of workers are closed between reports. */
@@ -20,7 +20,7 @@
 	submit(spec: JobSpec): Promise<SubmitResult>;
 	status(id: string): Promise<JobLookup>;
 	abort(id: string): Promise<JobLookup>;
-	report(report: WorkerReport): Promise<ReportResult>;
+	report(report: WorkerHeartbeat): Promise<ReportResult>;
 	ready(): boolean;
 }
 
@@ -66,12 +66,12 @@
 		if (body === null) return tooLarge();
 		let spec: JobSpec;
 		try {
-			spec = parseJob(body);
+			spec = parseJobSpec(body);
 		} catch (error) {
 			// Whatever is wrong with it, a submission that names an accepted job is told how that is.
 			const id = jobIdOf(body);
 			const known = id === null ? null : await service.status(id);
-			if (known?.kind === "job") return Response.json(jobAnswer(id as string, known.status));
+			if (known?.kind === "job") return Response.json(jobResponseBody(id as string, known.status));
 			throw error;
 		}
 		const result = await service.submit(spec);
@@ -79,9 +79,9 @@
 			case "malformed":
 				return failure(400, result.reason);
 			case "accepted":
-				return Response.json(jobAnswer(spec.id, result.status), { status: 201 });
+				return Response.json(jobResponseBody(spec.id, result.status), { status: 201 });
 			case "known":
-				return Response.json(jobAnswer(spec.id, result.status));
+				return Response.json(jobResponseBody(spec.id, result.status));
 			case "impossible":
 				return failure(422, result.reason);
 			case "later":
@@ -95,7 +95,7 @@
 		const result = await service.status(id);
 		if (result.kind === "unknown") return failure(404, "there is no such job");
 		if (result.kind === "later") return later(result.reason);
-		return Response.json(jobAnswer(id, result.status, { done: result.done, running: result.running }));
+		return Response.json(jobResponseBody(id, result.status, { done: result.done, running: result.running }));
 	});
 
 	app.post(`${paths.jobs}/:id/abort`, async (c) => {
@@ -104,7 +104,7 @@
 		const result = await service.abort(id);
 		if (result.kind === "unknown") return failure(404, "there is no such job");
 		if (result.kind === "later") return later(result.reason);
-		return Response.json(jobAnswer(id, result.status));
+		return Response.json(jobResponseBody(id, result.status));
 	});
 
 	app.all(paths.ready, wrongMethod("GET"));
@@ -164,9 +164,9 @@
 			if (size > maxBody) return;
 			const body = chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks);
 			try {
-				service.report(parseReport(body.toString("utf8"))).then((result) => {
-					if (result.kind === "elsewhere") answer(421, elsewhereBody(result.node));
-					else answer(200, ordersBody(result.token, result.orders));
+				service.report(parseHeartbeat(body.toString("utf8"))).then((result) => {
+					if (result.kind === "elsewhere") answer(421, redirectBody(result.node));
+					else answer(200, heartbeatResponseBody(result.token, result.orders));
 				}, failed);
 			} catch (error) {
 				failed(error);
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -3,10 +3,11 @@
 import type { RateClass, StorePort, TransactionResult } from "../coordination/ports/store.js";
 import { paths } from "../protocol/http/paths.js";
 import {
-	conflictFrom,
-	epochFrom,
+	compareAndSwapBody,
+	conflictsFrom,
 	eventsFrom,
-	leaseFrom,
+	leaseIdFrom,
+	revisionFrom,
 	rowFrom,
 	rowsFrom,
 	rowsPath,
@@ -14,7 +15,6 @@
 	type StoreCondition,
 	type StoreEvent,
 	type StoreRow,
-	transactionBody,
 	watchPath,
 } from "../protocol/http/store-api.js";
 import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
@@ -65,7 +65,7 @@
 		expectStatus(answer, "read", 200, 404);
 		return answer.status === 200
 			? { row: parseResponse(answer, "read", rowFrom), epoch: -1 }
-			: { row: null, epoch: parseResponse(answer, "read", epochFrom) };
+			: { row: null, epoch: parseResponse(answer, "read", revisionFrom) };
 	}
 
 	async rows(prefix: string): Promise<{ rows: StoreRow[]; epoch: number }> {
@@ -97,7 +97,7 @@
 			await this.admit(this.writes, changes.length, reserve, 200);
 		}
 		await this.admit(this.requests, 1, 0, 300);
-		const sent = transactionBody(conditions, changes);
+		const sent = compareAndSwapBody(conditions, changes);
 		let answer = await this.http.call("POST", paths.transaction, sent, callMs);
 		// Refused for its rate a transaction was not executed. What users wait for is tried again
 		// a few times within a second, before they are told to come back.
@@ -107,14 +107,14 @@
 		}
 		expectStatus(answer, "transaction", 200, 409);
 		return answer.status === 200
-			? { ok: true, epoch: parseResponse(answer, "transaction", epochFrom) }
-			: { ok: false, ...parseResponse(answer, "transaction", conflictFrom) };
+			? { ok: true, epoch: parseResponse(answer, "transaction", revisionFrom) }
+			: { ok: false, ...parseResponse(answer, "transaction", conflictsFrom) };
 	}
 
 	async grantLease(ttlMs: number): Promise<number> {
 		const answer = await this.http.call("POST", paths.leases, { ttl_ms: ttlMs }, callMs);
 		expectStatus(answer, "lease", 200, 201);
-		return parseResponse(answer, "lease", leaseFrom);
+		return parseResponse(answer, "lease", leaseIdFrom);
 	}
 
 	async renewLease(lease: number): Promise<void> {
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,7 +1,7 @@
 import type { WorkerPort } from "../coordination/ports/workers.js";
 import { paths } from "../protocol/http/paths.js";
-import { directOrdersBody, reportFrom } from "../protocol/http/worker-api.js";
-import type { Order, WorkerReport } from "../protocol/model.js";
+import { directCommandsBody, heartbeatFrom } from "../protocol/http/worker-api.js";
+import type { Order, WorkerHeartbeat } from "../protocol/model.js";
 import { expectStatus, type HttpCaller, HttpClient, parseResponse } from "./http-client.js";
 
 /** Orders sent straight to workers; each call has its own short-lived connection. */
@@ -15,13 +15,18 @@
 		token: number,
 		session: number,
 		orders: Order[],
-	): Promise<{ executed: boolean; report: WorkerReport }> {
+	): Promise<{ executed: boolean; report: WorkerHeartbeat }> {
 		const http = this.open(endpoint);
 		try {
-			const answer = await http.call("POST", paths.commands, directOrdersBody(token, session, orders), 2000);
+			const answer = await http.call(
+				"POST",
+				paths.commands,
+				directCommandsBody(token, session, orders),
+				2000,
+			);
 			expectStatus(answer, "orders", 200, 409);
 			const report = parseResponse(answer, "orders", (body) =>
-				reportFrom((body ?? {}) as Record<string, unknown>),
+				heartbeatFrom((body ?? {}) as Record<string, unknown>),
 			);
 			return { executed: answer.status === 200, report };
 		} finally {
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -86,10 +86,10 @@
 			const spec = specOf(`j-${i}`, {
 				cpus: uniformInt(random, 1, 5),
 				memoryGb: uniformInt(random, 0, 9),
-				tasks: 20,
-				oneZone: uniformInt(random, 0, 1) === 1,
-				spread: uniformInt(random, 0, 1) === 1,
-				spot: uniformInt(random, 0, 1) === 1,
+				taskCount: 20,
+				singleZone: uniformInt(random, 0, 1) === 1,
+				spreadZones: uniformInt(random, 0, 1) === 1,
+				allowSpot: uniformInt(random, 0, 1) === 1,
 			});
 			specs.set(spec.id, spec);
 			return { job: spec.id, count: uniformInt(random, 1, 20), avoid: ["n-0"], zones: {} };
@@ -114,15 +114,15 @@
 			z.set(m.zone, (z.get(m.zone) ?? 0) + p.count);
 			zones.set(p.job, z);
 			assert.notEqual(p.machine, "n-0");
-			assert.ok(spec.spot || !m.spot);
+			assert.ok(spec.allowSpot || !m.spot);
 		}
 		for (const m of free.values()) assert.ok(m.cpus >= 0 && m.memory >= 0 && m.slots >= 0);
 		for (const g of grants) {
 			const spec = specs.get(g.job) as JobSpec;
 			assert.ok((count.get(g.job) ?? 0) <= g.count);
 			const z = zones.get(g.job);
-			if (spec.oneZone && z) assert.equal(z.size, 1);
-			if (spec.spread && z) assert.ok(Math.max(...z.values()) <= 10);
+			if (spec.singleZone && z) assert.equal(z.size, 1);
+			if (spec.spreadZones && z) assert.ok(Math.max(...z.values()) <= 10);
 		}
 	}
 });
@@ -161,20 +161,20 @@
 	});
 	const views = [view("a", 4, 16), view("a", 2, 1), view("b", 3, 16, false)];
 	const count = (more: Partial<JobSpec>, zones = {}) =>
-		placeable(specOf("j-1", { tasks: 8, cpus: 1, memoryGb: 2, ...more }), zones, views);
+		placeable(specOf("j-1", { taskCount: 8, cpus: 1, memoryGb: 2, ...more }), zones, views);
 	assert.equal(count({}), 7, "not where memory is short");
 	assert.equal(count({ zone: "c" }), 0);
-	assert.equal(count({ spot: false }), 3);
-	assert.equal(count({ oneZone: true }), 4);
-	assert.equal(count({ oneZone: true }, { b: 1 }), 3);
-	assert.equal(count({ spread: true, tasks: 4 }, { a: 1 }), 3, "one more in a, two in b");
+	assert.equal(count({ allowSpot: false }), 3);
+	assert.equal(count({ singleZone: true }), 4);
+	assert.equal(count({ singleZone: true }, { b: 1 }), 3);
+	assert.equal(count({ spreadZones: true, taskCount: 4 }, { a: 1 }), 3, "one more in a, two in b");
 });
 
 test("work that waits beside a marked machine with room has its mark taken back, in time", async () => {
 	const time = new FakeTime();
 	const clusterState = tablesWith(4, 16);
 	const [first] = [...clusterState.machines.values()] as [Machine];
-	const busy = clusterState.addJob("j-1", specOf("j-1", { tasks: 3, cpus: 4, estimateS: 300 }), 0, 1);
+	const busy = clusterState.addJob("j-1", specOf("j-1", { taskCount: 3, cpus: 4, estimatedRunS: 300 }), 0, 1);
 	busy.fillWaiting();
 	// What runs is nearly done, so that the load lies between the marks and the counters do nothing.
 	for (const machine of [...clusterState.machines.values()].slice(1)) {
@@ -184,7 +184,7 @@
 	first.draining = true;
 	const waits = clusterState.addJob(
 		"j-2",
-		specOf("j-2", { team: "blue", tasks: 1, cpus: 4, estimateS: 300 }),
+		specOf("j-2", { team: "blue", taskCount: 1, cpus: 4, estimatedRunS: 300 }),
 		0,
 		2,
 	);
@@ -232,7 +232,7 @@
 });
 
 test("the last replica goes beside another of its job where there is no machine apart", () => {
-	const spec = specOf("j-1", { form: "standing", tasks: 2, cpus: 1 });
+	const spec = specOf("j-1", { form: "service", taskCount: 2, cpus: 1 });
 	const machine: ViewMachine = {
 		id: "n-1",
 		type: "small",
@@ -262,7 +262,12 @@
 	const ordinary = new Machine("n-ordinary", small, "a", false, 0);
 	Object.assign(ordinary, { up: true, confirmed: true, durable: true });
 	clusterState.machines.set(ordinary.id, ordinary);
-	const batch = clusterState.addJob("j-1", specOf("j-1", { tasks: 40, cpus: 4, estimateS: 100 }), 0, 1);
+	const batch = clusterState.addJob(
+		"j-1",
+		specOf("j-1", { taskCount: 40, cpus: 4, estimatedRunS: 100 }),
+		0,
+		1,
+	);
 	batch.fillWaiting();
 	for (const machine of clusterState.machines.values()) {
 		const attempt = clusterState.decide(batch, machine);
@@ -270,7 +275,14 @@
 	}
 	const live = clusterState.addJob(
 		"j-2",
-		specOf("j-2", { form: "standing", priority: "critical", tasks: 1, cpus: 1, spot: false, estimateS: 0 }),
+		specOf("j-2", {
+			form: "service",
+			priority: "critical",
+			taskCount: 1,
+			cpus: 1,
+			allowSpot: false,
+			estimatedRunS: 0,
+		}),
 		0,
 		2,
 	);
@@ -297,7 +309,7 @@
 		const jobs = ["j-1", "j-2", "j-3"].map((id, i) => {
 			const job = clusterState.addJob(
 				id,
-				specOf(id, { tasks: 10, cpus: uniformInt(random, 1, 3), team: i % 2 ? "red" : "blue" }),
+				specOf(id, { taskCount: 10, cpus: uniformInt(random, 1, 3), team: i % 2 ? "red" : "blue" }),
 				0,
 				1,
 			);
@@ -423,7 +435,7 @@
 test("serving order: tiers, then due time, then shortest remaining; best effort yields a little", () => {
 	const clusterState = tablesWith(0);
 	const add = (id: string, priority: Priority, tasks: number, deadlineS: number | null = null) =>
-		clusterState.addJob(id, specOf(id, { priority, tasks, deadlineS }), 0, 1);
+		clusterState.addJob(id, specOf(id, { priority, taskCount: tasks, deadlineS }), 0, 1);
 	add("j-long", "normal", 40);
 	add("j-short", "normal", 8);
 	add("j-effort", "best_effort", 8);
@@ -439,7 +451,7 @@
 test("work that cannot make its deadline any more does not make others late", () => {
 	const clusterState = tablesWith(0);
 	const add = (id: string, deadlineS: number) =>
-		clusterState.addJob(id, specOf(id, { priority: "urgent", deadlineS, estimateS: 10 }), 0, 1);
+		clusterState.addJob(id, specOf(id, { priority: "urgent", deadlineS, estimatedRunS: 10 }), 0, 1);
 	add("j-soon", 20);
 	add("j-later", 29);
 	add("j-last", 60);
@@ -461,7 +473,7 @@
 		const clusterState = tablesWith(0);
 		const jobs = new Map<string, { job: Job; left: number; began: number | null }>();
 		const add = (id: string, tasks: number, at: number, priority: Priority) => {
-			const job = clusterState.addJob(id, specOf(id, { tasks, cpus: 1, priority }), at * 1000, 1);
+			const job = clusterState.addJob(id, specOf(id, { taskCount: tasks, cpus: 1, priority }), at * 1000, 1);
 			jobs.set(id, { job, left: tasks, began: null });
 		};
 		// Eight tasks run at once, and small jobs come for nearly all of that, the first ones in a burst.
@@ -506,7 +518,7 @@
 		const id = `j-${state.size}`;
 		const job = clusterState.addJob(
 			id,
-			specOf(id, { team, tasks, cpus: 1, priority, estimateS: 18 }),
+			specOf(id, { team, taskCount: tasks, cpus: 1, priority, estimatedRunS: 18 }),
 			atS * 1000,
 			1,
 		);
@@ -562,7 +574,7 @@
 });
 
 function running(clusterState: ClusterState, id: string, more: Partial<JobSpec>, n: number, since: number) {
-	const job = clusterState.addJob(id, specOf(id, { tasks: n, ...more }), 0, 1);
+	const job = clusterState.addJob(id, specOf(id, { taskCount: n, ...more }), 0, 1);
 	job.fillWaiting();
 	for (const machine of clusterState.machines.values()) {
 		for (;;) {
@@ -577,8 +589,13 @@
 
 test("an urgent task takes the place of its own team's youngest lower work, no more than needed", () => {
 	const clusterState = tablesWith(2);
-	running(clusterState, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
-	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1, cpus: 2 }), 0, 1);
+	running(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
+	const urgent = clusterState.addJob(
+		"j-2",
+		specOf("j-2", { priority: "urgent", taskCount: 1, cpus: 2 }),
+		0,
+		1,
+	);
 	urgent.fillWaiting();
 	const victims = chooseVictims(clusterState, [urgent], 1000);
 	assert.equal(victims.length, 2);
@@ -588,15 +605,15 @@
 
 test("work of the same priority is stopped only beyond a guarantee and for one", () => {
 	const clusterState = tablesWith(2);
-	running(clusterState, "j-1", { team: "blue", estimateS: 100 }, 4, 0);
-	const other = clusterState.addJob("j-2", specOf("j-2", { tasks: 4 }), 0, 1);
+	running(clusterState, "j-1", { team: "blue", estimatedRunS: 100 }, 4, 0);
+	const other = clusterState.addJob("j-2", specOf("j-2", { taskCount: 4 }), 0, 1);
 	other.fillWaiting();
 	const victims = chooseVictims(clusterState, [other], 1000);
 	assert.equal(victims.length, 2, "blue runs 8 of 4 guaranteed cores, red has a right to 4");
 	assert.ok(victims.every((v) => v.job.id === "j-1"));
 
 	const fair = tablesWith(1);
-	running(fair, "j-1", { team: "blue", estimateS: 100 }, 2, 0);
+	running(fair, "j-1", { team: "blue", estimatedRunS: 100 }, 2, 0);
 	const late = fair.addJob("j-2", specOf("j-2"), 0, 1);
 	late.fillWaiting();
 	assert.deepEqual(chooseVictims(fair, [late], 1000), [], "blue is within its guarantee");
@@ -604,29 +621,34 @@
 
 test("a task more than half done is not thrown away", () => {
 	const clusterState = tablesWith(2);
-	running(clusterState, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
-	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1 }), 0, 1);
+	running(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
+	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", taskCount: 1 }), 0, 1);
 	urgent.fillWaiting();
 	assert.equal(chooseVictims(clusterState, [urgent], 40_000).length, 2);
 	assert.deepEqual(chooseVictims(clusterState, [urgent], 60_000), []);
 });
 
 test("nothing is stopped for tasks that places coming free by themselves will hold", () => {
-	for (const [estimateS, stopped] of [
+	for (const [estimatedRunS, stopped] of [
 		[100, 2],
 		[2, 0],
 	] as const) {
 		const clusterState = tablesWith(2);
-		running(clusterState, "j-1", { cpus: 1, team: "blue", estimateS }, 8, 0);
-		const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1, cpus: 2 }), 0, 1);
+		running(clusterState, "j-1", { cpus: 1, team: "blue", estimatedRunS }, 8, 0);
+		const urgent = clusterState.addJob(
+			"j-2",
+			specOf("j-2", { priority: "urgent", taskCount: 1, cpus: 2 }),
+			0,
+			1,
+		);
 		urgent.fillWaiting();
-		assert.equal(chooseVictims(clusterState, [urgent], 1000).length, stopped, `runs of ${estimateS} s`);
+		assert.equal(chooseVictims(clusterState, [urgent], 1000).length, stopped, `runs of ${estimatedRunS} s`);
 	}
 	// A team at its limit is helped by none but its own.
 	const clusterState = tablesWith(2);
-	running(clusterState, "j-1", { cpus: 1, estimateS: 100 }, 8, 0);
-	running(clusterState, "j-3", { cpus: 1, team: "blue", estimateS: 1 }, 8, 0);
-	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", tasks: 1 }), 0, 1);
+	running(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
+	running(clusterState, "j-3", { cpus: 1, team: "blue", estimatedRunS: 1 }, 8, 0);
+	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", taskCount: 1 }), 0, 1);
 	urgent.fillWaiting();
 	assert.equal(chooseVictims(clusterState, [urgent], 1000).length, 2);
 });
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -27,7 +27,7 @@
 	}
 
 	job(id: string): Job {
-		const job = this.clusterState.addJob(id, specOf(id, { tasks: 50, cpus: 0.1 }), 0, 1);
+		const job = this.clusterState.addJob(id, specOf(id, { taskCount: 50, cpus: 0.1 }), 0, 1);
 		job.fillWaiting();
 		return job;
 	}
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -3,7 +3,7 @@
 import { Machine } from "../src/bookkeeping/machine.js";
 import { Fleet } from "../src/coordination/fleet/fleet.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
-import type { RentRequest } from "../src/protocol/http/cloud-api.js";
+import type { ScaleOutRequest } from "../src/protocol/http/cloud-api.js";
 import type { JobSpec } from "../src/protocol/model.js";
 import { defaultOperator } from "../src/protocol/settings/operator.js";
 import { type Objective, startObjectives } from "../src/protocol/settings/platform.js";
@@ -17,7 +17,7 @@
 class Setup {
 	readonly time = new FakeTime();
 	readonly clusterState = new ClusterState(1, teams, new Map([[type.name, type]]));
-	readonly requests: RentRequest[] = [];
+	readonly requests: ScaleOutRequest[] = [];
 	private readonly fleet: Fleet;
 	private jobs = 0;
 
@@ -66,14 +66,14 @@
 		}
 	}
 
-	ordinary(): RentRequest[] {
+	ordinary(): ScaleOutRequest[] {
 		return this.requests.filter((request) => !request.spot);
 	}
 }
 
 /** Fifty machines at work, so that the load lies between the marks. */
 function atWork(setup: Setup): void {
-	const job = setup.job({ lane: "batch", tasks: 100, cpus: 4, estimateS: 1000 });
+	const job = setup.job({ jobClass: "batch", taskCount: 100, cpus: 4, estimatedRunS: 1000 });
 	for (let i = 0; i < 50; i++) {
 		const machine = setup.machine(`n-${i}`, i % 2 ? "a" : "b", true);
 		for (let k = 0; k < 2; k++) {
@@ -118,7 +118,14 @@
 	const setup = new Setup();
 	for (let i = 0; i < 20; i++) setup.machine(`n-${i}`, "a", true);
 	const spare = setup.machine("n-spare", "a", false);
-	const live = setup.job({ lane: "live", form: "standing", tasks: 1, cpus: 8, spot: false, estimateS: 0 });
+	const live = setup.job({
+		jobClass: "live",
+		form: "service",
+		taskCount: 1,
+		cpus: 8,
+		allowSpot: false,
+		estimatedRunS: 0,
+	});
 	await setup.run(10);
 	assert.ok([...setup.clusterState.machines.values()].some((m) => m.spot && m.draining));
 	assert.ok(!spare.draining, "it is there for the replica");
@@ -127,10 +134,17 @@
 
 test("where the idlest machines are kept for replicas that may come, others are marked in their place", async () => {
 	const setup = new Setup();
-	const live = setup.job({ lane: "live", form: "standing", tasks: 8, cpus: 1, spot: false, estimateS: 0 });
+	const live = setup.job({
+		jobClass: "live",
+		form: "service",
+		taskCount: 8,
+		cpus: 1,
+		allowSpot: false,
+		estimatedRunS: 0,
+	});
 	const kept = ["a", "b", "a"].map((zone, i) => setup.machine(`n-kept${i}`, zone, false));
 	for (let i = 0; i < 8; i++) setup.clusterState.decide(live, kept[0] as Machine);
-	const small = setup.job({ lane: "batch", tasks: 4, cpus: 1, estimateS: 30 });
+	const small = setup.job({ jobClass: "batch", taskCount: 4, cpus: 1, estimatedRunS: 30 });
 	const spot = Array.from({ length: 4 }, (_, i) => setup.machine(`n-spot${i}`, "a", true));
 	for (const machine of spot) {
 		const attempt = setup.clusterState.decide(small, machine);
--- a/tests/malformed.test.ts
+++ b/tests/malformed.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { CallFailed } from "../src/coordination/ports/call-error.js";
 import { MalformedMessageError } from "../src/protocol/checks.js";
-import { listedFrom, machineTypesFrom, rentedFrom } from "../src/protocol/http/cloud-api.js";
-import { epochFrom, eventsFrom, leaseFrom, rowFrom, rowsFrom } from "../src/protocol/http/store-api.js";
+import { createdMachinesFrom, machineListFrom, machineTypesFrom } from "../src/protocol/http/cloud-api.js";
+import { eventsFrom, leaseIdFrom, revisionFrom, rowFrom, rowsFrom } from "../src/protocol/http/store-api.js";
 import { parseResponse } from "../src/transport/http-client.js";
 import { World } from "./support/world.js";
 
@@ -77,13 +77,13 @@
 test("answers of cloud and state service of another form are refused whole, and count as no answer", () => {
 	const refused: [(raw: unknown) => unknown, unknown[]][] = [
 		[machineTypesFrom, [null, {}, { shapes: [{ sku: "g8" }] }, { shapes: [{ sku: "g8", cores: 0 }] }]],
-		[rentedFrom, [null, {}, { hosts: "n-000001" }, { hosts: [7] }]],
+		[createdMachinesFrom, [null, {}, { hosts: "n-000001" }, { hosts: [7] }]],
 		[
-			listedFrom,
+			machineListFrom,
 			[{}, { hosts: [{ shape: "g8", hall: "a" }] }, { hosts: [{ id: "", shape: "g8", hall: "a" }] }],
 		],
-		[epochFrom, [null, {}, { epoch: "7" }, { epoch: -1 }, { epoch: 1.5 }]],
-		[leaseFrom, [{}, { permit: null }]],
+		[revisionFrom, [null, {}, { epoch: "7" }, { epoch: -1 }, { epoch: 1.5 }]],
+		[leaseIdFrom, [{}, { permit: null }]],
 		[rowFrom, [{}, { key: "a", v: 1 }]],
 		[rowsFrom, [{ rows: [] }, { rows: [{ key: "a" }], epoch: 1 }]],
 		[eventsFrom, [{ epoch: 1 }, { epoch: 1, events: [{ stamp: 1 }] }]],
--- a/tests/races.test.ts
+++ b/tests/races.test.ts
@@ -6,9 +6,10 @@
 import type { StorePort } from "../src/coordination/ports/store.js";
 import { SharedRecords } from "../src/coordination/replication/chunked-records.js";
 import { StoreSync } from "../src/coordination/replication/replica-sync.js";
-import { transactionBody } from "../src/protocol/http/store-api.js";
+import { compareAndSwapBody } from "../src/protocol/http/store-api.js";
 import type { Cancellation, PeerMessage } from "../src/protocol/peer/messages.js";
-import { keys } from "../src/protocol/records/records.js";
+import { encodeJobRecord } from "../src/protocol/records/job-record.js";
+import { keys } from "../src/protocol/records/keys.js";
 import type { HttpResponse } from "../src/transport/http-client.js";
 import { StoreClient } from "../src/transport/store-client.js";
 import { FakeTime } from "./support/fake-time.js";
@@ -400,8 +401,8 @@
 	const cancelled = (id: string, revision: number) =>
 		replica.applyOwn(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
 	assert.equal(replica.cancelledSince(0), null, "nothing is loaded");
-	const spec = specOf("j-000001");
-	replica.reset([{ key: keys.job("j-000001"), value: { spec, at: 0 }, revision: 8 }], 10);
+	const record = encodeJobRecord({ spec: specOf("j-000001"), acceptedAt: 0 });
+	replica.reset([{ key: keys.job("j-000001"), value: record, revision: 8 }], 10);
 	assert.equal(
 		replica.cancelledSince(9),
 		null,
@@ -452,7 +453,7 @@
 ) {
 	const time = new FakeTime();
 	const service = new StateService(time);
-	await service.handle("POST", "/multi", transactionBody([], [{ put: "r/one/leader", value: {} }]), "me");
+	await service.handle("POST", "/multi", compareAndSwapBody([], [{ put: "r/one/leader", value: {} }]), "me");
 	const caller = {
 		call: (method: string, path: string, body: unknown) =>
 			interfere(path, () => service.handle(method, path, body, "me"), time),
@@ -524,7 +525,12 @@
 /** A value as a version without smaller limits wrote it, and what it holds. */
 async function withLargeValue(service: StateService, n = 60) {
 	const entries = Object.fromEntries(Array.from({ length: n }, (_, i) => [`n-${i}`, "x".repeat(60)]));
-	await service.handle("POST", "/multi", transactionBody([], [{ put: "r/x/0-1", value: { entries } }]), "me");
+	await service.handle(
+		"POST",
+		"/multi",
+		compareAndSwapBody([], [{ put: "r/x/0-1", value: { entries } }]),
+		"me",
+	);
 	return { names: Object.keys(entries), row: service.rows.get("r/x/0-1") as { v: unknown; stamp: number } };
 }
 
@@ -661,7 +667,7 @@
 	world.expectJob({ ...job, id: "j-000003" });
 	const value = { ...known.value, spec: { ...known.value.spec, id: "j-000003" } };
 	world.state.epoch += 1;
-	world.state.rows.set("r/job/j-000003", { v: value, stamp: world.state.epoch });
+	world.state.rows.set("r/job/j-000003", { v: encodeJobRecord(value), stamp: world.state.epoch });
 	// In the copy, but no listener was called.
 	leader.storeCopy.jobs.set("j-000003", { value, revision: world.state.epoch });
 	await world.time.advance(30_000);
--- a/tests/relay.test.ts
+++ b/tests/relay.test.ts
@@ -1,24 +1,31 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { AnswerBatches, Relay } from "../src/coordination/workers/heartbeat-forwarding.js";
-import type { Order, WorkerReport } from "../src/protocol/model.js";
+import type { Order, WorkerHeartbeat } from "../src/protocol/model.js";
 import type { PeerMessage } from "../src/protocol/peer/messages.js";
 import { packReport, unpackReport } from "../src/protocol/peer/packed-heartbeat.js";
 import { FakeTime } from "./support/fake-time.js";
 
-const report: WorkerReport = {
-	machine: "n-1",
+const report: WorkerHeartbeat = {
+	machineId: "n-1",
 	endpoint: "10.1.0.1:9000",
-	type: "small",
+	machineType: "small",
 	zone: "a",
 	spot: true,
-	session: 2,
-	seq: 7,
-	token: 3,
-	noticeS: 12.5,
+	agentEpoch: 2,
+	sequence: 7,
+	fencingToken: 3,
+	reclaimInS: 12.5,
 	tasks: [
-		{ job: "j-1", index: 4, attempt: 3 * 2 ** 22 + 1, state: "running", cause: null, saved: false },
-		{ job: "j-2", index: 0, attempt: 5, state: "exited", cause: "stopped", saved: true },
+		{
+			jobId: "j-1",
+			taskIndex: 4,
+			attempt: 3 * 2 ** 22 + 1,
+			state: "running",
+			exitCause: null,
+			checkpointed: false,
+		},
+		{ jobId: "j-2", taskIndex: 0, attempt: 5, state: "exited", exitCause: "stopped", checkpointed: true },
 	],
 };
 
--- a/tests/reports.test.ts
+++ b/tests/reports.test.ts
@@ -3,8 +3,9 @@
 import { StoreCopy } from "../src/bookkeeping/store-replica.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
 import { applyReport, ordersFor } from "../src/coordination/workers/heartbeat-reconciliation.js";
-import type { Demand, ReportedTask, WorkerReport } from "../src/protocol/model.js";
-import { keys } from "../src/protocol/records/records.js";
+import type { TaskDemand, TaskStatus, WorkerHeartbeat } from "../src/protocol/model.js";
+import { encodeJobRecord } from "../src/protocol/records/job-record.js";
+import { keys } from "../src/protocol/records/keys.js";
 import { specOf } from "./support/specs.js";
 
 const type = {
@@ -34,29 +35,29 @@
 	return { clusterState, job };
 }
 
-function report(seq: number, tasks: ReportedTask[] = [], more: Partial<WorkerReport> = {}): WorkerReport {
+function report(seq: number, tasks: TaskStatus[] = [], more: Partial<WorkerHeartbeat> = {}): WorkerHeartbeat {
 	return {
-		machine: "n-1",
+		machineId: "n-1",
 		endpoint: "n-1:9000",
-		type: "small",
+		machineType: "small",
 		zone: "a",
 		spot: true,
-		session: 1,
-		seq,
-		token: epoch,
-		noticeS: null,
+		agentEpoch: 1,
+		sequence: seq,
+		fencingToken: epoch,
+		reclaimInS: null,
 		tasks,
 		...more,
 	};
 }
 
 function task(
-	index: number,
+	taskIndex: number,
 	attempt: number,
-	state: ReportedTask["state"],
-	cause: ReportedTask["cause"] = null,
-) {
-	return { job: "j-1", index, attempt, state, cause, saved: false };
+	state: TaskStatus["state"],
+	exitCause: TaskStatus["exitCause"] = null,
+): TaskStatus {
+	return { jobId: "j-1", taskIndex, attempt, state, exitCause, checkpointed: false };
 }
 
 /** A machine that has reported, with one start sent to it. */
@@ -75,7 +76,7 @@
 
 test("no start goes to a machine before its record is durable and it has seen the token", () => {
 	const { clusterState, job } = fresh();
-	applyReport(clusterState, report(1, [], { token: epoch - 1 }), 0);
+	applyReport(clusterState, report(1, [], { fencingToken: epoch - 1 }), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
@@ -133,9 +134,9 @@
 
 test("a report with an earlier token adds tasks but proves no absence", () => {
 	const { clusterState, job } = fresh();
-	applyReport(clusterState, report(3, [task(2, 900, "running")], { token: 7 }), 0);
+	applyReport(clusterState, report(3, [task(2, 900, "running")], { fencingToken: 7 }), 0);
 	assert.equal(job.attempts.get(2)?.number, 900);
-	applyReport(clusterState, report(4, [], { token: 7 }), 10);
+	applyReport(clusterState, report(4, [], { fencingToken: 7 }), 10);
 	assert.equal(job.attempts.get(2)?.number, 900, "an answer of the leader before may come after this report");
 	assert.equal(clusterState.quotas.use("red").cpus, 1);
 	applyReport(clusterState, report(5), 20);
@@ -145,11 +146,11 @@
 test("a later session ends all tasks of the one before; a report of an expired lease is refused", () => {
 	const { clusterState, job, machine, attempt } = withOneSent();
 	applyReport(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
-	applyReport(clusterState, report(1, [], { session: 2 }), 200);
+	applyReport(clusterState, report(1, [], { agentEpoch: 2 }), 200);
 	assert.equal(job.attempts.size, 0);
 	clusterState.expire(machine);
-	assert.equal(applyReport(clusterState, report(9, [], { session: 2 }), 300).kind, "expired");
-	assert.equal(applyReport(clusterState, report(1, [], { session: 3 }), 300).kind, "applied");
+	assert.equal(applyReport(clusterState, report(9, [], { agentEpoch: 2 }), 300).kind, "expired");
+	assert.equal(applyReport(clusterState, report(1, [], { agentEpoch: 3 }), 300).kind, "applied");
 });
 
 test("a completed task is forgotten only when its completion is durable", () => {
@@ -169,7 +170,7 @@
 
 test("tasks that ended under an earlier leader are counted, and their job is named so that it can end", () => {
 	const { clusterState, job } = fresh();
-	const ended = Array.from({ length: job.spec.tasks }, (_, i) => task(i, 7, "exited", "done"));
+	const ended = Array.from({ length: job.spec.taskCount }, (_, i) => task(i, 7, "exited", "done"));
 	const applied = applyReport(clusterState, report(1, ended), 0);
 	assert.ok(applied.kind === "applied");
 	assert.ok(job.done.full);
@@ -181,9 +182,9 @@
 	clusterState.markDone(job, 1);
 	const other = report(
 		1,
-		[task(0, 900, "running"), task(1, 901, "running"), { ...task(0, 902, "running"), job: "j-9" }],
+		[task(0, 900, "running"), task(1, 901, "running"), { ...task(0, 902, "running"), jobId: "j-9" }],
 		{
-			machine: "n-2",
+			machineId: "n-2",
 		},
 	);
 	applyReport(clusterState, other, 0);
@@ -200,13 +201,13 @@
 });
 
 test("tasks of a job that is over take their team's cores until gone; of one unknown, nothing starts meanwhile", () => {
-	const known = new Map<string, Demand>();
+	const known = new Map<string, TaskDemand>();
 	const teams = [{ name: "red", cpus: 8, cpus_max: 8, gpus: 0, gpus_max: 0 }];
 	const types = new Map([["small", type]]);
 	const clusterState = new ClusterState(epoch, teams, types, 12_000, (id) => known.get(id) ?? null);
 	const job = clusterState.addJob("j-1", spec, 0, 1);
 	job.fillWaiting();
-	const gone = (index: number) => ({ ...task(index, 7, "running"), job: "j-9" });
+	const gone = (index: number) => ({ ...task(index, 7, "running"), jobId: "j-9" });
 	applyReport(clusterState, report(1, [gone(0), gone(1)]), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
@@ -266,20 +267,20 @@
 test("a lease that runs out although it was answered all the time shows a machine that hears nothing", () => {
 	const { clusterState, machine } = withOneSent();
 	machine.answeredAt = 20_000;
-	applyReport(clusterState, report(1, [], { session: 2 }), 21_000);
+	applyReport(clusterState, report(1, [], { agentEpoch: 2 }), 21_000);
 	assert.equal(machine.unreachableSince, null, "the last answer may have come too late");
 	machine.answeredAt = 33_000;
-	applyReport(clusterState, report(1, [], { session: 3 }), 34_000);
+	applyReport(clusterState, report(1, [], { agentEpoch: 3 }), 34_000);
 	assert.equal(machine.unreachableSince, 34_000);
 	const silent = withOneSent();
 	silent.machine.answeredAt = 0;
-	applyReport(silent.clusterState, report(1, [], { session: 2 }), 21_000);
+	applyReport(silent.clusterState, report(1, [], { agentEpoch: 2 }), 21_000);
 	assert.equal(silent.machine.ineffectiveAnswers, 0, "it was cut off both ways");
 });
 
 test("answers to a machine that never takes up the token renew nothing", () => {
 	const { clusterState, job } = fresh();
-	const old = { token: epoch - 1 };
+	const old = { fencingToken: epoch - 1 };
 	applyReport(clusterState, report(1, [task(0, 900, "running")], old), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
@@ -300,21 +301,21 @@
 
 test("a late copy that lists an earlier attempt yields to the later one", () => {
 	const { clusterState, job } = fresh();
-	applyReport(clusterState, report(7, [task(0, 900, "running")], { token: 7 }), 0);
-	const real = report(1, [task(0, 905, "running")], { machine: "n-2", token: 7 });
+	applyReport(clusterState, report(7, [task(0, 900, "running")], { fencingToken: 7 }), 0);
+	const real = report(1, [task(0, 905, "running")], { machineId: "n-2", fencingToken: 7 });
 	applyReport(clusterState, real, 10);
 	assert.equal(job.attempts.get(0)?.number, 905, "it was decided when the one before was proved over");
 	assert.equal(clusterState.quotas.use("red").cpus, 1);
 	const n2 = clusterState.machines.get("n-2");
 	assert.ok(n2);
 	assert.deepEqual(ordersFor(clusterState, n2), []);
-	applyReport(clusterState, report(9, [task(0, 900, "running")], { token: 7 }), 20);
+	applyReport(clusterState, report(9, [task(0, 900, "running")], { fencingToken: 7 }), 20);
 	assert.equal(job.attempts.get(0)?.number, 905);
 });
 
 test("answers of overlapping watches never bring back what has ended", () => {
 	const replica = new StoreCopy();
-	const record = { spec, at: 0 };
+	const record = encodeJobRecord({ spec, acceptedAt: 0 });
 	replica.reset([], 5);
 	const put = { key: keys.job("j-1"), value: record, revision: 6 };
 	const drop = { key: keys.job("j-1"), value: undefined, revision: 8 };
--- a/tests/scale.test.ts
+++ b/tests/scale.test.ts
@@ -109,7 +109,7 @@
 			const machines = Array.from({ length: count }, (_, i) => ({
 				id: nameOf(from + i),
 				endpoint: "10.1.0.1:9000",
-				type: type.name,
+				machineType: type.name,
 				zone: "a",
 				spot: true,
 				status: "running" as const,
@@ -178,7 +178,7 @@
 		});
 		for (let i = 0; i < size; i++) {
 			const id = `j-${i}`;
-			clusterState.addJob(id, specOf(id, { tasks: 4, image: `image-${i % 40}` }), 0, 1).fillWaiting();
+			clusterState.addJob(id, specOf(id, { taskCount: 4, image: `image-${i % 40}` }), 0, 1).fillWaiting();
 		}
 		for (let t = 0; t < 20_000 && started < size; t += 200) {
 			clusterState.placementDue = true;
@@ -195,7 +195,7 @@
 			const id = `j-${i}`;
 			clusterState.addJob(id, specOf(id, { cpus: 1 + (i % 20) / 10 }), 0, 1).fillWaiting();
 		}
-		const full = clusterState.addJob("j-full", specOf("j-full", { tasks: size * 8, cpus: 1 }), 0, 1);
+		const full = clusterState.addJob("j-full", specOf("j-full", { taskCount: size * 8, cpus: 1 }), 0, 1);
 		full.fillWaiting();
 		for (const machine of clusterState.machines.values())
 			for (let i = 0; i < 8; i++) assert.ok(clusterState.decide(full, machine));
@@ -255,7 +255,7 @@
 	test(`${size} machines: the end of a job that runs on all of them takes only so many sockets`, async () => {
 		const time = new FakeTime();
 		const clusterState = fleetOf(size);
-		const job = clusterState.addJob("j-1", specOf("j-1", { tasks: size, cpus: 8 }), 0, 1);
+		const job = clusterState.addJob("j-1", specOf("j-1", { taskCount: size, cpus: 8 }), 0, 1);
 		job.fillWaiting();
 		for (const machine of clusterState.machines.values()) {
 			const attempt = clusterState.decide(job, machine);
@@ -300,7 +300,12 @@
 	assert.equal(copy.cancelledSince(1)?.length, ends, "five minutes of nothing but cancellations");
 	// A leader asks from what it knows, which is seconds old.
 	const named = copy.cancelledSince(ends + 1 - (changesPerS / 2) * 30) ?? [];
-	const cancelled = named.map(({ id, record, revision }) => [id, revision, record.tasks, record.done]);
+	const cancelled = named.map(({ id, record, revision }) => [
+		id,
+		revision,
+		record.taskCount,
+		record.doneCount,
+	]);
 	assert.equal(cancelled.length, (changesPerS / 2) * 30);
 	assert.ok(frame({ kind: "promise", epoch: 1, number: 1, cancelled }).length < linkBytes / 4);
 });
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -2,7 +2,7 @@
 import { Controller } from "../../src/coordination/controller.js";
 import type { TimePort } from "../../src/coordination/ports/clock.js";
 import type { Log } from "../../src/coordination/ports/log.js";
-import { elsewhereBody, ordersBody, parseReport } from "../../src/protocol/http/worker-api.js";
+import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../../src/protocol/http/worker-api.js";
 import { defaultOperator } from "../../src/protocol/settings/operator.js";
 import { parsePlatform } from "../../src/protocol/settings/platform.js";
 import { makeTeamQuota } from "../../src/team-quota.js";
@@ -362,7 +362,7 @@
 		for (const seconds of this.copiesAfterS) {
 			this.time.after(seconds * 1000, () => {
 				const process = this.processes.get(node);
-				process?.gate.pass(() => void process.controller.report(parseReport(sent)));
+				process?.gate.pass(() => void process.controller.report(parseHeartbeat(sent)));
 			});
 		}
 		return new Promise<HttpResponse | undefined>((resolve) => {
@@ -377,12 +377,12 @@
 			this.time.after(2 + (fault.delayMs ?? 0), () => {
 				const now = this.processes.get(node);
 				now?.gate.pass(async () => {
-					const result = await now.controller.report(parseReport(sent));
+					const result = await now.controller.report(parseHeartbeat(sent));
 					if (fault.loseAnswer || this.network.isDown(now.id)) return;
 					const answer: HttpResponse =
 						result.kind === "orders"
-							? { status: 200, body: ordersBody(result.token, result.orders) }
-							: { status: 421, body: elsewhereBody(result.node) };
+							? { status: 200, body: heartbeatResponseBody(result.token, result.orders) }
+							: { status: 421, body: redirectBody(result.node) };
 					this.time.after(2, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpResponse));
 				});
 			});
--- a/tests/surface.test.ts
+++ b/tests/surface.test.ts
@@ -10,8 +10,8 @@
 import { Worker } from "node:worker_threads";
 import { longestUnknowingMs } from "../src/coordination/controller.js";
 import { reasonImpossible } from "../src/coordination/jobs/job-service.js";
-import { parseJob } from "../src/protocol/http/user-api.js";
-import { parseReport } from "../src/protocol/http/worker-api.js";
+import { parseJobSpec } from "../src/protocol/http/user-api.js";
+import { parseHeartbeat } from "../src/protocol/http/worker-api.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
 import { parseOperator } from "../src/protocol/settings/operator.js";
 import { parsePlatform } from "../src/protocol/settings/platform.js";
@@ -90,8 +90,8 @@
 };
 
 test("a job's fields are checked one by one and the fault is named", () => {
-	assert.equal(parseJob(JSON.stringify(job)).team, "red");
-	assert.equal(parseJob(JSON.stringify({ ...job, hall: undefined, extra: 1 })).zone, null);
+	assert.equal(parseJobSpec(JSON.stringify(job)).team, "red");
+	assert.equal(parseJobSpec(JSON.stringify({ ...job, hall: undefined, extra: 1 })).zone, null);
 	const wrong: [string, unknown, RegExp][] = [
 		["id", "x-1", /"id" must look like/],
 		["id", undefined, /"id" is missing/],
@@ -127,15 +127,15 @@
 		["urgency", null, /"urgency" must be/],
 	];
 	for (const [field, value, expected] of wrong) {
-		assert.throws(() => parseJob(JSON.stringify({ ...job, [field]: value })), expected);
+		assert.throws(() => parseJobSpec(JSON.stringify({ ...job, [field]: value })), expected);
 	}
-	assert.throws(() => parseJob("[1]"), /not a JSON object/);
-	assert.throws(() => parseJob("{"), /not JSON/);
-	assert.throws(() => parseJob('{"id":"j-1","cores":1e999}'), /is missing|finite/);
+	assert.throws(() => parseJobSpec("[1]"), /not a JSON object/);
+	assert.throws(() => parseJobSpec("{"), /not JSON/);
+	assert.throws(() => parseJobSpec('{"id":"j-1","cores":1e999}'), /is missing|finite/);
 });
 
 test("reports are read into the service's own words", () => {
-	const report = parseReport(
+	const report = parseHeartbeat(
 		JSON.stringify({
 			host: "n-1",
 			endpoint: "10.1.0.1:9000",
@@ -152,14 +152,14 @@
 		}),
 	);
 	assert.deepEqual(
-		report.tasks.map((t) => [t.index, t.state, t.cause]),
+		report.tasks.map((t) => [t.taskIndex, t.state, t.exitCause]),
 		[
 			[3, "fetching", null],
 			[4, "exited", "no_room"],
 		],
 	);
-	assert.equal(report.noticeS, null);
-	assert.throws(() => parseReport('{"host":"n-1"}'), /"pieces" must be a list/);
+	assert.equal(report.reclaimInS, null);
+	assert.throws(() => parseHeartbeat('{"host":"n-1"}'), /"pieces" must be a list/);
 });
 
 test("a submission is judged by every demand together; a known one is answered whatever is in it", async () => {
@@ -196,12 +196,16 @@
 		"no one type has both",
 	);
 	assert.match(why({ cpus: 16, zone: "b" }) as string, /fits no/, "the type is not offered in the zone");
-	assert.match(why({ gpus: 1, types: ["wide"] }) as string, /fits no/);
-	assert.match(why({ types: ["nowhere"] }) as string, /fits no/, "a type offered in no zone can't be rented");
+	assert.match(why({ gpus: 1, machineTypes: ["wide"] }) as string, /fits no/);
+	assert.match(
+		why({ machineTypes: ["nowhere"] }) as string,
+		/fits no/,
+		"a type offered in no zone can't be rented",
+	);
 	assert.match(why({ cpus: 21 }) as string, /more than the limit/);
 	assert.match(reasonImpossible(specOf("j-1"), undefined, types) as string, /no team "red"/);
 	// Its tasks run half by half in the one zone, so this array can run (trace 47 plays its like).
-	assert.equal(why({ zone: "a", spread: true, oneZone: true }), null);
+	assert.equal(why({ zone: "a", spreadZones: true, singleZone: true }), null);
 
 	const app = publicApi(service, silentLog);
 	const post = (body: unknown) => app.request("/v1/jobs", { method: "POST", body: JSON.stringify(body) });
--- a/tests/team-quota.test.ts
+++ b/tests/team-quota.test.ts
@@ -9,7 +9,7 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 import { type LimitRequest, type QuotaStore, type ShownTeam, setQuota, showQuotas } from "#team-quota";
-import { keys } from "../src/protocol/records/records.js";
+import { keys } from "../src/protocol/records/keys.js";
 import { defaultOperator, parseOperator } from "../src/protocol/settings/operator.js";
 import { quotaStore } from "../src/team-quota.js";
 import { StoreClient } from "../src/transport/store-client.js";
