--- a/src/bookkeeping/job.ts
+++ b/src/bookkeeping/job.ts
@@ -1,9 +1,9 @@
-import { isService, type JobSpec, priorityRank } from "../protocol/model.js";
+import { isService, type JobSpec, priorityRank } from "../protocol/model/job.js";
 import type { Machine } from "./machine.js";
 import type { TeamCharge } from "./quota-ledger.js";
 import { TaskSet } from "./task-set.js";
 
-export type AttemptPhase = "assigned" | "sent" | "fetching" | "running" | "saving";
+export type AttemptPhase = "assigned" | "sent" | "fetching" | "running" | "checkpointing";
 
 /** One try at one task, from the decision to start it until it is proved over. */
 export interface Attempt {
@@ -131,7 +131,8 @@
 	/** Tasks that run, or save before they end. */
 	get running(): number {
 		let count = 0;
-		for (const { phase } of this.attempts.values()) if (phase === "running" || phase === "saving") count += 1;
+		for (const { phase } of this.attempts.values())
+			if (phase === "running" || phase === "checkpointing") count += 1;
 		return count;
 	}
 
--- a/src/bookkeeping/machine-fit.ts
+++ b/src/bookkeeping/machine-fit.ts
@@ -1,4 +1,5 @@
-import type { JobSpec, MachineType } from "../protocol/model.js";
+import type { JobSpec } from "../protocol/model/job.js";
+import type { MachineType } from "../protocol/model/machine.js";
 import type { Job } from "./job.js";
 import type { Machine } from "./machine.js";
 
--- a/src/bookkeeping/machine.ts
+++ b/src/bookkeeping/machine.ts
@@ -1,4 +1,5 @@
-import type { JobSpec, MachineType, TaskDemand } from "../protocol/model.js";
+import type { JobSpec, TaskDemand } from "../protocol/model/job.js";
+import type { MachineType } from "../protocol/model/machine.js";
 import type { Attempt, Job } from "./job.js";
 import type { TeamCharge } from "./quota-ledger.js";
 
--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -1,7 +1,8 @@
 import { MalformedMessageError } from "../protocol/checks.js";
 import type { StoreEvent, StoreRow } from "../protocol/http/store-api.js";
-import type { MachineType, TaskDemand } from "../protocol/model.js";
-import { taskDemandOf } from "../protocol/model.js";
+import type { TaskDemand } from "../protocol/model/job.js";
+import { taskDemandOf } from "../protocol/model/job.js";
+import type { MachineType } from "../protocol/model/machine.js";
 import { parsePageName, type StoredChunk } from "../protocol/records/chunk.js";
 import type { FinalJobRecord } from "../protocol/records/final-record.js";
 import type { JobRecord } from "../protocol/records/job-record.js";
--- a/src/bookkeeping/zone-rules.ts
+++ b/src/bookkeeping/zone-rules.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from "../protocol/model.js";
+import type { JobSpec } from "../protocol/model/job.js";
 
 /** How many more tasks of the job its own zone rules allow in a zone. */
 export function zoneRoom(spec: JobSpec, zones: Record<string, number>, zone: string): number {
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -2,10 +2,10 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { TeamLimits } from "../bookkeeping/quota-ledger.js";
 import { StoreCopy } from "../bookkeeping/store-replica.js";
-import type { WorkerHeartbeat } from "../protocol/model.js";
+import type { WorkerHeartbeat } from "../protocol/model/worker.js";
 import type {
-	HeartbeatReply,
 	LeaderHeartbeat,
+	LeaderHeartbeatReply,
 	PeerMessage,
 	PlacementProposal,
 	PlacementRequest,
@@ -18,13 +18,13 @@
 import { JobService } from "./jobs/job-service.js";
 import { Leader, tickMs } from "./leader.js";
 import { Leadership } from "./leadership/leadership.js";
-import { PeerMessageReader } from "./leadership/peer-channel.js";
+import { PeerChannel } from "./leadership/peer-channel.js";
 import { placeAdmitted } from "./placement/admitted-placement.js";
 import { placeFirstFit } from "./placement/first-fit.js";
 import type { TimePort } from "./ports/clock.js";
 import type { CloudPort } from "./ports/cloud.js";
 import type { Log } from "./ports/log.js";
-import type { PeerPort } from "./ports/peers.js";
+import type { PeerTransport } from "./ports/peers.js";
 import type { StorePort } from "./ports/store.js";
 import type { TeamQuotaPort } from "./ports/team-quota.js";
 import type { WorkerPort } from "./ports/workers.js";
@@ -37,7 +37,7 @@
 	store: StorePort;
 	cloud: CloudPort;
 	workers: WorkerPort;
-	peers: PeerPort;
+	peers: PeerTransport;
 	time: TimePort;
 	log: Log;
 	random: RandomGenerator;
@@ -64,7 +64,7 @@
 	private peerHeardAt = -Infinity;
 	private othersServedAt = -Infinity;
 	private readonly reports: ReportRouter;
-	private readonly reader: PeerMessageReader;
+	private readonly peers: PeerChannel;
 	private readonly machineTypes: MachineTypeCatalog;
 	private readonly teamQuota: TeamQuotaPort | null;
 
@@ -75,6 +75,7 @@
 		private readonly ports: ControllerPorts,
 	) {
 		const { store, time, log } = ports;
+		this.peers = new PeerChannel(ports.peers, log);
 		this.commands = new CommandQueue(ports.schedule, (error) =>
 			log.error(
 				{ err: error instanceof Error ? (error.stack ?? error.message) : String(error) },
@@ -103,19 +104,22 @@
 				won: (term) => this.won(term),
 				lost: (term, why) => this.lost(term, why),
 				tell: (message) => {
-					for (const other of platform.others) ports.peers.send(other.node, message);
+					for (const other of platform.others) this.peers.send(other.node, message);
 				},
 				knownAt: () => this.storeSync.knownAt,
 				knownRevision: () => this.storeCopy.revision,
 				cancelledSince: (revision) =>
-					this.storeCopy
-						.cancelledSince(revision)
-						?.map(({ id, record, revision: at }) => [id, at, record.taskCount, record.doneCount]) ?? null,
+					this.storeCopy.cancelledSince(revision)?.map(({ id, record, revision: at }) => ({
+						jobId: id,
+						revision: at,
+						taskCount: record.taskCount,
+						doneCount: record.doneCount,
+					})) ?? null,
 				learn: (cancelled) => {
-					for (const [id, revision, tasks, done] of cancelled)
+					for (const { jobId, revision, taskCount, doneCount } of cancelled)
 						this.storeCopy.applyOwn(
-							keys.final(id),
-							encodeFinalRecord({ status: "cancelled", taskCount: tasks, doneCount: done }),
+							keys.final(jobId),
+							encodeFinalRecord({ status: "cancelled", taskCount, doneCount }),
 							revision,
 						);
 				},
@@ -137,13 +141,12 @@
 		);
 		this.reports = new ReportRouter({
 			self: platform.node,
-			peers: ports.peers,
+			peers: this.peers,
 			time,
 			active: () => this.activeLeader(),
 			leaderInStore: () => this.storeCopy.leader?.value.node ?? null,
 			tellUnexpected: (leader, term) => this.sendHeartbeatReply(leader, term),
 		});
-		this.reader = new PeerMessageReader(log);
 		this.machineTypes = new MachineTypeCatalog({
 			cloud: ports.cloud,
 			store,
@@ -250,7 +253,7 @@
 						settings: this.settings,
 						storeCopy: this.storeCopy,
 						types,
-						ports: { ...this.ports, post: (command) => this.commands.post(command) },
+						ports: { ...this.ports, peers: this.peers, post: (command) => this.commands.post(command) },
 						authority: () => this.leadership.authority() === term,
 						served: () => !this.storeSync.silent,
 						resign: (why) => this.leadership.resign(why),
@@ -288,42 +291,42 @@
 	}
 
 	private sendHeartbeatReply(leader: string, term: number): void {
-		const reply: HeartbeatReply = {
-			kind: "pong",
-			epoch: term,
-			strays: this.reports.countUnexpected(),
-			standing: true,
-			...(this.teamQuota && { quota: this.teamQuota.reply() }),
+		const reply: LeaderHeartbeatReply = {
+			kind: "leader-heartbeat-reply",
+			term,
+			misdirectedWorkers: this.reports.countUnexpected(),
+			supportsServiceJobs: true,
+			...(this.teamQuota && { teamQuota: this.teamQuota.reply() }),
 		};
-		this.ports.peers.send(leader, reply);
+		this.peers.send(leader, reply);
 	}
 
 	peerMessage(from: string, raw: unknown): void {
-		const message = this.reader.read(from, raw);
+		const message = this.peers.read(from, raw);
 		if (message) this.commands.post(() => this.handle(from, message));
 	}
 
 	private handle(from: string, message: PeerMessage): void {
 		this.peerHeardAt = this.ports.time.now();
-		if (message.kind === "running" || message.kind === "view")
+		if (message.kind === "leader-heartbeat" || message.kind === "placement-request")
 			this.reports.noteLeader(from, message, this.peerHeardAt);
 		switch (message.kind) {
-			case "view":
+			case "placement-request":
 				this.propose(from, message);
 				break;
-			case "running":
+			case "leader-heartbeat":
 				this.heartbeat(from, message);
 				break;
-			case "reports":
+			case "forwarded-heartbeats":
 				this.reports.relayed(from, message);
 				break;
-			case "answers":
+			case "forwarded-responses":
 				this.reports.answered(from, message);
 				break;
-			case "ask":
-			case "promise":
-			case "who":
-			case "leading":
+			case "lease-extension-request":
+			case "lease-extension-vote":
+			case "leader-query":
+			case "leader-query-reply":
 				this.leadership.message(from, message);
 				break;
 			default:
@@ -333,29 +336,29 @@
 
 	private heartbeat(from: string, message: LeaderHeartbeat): void {
 		// A late copy from an earlier leader: what users are told must not go back.
-		if (message.epoch < (this.storeCopy.leader?.revision ?? 0)) return;
-		if (message.served) this.othersServedAt = this.peerHeardAt;
-		this.running = new Map(message.counts);
-		if (message.quota !== undefined) this.teamQuota?.takeTerms(message.epoch, message.quota);
-		this.sendHeartbeatReply(from, message.epoch);
+		if (message.term < (this.storeCopy.leader?.revision ?? 0)) return;
+		if (message.storeReachable) this.othersServedAt = this.peerHeardAt;
+		this.running = new Map(message.runningTasks);
+		if (message.teamQuota !== undefined) this.teamQuota?.takeTerms(message.term, message.teamQuota);
+		this.sendHeartbeatReply(from, message.term);
 	}
 
 	/** This node as a placer. */
 	private propose(from: string, request: PlacementRequest): void {
-		const { epoch, cycle, machines, grants, start } = request;
+		const { term, cycle, machines, grants, startIndex: start } = request;
 		const { jobs } = this.storeCopy;
 		const specOf = (id: string) => jobs.get(id)?.value.spec;
-		const unknown = grants.map((grant) => grant.job).filter((id) => !jobs.has(id));
-		const proposal = { kind: "placed", epoch, cycle, unknown } as const;
-		if (request.quota === undefined || !this.teamQuota) {
+		const unknownJobs = grants.map((grant) => grant.jobId).filter((id) => !jobs.has(id));
+		const proposal = { kind: "placement-proposal", term, cycle, unknownJobs } as const;
+		if (request.teamQuota === undefined || !this.teamQuota) {
 			const placements = placeFirstFit(machines, grants, specOf, start);
-			this.ports.peers.send(from, { ...proposal, placements } satisfies PlacementProposal);
+			this.peers.send(from, { ...proposal, placements } satisfies PlacementProposal);
 			return;
 		}
-		this.teamQuota.takeTerms(epoch, request.quota);
+		this.teamQuota.takeTerms(term, request.teamQuota);
 		const placements = placeAdmitted(this.teamQuota, machines, grants, specOf, start);
 		const quota = this.teamQuota.sendBatch();
-		this.ports.peers.send(from, { ...proposal, placements, quota } satisfies PlacementProposal);
+		this.peers.send(from, { ...proposal, placements, teamQuota: quota } satisfies PlacementProposal);
 	}
 }
 
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -1,6 +1,6 @@
 import { Machine } from "../../bookkeeping/machine.js";
 import type { MachineListPage } from "../../protocol/http/cloud-api.js";
-import type { ListedMachine } from "../../protocol/model.js";
+import type { ListedMachine } from "../../protocol/model/machine.js";
 import { CallFailed } from "../ports/call-error.js";
 import type { TimePort } from "../ports/clock.js";
 import type { CloudPort } from "../ports/cloud.js";
--- a/src/coordination/fleet/expected-services.ts
+++ b/src/coordination/fleet/expected-services.ts
@@ -1,4 +1,5 @@
-import type { JobSpec, MachineType } from "../../protocol/model.js";
+import type { JobSpec } from "../../protocol/model/job.js";
+import type { MachineType } from "../../protocol/model/machine.js";
 import type { StartObjective } from "../../protocol/settings/platform.js";
 
 /** Part of the cores in use that is kept for a class of which no job has come yet. */
--- a/src/coordination/fleet/hill-climb.ts
+++ b/src/coordination/fleet/hill-climb.ts
@@ -1,5 +1,6 @@
 import { tasksHeld, typeFits } from "../../bookkeeping/machine-fit.js";
-import type { JobSpec, MachineType } from "../../protocol/model.js";
+import type { JobSpec } from "../../protocol/model/job.js";
+import type { MachineType } from "../../protocol/model/machine.js";
 
 /** The hill climb's decisions, without their effects. */
 
--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -1,4 +1,4 @@
-import type { MachineType } from "../../protocol/model.js";
+import type { MachineType } from "../../protocol/model/machine.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { StoredMachineTypes } from "../../protocol/records/singleton-records.js";
 import { CallFailed } from "../ports/call-error.js";
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -1,7 +1,7 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
-import type { JobSpec } from "../../protocol/model.js";
+import type { JobSpec } from "../../protocol/model/job.js";
 import type { StartObjective } from "../../protocol/settings/platform.js";
 import { FreeCapacity, freeBesideReplicas, freeOn } from "../placement/free-capacity.js";
 import type { TimePort } from "../ports/clock.js";
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -1,7 +1,8 @@
 import { Machine } from "../../bookkeeping/machine.js";
 import { tasksHeld } from "../../bookkeeping/machine-fit.js";
 import type { ScaleOutRequest } from "../../protocol/http/cloud-api.js";
-import type { JobSpec, MachineType } from "../../protocol/model.js";
+import type { JobSpec } from "../../protocol/model/job.js";
+import type { MachineType } from "../../protocol/model/machine.js";
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
 import { CallFailed } from "../ports/call-error.js";
 import type { TimePort } from "../ports/clock.js";
--- a/src/coordination/jobs/job-service.ts
+++ b/src/coordination/jobs/job-service.ts
@@ -2,13 +2,8 @@
 import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import type { StoreCopy } from "../../bookkeeping/store-replica.js";
 import { MalformedMessageError } from "../../protocol/checks.js";
-import {
-	isService,
-	type JobSpec,
-	type JobStatus,
-	type MachineType,
-	taskDemandOf,
-} from "../../protocol/model.js";
+import { isService, type JobSpec, type JobStatus, taskDemandOf } from "../../protocol/model/job.js";
+import type { MachineType } from "../../protocol/model/machine.js";
 import {
 	decodeFinalRecord,
 	encodeFinalRecord,
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -3,7 +3,8 @@
 import { Machine, unknownType } from "../bookkeeping/machine.js";
 import type { StoreCopy, Versioned } from "../bookkeeping/store-replica.js";
 import type { StoreCondition } from "../protocol/http/store-api.js";
-import type { MachineType, Order, WorkerHeartbeat } from "../protocol/model.js";
+import type { MachineType } from "../protocol/model/machine.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../protocol/model/worker.js";
 import type { PeerMessage } from "../protocol/peer/messages.js";
 import { encodeFinalRecord } from "../protocol/records/final-record.js";
 import type { JobRecord } from "../protocol/records/job-record.js";
@@ -343,7 +344,7 @@
 	// --- reports ---
 
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerHeartbeat): Promise<Order[] | null> {
+	report(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
 		return this.reports.report(report);
 	}
 
@@ -487,13 +488,13 @@
 	// --- other controllers ---
 
 	peerMessage(from: string, message: PeerMessage): void {
-		if (this.ended || message.epoch !== this.term) return;
+		if (this.ended || message.term !== this.term) return;
 		const now = this.ports.time.now();
 		this.peerMonitor.heard(from, now);
-		if (message.kind === "placed") this.placement.proposed(from, message, now);
-		if (message.kind !== "pong") return;
+		if (message.kind === "placement-proposal") this.placement.proposed(from, message, now);
+		if (message.kind !== "leader-heartbeat-reply") return;
 		this.peerMonitor.answered(from, message, now);
-		if (message.quota !== undefined) this.leaderQuota?.heard(from, message.quota);
+		if (message.teamQuota !== undefined) this.leaderQuota?.heard(from, message.teamQuota);
 		if (this.active) this.recordFeatures();
 	}
 
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -1,5 +1,5 @@
 import { Machine, unknownType } from "../../bookkeeping/machine.js";
-import type { WorkerHeartbeat } from "../../protocol/model.js";
+import type { WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { Log } from "../ports/log.js";
 import type { WorkerPort } from "../ports/workers.js";
 import type { ClusterState } from "../state/cluster-state.js";
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -1,4 +1,4 @@
-import type { HeartbeatReply } from "../../protocol/peer/messages.js";
+import type { LeaderHeartbeat, LeaderHeartbeatReply } from "../../protocol/peer/messages.js";
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
 import type { PlatformSettings } from "../../protocol/settings/platform.js";
 import type { Log } from "../ports/log.js";
@@ -83,18 +83,17 @@
 		const ears = this.reachable(now);
 		const hearing = ears.heard >= ears.up / 2;
 		this.considerRelaying();
-		const { term: epoch, relaying: relay } = this;
-		const message = {
-			kind: "running",
-			epoch,
-			counts: counts(),
-			served: this.options.served(),
-			hearing,
-			relay,
+		const message: LeaderHeartbeat = {
+			kind: "leader-heartbeat",
+			term: this.term,
+			runningTasks: counts(),
+			storeReachable: this.options.served(),
+			workersReachable: hearing,
+			forwardHeartbeats: this.relaying,
 		};
 		for (const { node } of this.platform.others) {
 			const quota = this.options.quotaTerms(node);
-			this.peers.send(node, quota === undefined ? message : { ...message, quota });
+			this.peers.send(node, quota === undefined ? message : { ...message, teamQuota: quota });
 		}
 		this.unreachableLooks = ears.up >= 2 && !hearing ? this.unreachableLooks + 1 : 0;
 		this.stepAside(now, ears);
@@ -110,7 +109,11 @@
 	}
 
 	/** It has answered, and says how many machines turned to it. */
-	answered(from: string, { strays, standing, quota }: HeartbeatReply, now: number): void {
+	answered(
+		from: string,
+		{ misdirectedWorkers: strays, supportsServiceJobs: standing, teamQuota: quota }: LeaderHeartbeatReply,
+		now: number,
+	): void {
 		if (standing === true) this.serveStanding.add(from);
 		else this.serveStanding.delete(from);
 		if (quota !== undefined) this.serveQuota.add(from);
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -1,9 +1,9 @@
 import type { Versioned } from "../../bookkeeping/store-replica.js";
 import type {
-	CampaignPromise,
 	Cancellation,
 	LeadershipMessage,
-	PromiseRequest,
+	LeaseExtensionRequest,
+	LeaseExtensionVote,
 } from "../../protocol/peer/messages.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { LeaderRecord } from "../../protocol/records/singleton-records.js";
@@ -161,22 +161,22 @@
 
 	message(from: string, message: LeadershipMessage): void {
 		const now = this.time.now();
-		if (message.kind === "who") {
+		if (message.kind === "leader-query") {
 			this.hooks.tell({
-				kind: "leading",
-				epoch: this.heldTerm ?? 0,
-				leading: this.heldTerm !== null,
-				asker: message.asker,
+				kind: "leader-query-reply",
+				term: this.heldTerm ?? 0,
+				isLeader: this.heldTerm !== null,
+				incarnation: message.incarnation,
 			});
-		} else if (message.kind === "leading" && this.startHold) {
+		} else if (message.kind === "leader-query-reply" && this.startHold) {
 			// A copy of an answer to an earlier process of this node, which may have promised
 			// since to one that has begun to lead since.
-			if (message.asker !== this.incarnation) return;
-			if (message.leading) this.notLeading.delete(from);
+			if (message.incarnation !== this.incarnation) return;
+			if (message.isLeader) this.notLeading.delete(from);
 			else this.notLeading.add(from);
 			if (this.others.every((other) => this.notLeading.has(other))) this.releaseStartHold();
-		} else if (message.kind === "ask") this.considerPromise(message);
-		else if (message.kind === "promise") this.promised(from, message, now);
+		} else if (message.kind === "lease-extension-request") this.considerPromise(message);
+		else if (message.kind === "lease-extension-vote") this.promised(from, message, now);
 	}
 
 	/** The end of a promise that was asked for at the time given, as its receiver counts. */
@@ -184,14 +184,14 @@
 		return sentAt + this.promiseMs * (1 - drift) - this.settings.marginMs;
 	}
 
-	private promised(from: string, message: CampaignPromise, now: number): void {
+	private promised(from: string, message: LeaseExtensionVote, now: number): void {
 		// What it names is so, however old the message is, and is carried out before anything is counted.
-		if (message.cancelled) this.hooks.learn(message.cancelled);
-		const sentAt = this.requestsSentAt.get(message.number);
-		if (message.epoch !== this.heldTerm || sentAt === undefined) return;
+		if (message.cancellations) this.hooks.learn(message.cancellations);
+		const sentAt = this.requestsSentAt.get(message.requestNumber);
+		if (message.term !== this.heldTerm || sentAt === undefined) return;
 		const latest = (times: Map<string, number>, at: number) =>
 			times.set(from, Math.max(at, times.get(from) ?? -Infinity));
-		if (message.cancelled) latest(this.cancellationsKnownAt, sentAt);
+		if (message.cancellations) latest(this.cancellationsKnownAt, sentAt);
 		// Whoever promises now may have led in between, in a process that has ended since.
 		if (now >= this.unchallengedUntil) return;
 		const until = this.promiseEnd(sentAt);
@@ -201,7 +201,11 @@
 	}
 
 	/** Promises only when a request made after the question was refused. */
-	private considerPromise({ epoch, number, known }: PromiseRequest): void {
+	private considerPromise({
+		term: epoch,
+		requestNumber: number,
+		knownRevision: known,
+	}: LeaseExtensionRequest): void {
 		const may = () => this.heldTerm === null && !this.campaigning && this.time.now() >= this.uncertainUntil;
 		if (!may()) return;
 		this.store.read(keys.leader).then(
@@ -213,7 +217,12 @@
 					this.promisedUntil = Math.max(this.promisedUntil, until);
 					this.startHold = false;
 					const cancelled = known === undefined ? null : this.hooks.cancelledSince(known);
-					this.hooks.tell({ kind: "promise", epoch, number, ...(cancelled && { cancelled }) });
+					this.hooks.tell({
+						kind: "lease-extension-vote",
+						term: epoch,
+						requestNumber: number,
+						...(cancelled && { cancellations: cancelled }),
+					});
 				}),
 		);
 	}
@@ -226,7 +235,12 @@
 		this.requestsSentAt.set(this.requestNumber, now);
 		this.requestsSentAt.delete(this.requestNumber - requestsKept);
 		const known = this.hooks.knownRevision();
-		this.hooks.tell({ kind: "ask", epoch: this.heldTerm ?? 0, number: this.requestNumber, known });
+		this.hooks.tell({
+			kind: "lease-extension-request",
+			term: this.heldTerm ?? 0,
+			requestNumber: this.requestNumber,
+			knownRevision: known,
+		});
 	}
 
 	/** The term whose lease has not been seen to end, with or without present authority. */
@@ -251,7 +265,7 @@
 		if (now < this.promisedUntil) {
 			if (this.startHold && now >= this.nextRequest) {
 				this.nextRequest = now + 200;
-				this.hooks.tell({ kind: "who", epoch: 0, asker: this.incarnation });
+				this.hooks.tell({ kind: "leader-query", term: 0, incarnation: this.incarnation });
 			}
 			return;
 		}
--- a/src/coordination/leadership/peer-channel.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -1,32 +1,50 @@
+/**
+ * The messages between controllers, as the rest of coordination sees them: encoded when they are sent, decoded
+ * and checked when they are received.
+ */
+
 import { MalformedMessageError } from "../../protocol/checks.js";
-import { claimedKind, type PeerMessage, parsePeerMessage } from "../../protocol/peer/messages.js";
+import type { NodeId } from "../../protocol/model/identifiers.js";
+import { claimedKind, decodePeerMessage, encodePeerMessage } from "../../protocol/peer/codec.js";
+import type { PeerMessage } from "../../protocol/peer/messages.js";
 import type { Log } from "../ports/log.js";
+import type { PeerPort, PeerTransport } from "../ports/peers.js";
+
+/** Beyond this many senders and kinds of malformed messages, further ones are logged each time. */
+const maxMalformedSources = 200;
 
-/** More senders and kinds of malformed messages than this are not told apart. */
-const malformedKept = 200;
+/** Sends messages to other controllers and reads theirs. */
+export class PeerChannel implements PeerPort {
+	private readonly malformedSources = new Set<string>();
 
-/** Checks what other controllers send. What cannot be read is left out and logged once for each sender and kind. */
-export class PeerMessageReader {
-	private readonly malformedFrom = new Set<string>();
+	constructor(
+		private readonly transport: PeerTransport,
+		private readonly log: Log,
+	) {}
 
-	constructor(private readonly log: Log) {}
+	/** Best effort: a message to a controller that cannot be reached is dropped. */
+	send(node: NodeId, message: PeerMessage): void {
+		this.transport.send(node, encodePeerMessage(message));
+	}
 
-	/** null: it cannot be used. */
-	read(from: string, raw: unknown): PeerMessage | null {
+	/**
+	 * Decodes what another controller has sent. A message that cannot be read, such as one of another version, is
+	 * left out (null) and logged once for each sender and kind, since such messages come in large numbers.
+	 */
+	read(from: NodeId, encoded: unknown): PeerMessage | null {
 		try {
-			return parsePeerMessage(raw);
+			return decodePeerMessage(encoded);
 		} catch (error) {
 			if (!(error instanceof MalformedMessageError)) throw error;
-			this.note(from, claimedKind(raw), error);
+			this.logMalformed(from, claimedKind(encoded), error);
 			return null;
 		}
 	}
 
-	/** Such messages come in numbers. */
-	private note(from: string, kind: string, error: MalformedMessageError): void {
+	private logMalformed(from: NodeId, kind: string, error: MalformedMessageError): void {
 		const source = `${from}/${kind}`;
-		if (this.malformedFrom.has(source)) return;
-		if (this.malformedFrom.size < malformedKept) this.malformedFrom.add(source);
+		if (this.malformedSources.has(source)) return;
+		if (this.malformedSources.size < maxMalformedSources) this.malformedSources.add(source);
 		this.log.error({ from, kind, err: error.message }, "malformed message from a controller");
 	}
 }
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -1,12 +1,12 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
-import { isService, type JobSpec } from "../../protocol/model.js";
-import type { Grant, Placement, ViewMachine } from "../../protocol/peer/placement.js";
+import { isService, type JobSpec } from "../../protocol/model/job.js";
+import type { Grant, MachineCapacity, Placement } from "../../protocol/peer/messages.js";
 
 const slack = 1e-6;
 
-function fits(spec: JobSpec, m: ViewMachine): number {
+function fits(spec: JobSpec, m: MachineCapacity): number {
 	if (spec.machineTypes !== null && !spec.machineTypes.includes(m.type)) return 0;
 	if (spec.zone !== null && spec.zone !== m.zone) return 0;
 	if (m.spot && !spec.allowSpot) return 0;
@@ -18,7 +18,7 @@
 }
 
 /** Tasks of the job that the machines could take, whatever else may want the same room. */
-export function placeable(spec: JobSpec, zones: Record<string, number>, machines: ViewMachine[]): number {
+export function placeable(spec: JobSpec, zones: Record<string, number>, machines: MachineCapacity[]): number {
 	const byZone = new Map<string, number>();
 	for (const m of machines) {
 		const n = fits(spec, m);
@@ -53,7 +53,7 @@
  * The machines given are used up as tasks are put on them.
  */
 export function placeFirstFit(
-	machines: ViewMachine[],
+	machines: MachineCapacity[],
 	grants: Grant[],
 	specOf: (job: string) => JobSpec | undefined,
 	start = 0,
@@ -61,7 +61,7 @@
 	const placements: Placement[] = [];
 	const order = start === 0 ? machines : [...machines.slice(start), ...machines.slice(0, start)];
 	for (const grant of grants) {
-		const spec = specOf(grant.job);
+		const spec = specOf(grant.jobId);
 		if (spec) placements.push(...placeGrant(order, grant, spec));
 	}
 	return placements;
@@ -82,15 +82,16 @@
 	return [...[true, false].map((withImage) => ({ withImage, most: 1, apart: true })), ...anywhere];
 }
 
-function placeGrant(machines: ViewMachine[], grant: Grant, spec: JobSpec): Placement[] {
+function placeGrant(machines: MachineCapacity[], grant: Grant, spec: JobSpec): Placement[] {
 	const placements: Placement[] = [];
-	const zones = { ...grant.zones };
-	const taken = new Set(grant.beside ?? []);
+	const zones = { ...grant.tasksByZone };
+	const taken = new Set(grant.replicaMachines ?? []);
 	let left = grant.count;
 	for (const { withImage, most, apart } of passesFor(spec, grant.count)) {
 		for (const machine of machines) {
 			if (left <= 0) return placements;
-			if (machine.images.includes(spec.image) !== withImage || grant.avoid.includes(machine.id)) continue;
+			if (machine.images.includes(spec.image) !== withImage || grant.avoidedMachines.includes(machine.id))
+				continue;
 			if (apart && taken.has(machine.id)) continue;
 			const count = Math.min(left, most, fits(spec, machine), zoneRoom(spec, zones, machine.zone));
 			if (count <= 0) continue;
@@ -98,13 +99,13 @@
 			takeFrom(machine, spec, count);
 			zones[machine.zone] = (zones[machine.zone] ?? 0) + count;
 			left -= count;
-			placements.push({ job: grant.job, machine: machine.id, count });
+			placements.push({ jobId: grant.jobId, machineId: machine.id, count });
 		}
 	}
 	return placements;
 }
 
-function takeFrom(machine: ViewMachine, spec: JobSpec, count: number): void {
+function takeFrom(machine: MachineCapacity, spec: JobSpec, count: number): void {
 	machine.cpus -= count * spec.cpus;
 	machine.gpus -= count * spec.gpus;
 	machine.memory -= count * spec.memoryGb;
--- a/src/coordination/placement/free-capacity.ts
+++ b/src/coordination/placement/free-capacity.ts
@@ -1,7 +1,7 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
-import type { JobSpec } from "../../protocol/model.js";
+import type { JobSpec } from "../../protocol/model/job.js";
 
 /** Amounts of a machine that tasks take. */
 export interface Amounts {
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../../bookkeeping/job.js";
-import type { Grant, ViewMachine } from "../../protocol/peer/placement.js";
+import type { Grant, MachineCapacity } from "../../protocol/peer/messages.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import { placeable } from "./first-fit.js";
 import { starved } from "./job-order.js";
@@ -32,7 +32,7 @@
 export function grantsFor(
 	clusterState: ClusterState,
 	jobs: Job[],
-	views: ViewMachine[],
+	views: MachineCapacity[],
 	moment: Moment,
 ): TeamGrant[] {
 	const allocation = new Allocation(clusterState, views);
@@ -58,7 +58,7 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly views: ViewMachine[],
+		private readonly views: MachineCapacity[],
 	) {
 		for (const view of views) this.freeCpus += view.cpus;
 	}
@@ -102,7 +102,7 @@
 }
 
 /** For a while only: there may be no others, and what was wrong there may be over. */
-function machinesToAvoid(job: Job, views: ViewMachine[], now: number): string[] {
+function machinesToAvoid(job: Job, views: MachineCapacity[], now: number): string[] {
 	if (job.failsEverywhere) return [];
 	const sinceMs = now - job.failedAt;
 	const machines = sinceMs <= avoidMs ? [...job.failedOn].map((machine) => machine.id) : [];
@@ -115,15 +115,15 @@
 	clusterState: ClusterState,
 	job: Job,
 	count: number,
-	views: ViewMachine[],
+	views: MachineCapacity[],
 	now: number,
 ): Grant {
 	const { spec } = job;
 	return {
-		job: job.id,
+		jobId: job.id,
 		count,
-		avoid: machinesToAvoid(job, views, now),
-		zones: spec.singleZone || spec.spreadZones ? clusterState.zonesOf(job) : {},
-		...(job.isService && { beside: [...job.attempts.values()].map((a) => a.machine.id) }),
+		avoidedMachines: machinesToAvoid(job, views, now),
+		tasksByZone: spec.singleZone || spec.spreadZones ? clusterState.zonesOf(job) : {},
+		...(job.isService && { replicaMachines: [...job.attempts.values()].map((a) => a.machine.id) }),
 	};
 }
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -1,8 +1,7 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import type { PlacementProposal } from "../../protocol/peer/messages.js";
-import type { Grant, Placement, ViewMachine } from "../../protocol/peer/placement.js";
+import type { Grant, MachineCapacity, Placement, PlacementProposal } from "../../protocol/peer/messages.js";
 import type { PeerMonitor } from "../leadership/failure-detector.js";
 import type { TimePort } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
@@ -146,7 +145,7 @@
 	}
 
 	/** Cheap cores fill first, so that dear machines are the ones to run empty and go back. */
-	private views(): ViewMachine[] {
+	private views(): MachineCapacity[] {
 		const open = [...this.clusterState.machines.values()].filter(
 			(m) => m.schedulable && m.freeCpus > 0 && m.reservedFor === null,
 		);
@@ -155,7 +154,7 @@
 			.map(viewOf);
 	}
 
-	private grants(views: ViewMachine[], now: number): TeamGrant[] {
+	private grants(views: MachineCapacity[], now: number): TeamGrant[] {
 		const waiting = [...this.clusterState.jobs.values()].filter(
 			(job) => job.waiting.length > 0 && job.notBefore <= now && !job.ending,
 		);
@@ -169,7 +168,7 @@
 		const live = this.options.peerMonitor.livePlacers(now);
 		const shares = new Map<string, Grant[]>();
 		for (const { grant } of grants) {
-			const job = this.clusterState.jobs.get(grant.job);
+			const job = this.clusterState.jobs.get(grant.jobId);
 			const placer = job ? this.placer(job, live, now) : null;
 			if (placer === null) continue;
 			// A placer still at work on the last view may be using its teams' room already.
@@ -181,7 +180,7 @@
 		return shares;
 	}
 
-	private placeHere(views: ViewMachine[], grants: Grant[], start: number): void {
+	private placeHere(views: MachineCapacity[], grants: Grant[], start: number): void {
 		const copy = views.map((view) => ({ ...view }));
 		const placements = placeFirstFit(copy, grants, (id) => this.clusterState.jobs.get(id)?.spec, start);
 		this.issue(placements, this.options.self);
@@ -189,7 +188,7 @@
 
 	private request(
 		placer: string,
-		machines: ViewMachine[],
+		machines: MachineCapacity[],
 		grants: Grant[],
 		start: number,
 		now: number,
@@ -198,13 +197,13 @@
 		const { cycle, clusterState, options } = this;
 		const quota = options.quota?.admission.on ? options.quota.leaderQuota.termsFor(placer) : undefined;
 		options.peers.send(placer, {
-			kind: "view",
-			epoch: clusterState.term,
+			kind: "placement-request",
+			term: clusterState.term,
 			cycle,
-			start,
+			startIndex: start,
 			machines,
 			grants,
-			...(quota !== undefined && { quota }),
+			...(quota !== undefined && { teamQuota: quota }),
 		});
 	}
 
@@ -212,12 +211,12 @@
 	proposed(from: string, proposal: PlacementProposal, now: number): void {
 		const { quota } = this.options;
 		// Heard in any case: what was admitted and does not start is settled by that.
-		const admitted = quota?.leaderQuota.heard(from, proposal.quota) ?? false;
+		const admitted = quota?.leaderQuota.heard(from, proposal.teamQuota) ?? false;
 		if (this.outstanding.get(from)?.cycle !== proposal.cycle) return;
 		this.outstanding.delete(from);
 		if (admitted || !quota?.admission.on) this.issue(proposal.placements, from);
 		// A placer that lags behind, or has missed a job, must not keep it from starting.
-		for (const id of proposal.unknown) {
+		for (const id of proposal.unknownJobs) {
 			const job = this.clusterState.jobs.get(id);
 			this.clusterState.placementDue = true;
 			// What the placer may admit would have to come here first: a copy that only lags is given time.
@@ -228,7 +227,7 @@
 
 	/** Checks every proposal against the leader's own tables. */
 	private issue(placements: Placement[], placer: string): void {
-		for (const { job: id, machine: machineId, count } of placements) {
+		for (const { jobId: id, machineId, count } of placements) {
 			const job = this.clusterState.jobs.get(id);
 			const machine = this.clusterState.machines.get(machineId);
 			if (!job || !machine) continue;
@@ -245,7 +244,7 @@
 	return machine.hourlyPrice / machine.type.cpus;
 }
 
-export function viewOf(machine: Machine): ViewMachine {
+export function viewOf(machine: Machine): MachineCapacity {
 	return {
 		id: machine.id,
 		type: machine.type.name,
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -1,5 +1,5 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
-import { taskDemandOf } from "../../protocol/model.js";
+import { taskDemandOf } from "../../protocol/model/job.js";
 import type { PeerMonitor } from "../leadership/failure-detector.js";
 import type { Log } from "../ports/log.js";
 import type { LeaderQuotaPort, TeamQuotaPort } from "../ports/team-quota.js";
--- a/src/coordination/ports/team-quota.ts
+++ b/src/coordination/ports/team-quota.ts
@@ -1,5 +1,5 @@
 import type { TeamCharge, TeamLimits } from "../../bookkeeping/quota-ledger.js";
-import type { TaskDemand } from "../../protocol/model.js";
+import type { TaskDemand } from "../../protocol/model/job.js";
 /**
  * Team quota: limits divided among the controllers. What controllers tell each other of it is passed
  * on as it is; `packages/team-quota` makes and checks it.
--- a/src/coordination/ports/workers.ts
+++ b/src/coordination/ports/workers.ts
@@ -1,10 +1,10 @@
-import type { Order, WorkerHeartbeat } from "../../protocol/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 export interface WorkerPort {
 	/** Sends orders straight to a worker. The report says whether they were executed. */
 	command(
 		endpoint: string,
 		token: number,
 		session: number,
-		orders: Order[],
+		orders: WorkerCommand[],
 	): Promise<{ executed: boolean; report: WorkerHeartbeat }>;
 }
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -1,7 +1,7 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { type JobSpec, priorityRank } from "../../protocol/model.js";
+import { type JobSpec, priorityRank } from "../../protocol/model/job.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
 /**
@@ -50,7 +50,7 @@
 		attempt.stop === null &&
 		!attempt.job.isService &&
 		attempt.phase !== "assigned" &&
-		attempt.phase !== "saving"
+		attempt.phase !== "checkpointing"
 	);
 }
 
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -5,8 +5,9 @@
 import { Quotas, type TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import { tasksPerPage } from "../../bookkeeping/task-set.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
-import type { JobSpec, MachineType, TaskDemand } from "../../protocol/model.js";
-import { taskDemandOf } from "../../protocol/model.js";
+import type { JobSpec, TaskDemand } from "../../protocol/model/job.js";
+import { taskDemandOf } from "../../protocol/model/job.js";
+import type { MachineType } from "../../protocol/model/machine.js";
 import type { AdmissionControl } from "../ports/team-quota.js";
 
 /** Attempts of one epoch; beyond them the leader must get itself a new epoch. */
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -1,13 +1,13 @@
 import type { Attempt } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import type { Order } from "../../protocol/model.js";
+import type { WorkerCommand } from "../../protocol/model/worker.js";
 import type { Log } from "../ports/log.js";
 import type { WorkerPort } from "../ports/workers.js";
 import { stopsFor } from "./heartbeat-reconciliation.js";
 
 interface WaitingOrders {
 	machine: Machine;
-	orders: Order[];
+	orders: WorkerCommand[];
 }
 
 /**
@@ -41,7 +41,7 @@
 		for (const [machine, list] of byMachine) this.send(machine, stopsFor(list));
 	}
 
-	send(machine: Machine, orders: Order[]): void {
+	send(machine: Machine, orders: WorkerCommand[]): void {
 		this.waiting.push({ machine, orders });
 		this.sendWaiting();
 	}
--- a/src/coordination/workers/heartbeat-forwarding.ts
+++ b/src/coordination/workers/heartbeat-forwarding.ts
@@ -1,5 +1,5 @@
-import type { Order, WorkerHeartbeat } from "../../protocol/model.js";
-import { type PackedReport, packReport } from "../../protocol/peer/packed-heartbeat.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
+import type { ForwardedHeartbeat, ForwardedResponse } from "../../protocol/peer/messages.js";
 import type { TimePort } from "../ports/clock.js";
 import type { PeerPort } from "../ports/peers.js";
 
@@ -12,7 +12,7 @@
 
 interface Pending {
 	sentAt: number;
-	resolve(orders: Order[] | null): void;
+	resolve(orders: WorkerCommand[] | null): void;
 }
 
 /**
@@ -25,7 +25,7 @@
 	private term = 0;
 	private count = 0;
 	private pausedUntil = -Infinity;
-	private batch: [number, PackedReport][] = [];
+	private batch: ForwardedHeartbeat[] = [];
 	private readonly pending = new Map<number, Pending>();
 
 	constructor(
@@ -43,27 +43,28 @@
 	}
 
 	/** null: reports cannot be passed on for now. Otherwise the leader's orders, or null if it may not answer. */
-	take(report: WorkerHeartbeat): Promise<Order[] | null> | null {
+	take(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> | null {
 		const now = this.time.now();
 		if (now < this.pausedUntil) return null;
 		this.count += 1;
 		const number = this.count;
 		if (this.batch.length === 0) this.time.after(gatherRelayedMs, () => this.flush());
-		this.batch.push([number, packReport(report)]);
+		this.batch.push({ requestId: number, heartbeat: report });
 		return new Promise((resolve) => this.pending.set(number, { sentAt: now, resolve }));
 	}
 
 	private flush(): void {
 		const reports = this.batch;
 		this.batch = [];
-		if (reports.length > 0) this.peers.send(this.leader, { kind: "reports", epoch: this.term, reports });
+		if (reports.length > 0)
+			this.peers.send(this.leader, { kind: "forwarded-heartbeats", term: this.term, heartbeats: reports });
 	}
 
-	answered(from: string, term: number, answers: [number, Order[] | null][]): void {
+	answered(from: string, term: number, answers: ForwardedResponse[]): void {
 		if (from !== this.leader || term !== this.term) return;
-		for (const [number, orders] of answers) {
-			this.pending.get(number)?.resolve(orders);
-			this.pending.delete(number);
+		for (const { requestId, commands } of answers) {
+			this.pending.get(requestId)?.resolve(commands);
+			this.pending.delete(requestId);
 		}
 	}
 
@@ -95,21 +96,21 @@
 
 /** Answers of one moment to one relay go together. */
 export class AnswerBatches {
-	private readonly batches = new Map<string, { term: number; answers: [number, Order[] | null][] }>();
+	private readonly batches = new Map<string, { term: number; answers: ForwardedResponse[] }>();
 
 	constructor(
 		private readonly peers: PeerPort,
 		private readonly time: TimePort,
 	) {}
 
-	add(to: string, term: number, number: number, orders: Order[] | null): void {
+	add(to: string, term: number, response: ForwardedResponse): void {
 		const batch = this.batches.get(to);
 		if (batch?.term === term) {
-			batch.answers.push([number, orders]);
+			batch.answers.push(response);
 			return;
 		}
 		if (batch) this.send(to);
-		this.batches.set(to, { term, answers: [[number, orders]] });
+		this.batches.set(to, { term, answers: [response] });
 		this.time.after(gatherRelayedMs, () => this.send(to));
 	}
 
@@ -122,6 +123,6 @@
 		const batch = this.batches.get(to);
 		if (!batch) return;
 		this.batches.delete(to);
-		this.peers.send(to, { kind: "answers", epoch: batch.term, answers: batch.answers });
+		this.peers.send(to, { kind: "forwarded-responses", term: batch.term, responses: batch.answers });
 	}
 }
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -1,6 +1,6 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import { Machine } from "../../bookkeeping/machine.js";
-import type { Order, TaskStatus, WorkerHeartbeat } from "../../protocol/model.js";
+import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import { type ClusterState, taskKey } from "../state/cluster-state.js";
 
 /** What a report tells about jobs and machines, for those who log and decide on it. */
@@ -305,17 +305,17 @@
  * later forgetting makes the worker report. Starts go out only this way, never to
  * /commands, where they could be carried out minutes late.
  */
-export function ordersFor(clusterState: ClusterState, machine: Machine): Order[] {
-	const orders: Order[] = [];
+export function ordersFor(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
+	const orders: WorkerCommand[] = [];
 	const over = machine.exited.filter((task) => outcomeKept(clusterState, task));
 	machine.reminder = machine.schedulable ? (over.pop() ?? null) : null;
 	for (const task of over) {
-		orders.push({ op: "forget", job: task.job, index: task.index, attempt: task.attempt });
+		orders.push({ kind: "forget", jobId: task.job, taskIndex: task.index, attempt: task.attempt });
 	}
 	for (const task of machine.unwanted) {
-		orders.push({ op: "stop", job: task.job, index: task.index, attempt: task.attempt, graceS: 0 });
+		orders.push({ kind: "stop", jobId: task.job, taskIndex: task.index, attempt: task.attempt, graceS: 0 });
 	}
-	const starts: Order[] = [];
+	const starts: WorkerCommand[] = [];
 	for (const attempt of [...machine.attempts.values()]) {
 		const { job, index, number } = attempt;
 		if (attempt.phase === "assigned") {
@@ -324,21 +324,27 @@
 			if (!machine.takesDecidedStarts || attempt.stop !== null || job.cancelled) clusterState.finish(attempt);
 			else {
 				attempt.phase = "sent";
-				starts.push({ op: "start", job: job.id, index, attempt: number });
+				starts.push({ kind: "start", jobId: job.id, taskIndex: index, attempt: number });
 			}
 		} else if (attempt.stop !== null) {
-			orders.push({ op: "stop", job: job.id, index, attempt: number, graceS: attempt.stop.graceS });
+			orders.push({
+				kind: "stop",
+				jobId: job.id,
+				taskIndex: index,
+				attempt: number,
+				graceS: attempt.stop.graceS,
+			});
 		}
 	}
 	return [...orders, ...starts];
 }
 
 /** Stops for /commands, which may be carried out late without harm. */
-export function stopsFor(attempts: Attempt[]): Order[] {
+export function stopsFor(attempts: Attempt[]): WorkerCommand[] {
 	return attempts.map((a) => ({
-		op: "stop",
-		job: a.job.id,
-		index: a.index,
+		kind: "stop",
+		jobId: a.job.id,
+		taskIndex: a.index,
 		attempt: a.number,
 		graceS: a.stop?.graceS ?? 0,
 	}));
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -1,17 +1,16 @@
-import type { Order, WorkerHeartbeat } from "../../protocol/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type {
-	ForwardedAnswers,
-	ForwardedReports,
+	ForwardedHeartbeats,
+	ForwardedResponses,
 	LeaderHeartbeat,
 	PlacementRequest,
 } from "../../protocol/peer/messages.js";
-import { unpackReport } from "../../protocol/peer/packed-heartbeat.js";
 import type { TimePort } from "../ports/clock.js";
 import type { PeerPort } from "../ports/peers.js";
 import { AnswerBatches, Relay } from "./heartbeat-forwarding.js";
 
 export type ReportResult =
-	| { kind: "orders"; token: number; orders: Order[] }
+	| { kind: "orders"; token: number; orders: WorkerCommand[] }
 	| { kind: "elsewhere"; node: string | null };
 
 /**
@@ -23,7 +22,7 @@
 /** What the router needs of a leader. */
 export interface HeartbeatHandler {
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerHeartbeat): Promise<Order[] | null>;
+	report(report: WorkerHeartbeat): Promise<WorkerCommand[] | null>;
 	/** The controller that receives the machine's heartbeats, or null for this one. */
 	relayFor(machine: string): string | null;
 }
@@ -99,7 +98,10 @@
 	}
 
 	/** null: this node may not answer. */
-	private async answerTo({ leader, term }: ActiveLeader, report: WorkerHeartbeat): Promise<Order[] | null> {
+	private async answerTo(
+		{ leader, term }: ActiveLeader,
+		report: WorkerHeartbeat,
+	): Promise<WorkerCommand[] | null> {
 		const orders = await leader.report(report);
 		// Authority may have ended while the answer waited for places to be filled.
 		return this.options.active()?.term === term ? orders : null;
@@ -119,19 +121,19 @@
 	}
 
 	/** Reports that another node passes on to this one as the leader. */
-	relayed(from: string, { epoch: term, reports }: ForwardedReports): void {
+	relayed(from: string, { term, heartbeats: reports }: ForwardedHeartbeats): void {
 		const active = this.options.active();
-		for (const [number, packed] of reports) {
-			if (active?.term !== term) this.answers.add(from, term, number, null);
+		for (const { requestId, heartbeat } of reports) {
+			if (active?.term !== term) this.answers.add(from, term, { requestId, commands: null });
 			else
-				this.answerTo(active, unpackReport(packed)).then((orders) =>
-					this.answers.add(from, term, number, orders),
+				this.answerTo(active, heartbeat).then((commands) =>
+					this.answers.add(from, term, { requestId, commands }),
 				);
 		}
 	}
 
-	answered(from: string, { epoch, answers }: ForwardedAnswers): void {
-		this.relay.answered(from, epoch, answers);
+	answered(from: string, { term, responses }: ForwardedResponses): void {
+		this.relay.answered(from, term, responses);
 	}
 
 	countUnexpected(): number {
@@ -154,10 +156,13 @@
 
 	/** A late copy from an earlier leader tells nothing of now. */
 	noteLeader(from: string, message: LeaderHeartbeat | PlacementRequest, at: number): void {
-		const { epoch: term } = message;
+		const { term } = message;
 		if (term < this.leaderHeard.term) return;
 		if (term > this.leaderHeard.term) this.relay.newLeader(from, term);
-		const { hearing, relay } = message.kind === "running" ? message : this.leaderHeard;
+		const { hearing, relay } =
+			message.kind === "leader-heartbeat"
+				? { hearing: message.workersReachable, relay: message.forwardHeartbeats }
+				: this.leaderHeard;
 		this.leaderHeard = { node: from, term, at, hearing, relay };
 	}
 
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -1,6 +1,6 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import type { Order, WorkerHeartbeat } from "../../protocol/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { TimePort } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
 import type { TickLateness } from "../runtime/tick-delay.js";
@@ -65,7 +65,7 @@
 	}
 
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerHeartbeat): Promise<Order[] | null> {
+	report(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
 		const { clusterState, fleet, time, reportS } = this.options;
 		// A worker that has seen a later token drops our answer, and would wait here while its lease runs out.
 		if (!this.options.active() || report.fencingToken > this.options.term) return Promise.resolve(null);
@@ -90,14 +90,14 @@
 		return this.held.hold(machine.id, now + holdMs, idle);
 	}
 
-	private answer(machine: Machine): Order[] | null {
+	private answer(machine: Machine): WorkerCommand[] | null {
 		if (!this.options.active()) return null;
 		machine.answeredAt = this.options.time.now();
 		this.assigned.delete(machine);
 		return ordersFor(this.options.clusterState, machine);
 	}
 
-	private answerById(id: string): Order[] | null {
+	private answerById(id: string): WorkerCommand[] | null {
 		const machine = this.options.clusterState.machines.get(id);
 		return machine ? this.answer(machine) : null;
 	}
@@ -175,7 +175,7 @@
 			if (reminder === null || lateness.busy || now - machine.reportedAt > latelyMs) continue;
 			machine.reminder = null;
 			const { job, index, attempt } = reminder;
-			orders.send(machine, [{ op: "forget", job, index, attempt }]);
+			orders.send(machine, [{ kind: "forget", jobId: job, taskIndex: index, attempt }]);
 		}
 		this.assigned.clear();
 	}
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -1,5 +1,5 @@
 import type { Machine, UnwantedTask } from "../../bookkeeping/machine.js";
-import type { Order } from "../../protocol/model.js";
+import type { WorkerCommand } from "../../protocol/model/worker.js";
 import { decodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { TimePort } from "../ports/clock.js";
@@ -40,7 +40,15 @@
 		const told = new Set(toldBefore.map(nameOf));
 		const stops = machine.unwanted
 			.filter((task) => !told.has(nameOf(task)))
-			.map(({ job, index, attempt }): Order => ({ op: "stop", job, index, attempt, graceS: 0 }));
+			.map(
+				({ job, index, attempt }): WorkerCommand => ({
+					kind: "stop",
+					jobId: job,
+					taskIndex: index,
+					attempt,
+					graceS: 0,
+				}),
+			);
 		if (stops.length > 0) this.orders.send(machine, stops);
 		for (const job of this.clusterState.jobsOfUnknownDemand()) this.lookUp(job);
 	}
--- a/src/coordination/workers/pending-heartbeats.ts
+++ b/src/coordination/workers/pending-heartbeats.ts
@@ -1,4 +1,4 @@
-import type { Order } from "../../protocol/model.js";
+import type { WorkerCommand } from "../../protocol/model/worker.js";
 import type { TimePort } from "../ports/clock.js";
 
 /** How often held reports are looked at. */
@@ -8,7 +8,7 @@
 	until: number;
 	/** Held only in case work comes, not because a place is being filled. */
 	idle: boolean;
-	answer(orders: Order[] | null): void;
+	answer(orders: WorkerCommand[] | null): void;
 }
 
 /**
@@ -23,14 +23,14 @@
 		private readonly time: TimePort,
 		private readonly post: (command: () => void) => void,
 		/** The answer to a machine's report, as of now. */
-		private readonly answerFor: (machine: string) => Order[] | null,
+		private readonly answerFor: (machine: string) => WorkerCommand[] | null,
 	) {}
 
 	has(machine: string): boolean {
 		return this.held.has(machine);
 	}
 
-	hold(machine: string, until: number, idle: boolean): Promise<Order[] | null> {
+	hold(machine: string, until: number, idle: boolean): Promise<WorkerCommand[] | null> {
 		return new Promise((resolve) => {
 			this.held.set(machine, { until, idle, answer: resolve });
 			this.sweepLater();
--- a/src/protocol/http/cloud-api.ts
+++ b/src/protocol/http/cloud-api.ts
@@ -1,6 +1,6 @@
 import * as v from "valibot";
 import { amount, checkShape, name, orNull, positive } from "../checks.js";
-import type { ListedMachine, MachineType } from "../model.js";
+import type { ListedMachine, MachineType } from "../model/machine.js";
 import { paths } from "./paths.js";
 
 /** The cloud's API: machine types, rentals, returns and the machine list. */
--- a/src/protocol/http/user-api.ts
+++ b/src/protocol/http/user-api.ts
@@ -9,7 +9,7 @@
 	parseObject,
 	positive,
 } from "../checks.js";
-import type { JobSpec, JobStatus } from "../model.js";
+import type { JobSpec, JobStatus } from "../model/job.js";
 
 /** The users' API: wire words of jobs, mapped to the service's own. */
 
--- a/src/protocol/http/worker-api.ts
+++ b/src/protocol/http/worker-api.ts
@@ -1,13 +1,13 @@
 import { MalformedMessageError, parseObject } from "../checks.js";
 import type { JobId } from "../model/identifiers.js";
-import type { ExitCause, Order, TaskState, TaskStatus, WorkerHeartbeat } from "../model.js";
+import type { ExitCause, TaskState, TaskStatus, WorkerCommand, WorkerHeartbeat } from "../model/worker.js";
 
 /** The workers' API: reports, and orders in answers and in direct requests. */
 
 const taskStates: Record<string, TaskState> = {
 	pulling: "fetching",
 	running: "running",
-	flushing: "saving",
+	flushing: "checkpointing",
 	exited: "exited",
 };
 const causes: Record<string, ExitCause> = {
@@ -85,19 +85,24 @@
 	};
 }
 
-function orderBody(order: Order) {
-	const piece = `${order.job}/${order.index}`;
-	if (order.op === "start") return { verb: "run", piece, try: order.attempt };
-	if (order.op === "stop") return { verb: "halt", piece, try: order.attempt, wind_down_s: order.graceS };
-	return { verb: "forget", piece, try: order.attempt };
+function commandBody(command: WorkerCommand) {
+	const piece = `${command.jobId}/${command.taskIndex}`;
+	switch (command.kind) {
+		case "start":
+			return { verb: "run", piece, try: command.attempt };
+		case "stop":
+			return { verb: "halt", piece, try: command.attempt, wind_down_s: command.graceS };
+		case "forget":
+			return { verb: "forget", piece, try: command.attempt };
+	}
 }
 
-export function heartbeatResponseBody(token: number, orders: Order[]) {
-	return { baton: token, orders: orders.map(orderBody) };
+export function heartbeatResponseBody(token: number, commands: WorkerCommand[]) {
+	return { baton: token, orders: commands.map(commandBody) };
 }
 
-export function directCommandsBody(token: number, session: number, orders: Order[]) {
-	return { baton: token, shift: session, orders: orders.map(orderBody) };
+export function directCommandsBody(token: number, session: number, commands: WorkerCommand[]) {
+	return { baton: token, shift: session, orders: commands.map(commandBody) };
 }
 
 export function redirectBody(node: string | null) {
--- /dev/null
+++ b/src/protocol/model/machine.ts
@@ -0,0 +1,34 @@
+/** Machines as the cloud offers and lists them, in the service's own terms. */
+
+import type { MachineId } from "./identifiers.js";
+
+/** A type of machine that the cloud offers. The fields are stored under these names. */
+export interface MachineType {
+	name: string;
+	cpus: number;
+	gpus: number;
+	memoryGb: number;
+	/** Size of the image cache. */
+	cacheGb: number;
+	fetchGbPerS: number;
+	/** Price per hour of an ordinary machine, and the present one of a spot machine. */
+	price: number;
+	spotPrice: number;
+	/** Usual boot time. */
+	bootS: number;
+	zones: string[];
+}
+
+/** A machine in the cloud's list, which may be out of date. */
+export interface ListedMachine {
+	id: MachineId;
+	/** Address of its worker; empty: not known yet. */
+	endpoint: string;
+	machineType: string;
+	zone: string;
+	spot: boolean;
+	/** A failed machine has stopped by itself and stays listed until it is deleted. */
+	status: "booting" | "running" | "failed";
+	/** Seconds since the request that created it. */
+	ageS: number;
+}
--- /dev/null
+++ b/src/protocol/peer/leader-heartbeat-wire.ts
@@ -0,0 +1,82 @@
+/** Leader heartbeats (`running` on the wire) and their replies (`pong`). */
+
+import * as v from "valibot";
+import { count, name } from "../checks.js";
+import type { LeaderHeartbeat, LeaderHeartbeatReply } from "./messages.js";
+import { teamQuota, term } from "./wire-fields.js";
+
+/** A leader heartbeat on the wire. */
+export const LeaderHeartbeatSchema = v.object({
+	kind: v.literal("running"),
+	epoch: term,
+	counts: v.array(v.tuple([name, count])),
+	served: v.boolean(),
+	hearing: v.boolean(),
+	relay: v.boolean(),
+	quota: teamQuota,
+});
+
+/** The reply to a leader heartbeat on the wire. */
+export const LeaderHeartbeatReplySchema = v.object({
+	kind: v.literal("pong"),
+	epoch: term,
+	strays: count,
+	standing: v.optional(v.boolean()),
+	quota: teamQuota,
+});
+
+/** Maps a leader heartbeat to the wire. */
+export function encodeLeaderHeartbeat(message: LeaderHeartbeat): v.InferInput<typeof LeaderHeartbeatSchema> {
+	const { term, runningTasks, storeReachable, workersReachable, forwardHeartbeats, teamQuota } = message;
+	return {
+		kind: "running",
+		epoch: term,
+		counts: runningTasks,
+		served: storeReachable,
+		hearing: workersReachable,
+		relay: forwardHeartbeats,
+		...(teamQuota !== undefined && { quota: teamQuota }),
+	};
+}
+
+/** Reads a leader heartbeat that has the form of its schema. */
+export function decodeLeaderHeartbeat(wire: v.InferOutput<typeof LeaderHeartbeatSchema>): LeaderHeartbeat {
+	const { epoch, counts, served, hearing, relay, quota } = wire;
+	return {
+		kind: "leader-heartbeat",
+		term: epoch,
+		runningTasks: counts,
+		storeReachable: served,
+		workersReachable: hearing,
+		forwardHeartbeats: relay,
+		...(quota !== undefined && { teamQuota: quota }),
+	};
+}
+
+/** Maps the reply to a leader heartbeat to the wire. */
+export function encodeLeaderHeartbeatReply(
+	message: LeaderHeartbeatReply,
+): v.InferInput<typeof LeaderHeartbeatReplySchema> {
+	const { term, misdirectedWorkers, supportsServiceJobs, teamQuota } = message;
+	return {
+		kind: "pong",
+		epoch: term,
+		strays: misdirectedWorkers,
+		...(supportsServiceJobs !== undefined && { standing: supportsServiceJobs }),
+		...(teamQuota !== undefined && { quota: teamQuota }),
+	};
+}
+
+/** Reads the reply to a leader heartbeat that has the form of its schema. */
+export function decodeLeaderHeartbeatReply(
+	wire: v.InferOutput<typeof LeaderHeartbeatReplySchema>,
+): LeaderHeartbeatReply {
+	const { epoch, strays, standing, quota } = wire;
+	return {
+		kind: "leader-heartbeat-reply",
+		term: epoch,
+		misdirectedWorkers: strays,
+		...(standing !== undefined && { supportsServiceJobs: standing }),
+		...(quota !== undefined && { teamQuota: quota }),
+	};
+}
--- /dev/null
+++ b/src/protocol/peer/leadership-wire.ts
@@ -0,0 +1,132 @@
+/**
+ * What leadership exchanges: lease-extension requests (`ask` on the wire) and votes (`promise`), leader
+ * queries (`who`) and their replies (`leading`).
+ */
+
+import * as v from "valibot";
+import { count, name } from "../checks.js";
+import type {
+	Cancellation,
+	LeaderQuery,
+	LeaderQueryReply,
+	LeaseExtensionRequest,
+	LeaseExtensionVote,
+} from "./messages.js";
+import { term, text } from "./wire-fields.js";
+
+/** A lease-extension request on the wire. */
+export const LeaseExtensionRequestSchema = v.object({
+	kind: v.literal("ask"),
+	epoch: term,
+	number: count,
+	known: v.optional(v.pipe(v.number(), v.integer())),
+});
+
+const CancellationSchema = v.tuple([name, count, count, count]);
+
+/** A lease-extension vote on the wire. */
+export const LeaseExtensionVoteSchema = v.object({
+	kind: v.literal("promise"),
+	epoch: term,
+	number: count,
+	cancelled: v.optional(v.array(CancellationSchema)),
+});
+
+/** A leader query on the wire. */
+export const LeaderQuerySchema = v.object({ kind: v.literal("who"), epoch: term, asker: text });
+
+/** The reply to a leader query on the wire. */
+export const LeaderQueryReplySchema = v.object({
+	kind: v.literal("leading"),
+	epoch: term,
+	leading: v.boolean(),
+	asker: text,
+});
+
+const encodeCancellation = (cancellation: Cancellation): v.InferInput<typeof CancellationSchema> => {
+	const { jobId, revision, taskCount, doneCount } = cancellation;
+	return [jobId, revision, taskCount, doneCount];
+};
+
+const decodeCancellation = ([jobId, revision, taskCount, doneCount]: v.InferOutput<
+	typeof CancellationSchema
+>): Cancellation => ({ jobId, revision, taskCount, doneCount });
+
+/** Maps a lease-extension request to the wire. */
+export function encodeLeaseExtensionRequest(
+	message: LeaseExtensionRequest,
+): v.InferInput<typeof LeaseExtensionRequestSchema> {
+	const { term, requestNumber, knownRevision } = message;
+	return {
+		kind: "ask",
+		epoch: term,
+		number: requestNumber,
+		...(knownRevision !== undefined && { known: knownRevision }),
+	};
+}
+
+/** Reads a lease-extension request that has the form of its schema. */
+export function decodeLeaseExtensionRequest(
+	wire: v.InferOutput<typeof LeaseExtensionRequestSchema>,
+): LeaseExtensionRequest {
+	const { epoch, number, known } = wire;
+	return {
+		kind: "lease-extension-request",
+		term: epoch,
+		requestNumber: number,
+		...(known !== undefined && { knownRevision: known }),
+	};
+}
+
+/** Maps a lease-extension vote to the wire. */
+export function encodeLeaseExtensionVote(
+	message: LeaseExtensionVote,
+): v.InferInput<typeof LeaseExtensionVoteSchema> {
+	const { term, requestNumber, cancellations } = message;
+	return {
+		kind: "promise",
+		epoch: term,
+		number: requestNumber,
+		...(cancellations !== undefined && { cancelled: cancellations.map(encodeCancellation) }),
+	};
+}
+
+/** Reads a lease-extension vote that has the form of its schema. */
+export function decodeLeaseExtensionVote(
+	wire: v.InferOutput<typeof LeaseExtensionVoteSchema>,
+): LeaseExtensionVote {
+	const { epoch, number, cancelled } = wire;
+	return {
+		kind: "lease-extension-vote",
+		term: epoch,
+		requestNumber: number,
+		...(cancelled !== undefined && { cancellations: cancelled.map(decodeCancellation) }),
+	};
+}
+
+/** Maps a leader query to the wire. */
+export function encodeLeaderQuery({
+	term,
+	incarnation,
+}: LeaderQuery): v.InferInput<typeof LeaderQuerySchema> {
+	return { kind: "who", epoch: term, asker: incarnation };
+}
+
+/** Reads a leader query that has the form of its schema. */
+export function decodeLeaderQuery({ epoch, asker }: v.InferOutput<typeof LeaderQuerySchema>): LeaderQuery {
+	return { kind: "leader-query", term: epoch, incarnation: asker };
+}
+
+/** Maps the reply to a leader query to the wire. */
+export function encodeLeaderQueryReply(
+	message: LeaderQueryReply,
+): v.InferInput<typeof LeaderQueryReplySchema> {
+	const { term, isLeader, incarnation } = message;
+	return { kind: "leading", epoch: term, leading: isLeader, asker: incarnation };
+}
+
+/** Reads the reply to a leader query that has the form of its schema. */
+export function decodeLeaderQueryReply(wire: v.InferOutput<typeof LeaderQueryReplySchema>): LeaderQueryReply {
+	const { epoch, leading, asker } = wire;
+	return { kind: "leader-query-reply", term: epoch, isLeader: leading, incarnation: asker };
+}
--- a/src/protocol/peer/messages.ts
+++ b/src/protocol/peer/messages.ts
@@ -1,216 +1,200 @@
-import * as v from "valibot";
-import { checkShape, count, MalformedMessageError, name } from "../checks.js";
-import type { Order } from "../model.js";
-import { isOrder, isPackedReport, type PackedReport } from "./packed-heartbeat.js";
-import {
-	type Grant,
-	GrantSchema,
-	type Placement,
-	PlacementSchema,
-	type ViewMachine,
-	ViewMachineSchema,
-} from "./placement.js";
-
 /**
- * Messages between controllers. The strings in `kind` and the field names are what versions in
- * production send and expect: they stay as they are, whatever the types here are called.
+ * Messages between controllers, as the service uses them. How each looks on the wire is known by the modules
+ * beside this one, which `codec.ts` brings together: versions in production keep the historic names there.
  */
 
-/** Leader to placer: free machines, and how many tasks of each job may start. */
+import type { Incarnation, JobId, MachineId, NodeId, Revision, Term } from "../model/identifiers.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../model/worker.js";
+
+/** A machine's free capacity, as a placement request shows it. */
+export interface MachineCapacity {
+	id: MachineId;
+	type: string;
+	zone: string;
+	spot: boolean;
+	/** Free amounts; memory in GB. */
+	cpus: number;
+	gpus: number;
+	memory: number;
+	/** Most tasks that may be added. */
+	slots: number;
+	/** Images that the machine should have in its cache. */
+	images: string[];
+}
+
+/** How many tasks of a job may start now, by quota and order of service; decided by the leader. */
+export interface Grant {
+	jobId: JobId;
+	count: number;
+	/** Machines on which tasks of the job have failed. */
+	avoidedMachines: MachineId[];
+	/** Tasks of the job that may be running anywhere, by zone; empty where the job has no zone rule. */
+	tasksByZone: Record<string, number>;
+	/** Machines that may run replicas of the job already; versions before 0.5.0 leave it out. */
+	replicaMachines?: MachineId[] | undefined;
+}
+
+/** A placer's proposal to start that many tasks of the job on the machine. */
+export interface Placement {
+	jobId: JobId;
+	machineId: MachineId;
+	count: number;
+}
+
+/** Leader to placer: free capacity, and how many tasks of each job may start. */
 export interface PlacementRequest {
-	kind: "view";
-	epoch: number;
+	kind: "placement-request";
+	term: Term;
+	/** Counts the placement cycles of the term. */
 	cycle: number;
-	/** Index of the machine at which this placer begins. */
-	start: number;
-	machines: ViewMachine[];
+	/** Index of the machine with which this placer begins, so that placers seldom compete for the same one. */
+	startIndex: number;
+	machines: MachineCapacity[];
 	grants: Grant[];
-	/** Team quota's own message to the holder; checked by the package. Left out where it is off. */
-	quota?: unknown;
+	/** Team quota's message to the holder, which its package decodes; left out where team quota is off. */
+	teamQuota?: unknown;
 }
 
-/** Placer to leader. */
+/** Placer to leader: where the granted tasks should start. */
 export interface PlacementProposal {
-	kind: "placed";
-	epoch: number;
+	kind: "placement-proposal";
+	term: Term;
 	cycle: number;
 	placements: Placement[];
-	/** Granted jobs that the placer's own copy of the store lacks. */
-	unknown: string[];
-	/** Team quota's reply, with the batch of admissions that the placements are. */
-	quota?: unknown;
+	/** Granted jobs that the placer's replica of the store lacks. */
+	unknownJobs: JobId[];
+	/** Team quota's reply, with the batch of admissions that the placements belong to. */
+	teamQuota?: unknown;
 }
 
-/** Leader to all, twice a second. */
+/** Tasks of a job that run, shown to users by every controller. */
+export type RunningTaskCount = [jobId: JobId, running: number];
+
+/** Leader to every other controller, twice a second. */
 export interface LeaderHeartbeat {
-	kind: "running";
-	epoch: number;
-	/** Tasks running, by job: shown to users by every node. */
-	counts: [job: string, running: number][];
+	kind: "leader-heartbeat";
+	term: Term;
+	runningTasks: RunningTaskCount[];
 	/** The store answers the leader. */
-	served: boolean;
+	storeReachable: boolean;
 	/** Most workers reach the leader. */
-	hearing: boolean;
-	/** Reports may be received by every node and are to be forwarded to the leader. */
-	relay: boolean;
+	workersReachable: boolean;
+	/** Every controller may receive workers' heartbeats and is to forward them to the leader. */
+	forwardHeartbeats: boolean;
 	/** As in a placement request. */
-	quota?: unknown;
+	teamQuota?: unknown;
+}
+
+/** Answer to a leader heartbeat; also sent unasked by a controller to which the leader's workers turn. */
+export interface LeaderHeartbeatReply {
+	kind: "leader-heartbeat-reply";
+	term: Term;
+	/** Workers whose heartbeats came to this controller lately although it does not lead. */
+	misdirectedWorkers: number;
+	/** This controller serves service jobs; versions before 0.5.0 leave it out. */
+	supportsServiceJobs?: boolean | undefined;
+	/** Team quota's reply; left out by versions before 0.8.0 and where team quota is off. */
+	teamQuota?: unknown;
+}
+
+/** A worker's heartbeat with a number of the controller that forwards it. */
+export interface ForwardedHeartbeat {
+	requestId: number;
+	heartbeat: WorkerHeartbeat;
 }
 
-/** Answer to a heartbeat, and sent unasked by a node to which the leader's workers turn. */
-export interface HeartbeatReply {
-	kind: "pong";
-	epoch: number;
-	/** Machines whose reports came to this node lately although it does not lead. */
-	strays: number;
-	/** This node serves standing jobs; left out by versions before 0.5.0. */
-	standing?: boolean | undefined;
-	/** Team quota's reply; left out by versions before 0.8.0 and where it is off. */
-	quota?: unknown;
+/** Controller to leader: heartbeats of workers, gathered for a moment. */
+export interface ForwardedHeartbeats {
+	kind: "forwarded-heartbeats";
+	term: Term;
+	heartbeats: ForwardedHeartbeat[];
 }
 
-/** Node to leader: workers' reports, each with a number of the sender's. */
-export interface ForwardedReports {
-	kind: "reports";
-	epoch: number;
-	reports: [number: number, report: PackedReport][];
+/** What the worker behind a forwarded heartbeat is to be told; null: this leader may not answer it. */
+export interface ForwardedResponse {
+	requestId: number;
+	commands: WorkerCommand[] | null;
 }
 
-/** Leader to forwarding node: what to answer; null: this leader may not answer. */
-export interface ForwardedAnswers {
-	kind: "answers";
-	epoch: number;
-	answers: [number: number, orders: Order[] | null][];
+/** Leader to forwarding controller, in answer to forwarded heartbeats. */
+export interface ForwardedResponses {
+	kind: "forwarded-responses";
+	term: Term;
+	responses: ForwardedResponse[];
 }
 
-/** Leader to all while the store refuses it: are you refused too, and will you not campaign for a while? */
-export interface PromiseRequest {
-	kind: "ask";
-	epoch: number;
-	number: number;
-	/** Epoch up to which the leader knows the store; left out by versions before 0.4.0. */
-	known?: number | undefined;
+/**
+ * Leader to every other controller while the store refuses it: are you refused too, and will you not campaign
+ * for the duration of a lease?
+ */
+export interface LeaseExtensionRequest {
+	kind: "lease-extension-request";
+	term: Term;
+	/** Counts the requests of the leader's process. */
+	requestNumber: number;
+	/** Revision up to which the leader knows the store; versions before 0.4.0 leave it out. */
+	knownRevision?: Revision | undefined;
 }
 
-/** The answer of a node that will not campaign for the length of a lease. */
-export interface CampaignPromise {
-	kind: "promise";
-	epoch: number;
-	number: number;
+/** A cancellation that a user was told of. */
+export interface Cancellation {
+	jobId: JobId;
+	/** Revision of the write that cancelled the job. */
+	revision: Revision;
+	taskCount: number;
+	/** Tasks that were done when the job was cancelled. */
+	doneCount: number;
+}
+
+/** The vote of a controller that will not campaign for the duration of a lease. */
+export interface LeaseExtensionVote {
+	kind: "lease-extension-vote";
+	term: Term;
+	requestNumber: number;
 	/**
-	 * Every cancellation after the leader's epoch that this node can have told a user of; left out
-	 * by one that cannot say, such as a version before 0.4.0.
+	 * Every cancellation after the leader's revision that this controller can have told a user of. Left out by
+	 * one that cannot say, such as a version before 0.4.0.
 	 */
-	cancelled?: Cancellation[] | undefined;
+	cancellations?: Cancellation[] | undefined;
 }
 
-/** A node that has just started, to all: do you lead? */
+/** A process that has just started, to every other controller: do you lead? */
 export interface LeaderQuery {
-	kind: "who";
-	epoch: number;
-	asker: string;
+	kind: "leader-query";
+	/** Always 0: the asking process knows no term. */
+	term: Term;
+	/** The process that asks. */
+	incarnation: Incarnation;
 }
 
+/** Answer to a leader query. */
 export interface LeaderQueryReply {
-	kind: "leading";
-	epoch: number;
-	leading: boolean;
-	/** The process that asked, so that late copies of answers to an earlier one are known. */
-	asker: string;
+	kind: "leader-query-reply";
+	/** The term that the answering controller leads; 0: none. */
+	term: Term;
+	isLeader: boolean;
+	/** The process that asked, so that a late copy of an answer to an earlier process is recognized. */
+	incarnation: Incarnation;
 }
 
-export type Cancellation = [job: string, revision: number, tasks: number, done: number];
-
+/** Any message between controllers. */
 export type PeerMessage =
 	| PlacementRequest
 	| PlacementProposal
 	| LeaderHeartbeat
-	| HeartbeatReply
-	| ForwardedReports
-	| ForwardedAnswers
-	| PromiseRequest
-	| CampaignPromise
+	| LeaderHeartbeatReply
+	| ForwardedHeartbeats
+	| ForwardedResponses
+	| LeaseExtensionRequest
+	| LeaseExtensionVote
 	| LeaderQuery
 	| LeaderQueryReply;
 
-/** What leadership exchanges with other nodes. */
-export type LeadershipMessage = PromiseRequest | CampaignPromise | LeaderQuery | LeaderQueryReply;
-
-const epoch = v.pipe(v.number(), v.integer());
-const text = v.pipe(v.string(), v.maxLength(1000));
-
-const schemas = {
-	view: v.object({
-		kind: v.literal("view"),
-		epoch,
-		cycle: count,
-		start: count,
-		machines: v.array(ViewMachineSchema),
-		grants: v.array(GrantSchema),
-		quota: v.optional(v.unknown()),
-	}),
-	placed: v.object({
-		kind: v.literal("placed"),
-		epoch,
-		cycle: count,
-		placements: v.array(PlacementSchema),
-		// The first versions did not say which jobs they lack.
-		unknown: v.optional(v.array(v.string()), []),
-		quota: v.optional(v.unknown()),
-	}),
-	running: v.object({
-		kind: v.literal("running"),
-		epoch,
-		counts: v.array(v.tuple([name, count])),
-		served: v.boolean(),
-		hearing: v.boolean(),
-		relay: v.boolean(),
-		quota: v.optional(v.unknown()),
-	}),
-	pong: v.object({
-		kind: v.literal("pong"),
-		epoch,
-		strays: count,
-		standing: v.optional(v.boolean()),
-		quota: v.optional(v.unknown()),
-	}),
-	ask: v.object({
-		kind: v.literal("ask"),
-		epoch,
-		number: count,
-		known: v.optional(v.pipe(v.number(), v.integer())),
-	}),
-	promise: v.object({
-		kind: v.literal("promise"),
-		epoch,
-		number: count,
-		cancelled: v.optional(v.array(v.tuple([name, count, count, count]))),
-	}),
-	who: v.object({ kind: v.literal("who"), epoch, asker: text }),
-	leading: v.object({ kind: v.literal("leading"), epoch, leading: v.boolean(), asker: text }),
-	reports: v.object({
-		kind: v.literal("reports"),
-		epoch,
-		reports: v.array(v.tuple([count, v.custom<PackedReport>(isPackedReport, "must be a report")])),
-	}),
-	answers: v.object({
-		kind: v.literal("answers"),
-		epoch,
-		answers: v.array(v.tuple([count, v.nullable(v.array(v.custom<Order>(isOrder, "must be an order")))])),
-	}),
-} satisfies { [K in PeerMessage["kind"]]: v.GenericSchema<unknown, Extract<PeerMessage, { kind: K }>> };
-
-export type PeerMessageKind = PeerMessage["kind"];
-
-/** The kind that a message claims to be of, for logs; whatever it is otherwise. */
-export function claimedKind(raw: unknown): string {
-	const kind = (raw as { kind?: unknown } | null)?.kind;
-	return typeof kind === "string" ? kind.slice(0, 40) : "none";
-}
-
-/** Throws a MalformedMessageError for a kind that is not known or a message not of its kind's form. */
-export function parsePeerMessage(raw: unknown): PeerMessage {
-	const kind = claimedKind(raw);
-	if (!Object.hasOwn(schemas, kind)) throw new MalformedMessageError(`no such kind of message: ${kind}`);
-	return checkShape<v.GenericSchema<unknown, PeerMessage>>(schemas[kind as PeerMessageKind], raw);
+/** What leadership exchanges with the other controllers. */
+export type LeadershipMessage = LeaseExtensionRequest | LeaseExtensionVote | LeaderQuery | LeaderQueryReply;
+
+/** A message with the controller that sent it. */
+export interface ReceivedMessage<Message extends PeerMessage = PeerMessage> {
+	from: NodeId;
+	message: Message;
 }
--- a/src/protocol/records/final-record.ts
+++ b/src/protocol/records/final-record.ts
@@ -2,7 +2,7 @@
 
 import * as v from "valibot";
 import { amount, checkShape, count, name } from "../checks.js";
-import type { TaskDemand } from "../model.js";
+import type { TaskDemand } from "../model/job.js";
 
 /** A job that is over. */
 export interface FinalJobRecord {
--- a/src/protocol/records/job-record.ts
+++ b/src/protocol/records/job-record.ts
@@ -3,7 +3,7 @@
 import * as v from "valibot";
 import { amount, checkShape, count, flag, MalformedMessageError, name, positive } from "../checks.js";
 import type { JobId } from "../model/identifiers.js";
-import type { JobSpec } from "../model.js";
+import type { JobSpec } from "../model/job.js";
 
 /** A live job. */
 export interface JobRecord {
--- a/src/protocol/records/singleton-records.ts
+++ b/src/protocol/records/singleton-records.ts
@@ -3,7 +3,7 @@
 import * as v from "valibot";
 import { amount, checkShape, name } from "../checks.js";
 import type { Incarnation, NodeId } from "../model/identifiers.js";
-import type { MachineType } from "../model.js";
+import type { MachineType } from "../model/machine.js";
 
 /** The value of the leader key. */
 export interface LeaderRecord {
--- a/src/protocol/records/stored-record.ts
+++ b/src/protocol/records/stored-record.ts
@@ -2,7 +2,7 @@
 
 import { checkShape } from "../checks.js";
 import type { JobId } from "../model/identifiers.js";
-import type { MachineType } from "../model.js";
+import type { MachineType } from "../model/machine.js";
 import { type StoredChunk, StoredProgressChunkSchema } from "./chunk.js";
 import { decodeFinalRecord, type FinalJobRecord } from "./final-record.js";
 import { decodeJobRecord, type JobRecord } from "./job-record.js";
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -13,7 +13,7 @@
 	type ScaleOutRequest,
 } from "../protocol/http/cloud-api.js";
 import { paths } from "../protocol/http/paths.js";
-import type { MachineType } from "../protocol/model.js";
+import type { MachineType } from "../protocol/model/machine.js";
 import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
 import { TokenBucket } from "./token-bucket.js";
 
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,7 +1,7 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { Decoder, Encoder } from "cbor-x";
 import type { Log } from "../coordination/ports/log.js";
-import type { PeerPort } from "../coordination/ports/peers.js";
+import type { PeerTransport } from "../coordination/ports/peers.js";
 
 const maxFrame = 4 * 1024 * 1024;
 const maxQueued = 2 * 1024 * 1024;
@@ -58,7 +58,7 @@
  * link it dialled; it reads from those it accepted. A peer that hangs only
  * fills its own queue, which is then dropped with the link.
  */
-export class PeerLinks implements PeerPort {
+export class PeerLinks implements PeerTransport {
 	private readonly peers = new Map<string, Peer>();
 	private readonly accepted = new Set<Socket>();
 	private server: Server | null = null;
--- a/src/transport/public-api.ts
+++ b/src/transport/public-api.ts
@@ -8,7 +8,8 @@
 import { paths } from "../protocol/http/paths.js";
 import { isJobId, jobIdOf, jobResponseBody, parseJobSpec } from "../protocol/http/user-api.js";
 import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../protocol/http/worker-api.js";
-import type { JobSpec, WorkerHeartbeat } from "../protocol/model.js";
+import type { JobSpec } from "../protocol/model/job.js";
+import type { WorkerHeartbeat } from "../protocol/model/worker.js";
 
 const maxBody = 64 * 1024;
 /** With more of its connections in use, those of workers are closed between reports. */
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,7 +1,7 @@
 import type { WorkerPort } from "../coordination/ports/workers.js";
 import { paths } from "../protocol/http/paths.js";
 import { directCommandsBody, heartbeatFrom } from "../protocol/http/worker-api.js";
-import type { Order, WorkerHeartbeat } from "../protocol/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../protocol/model/worker.js";
 import { expectStatus, type HttpCaller, HttpClient, parseResponse } from "./http-client.js";
 
 /** Orders sent straight to workers; each call has its own short-lived connection. */
@@ -14,7 +14,7 @@
 		endpoint: string,
 		token: number,
 		session: number,
-		orders: Order[],
+		orders: WorkerCommand[],
 	): Promise<{ executed: boolean; report: WorkerHeartbeat }> {
 		const http = this.open(endpoint);
 		try {
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -20,8 +20,9 @@
 import { chooseVictims } from "../src/coordination/preemption/preemption-planner.js";
 import { placerOf } from "../src/coordination/sharding/rendezvous-hash.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
-import type { JobSpec, MachineType, Priority } from "../src/protocol/model.js";
-import type { Grant, ViewMachine } from "../src/protocol/peer/placement.js";
+import type { JobSpec, Priority } from "../src/protocol/model/job.js";
+import type { MachineType } from "../src/protocol/model/machine.js";
+import type { Grant, MachineCapacity } from "../src/protocol/peer/messages.js";
 import { defaultOperator } from "../src/protocol/settings/operator.js";
 import { FakeTime } from "./support/fake-time.js";
 import { silentLog } from "./support/silent-log.js";
@@ -70,7 +71,7 @@
 test("first-fit never overfills a machine nor exceeds a grant, whatever the view", () => {
 	const random = xoroshiro128plus(11);
 	for (let round = 0; round < 200; round++) {
-		const machines: ViewMachine[] = Array.from({ length: uniformInt(random, 1, 8) }, (_, i) => ({
+		const machines: MachineCapacity[] = Array.from({ length: uniformInt(random, 1, 8) }, (_, i) => ({
 			id: `n-${i}`,
 			type: "small",
 			zone: uniformInt(random, 0, 1) ? "a" : "b",
@@ -92,7 +93,7 @@
 				allowSpot: uniformInt(random, 0, 1) === 1,
 			});
 			specs.set(spec.id, spec);
-			return { job: spec.id, count: uniformInt(random, 1, 20), avoid: ["n-0"], zones: {} };
+			return { jobId: spec.id, count: uniformInt(random, 1, 20), avoidedMachines: ["n-0"], tasksByZone: {} };
 		});
 		const free = new Map(machines.map((m) => [m.id, { ...m }]));
 		const placed = placeFirstFit(
@@ -104,23 +105,23 @@
 		const count = new Map<string, number>();
 		const zones = new Map<string, Map<string, number>>();
 		for (const p of placed) {
-			const spec = specs.get(p.job) as JobSpec;
-			const m = free.get(p.machine) as ViewMachine;
+			const spec = specs.get(p.jobId) as JobSpec;
+			const m = free.get(p.machineId) as MachineCapacity;
 			m.cpus -= p.count * spec.cpus;
 			m.memory -= p.count * spec.memoryGb;
 			m.slots -= p.count;
-			count.set(p.job, (count.get(p.job) ?? 0) + p.count);
-			const z = zones.get(p.job) ?? new Map<string, number>();
+			count.set(p.jobId, (count.get(p.jobId) ?? 0) + p.count);
+			const z = zones.get(p.jobId) ?? new Map<string, number>();
 			z.set(m.zone, (z.get(m.zone) ?? 0) + p.count);
-			zones.set(p.job, z);
-			assert.notEqual(p.machine, "n-0");
+			zones.set(p.jobId, z);
+			assert.notEqual(p.machineId, "n-0");
 			assert.ok(spec.allowSpot || !m.spot);
 		}
 		for (const m of free.values()) assert.ok(m.cpus >= 0 && m.memory >= 0 && m.slots >= 0);
 		for (const g of grants) {
-			const spec = specs.get(g.job) as JobSpec;
-			assert.ok((count.get(g.job) ?? 0) <= g.count);
-			const z = zones.get(g.job);
+			const spec = specs.get(g.jobId) as JobSpec;
+			assert.ok((count.get(g.jobId) ?? 0) <= g.count);
+			const z = zones.get(g.jobId);
 			if (spec.singleZone && z) assert.equal(z.size, 1);
 			if (spec.spreadZones && z) assert.ok(Math.max(...z.values()) <= 10);
 		}
@@ -128,7 +129,7 @@
 });
 
 test("first-fit prefers machines that have the image", () => {
-	const view = (id: string, images: string[]): ViewMachine => ({
+	const view = (id: string, images: string[]): MachineCapacity => ({
 		id,
 		type: "small",
 		zone: "a",
@@ -141,14 +142,14 @@
 	});
 	const placed = placeFirstFit(
 		[view("n-1", []), view("n-2", ["img"])],
-		[{ job: "j", count: 1, avoid: [], zones: {} }],
+		[{ jobId: "j", count: 1, avoidedMachines: [], tasksByZone: {} }],
 		() => specOf("j"),
 	);
-	assert.deepEqual(placed, [{ job: "j", machine: "n-2", count: 1 }]);
+	assert.deepEqual(placed, [{ jobId: "j", machineId: "n-2", count: 1 }]);
 });
 
 test("what machines could take of a job is counted by every demand and zone rule together", () => {
-	const view = (zone: string, cpus: number, memory: number, spot = true): ViewMachine => ({
+	const view = (zone: string, cpus: number, memory: number, spot = true): MachineCapacity => ({
 		id: `${zone}-${cpus}`,
 		type: "small",
 		zone,
@@ -233,7 +234,7 @@
 
 test("the last replica goes beside another of its job where there is no machine apart", () => {
 	const spec = specOf("j-1", { form: "service", taskCount: 2, cpus: 1 });
-	const machine: ViewMachine = {
+	const machine: MachineCapacity = {
 		id: "n-1",
 		type: "small",
 		zone: "a",
@@ -244,15 +245,21 @@
 		slots: 100,
 		images: [],
 	};
-	const grant: Grant = { job: "j-1", count: 1, avoid: [], zones: {}, beside: ["n-1"] };
+	const grant: Grant = {
+		jobId: "j-1",
+		count: 1,
+		avoidedMachines: [],
+		tasksByZone: {},
+		replicaMachines: ["n-1"],
+	};
 	assert.deepEqual(
 		placeFirstFit([machine], [grant], () => spec),
-		[{ job: "j-1", machine: "n-1", count: 1 }],
+		[{ jobId: "j-1", machineId: "n-1", count: 1 }],
 	);
 	const apart = { ...machine, id: "n-2", cpus: 2 };
 	assert.deepEqual(
 		placeFirstFit([{ ...machine, cpus: 2 }, apart], [grant], () => spec),
-		[{ job: "j-1", machine: "n-2", count: 1 }],
+		[{ jobId: "j-1", machineId: "n-2", count: 1 }],
 		"apart first",
 	);
 });
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -50,7 +50,7 @@
 	avoidedBy(job: Job, sinceMs: number): string[] {
 		const views = [...this.clusterState.machines.values()].map(viewOf);
 		const moment = { now: job.failedAt + sinceMs, date: 0 };
-		return grantsFor(this.clusterState, [job], views, moment)[0]?.grant.avoid ?? [];
+		return grantsFor(this.clusterState, [job], views, moment)[0]?.grant.avoidedMachines ?? [];
 	}
 
 	succeeds(job: Job, machine: Machine): void {
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -4,7 +4,7 @@
 import { Fleet } from "../src/coordination/fleet/fleet.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
 import type { ScaleOutRequest } from "../src/protocol/http/cloud-api.js";
-import type { JobSpec } from "../src/protocol/model.js";
+import type { JobSpec } from "../src/protocol/model/job.js";
 import { defaultOperator } from "../src/protocol/settings/operator.js";
 import { type Objective, startObjectives } from "../src/protocol/settings/platform.js";
 import { FakeTime } from "./support/fake-time.js";
--- a/tests/layers.test.ts
+++ b/tests/layers.test.ts
@@ -13,13 +13,8 @@
 const source = new URL("../../../src/", import.meta.url);
 const packages = new URL("../../../packages/", import.meta.url);
 
-const protocolFolders = [
-	"protocol",
-	"protocol/http",
-	"protocol/peer",
-	"protocol/records",
-	"protocol/settings",
-];
+const model = ["protocol", "protocol/model"];
+const protocolFolders = [...model, "protocol/http", "protocol/peer", "protocol/records", "protocol/settings"];
 const domain = [...protocolFolders, "bookkeeping"];
 const shared = [...domain, "coordination/ports"];
 const clusterState = [...shared, "coordination/state"];
@@ -27,10 +22,11 @@
 /** What the modules of each folder may import. The order of the layers is in docs/architecture.md. */
 const rules: ImportRules = {
 	protocol: [],
-	"protocol/http": ["protocol"],
-	"protocol/peer": ["protocol"],
-	"protocol/records": ["protocol"],
-	"protocol/settings": ["protocol"],
+	"protocol/model": [],
+	"protocol/http": model,
+	"protocol/peer": model,
+	"protocol/records": model,
+	"protocol/settings": model,
 	bookkeeping: protocolFolders,
 	"coordination/ports": domain,
 	"coordination/runtime": ["coordination/ports"],
--- a/tests/production.test.ts
+++ b/tests/production.test.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
 import { MalformedMessageError } from "../src/protocol/checks.js";
-import { parsePeerMessage } from "../src/protocol/peer/messages.js";
+import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peer/codec.js";
 import { type RecordedRun, recordRun } from "./support/recorded-run.js";
 import { nodeNames, World } from "./support/world.js";
 
@@ -96,7 +96,8 @@
 		for (const [kind, message] of Object.entries(fixture.messages)) {
 			assert.ok(said[kind], kind);
 			keepsFields(message, said[kind], kind);
-			assert.equal(parsePeerMessage(message).kind, kind);
+			// Whatever the service calls its fields, the wire has kept every name and value.
+			assert.deepEqual(encodePeerMessage(decodePeerMessage(message)), message, kind);
 		}
 	});
 
@@ -144,15 +145,16 @@
 	const { messages } = fixtureOf("0.5.0");
 	const optional = new Set(["standing", "known", "cancelled", "unknown"]);
 	for (const [kind, message] of Object.entries(messages)) {
-		assert.equal(parsePeerMessage({ ...message, later: "a field of a later version" }).kind, kind);
+		const later = decodePeerMessage({ ...message, later: "a field of a later version" });
+		assert.deepEqual(encodePeerMessage(later), message, kind);
 		for (const field of Object.keys(message)) {
 			const { [field]: _, ...without } = message;
 			const check = (changed: unknown) =>
-				assert.throws(() => parsePeerMessage(changed), MalformedMessageError, `${kind}.${field}`);
+				assert.throws(() => decodePeerMessage(changed), MalformedMessageError, `${kind}.${field}`);
 			if (!optional.has(field)) check(without);
 			check({ ...message, [field]: { wrong: true } });
 		}
 	}
 	for (const raw of [null, 1, "running", [], {}, { kind: "toString" }, { kind: "gossip", epoch: 1 }])
-		assert.throws(() => parsePeerMessage(raw), MalformedMessageError);
+		assert.throws(() => decodePeerMessage(raw), MalformedMessageError);
 });
--- a/tests/races.test.ts
+++ b/tests/races.test.ts
@@ -171,7 +171,7 @@
 			},
 			knownRevision: () => copy.epoch,
 			cancelledSince: () => copy.cancelled,
-			learn: (cancelled) => learnt.push(...cancelled.map(([id]) => id)),
+			learn: (cancelled) => learnt.push(...cancelled.map(({ jobId }) => jobId)),
 		},
 		others,
 		silentLog,
@@ -194,9 +194,9 @@
 	const c = candidate(["a"]);
 	c.leadership.releaseStartHold();
 	c.service.setOutage(true);
-	c.leadership.message("a", { kind: "ask", epoch: 9, number: 1 });
+	c.leadership.message("a", { kind: "lease-extension-request", term: 9, requestNumber: 1 });
 	await c.time.advance(100);
-	assert.deepEqual(c.told.at(-1), { kind: "promise", epoch: 9, number: 1 });
+	assert.deepEqual(c.told.at(-1), { kind: "lease-extension-vote", term: 9, requestNumber: 1 });
 	c.service.setOutage(false);
 	await c.run(2700);
 	assert.deepEqual(c.won, []);
@@ -207,7 +207,7 @@
 test("no promise is given by a node that the store serves", async () => {
 	const c = candidate(["a"]);
 	c.leadership.releaseStartHold();
-	c.leadership.message("a", { kind: "ask", epoch: 9, number: 1 });
+	c.leadership.message("a", { kind: "lease-extension-request", term: 9, requestNumber: 1 });
 	await c.time.advance(500);
 	assert.deepEqual(c.told, []);
 });
@@ -220,14 +220,19 @@
 	assert.equal(waits.won.length, 1);
 
 	const told = candidate(["a", "b"]);
-	told.leadership.message("a", { kind: "leading", epoch: 0, leading: false, asker: "inc" });
+	told.leadership.message("a", { kind: "leader-query-reply", term: 0, isLeader: false, incarnation: "inc" });
 	await told.run(300);
 	assert.deepEqual(told.won, [], "one of two has answered");
 	// A late copy of what an earlier process of this node was told: it may have promised since.
-	told.leadership.message("b", { kind: "leading", epoch: 0, leading: false, asker: "before" });
+	told.leadership.message("b", {
+		kind: "leader-query-reply",
+		term: 0,
+		isLeader: false,
+		incarnation: "before",
+	});
 	await told.run(300);
 	assert.deepEqual(told.won, []);
-	told.leadership.message("b", { kind: "leading", epoch: 0, leading: false, asker: "inc" });
+	told.leadership.message("b", { kind: "leader-query-reply", term: 0, isLeader: false, incarnation: "inc" });
 	await told.run(300);
 	assert.equal(told.won.length, 1);
 });
@@ -243,8 +248,13 @@
 		for (let t = 0; t < ms; t += 100) {
 			await c.run(100);
 			for (const ask of c.told.splice(0)) {
-				if (ask.kind !== "ask") continue;
-				for (const node of from) c.leadership.message(node, { kind: "promise", epoch, number: ask.number });
+				if (ask.kind !== "lease-extension-request") continue;
+				for (const node of from)
+					c.leadership.message(node, {
+						kind: "lease-extension-vote",
+						term: epoch,
+						requestNumber: ask.requestNumber,
+					});
 			}
 		}
 	};
@@ -272,8 +282,14 @@
 	// Refused by the store, it needs a promise of every other controller that was asked for since.
 	c.service.setOutage(true);
 	const promise = (from: string, number: number) =>
-		c.leadership.message(from, { kind: "promise", epoch, number, cancelled: [] });
-	const asked = () => Math.max(0, ...c.told.map((m) => (m.kind === "ask" ? m.number : 0)));
+		c.leadership.message(from, {
+			kind: "lease-extension-vote",
+			term: epoch,
+			requestNumber: number,
+			cancellations: [],
+		});
+	const asked = () =>
+		Math.max(0, ...c.told.map((m) => (m.kind === "lease-extension-request" ? m.requestNumber : 0)));
 	await c.run(1200);
 	const before = asked();
 	for (const node of ["a", "b"]) promise(node, before);
@@ -309,10 +325,15 @@
 		for (let t = 0; t < ms; t += 100) {
 			await c.run(100);
 			for (const ask of c.told.splice(0)) {
-				if (ask.kind !== "ask") continue;
+				if (ask.kind !== "lease-extension-request") continue;
 				for (const [node, cancelled] of Object.entries(answers)) {
-					const { number } = ask;
-					c.leadership.message(node, { kind: "promise", epoch, number, ...(cancelled && { cancelled }) });
+					const { requestNumber: number } = ask;
+					c.leadership.message(node, {
+						kind: "lease-extension-vote",
+						term: epoch,
+						requestNumber: number,
+						...(cancelled && { cancellations: cancelled }),
+					});
 				}
 			}
 		}
@@ -335,7 +356,7 @@
 test("promises that name every cancellation carry authority through an outage of any length", async () => {
 	const c = candidate(["a", "b"]);
 	const { epoch, answer } = await inOutage(c);
-	await answer(30_000, { a: [], b: [["j-000007", 9, 1, 0]] });
+	await answer(30_000, { a: [], b: [{ jobId: "j-000007", revision: 9, taskCount: 1, doneCount: 0 }] });
 	assert.equal(c.leadership.authority(), epoch, "30 s, though unknowing for at most 20 s");
 	assert.ok(c.learnt.includes("j-000007"));
 	// From here on b cannot say what it told its users: the time since counts as unknowing.
--- a/tests/relay.test.ts
+++ b/tests/relay.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { AnswerBatches, Relay } from "../src/coordination/workers/heartbeat-forwarding.js";
-import type { Order, WorkerHeartbeat } from "../src/protocol/model.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../src/protocol/model/worker.js";
+import { decodeHeartbeat, encodeHeartbeat } from "../src/protocol/peer/forwarding-wire.js";
 import type { PeerMessage } from "../src/protocol/peer/messages.js";
-import { packReport, unpackReport } from "../src/protocol/peer/packed-heartbeat.js";
 import { FakeTime } from "./support/fake-time.js";
 
 const report: WorkerHeartbeat = {
@@ -39,7 +39,7 @@
 	relay.newLeader(leader, epoch);
 	/** What came of a report: undefined while it waits. */
 	const pass = () => {
-		const result: { orders?: Order[] | null } = {};
+		const result: { orders?: WorkerCommand[] | null } = {};
 		const taken = relay.take(report);
 		taken?.then((orders) => {
 			result.orders = orders;
@@ -50,7 +50,7 @@
 }
 
 test("a report keeps every field on its way between controllers", () => {
-	assert.deepEqual(unpackReport(packReport(report)), report);
+	assert.deepEqual(decodeHeartbeat(encodeHeartbeat(report)), report);
 });
 
 test("reports of one moment go to the leader as one message, and each gets its own answer", async () => {
@@ -59,12 +59,12 @@
 	await time.advance(100);
 	assert.equal(sent.length, 1);
 	const { to, message } = sent[0] as { to: string; message: PeerMessage };
-	assert.ok(to === "runner-1" && message.kind === "reports" && message.epoch === 3);
-	const numbers = message.reports.map(([number]) => number);
-	const stop: Order = { op: "stop", job: "j-1", index: 4, attempt: 1, graceS: 0 };
+	assert.ok(to === "runner-1" && message.kind === "forwarded-heartbeats" && message.term === 3);
+	const numbers = message.heartbeats.map(({ requestId }) => requestId);
+	const stop: WorkerCommand = { kind: "stop", jobId: "j-1", taskIndex: 4, attempt: 1, graceS: 0 };
 	relay.answered("runner-1", 3, [
-		[numbers[1] as number, [stop]],
-		[numbers[0] as number, null],
+		{ requestId: numbers[1] as number, commands: [stop] },
+		{ requestId: numbers[0] as number, commands: null },
 	]);
 	await time.advance(1);
 	assert.deepEqual([one?.orders, two?.orders], [null, [stop]]);
@@ -77,11 +77,11 @@
 	await time.advance(1);
 	assert.equal(before?.orders, null);
 	const after = pass();
-	relay.answered("runner-1", 3, [[2, []]]);
-	relay.answered("runner-1", 9, [[2, []]]);
+	relay.answered("runner-1", 3, [{ requestId: 2, commands: [] }]);
+	relay.answered("runner-1", 9, [{ requestId: 2, commands: [] }]);
 	await time.advance(1);
 	assert.equal(after?.orders, undefined, "only the leader asked may answer");
-	relay.answered("runner-2", 9, [[2, []]]);
+	relay.answered("runner-2", 9, [{ requestId: 2, commands: [] }]);
 	await time.advance(1);
 	assert.deepEqual(after?.orders, []);
 });
@@ -102,22 +102,22 @@
 test("answers to one relay go together, each under the epoch that it was decided in", async () => {
 	const { time, sent, peers } = relayTo("runner-1", 3);
 	const answers = new AnswerBatches(peers, time);
-	answers.add("runner-0", 3, 1, []);
-	answers.add("runner-0", 3, 2, null);
-	answers.add("runner-0", 4, 1, []);
+	answers.add("runner-0", 3, { requestId: 1, commands: [] });
+	answers.add("runner-0", 3, { requestId: 2, commands: null });
+	answers.add("runner-0", 4, { requestId: 1, commands: [] });
 	await time.advance(100);
 	assert.deepEqual(
 		sent.map(({ message }) => message),
 		[
 			{
-				kind: "answers",
-				epoch: 3,
-				answers: [
-					[1, []],
-					[2, null],
+				kind: "forwarded-responses",
+				term: 3,
+				responses: [
+					{ requestId: 1, commands: [] },
+					{ requestId: 2, commands: null },
 				],
 			},
-			{ kind: "answers", epoch: 4, answers: [[1, []]] },
+			{ kind: "forwarded-responses", term: 4, responses: [{ requestId: 1, commands: [] }] },
 		],
 	);
 });
--- a/tests/reports.test.ts
+++ b/tests/reports.test.ts
@@ -3,7 +3,8 @@
 import { StoreCopy } from "../src/bookkeeping/store-replica.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
 import { applyReport, ordersFor } from "../src/coordination/workers/heartbeat-reconciliation.js";
-import type { TaskDemand, TaskStatus, WorkerHeartbeat } from "../src/protocol/model.js";
+import type { TaskDemand } from "../src/protocol/model/job.js";
+import type { TaskStatus, WorkerHeartbeat } from "../src/protocol/model/worker.js";
 import { encodeJobRecord } from "../src/protocol/records/job-record.js";
 import { keys } from "../src/protocol/records/keys.js";
 import { specOf } from "./support/specs.js";
@@ -70,7 +71,7 @@
 	const attempt = clusterState.decide(job, machine);
 	assert.ok(attempt);
 	const orders = ordersFor(clusterState, machine);
-	assert.deepEqual(orders, [{ op: "start", job: "j-1", index: 0, attempt: attempt.number }]);
+	assert.deepEqual(orders, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
 	return { clusterState, job, machine, attempt };
 }
 
@@ -112,7 +113,7 @@
 	const { clusterState, machine, attempt } = withOneSent();
 	applyReport(clusterState, report(2), 100);
 	const orders = ordersFor(clusterState, machine);
-	assert.deepEqual(orders, [{ op: "start", job: "j-1", index: 0, attempt: attempt.number }]);
+	assert.deepEqual(orders, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
 });
 
 test("an old report changes nothing", () => {
@@ -164,7 +165,7 @@
 	assert.deepEqual(ordersFor(clusterState, machine), [], "the last one is kept as a handle");
 	assert.equal(machine.reminder?.attempt, attempt.number);
 	machine.draining = true;
-	const forget = { op: "forget", job: "j-1", index: 0, attempt: attempt.number };
+	const forget = { kind: "forget", jobId: "j-1", taskIndex: 0, attempt: attempt.number };
 	assert.deepEqual(ordersFor(clusterState, machine), [forget]);
 });
 
@@ -191,7 +192,7 @@
 	const machine = clusterState.machines.get("n-2");
 	assert.ok(machine);
 	assert.deepEqual(
-		ordersFor(clusterState, machine).map((o) => [o.op, o.attempt]),
+		ordersFor(clusterState, machine).map((o) => [o.kind, o.attempt]),
 		[
 			["stop", 900],
 			["stop", 901],
@@ -234,7 +235,7 @@
 	assert.deepEqual(still, [attempt]);
 	assert.equal(clusterState.quotas.use("red").cpus, 1, "what was sent still counts");
 	applyReport(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
-	assert.equal(ordersFor(clusterState, machine)[0]?.op, "stop");
+	assert.equal(ordersFor(clusterState, machine)[0]?.kind, "stop");
 	applyReport(clusterState, report(3, [task(0, attempt.number, "exited", "stopped")]), 200);
 	assert.equal(clusterState.quotas.use("red").cpus, 0);
 });
--- a/tests/scale.test.ts
+++ b/tests/scale.test.ts
@@ -13,6 +13,8 @@
 import { SharedRecords } from "../src/coordination/replication/chunked-records.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
 import { OrderSender } from "../src/coordination/workers/direct-command-sender.js";
+import { encodePeerMessage } from "../src/protocol/peer/codec.js";
+import type { PeerMessage } from "../src/protocol/peer/messages.js";
 import { defaultOperator } from "../src/protocol/settings/operator.js";
 import type { PlatformSettings } from "../src/protocol/settings/platform.js";
 import { frame } from "../src/transport/peer-link.js";
@@ -140,8 +142,8 @@
 		const platform = { node: "a", others, cluster: { workers: { report_s: 3 }, resources: {} } };
 		let largest = 0;
 		const peers = {
-			send: (_node: string, message: unknown) => {
-				largest = Math.max(largest, frame(message).length);
+			send: (_node: string, message: PeerMessage) => {
+				largest = Math.max(largest, frame(encodePeerMessage(message)).length);
 			},
 		};
 		const peerMonitor = new PeerMonitor({
@@ -300,12 +302,13 @@
 	assert.equal(copy.cancelledSince(1)?.length, ends, "five minutes of nothing but cancellations");
 	// A leader asks from what it knows, which is seconds old.
 	const named = copy.cancelledSince(ends + 1 - (changesPerS / 2) * 30) ?? [];
-	const cancelled = named.map(({ id, record, revision }) => [
-		id,
+	const cancellations = named.map(({ id, record, revision }) => ({
+		jobId: id,
 		revision,
-		record.taskCount,
-		record.doneCount,
-	]);
-	assert.equal(cancelled.length, (changesPerS / 2) * 30);
-	assert.ok(frame({ kind: "promise", epoch: 1, number: 1, cancelled }).length < linkBytes / 4);
+		taskCount: record.taskCount,
+		doneCount: record.doneCount,
+	}));
+	assert.equal(cancellations.length, (changesPerS / 2) * 30);
+	const vote = { kind: "lease-extension-vote", term: 1, requestNumber: 1, cancellations } as const;
+	assert.ok(frame(encodePeerMessage(vote)).length < linkBytes / 4);
 });
--- a/tests/stalls.test.ts
+++ b/tests/stalls.test.ts
@@ -61,7 +61,12 @@
 	const reports = (at: number) => {
 		for (const machine of clusterState.machines.values()) machine.reportedAt = at;
 	};
-	const reply = { kind: "pong", epoch: 1, strays: 6, standing: true } as const;
+	const reply = {
+		kind: "leader-heartbeat-reply",
+		term: 1,
+		misdirectedWorkers: 6,
+		supportsServiceJobs: true,
+	} as const;
 	reports(20_000);
 	tick(0, 20_000);
 	// Fifteen seconds later the workers are at another controller.
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -5,7 +5,8 @@
 import { type AllotmentManager, type Amount, TeamQuota } from "#team-quota";
 import { Leadership } from "../../src/coordination/leadership/leadership.js";
 import type { TimePort } from "../../src/coordination/ports/clock.js";
-import { parsePeerMessage } from "../../src/protocol/peer/messages.js";
+import { decodePeerMessage, encodePeerMessage } from "../../src/protocol/peer/codec.js";
+import type { LeadershipMessage } from "../../src/protocol/peer/messages.js";
 import { quotaStore } from "../../src/team-quota.js";
 import { HttpClient } from "../../src/transport/http-client.js";
 import { PeerLinks } from "../../src/transport/peer-link.js";
@@ -103,8 +104,8 @@
 			post: (command) => command(),
 			log: silentLog,
 		});
-		const tell = (message: object) => {
-			for (const other of others) this.links.send(other.node, message);
+		const tell = (message: LeadershipMessage) => {
+			for (const other of others) this.links.send(other.node, encodePeerMessage(message));
 		};
 		this.leadership = new Leadership(
 			node,
@@ -207,12 +208,12 @@
 		if (message.kind === "terms") this.takeTerms(message.epoch, message.terms);
 		else if (message.kind === "propose") this.proposed(from, message.reply, message.tasks);
 		else {
-			const parsed = parsePeerMessage(message);
+			const parsed = decodePeerMessage(message);
 			if (
-				parsed.kind === "ask" ||
-				parsed.kind === "promise" ||
-				parsed.kind === "who" ||
-				parsed.kind === "leading"
+				parsed.kind === "lease-extension-request" ||
+				parsed.kind === "lease-extension-vote" ||
+				parsed.kind === "leader-query" ||
+				parsed.kind === "leader-query-reply"
 			)
 				this.leadership.message(from, parsed);
 		}
--- a/tests/support/specs.ts
+++ b/tests/support/specs.ts
@@ -1,4 +1,5 @@
-import type { JobSpec, MachineType } from "../../src/protocol/model.js";
+import type { JobSpec } from "../../src/protocol/model/job.js";
+import type { MachineType } from "../../src/protocol/model/machine.js";
 
 /** A plain job of team red, with what a test wants otherwise. */
 export function specOf(id: string, more: Partial<JobSpec> = {}): JobSpec {
