--- a/src/bookkeeping/job.ts
+++ b/src/bookkeeping/job.ts
@@ -1,6 +1,6 @@
 import { isService, type JobSpec, priorityRank } from "../protocol/model/job.js";
 import type { Machine } from "./machine.js";
-import type { TeamCharge } from "./quota-ledger.js";
+import type { QuotaCharge } from "./quota-ledger.js";
 import { TaskSet } from "./task-set.js";
 
 export type AttemptPhase = "assigned" | "sent" | "fetching" | "running" | "checkpointing";
@@ -19,7 +19,7 @@
 	/** A stop was decided; it is repeated until the attempt is over. */
 	stop: { graceS: number; why: string } | null;
 	/** What it takes of its team's allotments; null: none are used. */
-	charge: TeamCharge | null;
+	charge: QuotaCharge | null;
 	/** Steady time before which it is not stopped for other work: its job had to wait for too long to begin. */
 	keptUntil?: number;
 }
--- a/src/bookkeeping/machine.ts
+++ b/src/bookkeeping/machine.ts
@@ -1,7 +1,7 @@
 import type { JobSpec, TaskDemand } from "../protocol/model/job.js";
 import type { MachineType } from "../protocol/model/machine.js";
 import type { Attempt, Job } from "./job.js";
-import type { TeamCharge } from "./quota-ledger.js";
+import type { QuotaCharge } from "./quota-ledger.js";
 
 export interface UnwantedTask {
 	job: string;
@@ -9,7 +9,7 @@
 	attempt: number;
 	demand: TaskDemand | null;
 	/** What it takes of its team's allotments; null: not known, or no allotments are used. */
-	charge: TeamCharge | null;
+	charge: QuotaCharge | null;
 }
 
 /** A rented machine as its leader sees it. */
--- a/src/bookkeeping/quota-ledger.ts
+++ b/src/bookkeeping/quota-ledger.ts
@@ -1,5 +1,5 @@
 /** A task's part of its team's limit, and the controller whose allotment it comes from for now. */
-export interface TeamCharge {
+export interface QuotaCharge {
 	readonly team: string;
 	node: string;
 	/** In thousandths. */
@@ -25,7 +25,7 @@
  * What teams' tasks take. A task counts from the moment its start is decided
  * until it is proved over, so that a lost answer can never hide one.
  */
-export class Quotas {
+export class QuotaLedger {
 	private readonly limits = new Map<string, TeamLimits>();
 	private readonly used = new Map<string, Use>();
 
--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -1,4 +1,4 @@
-import { MalformedMessageError } from "../protocol/checks.js";
+import { MalformedMessageError } from "../protocol/errors.js";
 import type { StoreEvent, StoreRow } from "../protocol/http/store-api.js";
 import type { TaskDemand } from "../protocol/model/job.js";
 import { taskDemandOf } from "../protocol/model/job.js";
@@ -45,11 +45,11 @@
  * watches may arrive in any order, so an event at or before the revision is never
  * applied again: it could bring back a job that has ended since.
  */
-export class StoreCopy {
+export class StoreReplica {
 	revision = -1;
 	loaded = false;
 	leader: Versioned<LeaderRecord> | null = null;
-	types: Versioned<MachineType[]> | null = null;
+	machineTypes: Versioned<MachineType[]> | null = null;
 	features: FeatureSet = noFeatures;
 	readonly jobs = new Map<string, Versioned<JobRecord>>();
 	/** Shared values by their keys. */
@@ -60,7 +60,7 @@
 	/** Pages of done-sets by job, as the values of `progress` have them. */
 	private readonly pages = new Map<string, Map<number, string>>();
 	/** The latest terminal records seen; older ones are read from the store when asked for. */
-	readonly terminal = new Map<string, FinalJobRecord>();
+	readonly finalRecords = new Map<string, FinalJobRecord>();
 	/** Cancellations seen since the first load, of which a user may have been told here. */
 	private readonly cancelled = new Map<string, CancelledJob>();
 	/** Cancellations up to this revision are not, or no longer, kept one by one. */
@@ -96,7 +96,7 @@
 		this.pages.clear();
 		this.machines.clear();
 		this.leader = null;
-		this.types = null;
+		this.machineTypes = null;
 		this.features = noFeatures;
 		this.malformed.clear();
 		// Of two values that name one thing the later tells: a leader may have ended while it split one.
@@ -121,7 +121,7 @@
 	}
 
 	/** A change that this node itself made and had confirmed, ahead of the watch. */
-	applyOwn(key: string, value: unknown, revision: number): void {
+	applyOwnWrite(key: string, value: unknown, revision: number): void {
 		if (revision <= this.revision) return;
 		this.put(key, value, revision);
 		this.notify(key);
@@ -159,11 +159,11 @@
 		switch (record.kind) {
 			case "job":
 				// Final states never change: a live record of such a job was read before it ended.
-				if (!this.terminal.has(record.jobId) && newer(this.jobs.get(record.jobId)))
+				if (!this.finalRecords.has(record.jobId) && newer(this.jobs.get(record.jobId)))
 					this.jobs.set(record.jobId, { value: record.value, revision });
 				break;
 			case "final":
-				this.recordTerminal(record.jobId, record.value, revision);
+				this.recordFinal(record.jobId, record.value, revision);
 				break;
 			case "progress": {
 				const old = this.progress.get(key);
@@ -185,7 +185,7 @@
 				this.features = record.value;
 				break;
 			case "machine types":
-				if (newer(this.types)) this.types = { value: record.value, revision };
+				if (newer(this.machineTypes)) this.machineTypes = { value: record.value, revision };
 				break;
 		}
 	}
@@ -209,7 +209,7 @@
 			if (older(this.leader)) this.leader = null;
 		} else if (key === keys.features) {
 			this.features = noFeatures;
-		} else if (key === keys.machineTypes && older(this.types)) this.types = null;
+		} else if (key === keys.machineTypes && older(this.machineTypes)) this.machineTypes = null;
 	}
 
 	/** Only what one value held and no longer holds leaves the index: pages may move between values. */
@@ -249,9 +249,9 @@
 	}
 
 	/** Whoever brings the news, the job is no longer live: the watch may be stuck from here on. */
-	recordTerminal(id: string, record: FinalJobRecord, revision: number): void {
-		this.terminal.set(id, record);
-		trim(this.terminal, this.terminalKept);
+	recordFinal(id: string, record: FinalJobRecord, revision: number): void {
+		this.finalRecords.set(id, record);
+		trim(this.finalRecords, this.terminalKept);
 		if (record.status === "cancelled") this.noteCancelled({ id, record, revision });
 		if (this.dropLive(id)) this.notify(keys.job(id));
 	}
@@ -266,7 +266,7 @@
 
 	/** What a task of a job that is over takes; null: this process cannot say without asking the store. */
 	demandOf(id: string): TaskDemand | null {
-		return this.demands.get(id) ?? this.terminal.get(id)?.demand ?? null;
+		return this.demands.get(id) ?? this.finalRecords.get(id)?.demand ?? null;
 	}
 
 	private noteCancelled(job: CancelledJob): void {
@@ -286,7 +286,7 @@
 
 	/** The job is here, live or over, or its record is and cannot be read. */
 	knows(id: string): boolean {
-		return this.jobs.has(id) || this.terminal.has(id) || this.malformed.has(keys.job(id));
+		return this.jobs.has(id) || this.finalRecords.has(id) || this.malformed.has(keys.job(id));
 	}
 
 	/** Values of machines that may hold tasks are there and cannot be read. */
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,7 +1,7 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { TeamLimits } from "../bookkeeping/quota-ledger.js";
-import { StoreCopy } from "../bookkeeping/store-replica.js";
+import { StoreReplica } from "../bookkeeping/store-replica.js";
 import type { WorkerHeartbeat } from "../protocol/model/worker.js";
 import type {
 	LeaderHeartbeat,
@@ -19,26 +19,26 @@
 import { Leader, tickMs } from "./leader.js";
 import { Leadership } from "./leadership/leadership.js";
 import { PeerChannel } from "./leadership/peer-channel.js";
-import { placeAdmitted } from "./placement/admitted-placement.js";
+import { placeWithinAllotments } from "./placement/admitted-placement.js";
 import { placeFirstFit } from "./placement/first-fit.js";
-import type { TimePort } from "./ports/clock.js";
-import type { CloudPort } from "./ports/cloud.js";
+import type { Clock } from "./ports/clock.js";
+import type { CloudProvider } from "./ports/cloud.js";
 import type { Log } from "./ports/log.js";
 import type { PeerTransport } from "./ports/peers.js";
-import type { StorePort } from "./ports/store.js";
+import type { KeyValueStore } from "./ports/store.js";
 import type { TeamQuotaPort } from "./ports/team-quota.js";
-import type { WorkerPort } from "./ports/workers.js";
-import { StoreSync } from "./replication/replica-sync.js";
-import { StallDetector } from "./runtime/pause-detector.js";
-import { CommandQueue } from "./runtime/serial-executor.js";
-import { type ActiveLeader, type ReportResult, ReportRouter } from "./workers/heartbeat-router.js";
+import type { WorkerGateway } from "./ports/workers.js";
+import { ReplicaSync } from "./replication/replica-sync.js";
+import { PauseDetector } from "./runtime/pause-detector.js";
+import { SerialExecutor } from "./runtime/serial-executor.js";
+import { type ActiveLeader, type HeartbeatResponse, HeartbeatRouter } from "./workers/heartbeat-router.js";
 
 export interface ControllerPorts {
-	store: StorePort;
-	cloud: CloudPort;
-	workers: WorkerPort;
+	store: KeyValueStore;
+	cloud: CloudProvider;
+	workers: WorkerGateway;
 	peers: PeerTransport;
-	time: TimePort;
+	time: Clock;
 	log: Log;
 	random: RandomGenerator;
 	schedule(run: () => void): void;
@@ -51,10 +51,10 @@
 
 /** One controller: the owner of its process's state. */
 export class Controller {
-	readonly commands: CommandQueue;
-	readonly storeCopy: StoreCopy;
+	readonly commands: SerialExecutor;
+	readonly storeCopy: StoreReplica;
 	readonly jobs: JobService;
-	private readonly storeSync: StoreSync;
+	private readonly storeSync: ReplicaSync;
 	private readonly leadership: Leadership;
 	private leader: Leader | null = null;
 	private starting: number | null = null;
@@ -63,7 +63,7 @@
 	/** Steady time of the last word of any other controller, and of the last that the store answers it. */
 	private peerHeardAt = -Infinity;
 	private othersServedAt = -Infinity;
-	private readonly reports: ReportRouter;
+	private readonly reports: HeartbeatRouter;
 	private readonly peers: PeerChannel;
 	private readonly machineTypes: MachineTypeCatalog;
 	private readonly teamQuota: TeamQuotaPort | null;
@@ -76,19 +76,19 @@
 	) {
 		const { store, time, log } = ports;
 		this.peers = new PeerChannel(ports.peers, log);
-		this.commands = new CommandQueue(ports.schedule, (error) =>
+		this.commands = new SerialExecutor(ports.schedule, (error) =>
 			log.error(
 				{ err: error instanceof Error ? (error.stack ?? error.message) : String(error) },
 				"command failed",
 			),
 		);
 		const post = (command: () => void) => this.commands.post(command);
-		this.storeCopy = new StoreCopy(
+		this.storeCopy = new StoreReplica(
 			(key, error) => log.error({ key, err: error.message }, "malformed value in the state service"),
 			platform.cluster.state.write_rps,
 		);
 		this.teamQuota = ports.teamQuota?.(post) ?? null;
-		this.storeSync = new StoreSync(this.storeCopy, store, time, post, log);
+		this.storeSync = new ReplicaSync(this.storeCopy, store, time, post, log);
 		this.leadership = new Leadership(
 			platform.node,
 			incarnation,
@@ -106,7 +106,7 @@
 				tell: (message) => {
 					for (const other of platform.others) this.peers.send(other.node, message);
 				},
-				knownAt: () => this.storeSync.knownAt,
+				knownAt: () => this.storeSync.syncedAt,
 				knownRevision: () => this.storeCopy.revision,
 				cancelledSince: (revision) =>
 					this.storeCopy.cancelledSince(revision)?.map(({ id, record, revision: at }) => ({
@@ -117,7 +117,7 @@
 					})) ?? null,
 				learn: (cancelled) => {
 					for (const { jobId, revision, taskCount, doneCount } of cancelled)
-						this.storeCopy.applyOwn(
+						this.storeCopy.applyOwnWrite(
 							keys.final(jobId),
 							encodeFinalRecord({ status: "cancelled", taskCount, doneCount }),
 							revision,
@@ -136,10 +136,10 @@
 			(team) => this.limitsOf(team),
 			platform.cluster.zones,
 			platform.cluster.state.value_kb,
-			(command) => this.commands.ask(command),
+			(command) => this.commands.call(command),
 			(id) => (this.leader ? this.leader.runningCount(id) : (this.running.get(id) ?? 0)),
 		);
-		this.reports = new ReportRouter({
+		this.reports = new HeartbeatRouter({
 			self: platform.node,
 			peers: this.peers,
 			time,
@@ -154,11 +154,11 @@
 			log,
 			post,
 			authority: () => this.leadership.authority(),
-			stored: () => this.storeCopy.types?.value ?? null,
+			stored: () => this.storeCopy.machineTypes?.value ?? null,
 			refreshed: (types) => this.leader?.typesRefreshed(types),
 		});
 		this.storeCopy.onChange((key) => this.changed(key));
-		const stalls = new StallDetector(time);
+		const stalls = new PauseDetector(time);
 		this.commands.onBatchStart(() => {
 			const stalledMs = stalls.observe();
 			if (stalledMs !== null) this.stalled(stalledMs);
@@ -188,8 +188,8 @@
 	 * are better off there; if nobody is, a node that is taken out comes back late.
 	 */
 	ready(): boolean {
-		if (!this.storeCopy.loaded || this.storeCopy.types === null) return false;
-		if (!this.storeSync.silent) return true;
+		if (!this.storeCopy.loaded || this.storeCopy.machineTypes === null) return false;
+		if (!this.storeSync.unresponsive) return true;
 		const now = this.ports.time.now();
 		const alone = this.platform.others.length > 0 && now - this.peerHeardAt > isolatedMs;
 		return !alone && now - this.othersServedAt > isolatedMs;
@@ -218,7 +218,7 @@
 
 	private tick(): void {
 		// Machine types are the first thing a first leader writes.
-		if (this.storeCopy.loaded && this.storeCopy.types === null) this.leadership.releaseStartHold();
+		if (this.storeCopy.loaded && this.storeCopy.machineTypes === null) this.leadership.releaseStartHold();
 		this.leadership.tick(this.storeCopy.leader, this.storeCopy.loaded);
 		if (this.leadership.authority() !== null) this.machineTypes.tick();
 		this.leader?.tick();
@@ -241,7 +241,7 @@
 			this.ports.time.after(50, () => this.commands.post(() => this.beginTerm(term)));
 			return;
 		}
-		this.storeSync.fence().then(
+		this.storeSync.readBarrier().then(
 			() =>
 				this.commands.post(() => {
 					if (this.starting !== term || this.leadership.currentTerm !== term) return;
@@ -255,7 +255,7 @@
 						types,
 						ports: { ...this.ports, peers: this.peers, post: (command) => this.commands.post(command) },
 						authority: () => this.leadership.authority() === term,
-						served: () => !this.storeSync.silent,
+						served: () => !this.storeSync.unresponsive,
 						resign: (why) => this.leadership.resign(why),
 						teamQuota: this.teamQuota,
 						requestPrefix: `${this.platform.node}-${this.incarnation}-${term}`,
@@ -281,8 +281,8 @@
 		if (quota) this.teamQuota?.stored(key, quota.value, quota.revision);
 	}
 
-	report(report: WorkerHeartbeat): Promise<ReportResult> {
-		return this.commands.ask(() => this.reports.report(report));
+	handleHeartbeat(report: WorkerHeartbeat): Promise<HeartbeatResponse> {
+		return this.commands.call(() => this.reports.handle(report));
 	}
 
 	private activeLeader(): ActiveLeader | null {
@@ -356,7 +356,7 @@
 			return;
 		}
 		this.teamQuota.takeTerms(term, request.teamQuota);
-		const placements = placeAdmitted(this.teamQuota, machines, grants, specOf, start);
+		const placements = placeWithinAllotments(this.teamQuota, machines, grants, specOf, start);
 		const quota = this.teamQuota.sendBatch();
 		this.peers.send(from, { ...proposal, placements, teamQuota: quota } satisfies PlacementProposal);
 	}
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -1,9 +1,9 @@
 import { Machine } from "../../bookkeeping/machine.js";
 import type { MachineListPage } from "../../protocol/http/cloud-api.js";
 import type { ListedMachine } from "../../protocol/model/machine.js";
-import { CallFailed } from "../ports/call-error.js";
-import type { TimePort } from "../ports/clock.js";
-import type { CloudPort } from "../ports/cloud.js";
+import { CallError } from "../ports/call-error.js";
+import type { Clock } from "../ports/clock.js";
+import type { CloudProvider } from "../ports/cloud.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
@@ -16,10 +16,10 @@
 /** Reading a long list must leave most of the rate to rentals and returns. */
 const readTimePart = 1 / 3;
 
-export interface MachineListHooks {
+export interface CloudInventoryHooks {
 	post(command: () => void): void;
 	/** Its return was answered: whatever a late list says, it is gone. */
-	isGone(machine: string): boolean;
+	isDeleted(machine: string): boolean;
 }
 
 /**
@@ -27,7 +27,7 @@
  * nobody expected are taken in, and failed ones go back. A list is late, so what it lacks may
  * be there all the same.
  */
-export class MachineList {
+export class CloudInventory {
 	private reading = false;
 	private readingSince = -Infinity;
 	private nextRead = 0;
@@ -37,10 +37,10 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly cloud: CloudPort,
-		private readonly time: TimePort,
+		private readonly cloud: CloudProvider,
+		private readonly time: Clock,
 		private readonly lagMs: number,
-		private readonly hooks: MachineListHooks,
+		private readonly hooks: CloudInventoryHooks,
 		private readonly log: Log,
 	) {}
 
@@ -76,9 +76,9 @@
 	private async page(after: string): Promise<MachineListPage> {
 		for (;;) {
 			try {
-				return await this.cloud.list(after);
+				return await this.cloud.listMachines(after);
 			} catch (error) {
-				const forItsRate = error instanceof CallFailed && error.status === 429;
+				const forItsRate = error instanceof CallError && error.status === 429;
 				if (!forItsRate || after === "" || this.time.now() - this.readingSince > mostReadMs) throw error;
 			}
 			await new Promise<void>((resolve) => this.time.after(pageRetryMs, resolve));
@@ -92,7 +92,7 @@
 		this.looked = true;
 		this.nextRead = now + Math.max(leastPauseMs, this.lagMs, tookMs / readTimePart);
 		this.names = new Set(machines.map((machine) => machine.id));
-		for (const listed of machines) if (!this.hooks.isGone(listed.id)) this.reconcile(listed, now);
+		for (const listed of machines) if (!this.hooks.isDeleted(listed.id)) this.reconcile(listed, now);
 		this.dropUnlisted(this.names);
 	}
 
@@ -100,7 +100,7 @@
 		this.reading = false;
 		this.nextRead = this.time.now() + retryMs;
 		// Without the cloud nothing can be rented either; do not hold the rounds up for long.
-		this.looked ||= !(error instanceof CallFailed) || error.status !== 429;
+		this.looked ||= !(error instanceof CallError) || error.status !== 429;
 		this.log.debug({ err: String(error) }, "list failed");
 	}
 
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -4,8 +4,8 @@
 import { remainingOfAttempt } from "../../bookkeeping/remaining-work.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { FleetLook } from "./fleet-load.js";
-import { type ClimbSettings, loadOf, machinesToSpare } from "./hill-climb.js";
+import type { FleetSnapshot } from "./fleet-load.js";
+import { type HillClimbSettings, loadOf, machinesToSpare } from "./hill-climb.js";
 import type { ReplicaCapacity } from "./replica-capacity.js";
 
 /** A job of which nothing runs has waited so long when a marked machine is asked for room. */
@@ -23,12 +23,12 @@
 export class Drain {
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly climb: ClimbSettings,
+		private readonly climb: HillClimbSettings,
 		private readonly log: Log,
 	) {}
 
 	/** Marks those with the least remaining work for their price, as many as the load spares. */
-	mark(look: FleetLook, replicas: ReplicaCapacity): void {
+	startDraining(look: FleetSnapshot, replicas: ReplicaCapacity): void {
 		const ranked = this.ranked(look, replicas);
 		let marked = this.choose(ranked, look);
 		// What is kept for replicas that may come would be rented again at once: others go in its place.
@@ -44,7 +44,7 @@
 	}
 
 	/** The first of the candidates, as many as the load spares. */
-	private choose(ranked: Candidate[], look: FleetLook): Set<Machine> {
+	private choose(ranked: Candidate[], look: FleetSnapshot): Set<Machine> {
 		const cores = ranked.map(({ machine }) => machine.type.cpus);
 		const lowPerCpu = this.climb.low * look.secondsLeft;
 		const count = machinesToSpare(look.work, look.machines.length, look.cpus, cores, lowPerCpu);
@@ -62,7 +62,7 @@
 		);
 	}
 
-	private ranked({ machines, now }: FleetLook, replicas: ReplicaCapacity): Candidate[] {
+	private ranked({ machines, now }: FleetSnapshot, replicas: ReplicaCapacity): Candidate[] {
 		// What was rented for replicas is the idlest of all until they are there.
 		const unsettled = this.unsettled();
 		return machines
@@ -96,7 +96,7 @@
 	}
 
 	/** Takes marks back until the load is down to the high mark; false if there was none. */
-	unmark(look: FleetLook): boolean {
+	cancelDraining(look: FleetSnapshot): boolean {
 		const highPerCpu = this.climb.high * look.secondsLeft;
 		const back: string[] = [];
 		let { cpus } = look;
@@ -116,7 +116,7 @@
 	}
 
 	/** Takes back the mark of a machine with room for the job; false if there is none. */
-	unmarkFor(job: Job): boolean {
+	cancelDrainingFor(job: Job): boolean {
 		for (const machine of this.clusterState.machines.values()) {
 			if (!machine.draining || !machine.usable) continue;
 			if (!machineAllowed(job.spec, machine) || !machine.hasRoomFor(job.spec)) continue;
@@ -132,11 +132,11 @@
 	 * Tasks on a marked machine may run for long. Work that waits all that time, though the load
 	 * is below the high mark, is let in.
 	 */
-	unmarkForWaiting(now: number): void {
+	cancelDrainingForWaiting(now: number): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waiting.length === 0 || job.attempts.size > 0) continue;
 			if (now - Math.max(job.knownAt, job.failedAt) < waitsBesideMarkedMs) continue;
-			if (this.clusterState.mayRun(job, now) && this.unmarkFor(job)) return;
+			if (this.clusterState.mayRun(job, now) && this.cancelDrainingFor(job)) return;
 		}
 	}
 }
--- a/src/coordination/fleet/expected-services.ts
+++ b/src/coordination/fleet/expected-services.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
-import type { StartObjective } from "../../protocol/settings/platform.js";
+import type { StartTimeObjective } from "../../protocol/settings/platform.js";
 
 /** Part of the cores in use that is kept for a class of which no job has come yet. */
 const reservedPart = 0.02;
@@ -11,7 +11,7 @@
  * be up before it comes.
  */
 export function classesWithFastStart(
-	objectives: readonly StartObjective[],
+	objectives: readonly StartTimeObjective[],
 	types: Iterable<MachineType>,
 ): string[] {
 	const fastestBootS = Math.min(...[...types].map((type) => type.bootS));
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -2,7 +2,7 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 import { remainingOfAttempt, remainingOfWaiting } from "../../bookkeeping/remaining-work.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { ClimbSettings } from "./hill-climb.js";
+import type { HillClimbSettings } from "./hill-climb.js";
 
 /** What the hill climb measures of the leader's tables. */
 
@@ -32,7 +32,7 @@
 	clusterState: ClusterState,
 	now: number,
 	secondsLeft: number,
-	climb: ClimbSettings,
+	climb: HillClimbSettings,
 ): number {
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
@@ -74,7 +74,7 @@
 }
 
 /** One look at the fleet by the hill climb. */
-export interface FleetLook {
+export interface FleetSnapshot {
 	now: number;
 	/** Machines that count as capacity, there or on its way, and their cores. */
 	machines: Machine[];
@@ -84,7 +84,11 @@
 	work: number;
 }
 
-export function lookAtFleet(clusterState: ClusterState, now: number, climb: ClimbSettings): FleetLook {
+export function fleetSnapshot(
+	clusterState: ClusterState,
+	now: number,
+	climb: HillClimbSettings,
+): FleetSnapshot {
 	const machines = [...clusterState.machines.values()].filter((m) => m.countsAsCapacity);
 	const secondsLeft = meanSecondsLeft(clusterState, climb.cap_s);
 	return {
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -2,19 +2,19 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 import { couldHold } from "../../bookkeeping/machine-fit.js";
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
-import type { StartObjective } from "../../protocol/settings/platform.js";
-import type { TimePort } from "../ports/clock.js";
-import type { CloudPort } from "../ports/cloud.js";
+import type { StartTimeObjective } from "../../protocol/settings/platform.js";
+import type { Clock } from "../ports/clock.js";
+import type { CloudProvider } from "../ports/cloud.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import { MachineList } from "./cloud-inventory.js";
+import { CloudInventory } from "./cloud-inventory.js";
 import { Drain } from "./drain.js";
-import { type FleetLook, lookAtFleet } from "./fleet-load.js";
-import { type Counters, climb, loadOf } from "./hill-climb.js";
-import { BootTimes } from "./provisioning-times.js";
+import { type FleetSnapshot, fleetSnapshot } from "./fleet-load.js";
+import { loadOf, nextScalingDecision, type ScalingCounters } from "./hill-climb.js";
+import { ProvisioningTimes } from "./provisioning-times.js";
 import { ReplicaCapacity } from "./replica-capacity.js";
-import { MachineReturns } from "./scale-in.js";
-import { type RentalOutcome, Rentals } from "./scale-out.js";
+import { ScaleIn } from "./scale-in.js";
+import { ScaleOut, type ScaleOutOutcome } from "./scale-out.js";
 
 export interface FleetHooks {
 	post(command: () => void): void;
@@ -25,11 +25,11 @@
 
 export interface FleetOptions {
 	clusterState: ClusterState;
-	cloud: CloudPort;
-	time: TimePort;
+	cloud: CloudProvider;
+	time: Clock;
 	settings: OperatorSettings;
 	/** How soon tasks of which classes are to start. */
-	objectives: readonly StartObjective[];
+	objectives: readonly StartTimeObjective[];
 	/** How late the cloud's machine list is. */
 	listLagMs: number;
 	/** Lease of a worker. */
@@ -51,15 +51,15 @@
 export class Fleet {
 	private readonly clusterState: ClusterState;
 	private readonly climb: OperatorSettings["climb"];
-	private readonly time: TimePort;
+	private readonly time: Clock;
 	private readonly log: Log;
-	private readonly list: MachineList;
-	private readonly returns: MachineReturns;
-	private readonly rentals: Rentals;
+	private readonly list: CloudInventory;
+	private readonly returns: ScaleIn;
+	private readonly rentals: ScaleOut;
 	private readonly drain: Drain;
-	private readonly bootTimes: BootTimes;
+	private readonly bootTimes: ProvisioningTimes;
 	private readonly replicas: ReplicaCapacity;
-	private counters: Counters = { up: 0, down: 0 };
+	private counters: ScalingCounters = { up: 0, down: 0 };
 	private nextRound: number;
 
 	constructor(options: FleetOptions) {
@@ -74,9 +74,9 @@
 			this.rentals.allowAgain(machine);
 			hooks.gone(machine);
 		};
-		const isGone = (machine: string) => this.returns.isGone(machine);
-		this.bootTimes = new BootTimes(settings.machines.boot_times);
-		this.returns = new MachineReturns(
+		const isDeleted = (machine: string) => this.returns.isDeleted(machine);
+		this.bootTimes = new ProvisioningTimes(settings.machines.boot_times);
+		this.returns = new ScaleIn(
 			clusterState,
 			cloud,
 			time,
@@ -86,8 +86,8 @@
 			{ post, gone },
 			log,
 		);
-		this.list = new MachineList(clusterState, cloud, time, options.listLagMs, { post, isGone }, log);
-		this.rentals = new Rentals(
+		this.list = new CloudInventory(clusterState, cloud, time, options.listLagMs, { post, isDeleted }, log);
+		this.rentals = new ScaleOut(
 			clusterState,
 			cloud,
 			time,
@@ -96,7 +96,7 @@
 			{
 				post,
 				authority,
-				isGone,
+				isDeleted,
 				isCutOff: (zone) => this.returns.isCutOff(zone),
 				unfilled: () => this.hurry(),
 			},
@@ -104,7 +104,7 @@
 		);
 		this.drain = new Drain(clusterState, settings.climb, log);
 		this.replicas = new ReplicaCapacity(clusterState, time, this.rentals, options.objectives, (job) =>
-			this.drain.unmarkFor(job),
+			this.drain.cancelDrainingFor(job),
 		);
 	}
 
@@ -116,17 +116,17 @@
 		this.list.tick(now);
 		if (now < this.nextRound || !this.list.looked || !this.clusterState.rebuilt) return;
 		this.nextRound = now + this.climb.round_s * 1000;
-		this.round(lookAtFleet(this.clusterState, now, this.climb));
+		this.round(fleetSnapshot(this.clusterState, now, this.climb));
 	}
 
 	/** The machine has reported to this leader for the first time. */
-	cameUp(machine: Machine): void {
+	onMachineRunning(machine: Machine): void {
 		if (machine.rentedHere) this.bootTimes.noteUp(machine, this.time.now());
 	}
 
 	/** The machine's return was answered. */
-	isGone(machine: string): boolean {
-		return this.returns.isGone(machine);
+	isDeleted(machine: string): boolean {
+		return this.returns.isDeleted(machine);
 	}
 
 	/** The cloud has named its machines to this leader, and this one is not among them. */
@@ -152,7 +152,7 @@
 		this.counters.up = this.climb.up_past;
 	}
 
-	private round(look: FleetLook): void {
+	private round(look: FleetSnapshot): void {
 		if (this.replicas.serve(look)) return;
 		const count = look.machines.length;
 		// With nothing to run, no machine is kept; the first job to wait rents one.
@@ -161,8 +161,8 @@
 			return;
 		}
 		if (this.serveUnheld(look)) return;
-		this.drain.unmarkForWaiting(look.now);
-		const { counters, action } = climb(
+		this.drain.cancelDrainingForWaiting(look.now);
+		const { counters, action } = nextScalingDecision(
 			this.counters,
 			loadOf(look.work, count),
 			this.clusterState.jobs.size === 0 ? count + 1 : count,
@@ -174,18 +174,18 @@
 		const { work, cpus } = look;
 		this.log.debug({ work: Math.round(work), n: count, cpus, ...counters, action }, "round");
 		if (action === "up") this.grow(look);
-		else if (action === "down") this.drain.mark(look, this.replicas);
+		else if (action === "down") this.drain.startDraining(look, this.replicas);
 	}
 
 	/** Takes marks back, or else rents for the oldest work for which something is to be had. */
-	private grow(look: FleetLook): void {
-		if (!this.anyWaiting(look.now) || this.drain.unmark(look)) return;
+	private grow(look: FleetSnapshot): void {
+		if (!this.anyWaiting(look.now) || this.drain.cancelDraining(look)) return;
 		for (const job of this.waitingByAge(look.now))
 			if (this.rentFor(job, look.work, look) !== "nothing to be had") return;
 	}
 
-	private rentFor(job: Job, work: number, look: FleetLook): RentalOutcome {
-		return this.rentals.rent({ spec: job.spec, work }, look);
+	private rentFor(job: Job, work: number, look: FleetSnapshot): ScaleOutOutcome {
+		return this.rentals.request({ spec: job.spec, work }, look);
 	}
 
 	private anyWaiting(now: number): boolean {
@@ -216,11 +216,11 @@
 	 * round. Where neither can be had the round goes on: the others want machines too. What
 	 * failed everywhere may do so no more, and is tried again as well.
 	 */
-	private serveUnheld(look: FleetLook): boolean {
+	private serveUnheld(look: FleetSnapshot): boolean {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waiting.length === 0 || job.notBefore > look.now) continue;
 			if (look.machines.some((m) => couldHold(m, job))) continue;
-			if (this.rentals.pending || this.drain.unmarkFor(job)) return true;
+			if (this.rentals.pending || this.drain.cancelDrainingFor(job)) return true;
 			if (this.rentFor(job, 0, look) === "asked") return true;
 		}
 		return false;
--- a/src/coordination/fleet/hill-climb.ts
+++ b/src/coordination/fleet/hill-climb.ts
@@ -4,7 +4,7 @@
 
 /** The hill climb's decisions, without their effects. */
 
-export interface ClimbSettings {
+export interface HillClimbSettings {
 	high: number;
 	low: number;
 	up_past: number;
@@ -12,12 +12,12 @@
 	cap_s: number;
 }
 
-export interface Counters {
+export interface ScalingCounters {
 	up: number;
 	down: number;
 }
 
-export type ClimbAction = "up" | "down" | "none";
+export type ScalingAction = "up" | "down" | "none";
 
 /** Load is remaining work over machines less one half. */
 export function loadOf(work: number, machines: number): number {
@@ -25,13 +25,13 @@
 }
 
 /** `unit` is what the marks are multiples of: mean cores of a machine times seconds. */
-export function climb(
-	counters: Counters,
+export function nextScalingDecision(
+	counters: ScalingCounters,
 	load: number,
 	machines: number,
 	unit: number,
-	settings: ClimbSettings,
-): { counters: Counters; action: ClimbAction } {
+	settings: HillClimbSettings,
+): { counters: ScalingCounters; action: ScalingAction } {
 	const high = settings.high * unit;
 	const low = settings.low * unit;
 	if (load > high) {
@@ -96,20 +96,20 @@
 	return leaving.length;
 }
 
-export interface Offer {
+export interface MachineOffer {
 	type: MachineType;
 	zone: string;
 	spot: boolean;
 	price: number;
 }
 
-export function offerKey(offer: Pick<Offer, "type" | "zone" | "spot">): string {
+export function offerKey(offer: Pick<MachineOffer, "type" | "zone" | "spot">): string {
 	return `${offer.type.name}|${offer.zone}|${offer.spot ? "spot" : "ordinary"}`;
 }
 
 /** Every type, zone and kind that could hold a task of the job. */
-export function offersFor(spec: JobSpec, types: MachineType[]): Offer[] {
-	const offers: Offer[] = [];
+export function offersFor(spec: JobSpec, types: MachineType[]): MachineOffer[] {
+	const offers: MachineOffer[] = [];
 	for (const type of types) {
 		if (!typeFits(spec, type)) continue;
 		for (const zone of type.zones) {
@@ -129,8 +129,8 @@
  * need is charged to the cores needed, and boot time, which is paid for and waited
  * for, to the use that follows.
  */
-export function rankOffers(offers: Offer[], spec: JobSpec, neededCpus: number): Offer[] {
-	const cost = (offer: Offer) => {
+export function rankOffers(offers: MachineOffer[], spec: JobSpec, neededCpus: number): MachineOffer[] {
+	const cost = (offer: MachineOffer) => {
 		const usable = Math.min(tasksHeld(spec, offer.type) * spec.cpus, Math.max(neededCpus, spec.cpus));
 		return (offer.price * (offer.type.bootS + expectedUseS)) / expectedUseS / usable;
 	};
--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -1,19 +1,19 @@
 import type { MachineType } from "../../protocol/model/machine.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { StoredMachineTypes } from "../../protocol/records/singleton-records.js";
-import { CallFailed } from "../ports/call-error.js";
-import type { TimePort } from "../ports/clock.js";
-import type { CloudPort } from "../ports/cloud.js";
+import { CallError } from "../ports/call-error.js";
+import type { Clock } from "../ports/clock.js";
+import type { CloudProvider } from "../ports/cloud.js";
 import type { Log } from "../ports/log.js";
-import type { StorePort } from "../ports/store.js";
+import type { KeyValueStore } from "../ports/store.js";
 
 const refreshEveryMs = 60_000;
 const retryMs = 700;
 
 export interface MachineTypeCatalogOptions {
-	cloud: CloudPort;
-	store: StorePort;
-	time: TimePort;
+	cloud: CloudProvider;
+	store: KeyValueStore;
+	time: Clock;
 	log: Log;
 	post(command: () => void): void;
 	/** The term while this process may act for the controllers, else null. */
@@ -72,11 +72,11 @@
 		if (term === null || sameTypes(stored() ?? [], types)) return;
 		const value: StoredMachineTypes = { types };
 		store
-			.transact([{ key: keys.leader, revision: term }], [{ put: keys.machineTypes, value }], "first")
+			.compareAndSwap([{ key: keys.leader, revision: term }], [{ put: keys.machineTypes, value }], "user")
 			.catch((error) =>
 				post(() => {
 					// Too many types for one value: they are read from the cloud then, by each leader.
-					if (error instanceof CallFailed && error.kind === "rejected")
+					if (error instanceof CallError && error.outcome === "rejected")
 						log.error({ key: keys.machineTypes, err: error.message }, "not written");
 					else this.nextReadAt = 0;
 				}),
--- a/src/coordination/fleet/provisioning-times.ts
+++ b/src/coordination/fleet/provisioning-times.ts
@@ -25,7 +25,7 @@
  * times as long as stated and a few never come up. Those that are late no longer count as coming
  * capacity; those that others overtook go back.
  */
-export class BootTimes {
+export class ProvisioningTimes {
 	private readonly byType = new Map<string, TypeBoots>();
 
 	constructor(
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -2,13 +2,13 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec } from "../../protocol/model/job.js";
-import type { StartObjective } from "../../protocol/settings/platform.js";
+import type { StartTimeObjective } from "../../protocol/settings/platform.js";
 import { FreeCapacity, freeBesideReplicas, freeOn } from "../placement/free-capacity.js";
-import type { TimePort } from "../ports/clock.js";
+import type { Clock } from "../ports/clock.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import { assumedReplicas, classesWithFastStart } from "./expected-services.js";
-import type { FleetLook } from "./fleet-load.js";
-import type { RentalNeed, Rentals } from "./scale-out.js";
+import type { FleetSnapshot } from "./fleet-load.js";
+import type { ScaleOut, ScaleOutNeed } from "./scale-out.js";
 
 /** Standing jobs that came so lately are expected once more. */
 const expectedMs = 60_000;
@@ -35,15 +35,15 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly time: TimePort,
-		private readonly rentals: Rentals,
-		private readonly objectives: readonly StartObjective[],
+		private readonly time: Clock,
+		private readonly rentals: ScaleOut,
+		private readonly objectives: readonly StartTimeObjective[],
 		/** Takes back the mark of a machine with room for the job; false if there is none. */
 		private readonly unmarkFor: (job: Job) => boolean,
 	) {}
 
 	/** True if something was done, or is on its way, for replicas in this round. */
-	serve(look: FleetLook): boolean {
+	serve(look: FleetSnapshot): boolean {
 		this.noteWaiting(look.now);
 		const free = new FreeCapacity(freeOn);
 		const besideReplicas = new FreeCapacity(freeBesideReplicas);
@@ -74,13 +74,13 @@
 	}
 
 	/** Replicas that wait, beyond the room that is up or on its way. */
-	private shortageOfWaiting(job: Job, look: FleetLook, room: FreeCapacity): Shortage | null {
+	private shortageOfWaiting(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
 		if (job.waiting.length === 0 || job.notBefore > look.now) return null;
 		return shortageOf(job, job.waiting.length, look, room, this.clusterState.zonesOf(job));
 	}
 
 	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
-	private shortageOfLeaving(job: Job, look: FleetLook, room: FreeCapacity): Shortage | null {
+	private shortageOfLeaving(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
 		const leaving = [...job.attempts.values()].filter((a) => a.machine.leaving && a.moveTo === null);
 		if (leaving.length === 0) return null;
 		return shortageOf(job, leaving.length, look, room, this.clusterState.zonesWithout(job, leaving));
@@ -91,7 +91,7 @@
 	 * expected to come once more, and has room kept on machines that it may use. Work that is
 	 * not standing can run there meanwhile: replicas go before it.
 	 */
-	private serveExpected(look: FleetLook): boolean {
+	private serveExpected(look: FleetSnapshot): boolean {
 		const { machines } = look;
 		const shortage = this.shortageOfExpected(machines) ?? this.shortageWithoutAZone(machines);
 		return shortage !== null && (this.rentals.pending || this.rent(shortage, look));
@@ -155,13 +155,13 @@
 		return specs;
 	}
 
-	private rent({ spec, count, zones }: Shortage, look: FleetLook): boolean {
+	private rent({ spec, count, zones }: Shortage, look: FleetSnapshot): boolean {
 		const fullZones = new Set(Object.keys(zones).filter((zone) => zoneRoom(spec, zones, zone) < 1));
 		// More are on their way as a rule, so a machine for many may be worth its price.
 		let comingCpus = count * spec.cpus;
 		for (const expected of this.expected()) comingCpus += expected.taskCount * expected.cpus;
-		const need: RentalNeed = { spec, work: 0, replicas: { count, comingCpus, fullZones } };
-		return this.rentals.rent(need, look) === "asked";
+		const need: ScaleOutNeed = { spec, work: 0, replicas: { count, comingCpus, fullZones } };
+		return this.rentals.request(need, look) === "asked";
 	}
 
 	/**
@@ -184,7 +184,7 @@
 function shortageOf(
 	{ spec }: Job,
 	wanted: number,
-	look: FleetLook,
+	look: FleetSnapshot,
 	room: FreeCapacity,
 	zones: Record<string, number>,
 ): Shortage | null {
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -4,7 +4,7 @@
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { OrderSender } from "../workers/direct-command-sender.js";
+import type { DirectCommandSender } from "../workers/direct-command-sender.js";
 
 const everyMs = 300;
 /** Replicas of a job move one after the other, unless a machine is taken as soon as this. */
@@ -20,7 +20,7 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly orders: OrderSender,
+		private readonly orders: DirectCommandSender,
 		private readonly log: Log,
 	) {}
 
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -1,9 +1,9 @@
 import type { Machine } from "../../bookkeeping/machine.js";
-import type { TimePort } from "../ports/clock.js";
-import type { CloudPort } from "../ports/cloud.js";
+import type { Clock } from "../ports/clock.js";
+import type { CloudProvider } from "../ports/cloud.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { BootTimes } from "./provisioning-times.js";
+import type { ProvisioningTimes } from "./provisioning-times.js";
 
 /** Machines that were returned are known as gone for so long: late copies of their reports may come. */
 const goneKeptMs = 10 * 60_000;
@@ -17,14 +17,14 @@
 /** The cloud's own bound. */
 const mostPerCall = 100;
 
-export interface MachineReturnHooks {
+export interface ScaleInHooks {
 	post(command: () => void): void;
 	/** A machine is proved gone: its record may go, and its tasks wait again. */
 	gone(machine: Machine): void;
 }
 
 /** Gives machines back to the cloud; its answer proves them gone. */
-export class MachineReturns {
+export class ScaleIn {
 	private readonly goneAt = new Map<string, number>();
 	private returning = false;
 	private nextReturn = 0;
@@ -35,18 +35,18 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly cloud: CloudPort,
-		private readonly time: TimePort,
+		private readonly cloud: CloudProvider,
+		private readonly time: Clock,
 		silentExtraMs: number,
-		private readonly bootTimes: BootTimes,
+		private readonly bootTimes: ProvisioningTimes,
 		private readonly leaseMs: number,
-		private readonly hooks: MachineReturnHooks,
+		private readonly hooks: ScaleInHooks,
 		private readonly log: Log,
 	) {
 		this.silentMs = leaseMs + silentExtraMs;
 	}
 
-	isGone(machine: string): boolean {
+	isDeleted(machine: string): boolean {
 		return this.goneAt.has(machine);
 	}
 
@@ -61,7 +61,7 @@
 		const leaving = this.leaving(now);
 		if (leaving.length === 0) return;
 		this.returning = true;
-		this.cloud.giveBack(leaving.map((m) => m.id)).then(
+		this.cloud.deleteMachines(leaving.map((m) => m.id)).then(
 			() => this.hooks.post(() => this.returned(leaving)),
 			(error) => this.hooks.post(() => this.failed(error)),
 		);
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -4,13 +4,13 @@
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
-import { CallFailed } from "../ports/call-error.js";
-import type { TimePort } from "../ports/clock.js";
-import type { CloudPort } from "../ports/cloud.js";
+import { CallError } from "../ports/call-error.js";
+import type { Clock } from "../ports/clock.js";
+import type { CloudProvider } from "../ports/cloud.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import { type FleetLook, usableCpus } from "./fleet-load.js";
-import { machinesToCut, type Offer, offerKey, offersFor, rankOffers } from "./hill-climb.js";
+import { type FleetSnapshot, usableCpus } from "./fleet-load.js";
+import { type MachineOffer, machinesToCut, offerKey, offersFor, rankOffers } from "./hill-climb.js";
 
 /** An offer this many times as dear as the cheapest of its kind is not taken at once. */
 const dearFrom = 2;
@@ -30,7 +30,7 @@
 }
 
 /** What machines are wanted for. */
-export interface RentalNeed {
+export interface ScaleOutNeed {
 	/** The work that they must be able to hold. */
 	spec: JobSpec;
 	/** Remaining work that is to be brought down to the high mark; 0: one machine, at once. */
@@ -38,7 +38,7 @@
 	replicas?: ReplicaNeed;
 }
 
-export type RentalOutcome = "asked" | "not now" | "nothing to be had";
+export type ScaleOutOutcome = "asked" | "not now" | "nothing to be had";
 
 interface Rental {
 	request: ScaleOutRequest;
@@ -46,17 +46,17 @@
 	firstSentAt: number;
 }
 
-export interface RentalHooks {
+export interface ScaleOutHooks {
 	post(command: () => void): void;
 	authority(): boolean;
 	/** More is wanted than this call gave: the next round need not wait for the counters. */
 	unfilled(): void;
-	isGone(machine: string): boolean;
+	isDeleted(machine: string): boolean;
 	isCutOff(zone: string): boolean;
 }
 
 /** Chooses what to rent and asks the cloud for it, one request at a time. */
-export class Rentals {
+export class ScaleOut {
 	private readonly refusedUntil = new Map<string, number>();
 	private rental: Rental | null = null;
 	/** Times in a row that the up counter acted with nothing but dear offers left. */
@@ -65,12 +65,12 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly cloud: CloudPort,
-		private readonly time: TimePort,
+		private readonly cloud: CloudProvider,
+		private readonly time: Clock,
 		private readonly climb: OperatorSettings["climb"],
 		/** Begins the names of all requests; never used by another term or process. */
 		private readonly requestPrefix: string,
-		private readonly hooks: RentalHooks,
+		private readonly hooks: ScaleOutHooks,
 		private readonly log: Log,
 	) {}
 
@@ -85,11 +85,11 @@
 	}
 
 	/** A machine of it is gone, so there may be another, whatever was refused before. */
-	allowAgain(offer: Pick<Offer, "type" | "zone" | "spot">): void {
+	allowAgain(offer: Pick<MachineOffer, "type" | "zone" | "spot">): void {
 		this.refusedUntil.delete(offerKey(offer));
 	}
 
-	rent(need: RentalNeed, look: FleetLook): RentalOutcome {
+	request(need: ScaleOutNeed, look: FleetSnapshot): ScaleOutOutcome {
 		if (this.rental) return "not now";
 		const machines = look.machines.length;
 		const most = this.climb.most_machines;
@@ -101,20 +101,20 @@
 		const offers = rankOffers(offersFor(need.spec, [...this.clusterState.types.values()]), need.spec, wanted);
 		const offer = offers.find((o) => this.isOpen(o, need, look.now));
 		if (!offer) return "nothing to be had";
-		if (this.tooDear(offer, offers[0] as Offer, byLoad)) return "not now";
+		if (this.tooDear(offer, offers[0] as MachineOffer, byLoad)) return "not now";
 		let count = this.countOf(need, offer, look, usable);
 		if (most > 0) count = Math.min(count, most - machines);
 		this.send(offer, Math.max(1, Math.min(mostPerCall, count)), look.now);
 		return "asked";
 	}
 
-	private isOpen(offer: Offer, need: RentalNeed, now: number): boolean {
+	private isOpen(offer: MachineOffer, need: ScaleOutNeed, now: number): boolean {
 		if (this.hooks.isCutOff(offer.zone) || need.replicas?.fullZones.has(offer.zone)) return false;
 		return (this.refusedUntil.get(offerKey(offer)) ?? 0) <= now;
 	}
 
 	/** Dear machines are rented only when the load stays high for longer, by as much as they cost more. */
-	private tooDear(offer: Offer, cheapest: Offer, byLoad: boolean): boolean {
+	private tooDear(offer: MachineOffer, cheapest: MachineOffer, byLoad: boolean): boolean {
 		const dearness = pricePerCpu(offer) / pricePerCpu(cheapest);
 		this.patience += 1;
 		if (byLoad && dearness > dearFrom && this.patience <= 2 * dearness * this.climb.up_past) return true;
@@ -122,7 +122,12 @@
 		return false;
 	}
 
-	private countOf({ spec, work, replicas }: RentalNeed, { type }: Offer, look: FleetLook, usable: number) {
+	private countOf(
+		{ spec, work, replicas }: ScaleOutNeed,
+		{ type }: MachineOffer,
+		look: FleetSnapshot,
+		usable: number,
+	) {
 		if (replicas) {
 			const here = spec.spreadZones
 				? Math.min(replicas.count, Math.ceil(spec.taskCount / 2))
@@ -135,7 +140,7 @@
 		return Math.min(count, Math.ceil(Math.max(0, usable - look.cpus) / type.cpus));
 	}
 
-	private send({ type, zone, spot }: Offer, count: number, now: number): void {
+	private send({ type, zone, spot }: MachineOffer, count: number, now: number): void {
 		this.requestNumber += 1;
 		const name = `${this.requestPrefix}-${this.requestNumber}`;
 		this.rental = { request: { name, machineType: type.name, zone, spot, count }, type, firstSentAt: now };
@@ -143,7 +148,7 @@
 	}
 
 	private call(rental: Rental): void {
-		this.cloud.rent(rental.request).then(
+		this.cloud.createMachines(rental.request).then(
 			(ids) => this.hooks.post(() => this.rented(rental, ids)),
 			(error) => this.hooks.post(() => this.failed(rental, error)),
 		);
@@ -164,7 +169,7 @@
 
 	private failed(rental: Rental, error: unknown): void {
 		const now = this.time.now();
-		const rejected = error instanceof CallFailed && error.kind === "rejected";
+		const rejected = error instanceof CallError && error.outcome === "rejected";
 		if (rejected || now - rental.firstSentAt > rentalTriesMs) {
 			this.rental = null;
 			this.refuse(rental, now);
@@ -185,13 +190,13 @@
 	}
 
 	private expect(id: string, { type, request: { zone, spot } }: Rental, now: number): void {
-		if (this.clusterState.machines.has(id) || this.hooks.isGone(id)) return;
+		if (this.clusterState.machines.has(id) || this.hooks.isDeleted(id)) return;
 		const machine = new Machine(id, type, zone, spot, now);
 		machine.rentedHere = true;
 		this.clusterState.machines.set(id, machine);
 	}
 }
 
-function pricePerCpu(offer: Offer): number {
+function pricePerCpu(offer: MachineOffer): number {
 	return offer.price / offer.type.cpus;
 }
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -6,11 +6,11 @@
 import { pageName, parsePageName, type StoredChunk } from "../../protocol/records/chunk.js";
 import { encodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import { keys } from "../../protocol/records/keys.js";
-import { CallFailed } from "../ports/call-error.js";
-import type { TimePort } from "../ports/clock.js";
+import { CallError } from "../ports/call-error.js";
+import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
-import type { StorePort } from "../ports/store.js";
-import { SharedRecords, type SharedRecordsEnvironment } from "../replication/chunked-records.js";
+import type { KeyValueStore } from "../ports/store.js";
+import { ChunkedRecords, type ChunkedRecordsEnvironment } from "../replication/chunked-records.js";
 
 const progressEveryMs = 1000;
 const shrinkMs = 5000;
@@ -18,10 +18,10 @@
 
 export interface JobCompletionOptions {
 	leaderCondition: StoreCondition;
-	store: StorePort;
-	time: TimePort;
+	store: KeyValueStore;
+	time: Clock;
 	log: Log;
-	records: SharedRecordsEnvironment;
+	records: ChunkedRecordsEnvironment;
 	post(command: () => void): void;
 	ended(): boolean;
 	jobs(): Iterable<Job>;
@@ -34,11 +34,11 @@
 
 /** Writes which tasks are done, and the end of jobs of which all are. */
 export class JobCompletion {
-	private readonly progress: SharedRecords<string>;
+	private readonly progress: ChunkedRecords<string>;
 	private nextProgress = 0;
 
 	constructor(private readonly options: JobCompletionOptions) {
-		this.progress = new SharedRecords({
+		this.progress = new ChunkedRecords({
 			...options.records,
 			prefix: keys.progress,
 			confirmed: (entries) => this.confirmed(entries),
@@ -99,12 +99,12 @@
 			{ put: keys.final(job.id), value: encodeFinalRecord(final) },
 		];
 		const conditions = [options.leaderCondition, { key: keys.job(job.id), revision: job.revision }];
-		options.store.transact(conditions, changes, "first").then(
+		options.store.compareAndSwap(conditions, changes, "user").then(
 			(result) =>
 				options.post(() => {
-					if (result.ok) this.written(job, final, result.epoch);
+					if (result.swapped) this.written(job, final, result.revision);
 					// Else the job was cancelled first; the watch says so.
-					else if (result.failed.includes(keys.leader)) options.lostKey();
+					else if (result.conflicts.includes(keys.leader)) options.lostKey();
 				}),
 			(error) => this.notWritten(job, error),
 		);
@@ -120,7 +120,7 @@
 	private notWritten(job: Job, error: unknown): void {
 		const { time, post, log } = this.options;
 		// What the store will not take is left to the audit, and said.
-		const refused = error instanceof CallFailed && error.kind === "rejected";
+		const refused = error instanceof CallError && error.outcome === "rejected";
 		if (refused) log.error({ key: keys.final(job.id), err: error.message }, "not written");
 		else time.after(retryMs, () => post(() => this.writeFinal(job)));
 	}
--- a/src/coordination/jobs/job-service.ts
+++ b/src/coordination/jobs/job-service.ts
@@ -1,7 +1,7 @@
 import { typeFits } from "../../bookkeeping/machine-fit.js";
 import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
-import type { StoreCopy } from "../../bookkeeping/store-replica.js";
-import { MalformedMessageError } from "../../protocol/checks.js";
+import type { StoreReplica } from "../../bookkeeping/store-replica.js";
+import { MalformedMessageError } from "../../protocol/errors.js";
 import { isService, type JobSpec, type JobStatus, taskDemandOf } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
 import {
@@ -11,10 +11,10 @@
 } from "../../protocol/records/final-record.js";
 import { encodeJobRecord, type JobRecord, type StoredJobRecord } from "../../protocol/records/job-record.js";
 import { keys } from "../../protocol/records/keys.js";
-import { CallFailed } from "../ports/call-error.js";
-import type { TimePort } from "../ports/clock.js";
-import type { StorePort } from "../ports/store.js";
-import type { StoreSync } from "../replication/replica-sync.js";
+import { CallError } from "../ports/call-error.js";
+import type { Clock } from "../ports/clock.js";
+import type { KeyValueStore } from "../ports/store.js";
+import type { ReplicaSync } from "../replication/replica-sync.js";
 
 export interface JobState {
 	status: JobStatus;
@@ -74,10 +74,10 @@
  */
 export class JobService {
 	constructor(
-		private readonly storeCopy: StoreCopy,
-		private readonly storeSync: StoreSync,
-		private readonly store: StorePort,
-		private readonly time: TimePort,
+		private readonly storeCopy: StoreReplica,
+		private readonly storeSync: ReplicaSync,
+		private readonly store: KeyValueStore,
+		private readonly time: Clock,
 		private readonly limitsOf: (team: string) => TeamLimits | undefined,
 		/** Empty: not told. */
 		private readonly zones: readonly string[],
@@ -91,8 +91,8 @@
 			const held = await this.enqueue(() => this.stateNow(spec.id));
 			// A known id is answered before any check: settings may have changed since.
 			if (held) return await this.known(spec.id);
-			this.storeSync.expectAnswer();
-			const types = this.storeCopy.types?.value;
+			this.storeSync.assertResponsive();
+			const types = this.storeCopy.machineTypes?.value;
 			if (!this.storeCopy.loaded || !types) {
 				return { kind: "later", reason: "the machine types are not known yet" };
 			}
@@ -108,16 +108,16 @@
 				return known ? { kind: "known", status: known.status } : refused;
 			}
 			const key = keys.job(spec.id);
-			const result = await this.store.transact(
+			const result = await this.store.compareAndSwap(
 				[
 					{ key, revision: 0 },
 					{ key: keys.final(spec.id), revision: 0 },
 				],
 				[{ put: key, value }],
-				"first",
+				"user",
 			);
-			if (!result.ok) return await this.known(spec.id);
-			await this.enqueue(() => this.storeCopy.applyOwn(key, value, result.epoch));
+			if (!result.swapped) return await this.known(spec.id);
+			await this.enqueue(() => this.storeCopy.applyOwnWrite(key, value, result.revision));
 			return { kind: "accepted", status: "pending" };
 		} catch (error) {
 			return later(error);
@@ -152,7 +152,7 @@
 		}
 	}
 
-	async abort(id: string): Promise<JobLookup> {
+	async cancel(id: string): Promise<JobLookup> {
 		try {
 			for (let tries = 0; tries < 4; tries++) {
 				const state = await this.currentState(id);
@@ -167,13 +167,13 @@
 					demand: taskDemandOf(record.value.spec),
 				};
 				const value = encodeFinalRecord(final);
-				const result = await this.store.transact(
+				const result = await this.store.compareAndSwap(
 					[{ key: keys.job(id), revision: record.revision }],
 					[{ delete: keys.job(id) }, { put: keys.final(id), value }],
-					"first",
+					"user",
 				);
-				if (result.ok) {
-					await this.enqueue(() => this.storeCopy.applyOwn(keys.final(id), value, result.epoch));
+				if (result.swapped) {
+					await this.enqueue(() => this.storeCopy.applyOwnWrite(keys.final(id), value, result.revision));
 					return { kind: "job", status: "cancelled", done: state.done, running: 0 };
 				}
 			}
@@ -188,22 +188,22 @@
 		const final = await this.enqueue(() => this.finalNow(id));
 		// A final state never changes and needs no check.
 		if (final) return final;
-		await this.storeSync.fence();
+		await this.storeSync.readBarrier();
 		const state = await this.enqueue(() => this.stateNow(id));
 		if (state) return state;
 		// The copy may have been made anew, from rows read earlier, since it was asked. That a job
 		// is nowhere is said only when neither of its keys is there, the live one looked for first.
 		const live = await this.store.read(keys.job(id));
-		if (live.row) throw new CallFailed("refused", 0, "the job is not in the local copy yet");
+		if (live.row) throw new CallError("not executed", 0, "the job is not in the local copy yet");
 		const { row } = await this.store.read(keys.final(id));
 		if (!row) return null;
 		const record = decodeFinalRecord(row.value);
-		await this.enqueue(() => this.storeCopy.recordTerminal(id, record, row.revision));
+		await this.enqueue(() => this.storeCopy.recordFinal(id, record, row.revision));
 		return stateOf(record);
 	}
 
 	private finalNow(id: string): JobState | null {
-		const final = this.storeCopy.terminal.get(id);
+		const final = this.storeCopy.finalRecords.get(id);
 		return final ? stateOf(final) : null;
 	}
 
@@ -222,7 +222,7 @@
 }
 
 function later(error: unknown): { kind: "later"; reason: string } {
-	if (error instanceof CallFailed) return notNow;
+	if (error instanceof CallError) return notNow;
 	if (error instanceof MalformedMessageError) return unreadable;
 	throw error;
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -1,7 +1,7 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Job } from "../bookkeeping/job.js";
 import { Machine, unknownType } from "../bookkeeping/machine.js";
-import type { StoreCopy, Versioned } from "../bookkeeping/store-replica.js";
+import type { StoreReplica, Versioned } from "../bookkeeping/store-replica.js";
 import type { StoreCondition } from "../protocol/http/store-api.js";
 import type { MachineType } from "../protocol/model/machine.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../protocol/model/worker.js";
@@ -16,39 +16,39 @@
 	type StoredMachineRecord,
 } from "../protocol/records/machine-record.js";
 import type { OperatorSettings } from "../protocol/settings/operator.js";
-import { type PlatformSettings, startObjectives } from "../protocol/settings/platform.js";
+import { type PlatformSettings, startTimeObjectives } from "../protocol/settings/platform.js";
 import { Fleet } from "./fleet/fleet.js";
 import { ReplicaRelocation } from "./fleet/replica-relocation.js";
 import { JobCompletion } from "./jobs/job-completion.js";
-import { Takeover } from "./leadership/failover.js";
-import { PeerMonitor } from "./leadership/failure-detector.js";
-import { FeatureRecord } from "./leadership/feature-gate.js";
-import { drift } from "./leadership/leadership.js";
+import { Failover } from "./leadership/failover.js";
+import { FailureDetector } from "./leadership/failure-detector.js";
+import { FeatureGate } from "./leadership/feature-gate.js";
+import { maxClockDrift } from "./leadership/leadership.js";
 import { PlacementCycle } from "./placement/placement-cycle.js";
-import { TeamAdmission } from "./placement/quota-admission.js";
-import type { TimePort } from "./ports/clock.js";
-import type { CloudPort } from "./ports/cloud.js";
+import { QuotaAdmission } from "./placement/quota-admission.js";
+import type { Clock } from "./ports/clock.js";
+import type { CloudProvider } from "./ports/cloud.js";
 import type { Log } from "./ports/log.js";
-import type { PeerPort } from "./ports/peers.js";
-import type { StorePort } from "./ports/store.js";
+import type { PeerMessenger } from "./ports/peers.js";
+import type { KeyValueStore } from "./ports/store.js";
 import type { LeaderQuotaPort, TeamQuotaPort } from "./ports/team-quota.js";
-import type { WorkerPort } from "./ports/workers.js";
+import type { WorkerGateway } from "./ports/workers.js";
 import { PreemptionCycle } from "./preemption/preemption-cycle.js";
-import { SharedRecords, type SharedRecordsEnvironment } from "./replication/chunked-records.js";
-import { TickLateness } from "./runtime/tick-delay.js";
+import { ChunkedRecords, type ChunkedRecordsEnvironment } from "./replication/chunked-records.js";
+import { TickDelay } from "./runtime/tick-delay.js";
 import { ClusterState } from "./state/cluster-state.js";
-import { OrderSender } from "./workers/direct-command-sender.js";
-import { TaskOutcomes } from "./workers/fault-attribution.js";
-import { MachineReports } from "./workers/heartbeat-service.js";
-import { MachineWatch } from "./workers/lease-monitor.js";
-import { UnwantedTasks } from "./workers/orphan-cleanup.js";
+import { DirectCommandSender } from "./workers/direct-command-sender.js";
+import { FaultAttribution } from "./workers/fault-attribution.js";
+import { HeartbeatService } from "./workers/heartbeat-service.js";
+import { LeaseMonitor } from "./workers/lease-monitor.js";
+import { OrphanCleanup } from "./workers/orphan-cleanup.js";
 
 export interface LeaderPorts {
-	store: StorePort;
-	cloud: CloudPort;
-	workers: WorkerPort;
-	peers: PeerPort;
-	time: TimePort;
+	store: KeyValueStore;
+	cloud: CloudProvider;
+	workers: WorkerGateway;
+	peers: PeerMessenger;
+	time: Clock;
 	log: Log;
 	post(command: () => void): void;
 	random: RandomGenerator;
@@ -61,7 +61,7 @@
 	self: string;
 	platform: PlatformSettings;
 	settings: OperatorSettings;
-	storeCopy: StoreCopy;
+	storeCopy: StoreReplica;
 	types: MachineType[];
 	ports: LeaderPorts;
 	/** This process may act for the controllers now. */
@@ -95,23 +95,23 @@
 	readonly clusterState: ClusterState;
 	private readonly term: number;
 	private readonly platform: PlatformSettings;
-	private readonly storeCopy: StoreCopy;
+	private readonly storeCopy: StoreReplica;
 	private readonly ports: LeaderPorts;
 	private readonly fleet: Fleet;
-	private readonly reports: MachineReports;
-	private readonly orders: OrderSender;
+	private readonly reports: HeartbeatService;
+	private readonly orders: DirectCommandSender;
 	private readonly completion: JobCompletion;
 	private readonly relocation: ReplicaRelocation;
 	private readonly preemption: PreemptionCycle;
 	private readonly placement: PlacementCycle;
-	private readonly peerMonitor: PeerMonitor;
-	private readonly takeover: Takeover;
-	private readonly lateness: TickLateness;
-	private readonly watch: MachineWatch;
-	private readonly machineRecords: SharedRecords<StoredMachineRecord>;
-	private readonly featureRecord: FeatureRecord;
+	private readonly peerMonitor: FailureDetector;
+	private readonly takeover: Failover;
+	private readonly lateness: TickDelay;
+	private readonly watch: LeaseMonitor;
+	private readonly machineRecords: ChunkedRecords<StoredMachineRecord>;
+	private readonly featureRecord: FeatureGate;
 	private readonly leaderQuota: LeaderQuotaPort | null;
-	private readonly teamAdmission: TeamAdmission | null;
+	private readonly teamAdmission: QuotaAdmission | null;
 	private readonly beganAt: number;
 	private ended = false;
 	private nextAudit = 0;
@@ -124,9 +124,9 @@
 		this.storeCopy = options.storeCopy;
 		this.ports = ports;
 		this.beganAt = ports.time.now();
-		this.lateness = new TickLateness(tickMs, this.beganAt);
+		this.lateness = new TickDelay(tickMs, this.beganAt);
 		const leaseMs = cluster.workers.lease_s * 1000;
-		const certainMs = leaseMs * (1 + 2 * drift) + expiryMarginMs;
+		const certainMs = leaseMs * (1 + 2 * maxClockDrift) + expiryMarginMs;
 		const types = new Map(options.types.map((type) => [type.name, type]));
 		this.clusterState = new ClusterState(term, cluster.teams, types, certainMs, (job) =>
 			this.storeCopy.demandOf(job),
@@ -135,17 +135,17 @@
 		const { time, log, post } = ports;
 		const active = () => this.active;
 		const ordersInFlight = Math.max(leastOrdersInFlight, cluster.resources.fd_limit * orderSocketsPart);
-		this.watch = new MachineWatch(clusterState, this.beganAt, log);
-		this.orders = new OrderSender(term, Math.floor(ordersInFlight), ports.workers, active, post, log);
-		const outcomes = new TaskOutcomes(clusterState, settings.machines.faulty_after, log);
-		const unwanted = new UnwantedTasks(clusterState, ports.store, time, this.orders, {
+		this.watch = new LeaseMonitor(clusterState, this.beganAt, log);
+		this.orders = new DirectCommandSender(term, Math.floor(ordersInFlight), ports.workers, active, post, log);
+		const outcomes = new FaultAttribution(clusterState, settings.machines.faulty_after, log);
+		const unwanted = new OrphanCleanup(clusterState, ports.store, time, this.orders, {
 			post,
 			active,
-			learned: (job, final, revision) => this.storeCopy.recordTerminal(job, final, revision),
+			learned: (job, final, revision) => this.storeCopy.recordFinal(job, final, revision),
 		});
 		this.relocation = new ReplicaRelocation(clusterState, this.orders, log);
 		this.leaderQuota = options.teamQuota?.lead(term) ?? null;
-		this.peerMonitor = new PeerMonitor({
+		this.peerMonitor = new FailureDetector({
 			term,
 			beganAt: this.beganAt,
 			platform,
@@ -183,14 +183,14 @@
 			cloud: ports.cloud,
 			time,
 			settings,
-			objectives: startObjectives(cluster.objectives),
+			objectives: startTimeObjectives(cluster.objectives),
 			listLagMs: cluster.cloud.list_lag_s * 1000,
 			leaseMs,
 			requestPrefix: options.requestPrefix,
 			hooks: { post, authority: active, gone: (machine) => this.machineGone(machine) },
 			log,
 		});
-		this.takeover = new Takeover(
+		this.takeover = new Failover(
 			clusterState,
 			ports.workers,
 			this.beganAt,
@@ -198,14 +198,14 @@
 				post,
 				active,
 				ended: () => this.ended,
-				apply: (report) => this.reports.apply(report),
+				apply: (heartbeat) => this.reports.apply(heartbeat),
 				unlisted: (id) => this.fleet.unlisted(id),
 			},
 			log,
 		);
-		this.featureRecord = new FeatureRecord(this.leaderCondition(), ports.store, time, post);
+		this.featureRecord = new FeatureGate(this.leaderCondition(), ports.store, time, post);
 		const records = this.recordsEnvironment();
-		this.machineRecords = new SharedRecords({
+		this.machineRecords = new ChunkedRecords({
 			...records,
 			prefix: keys.machines,
 			confirmed: (entries) => this.machinesDurable(entries.keys()),
@@ -222,12 +222,12 @@
 			jobs: () => clusterState.jobs.values(),
 			jobOf: (id) => clusterState.jobs.get(id),
 			finished: (job, final, revision) => {
-				this.storeCopy.applyOwn(keys.final(job.id), encodeFinalRecord(final), revision);
+				this.storeCopy.applyOwnWrite(keys.final(job.id), encodeFinalRecord(final), revision);
 				this.jobEnded(job.id);
 			},
 			lostKey: () => this.lostKey(),
 		});
-		this.reports = new MachineReports({
+		this.reports = new HeartbeatService({
 			term,
 			reportS: cluster.workers.report_s,
 			clusterState,
@@ -246,11 +246,11 @@
 		this.rebuild();
 	}
 
-	private makeAdmission(): TeamAdmission | null {
+	private makeAdmission(): QuotaAdmission | null {
 		const { options, leaderQuota, clusterState, peerMonitor, orders } = this;
 		if (!options.teamQuota || !leaderQuota) return null;
 		const { node, others } = this.platform;
-		return new TeamAdmission({
+		return new QuotaAdmission({
 			quota: options.teamQuota,
 			leaderQuota,
 			clusterState,
@@ -277,7 +277,7 @@
 		return { key: keys.leader, revision: this.term };
 	}
 
-	private recordsEnvironment(): SharedRecordsEnvironment {
+	private recordsEnvironment(): ChunkedRecordsEnvironment {
 		const { store, time, log, post } = this.ports;
 		const { value_kb, txn_ops } = this.platform.cluster.state;
 		return {
@@ -344,8 +344,8 @@
 	// --- reports ---
 
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
-		return this.reports.report(report);
+	handleHeartbeat(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
+		return this.reports.handle(report);
 	}
 
 	/** Prices move, and types may come and go. */
@@ -354,8 +354,8 @@
 	}
 
 	/** Who receives the machine's reports: another controller, or null for this one. */
-	relayFor(id: string): string | null {
-		return this.peerMonitor.relayFor(id, this.ports.time.now());
+	forwarderFor(id: string): string | null {
+		return this.peerMonitor.forwarderFor(id, this.ports.time.now());
 	}
 
 	// --- machines ---
@@ -442,8 +442,8 @@
 		if (!this.active) return;
 		const now = this.ports.time.now();
 		this.lateness.observe(now);
-		this.takeover.tick(now, this.lateness.busy);
-		this.watch.tick(now, this.lateness.busy);
+		this.takeover.tick(now, this.lateness.overloaded);
+		this.watch.tick(now, this.lateness.overloaded);
 		this.fleet.tick();
 		this.machineRecords.flush();
 		this.completion.tick(now);
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -1,7 +1,7 @@
 import { Machine, unknownType } from "../../bookkeeping/machine.js";
 import type { WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { Log } from "../ports/log.js";
-import type { WorkerPort } from "../ports/workers.js";
+import type { WorkerGateway } from "../ports/workers.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
 /**
@@ -33,7 +33,7 @@
 }
 
 /** Hears every machine of the leader before, or gives it up. */
-export class Takeover {
+export class Failover {
 	private readonly probes: Probe[] = [];
 	/** Stands for machines whose records cannot be read, until their leases have run out. */
 	private unreadable: Machine | null = null;
@@ -42,7 +42,7 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly workers: WorkerPort,
+		private readonly workers: WorkerGateway,
 		private readonly beganAt: number,
 		private readonly hooks: TakeoverHooks,
 		private readonly log: Log,
@@ -95,7 +95,7 @@
 
 	private probe({ machine, session, tries }: Probe): void {
 		if (!this.hooks.active()) return;
-		this.workers.command(machine.endpoint, this.clusterState.term, session, []).then(
+		this.workers.sendCommands(machine.endpoint, this.clusterState.term, session, []).then(
 			({ executed, report }) =>
 				this.hooks.post(() => {
 					if (!this.clusterState.awaited.has(machine) || this.hooks.ended()) return;
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -2,8 +2,8 @@
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
 import type { PlatformSettings } from "../../protocol/settings/platform.js";
 import type { Log } from "../ports/log.js";
-import type { PeerPort } from "../ports/peers.js";
-import { placerOf } from "../sharding/rendezvous-hash.js";
+import type { PeerMessenger } from "../ports/peers.js";
+import { ownerOf } from "../sharding/rendezvous-hash.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
 /** So long after a takeover workers still come from elsewhere. */
@@ -23,7 +23,7 @@
 	platform: PlatformSettings;
 	settings: OperatorSettings;
 	clusterState: ClusterState;
-	peers: PeerPort;
+	peers: PeerMessenger;
 	/** Team quota's message to a controller; undefined: none. */
 	quotaTerms(node: string): unknown;
 	/** The state service answers this node. */
@@ -33,7 +33,7 @@
 }
 
 /** Who is there for a leader: which other controllers, and whether workers reach it. */
-export class PeerMonitor {
+export class FailureDetector {
 	private readonly heardFrom = new Map<string, number>();
 	/** Machines that turned to other controllers, by controller. */
 	private readonly redirected = new Map<string, { at: number; count: number }>();
@@ -53,7 +53,7 @@
 	private readonly term: number;
 	private readonly platform: PlatformSettings;
 	private readonly clusterState: ClusterState;
-	private readonly peers: PeerPort;
+	private readonly peers: PeerMessenger;
 	private readonly log: Log;
 
 	constructor(private readonly options: PeerMonitorOptions) {
@@ -144,13 +144,13 @@
 	 * come that receiving them would take most of this process's share, the others do it. One
 	 * that comes back after it was sent away does not reach its relay and stays for a while.
 	 */
-	relayFor(id: string, now: number): string | null {
+	forwarderFor(id: string, now: number): string | null {
 		if (!this.relaying || !this.clusterState.rebuilt) return null;
 		const machine = this.clusterState.machines.get(id);
 		if (!machine || now - machine.redirectedAt < redirectPauseMs) return null;
 		const relays: string[] = [];
 		for (const [node, { at }] of this.redirected) if (now - at < relaySilentMs) relays.push(node);
-		const relay = placerOf(id, relays);
+		const relay = ownerOf(id, relays);
 		if (relay !== null) machine.redirectedAt = now;
 		return relay;
 	}
--- a/src/coordination/leadership/feature-gate.ts
+++ b/src/coordination/leadership/feature-gate.ts
@@ -1,8 +1,8 @@
 import type { StoreCondition } from "../../protocol/http/store-api.js";
 import { keys } from "../../protocol/records/keys.js";
 import { encodeFeatures, type FeatureSet } from "../../protocol/records/singleton-records.js";
-import type { TimePort } from "../ports/clock.js";
-import type { StorePort } from "../ports/store.js";
+import type { Clock } from "../ports/clock.js";
+import type { KeyValueStore } from "../ports/store.js";
 
 const retryMs = 1000;
 
@@ -10,13 +10,13 @@
  * Writes to the store, once and for good, what every controller has said it serves. Until then no
  * standing job is accepted: a controller that does not know them would run their replicas to an end.
  */
-export class FeatureRecord {
+export class FeatureGate {
 	private writing = false;
 
 	constructor(
 		private readonly leaderCondition: StoreCondition,
-		private readonly store: StorePort,
-		private readonly time: TimePort,
+		private readonly store: KeyValueStore,
+		private readonly time: Clock,
 		private readonly post: (command: () => void) => void,
 	) {}
 
@@ -33,7 +33,7 @@
 		});
 		const done = () => this.post(() => (this.writing = false));
 		this.store
-			.transact([this.leaderCondition], [{ put: keys.features, value }], "normal")
+			.compareAndSwap([this.leaderCondition], [{ put: keys.features, value }], "normal")
 			.then(done, () => this.time.after(retryMs, done));
 	}
 }
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -7,10 +7,10 @@
 } from "../../protocol/peer/messages.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { LeaderRecord } from "../../protocol/records/singleton-records.js";
-import { CallFailed } from "../ports/call-error.js";
-import type { TimePort } from "../ports/clock.js";
+import { CallError } from "../ports/call-error.js";
+import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
-import type { StorePort } from "../ports/store.js";
+import type { KeyValueStore } from "../ports/store.js";
 
 export interface LeadershipSettings {
 	ttlMs: number;
@@ -20,7 +20,7 @@
 }
 
 /** Two steady clocks drift apart by at most this part. */
-export const drift = 0.001;
+export const maxClockDrift = 0.001;
 /** A put sent without an answer may be applied minutes late. */
 const uncertainMs = 5 * 60_000;
 /** Changes of the store are known within this, as long as it answers. */
@@ -80,8 +80,8 @@
 		private readonly node: string,
 		readonly incarnation: string,
 		private readonly settings: LeadershipSettings,
-		private readonly store: StorePort,
-		private readonly time: TimePort,
+		private readonly store: KeyValueStore,
+		private readonly time: Clock,
 		private readonly post: (command: () => void) => void,
 		private readonly hooks: {
 			won(term: number): void;
@@ -99,7 +99,7 @@
 		private readonly log: Log,
 		private readonly jitter: () => number,
 	) {
-		this.promisedUntil = time.now() + this.promiseMs * (1 + drift);
+		this.promisedUntil = time.now() + this.promiseMs * (1 + maxClockDrift);
 	}
 
 	private get promiseMs(): number {
@@ -181,7 +181,7 @@
 
 	/** The end of a promise that was asked for at the time given, as its receiver counts. */
 	private promiseEnd(sentAt: number): number {
-		return sentAt + this.promiseMs * (1 - drift) - this.settings.marginMs;
+		return sentAt + this.promiseMs * (1 - maxClockDrift) - this.settings.marginMs;
 	}
 
 	private promised(from: string, message: LeaseExtensionVote, now: number): void {
@@ -212,8 +212,8 @@
 			() => {},
 			(error) =>
 				this.post(() => {
-					if (!(error instanceof CallFailed) || error.status !== 503 || !may()) return;
-					const until = this.time.now() + this.promiseMs * (1 + drift);
+					if (!(error instanceof CallError) || error.status !== 503 || !may()) return;
+					const until = this.time.now() + this.promiseMs * (1 + maxClockDrift);
 					this.promisedUntil = Math.max(this.promisedUntil, until);
 					this.startHold = false;
 					const cancelled = known === undefined ? null : this.hooks.cancelledSince(known);
@@ -249,7 +249,7 @@
 	}
 
 	private validFrom(sentAt: number): number {
-		return sentAt + this.settings.ttlMs * (1 - drift) - this.settings.marginMs;
+		return sentAt + this.settings.ttlMs * (1 - maxClockDrift) - this.settings.marginMs;
 	}
 
 	/** Called often, in the queue. */
@@ -284,7 +284,7 @@
 		this.unchallengedUntil = -Infinity;
 		// Long enough for another to take over, also where this node resigns because it is in the way.
 		this.nextCampaign = this.time.now() + this.settings.ttlMs + this.jitter() * 200;
-		if (lease !== null) this.store.endLease(lease).catch(() => {});
+		if (lease !== null) this.store.revokeLease(lease).catch(() => {});
 		this.hooks.lost(term, why);
 	}
 
@@ -307,7 +307,7 @@
 					this.renewing = false;
 					this.nextRenewal = this.time.now() + Math.min(150, this.settings.ttlMs / 10) * (1 + this.jitter());
 					if (this.lease !== lease) return;
-					if (error instanceof CallFailed && error.status === 404) this.resign("lease ended");
+					if (error instanceof CallError && error.status === 404) this.resign("lease ended");
 					else this.log.debug({ err: String(error) }, "renewal failed");
 				}),
 		);
@@ -346,19 +346,19 @@
 		const lease = await this.store.grantLease(this.settings.ttlMs);
 		const value: LeaderRecord = { node: this.node, incarnation: `${this.incarnation}.${sentAt.toFixed(3)}` };
 		try {
-			const result = await this.store.transact(
+			const result = await this.store.compareAndSwap(
 				[{ key: keys.leader, revision: expected }],
 				[{ put: keys.leader, value, leaseId: lease }],
-				"first",
+				"user",
 			);
-			if (result.ok) return { term: result.epoch, lease };
+			if (result.swapped) return { term: result.revision, lease };
 		} catch (error) {
 			// No answer says nothing about the put: read the key back, never assume.
-			if (error instanceof CallFailed && error.kind === "unknown") {
+			if (error instanceof CallError && error.outcome === "unknown") {
 				this.uncertainUntil = this.time.now() + uncertainMs;
 			}
-			if (!(error instanceof CallFailed) || error.kind !== "unknown") {
-				this.store.endLease(lease).catch(() => {});
+			if (!(error instanceof CallError) || error.outcome !== "unknown") {
+				this.store.revokeLease(lease).catch(() => {});
 				throw error;
 			}
 			const { row } = await this.store.read(keys.leader);
@@ -366,7 +366,7 @@
 			if (row && record?.incarnation === value.incarnation) return { term: row.revision, lease };
 		}
 		// Ending the lease makes sure that a late copy of the put finds no lease to attach to.
-		this.store.endLease(lease).catch(() => {});
+		this.store.revokeLease(lease).catch(() => {});
 		return null;
 	}
 }
--- a/src/coordination/leadership/peer-channel.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -3,18 +3,18 @@
  * and checked when they are received.
  */
 
-import { MalformedMessageError } from "../../protocol/checks.js";
+import { MalformedMessageError } from "../../protocol/errors.js";
 import type { NodeId } from "../../protocol/model/identifiers.js";
 import { claimedKind, decodePeerMessage, encodePeerMessage } from "../../protocol/peer/codec.js";
 import type { PeerMessage } from "../../protocol/peer/messages.js";
 import type { Log } from "../ports/log.js";
-import type { PeerPort, PeerTransport } from "../ports/peers.js";
+import type { PeerMessenger, PeerTransport } from "../ports/peers.js";
 
 /** Beyond this many senders and kinds of malformed messages, further ones are logged each time. */
 const maxMalformedSources = 200;
 
 /** Sends messages to other controllers and reads theirs. */
-export class PeerChannel implements PeerPort {
+export class PeerChannel implements PeerMessenger {
 	private readonly malformedSources = new Set<string>();
 
 	constructor(
--- a/src/coordination/placement/admitted-placement.ts
+++ b/src/coordination/placement/admitted-placement.ts
@@ -8,7 +8,7 @@
  * Places what this controller can admit against its own allotments: admitted first, so that no place
  * is proposed that the team may not use, and given back where no machine has room.
  */
-export function placeAdmitted(
+export function placeWithinAllotments(
 	quota: TeamQuotaPort,
 	machines: MachineCapacity[],
 	grants: Grant[],
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -18,7 +18,11 @@
 }
 
 /** Tasks of the job that the machines could take, whatever else may want the same room. */
-export function placeable(spec: JobSpec, zones: Record<string, number>, machines: MachineCapacity[]): number {
+export function placeableTasks(
+	spec: JobSpec,
+	zones: Record<string, number>,
+	machines: MachineCapacity[],
+): number {
 	const byZone = new Map<string, number>();
 	for (const m of machines) {
 		const n = fits(spec, m);
@@ -35,7 +39,7 @@
 }
 
 /** With very many machines a sample stands for them. */
-export function sampled<T>(all: T[], most: number, random: RandomGenerator): T[] {
+export function sampleOf<T>(all: T[], most: number, random: RandomGenerator): T[] {
 	if (all.length <= most) return all;
 	const pool = all.slice();
 	for (let i = 0; i < most; i++) {
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -1,7 +1,7 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Grant, MachineCapacity } from "../../protocol/peer/messages.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import { placeable } from "./first-fit.js";
+import { placeableTasks } from "./first-fit.js";
 import { starved } from "./job-order.js";
 
 /** So long a job keeps off machines on which it failed, and off types that do not suit it. */
@@ -94,7 +94,7 @@
 		const key = zoneRule ? job.id : job.demandKey;
 		let count = this.usable.get(key);
 		if (count === undefined) {
-			count = placeable(spec, zoneRule ? this.clusterState.zonesOf(job) : {}, this.views);
+			count = placeableTasks(spec, zoneRule ? this.clusterState.zonesOf(job) : {}, this.views);
 			this.usable.set(key, count);
 		}
 		return count;
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -40,7 +40,7 @@
  * Only what has nowhere to start at all is served, one task for each job: the rest of it follows in
  * the order of service.
  */
-export class ReservedMachines {
+export class MachineReservations {
 	private nextLookAt = 0;
 	private readonly reservations = new Map<Job, Reservation>();
 
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -2,18 +2,18 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { Grant, MachineCapacity, Placement, PlacementProposal } from "../../protocol/peer/messages.js";
-import type { PeerMonitor } from "../leadership/failure-detector.js";
-import type { TimePort } from "../ports/clock.js";
+import type { FailureDetector } from "../leadership/failure-detector.js";
+import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
-import type { PeerPort } from "../ports/peers.js";
+import type { PeerMessenger } from "../ports/peers.js";
 import type { LeaderQuotaPort } from "../ports/team-quota.js";
-import { placerOf } from "../sharding/rendezvous-hash.js";
+import { ownerOf } from "../sharding/rendezvous-hash.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import { placeFirstFit, sampled } from "./first-fit.js";
+import { placeFirstFit, sampleOf } from "./first-fit.js";
 import { grantsFor, type TeamGrant } from "./grants.js";
 import { servingOrder } from "./job-order.js";
-import { ReservedMachines } from "./machine-reservations.js";
-import type { TeamAdmission } from "./quota-admission.js";
+import { MachineReservations } from "./machine-reservations.js";
+import type { QuotaAdmission } from "./quota-admission.js";
 
 /** A job that its placer does not know is placed by the leader for so long. */
 const placedHereMs = 5000;
@@ -31,9 +31,9 @@
 	/** This node. */
 	self: string;
 	clusterState: ClusterState;
-	peerMonitor: PeerMonitor;
-	peers: PeerPort;
-	time: TimePort;
+	peerMonitor: FailureDetector;
+	peers: PeerMessenger;
+	time: Clock;
 	random: RandomGenerator;
 	log: Log;
 	/** Least time between cycles, silence after which a placer is given up, machines in a view. */
@@ -43,7 +43,7 @@
 	/** Most remaining seconds that a task is counted for. */
 	capS: number;
 	/** Team quota, where it is in use. */
-	quota: { admission: TeamAdmission; leaderQuota: LeaderQuotaPort } | null;
+	quota: { admission: QuotaAdmission; leaderQuota: LeaderQuotaPort } | null;
 	/** A start was decided; it goes out with the answer to the machine's report. */
 	decided(attempt: Attempt): void;
 }
@@ -55,16 +55,16 @@
 export class PlacementCycle {
 	private readonly clusterState: ClusterState;
 	private readonly outstanding = new Map<string, Outstanding>();
-	private readonly reserved: ReservedMachines;
+	private readonly reserved: MachineReservations;
 	private cycle = 0;
 	private nextAt = 0;
 
 	constructor(private readonly options: PlacementOptions) {
 		this.clusterState = options.clusterState;
-		this.reserved = new ReservedMachines(
+		this.reserved = new MachineReservations(
 			options.clusterState,
 			options.capS,
-			(machines, most) => sampled(machines, most, options.random),
+			(machines, most) => sampleOf(machines, most, options.random),
 			options.log,
 		);
 	}
@@ -132,7 +132,7 @@
 		const { self, quota } = this.options;
 		const here = job.placedHereUntil > now;
 		if (here && (!quota?.admission.on || quota.admission.mayPlaceHere(job))) return self;
-		const preferred = placerOf(job.spec.team, live) ?? self;
+		const preferred = ownerOf(job.spec.team, live) ?? self;
 		return quota?.admission.on ? quota.admission.placerFor(job, preferred, live) : preferred;
 	}
 
@@ -149,9 +149,9 @@
 		const open = [...this.clusterState.machines.values()].filter(
 			(m) => m.schedulable && m.freeCpus > 0 && m.reservedFor === null,
 		);
-		return sampled(open, this.options.sample, this.options.random)
+		return sampleOf(open, this.options.sample, this.options.random)
 			.sort((a, b) => pricePerCpu(a) - pricePerCpu(b) || b.freeCpus - a.freeCpus)
-			.map(viewOf);
+			.map(capacityOf);
 	}
 
 	private grants(views: MachineCapacity[], now: number): TeamGrant[] {
@@ -244,7 +244,7 @@
 	return machine.hourlyPrice / machine.type.cpus;
 }
 
-export function viewOf(machine: Machine): MachineCapacity {
+export function capacityOf(machine: Machine): MachineCapacity {
 	return {
 		id: machine.id,
 		type: machine.type.name,
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -1,21 +1,21 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
-import type { PeerMonitor } from "../leadership/failure-detector.js";
+import type { FailureDetector } from "../leadership/failure-detector.js";
 import type { Log } from "../ports/log.js";
 import type { LeaderQuotaPort, TeamQuotaPort } from "../ports/team-quota.js";
-import { placerOf } from "../sharding/rendezvous-hash.js";
+import { ownerOf } from "../sharding/rendezvous-hash.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { OrderSender } from "../workers/direct-command-sender.js";
+import type { DirectCommandSender } from "../workers/direct-command-sender.js";
 
 const limitsEveryMs = 500;
 const scrubEveryMs = 10_000;
 
-export interface TeamAdmissionOptions {
+export interface QuotaAdmissionOptions {
 	quota: TeamQuotaPort;
 	leaderQuota: LeaderQuotaPort;
 	clusterState: ClusterState;
-	peerMonitor: PeerMonitor;
-	orders: OrderSender;
+	peerMonitor: FailureDetector;
+	orders: DirectCommandSender;
 	/** Every node of the cluster. */
 	nodes: readonly string[];
 	/** What runs above a lowered limit is stopped after this; 0: never. */
@@ -30,7 +30,7 @@
  * admits itself, and what a lowered limit stops. Until every controller takes part the leader's own
  * check of limits stands alone.
  */
-export class TeamAdmission {
+export class QuotaAdmission {
 	private started = false;
 	/** Controllers that place, as of the last change. */
 	private placers: readonly string[] = [];
@@ -41,7 +41,7 @@
 	/** Steady time since which a team has run above a lower limit. */
 	private readonly excessSince = new Map<string, number>();
 
-	constructor(private readonly options: TeamAdmissionOptions) {}
+	constructor(private readonly options: QuotaAdmissionOptions) {}
 
 	/** Whether starts need an allotment. */
 	get on(): boolean {
@@ -85,7 +85,7 @@
 		if (live.join() === this.placers.join()) return;
 		this.placers = live;
 		for (const team of clusterState.quotas.names)
-			leaderQuota.prefer(team, placerOf(team, live) ?? leaderQuota.self, nodes);
+			leaderQuota.prefer(team, ownerOf(team, live) ?? leaderQuota.self, nodes);
 	}
 
 	/** Who can admit a task of the job now: its team's placer, or another that still holds an allotment. */
@@ -115,7 +115,7 @@
 	/** What this node places for a team anyway is not asked for apart. */
 	private need(job: Job, tasks: number): void {
 		const { leaderQuota } = this.options;
-		if (placerOf(job.spec.team, this.placers) !== leaderQuota.self)
+		if (ownerOf(job.spec.team, this.placers) !== leaderQuota.self)
 			leaderQuota.need(taskDemandOf(job.spec), tasks);
 	}
 
--- a/src/coordination/ports/clock.ts
+++ b/src/coordination/ports/clock.ts
@@ -1,6 +1,17 @@
-/** Steady time in milliseconds, the time of day, and timers. */
-export interface TimePort {
+/** What coordination needs of time. */
+
+/** A timer that has not run yet. */
+export interface Timer {
+	/** The timer does not run any more. */
+	cancel(): void;
+}
+
+/** The clocks and timers of a process. */
+export interface Clock {
+	/** Steady time in milliseconds. All safety decisions use this clock. */
 	now(): number;
+	/** Time of day, for people and for the order of jobs; no safety decision uses it. */
 	date(): Date;
-	after(ms: number, run: () => void): { cancel(): void };
+	/** Runs the action once after that many milliseconds. */
+	after(ms: number, run: () => void): Timer;
 }
--- a/src/coordination/ports/peers.ts
+++ b/src/coordination/ports/peers.ts
@@ -4,7 +4,7 @@
 import type { PeerMessage } from "../../protocol/peer/messages.js";
 
 /** Messages to other controllers. */
-export interface PeerPort {
+export interface PeerMessenger {
 	/** Best effort: a message to a controller that cannot be reached is dropped. */
 	send(node: NodeId, message: PeerMessage): void;
 }
--- a/src/coordination/ports/team-quota.ts
+++ b/src/coordination/ports/team-quota.ts
@@ -1,4 +1,4 @@
-import type { TeamCharge, TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import type { QuotaCharge, TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import type { TaskDemand } from "../../protocol/model/job.js";
 /**
  * Team quota: limits divided among the controllers. What controllers tell each other of it is passed
@@ -25,10 +25,10 @@
 	/** This node, which holds allotments like any other. */
 	readonly self: string;
 	mayStart(demand: TaskDemand, admittedBy: string): boolean;
-	charge(demand: TaskDemand, admittedBy: string): TeamCharge;
+	charge(demand: TaskDemand, admittedBy: string): QuotaCharge;
 	/** Of a task that was found running: nobody knows who admitted it. */
-	chargeFound(demand: TaskDemand): TeamCharge;
-	release(charge: TeamCharge): void;
+	chargeFound(demand: TaskDemand): QuotaCharge;
+	release(charge: QuotaCharge): void;
 }
 /** The leader's side of team quota, for one term. */
 export interface LeaderQuotaPort extends AdmissionControl {
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -1,9 +1,9 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Job } from "../../bookkeeping/job.js";
-import { sampled } from "../placement/first-fit.js";
+import { sampleOf } from "../placement/first-fit.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { OrderSender } from "../workers/direct-command-sender.js";
+import type { DirectCommandSender } from "../workers/direct-command-sender.js";
 import { chooseVictims } from "./preemption-planner.js";
 
 const everyMs = 500;
@@ -18,7 +18,7 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly orders: OrderSender,
+		private readonly orders: DirectCommandSender,
 		private readonly inOrder: (jobs: Job[]) => Job[],
 		private readonly random: RandomGenerator,
 		private readonly log: Log,
@@ -31,7 +31,7 @@
 		const waiting = [...this.clusterState.jobs.values()].filter((job) => mayPreempt(job, now));
 		if (waiting.length === 0) return;
 		const victims = chooseVictims(this.clusterState, this.inOrder(waiting), now, (machines, most) =>
-			sampled(machines, most, this.random),
+			sampleOf(machines, most, this.random),
 		);
 		if (victims.length === 0) return;
 		for (const victim of victims) {
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -79,7 +79,7 @@
  * is found: with a backlog of hundreds of jobs a search of all machines for each task
  * would take longer than there is between two passes.
  */
-class Pass {
+class PreemptionRound {
 	readonly victims = new Set<Attempt>();
 	/** Cores by team that victims, and what was stopped before, will free, less what is promised. */
 	private readonly freed = new Map<string, number>();
@@ -291,7 +291,7 @@
 	now: number,
 	sample: (machines: Machine[], most: number) => Machine[] = (machines) => machines,
 ): Attempt[] {
-	const pass = new Pass(clusterState, now, (machines) => sample(machines, planSample));
+	const pass = new PreemptionRound(clusterState, now, (machines) => sample(machines, planSample));
 	const mostPerPass = Math.max(leastPerPass, Math.ceil(clusterState.machines.size * perMachineAndPass));
 	const soonFree = placesSoonFree(clusterState);
 	for (const job of waiting) {
--- a/src/coordination/replication/chunked-records.ts
+++ b/src/coordination/replication/chunked-records.ts
@@ -1,9 +1,9 @@
 import type { StoreChange, StoreCondition } from "../../protocol/http/store-api.js";
 import type { StoredChunk } from "../../protocol/records/chunk.js";
-import { CallFailed } from "../ports/call-error.js";
-import type { RateClass, StorePort } from "../ports/store.js";
+import { CallError } from "../ports/call-error.js";
+import type { KeyValueStore, WritePriority } from "../ports/store.js";
 
-interface SharedValue<V> {
+interface RecordChunk<V> {
 	readonly key: string;
 	/** Revision at which the store has it, as far as known; 0: it should not be there. */
 	revision: number;
@@ -14,7 +14,7 @@
 	/** Entries were taken out, which can wait. */
 	shrunk: boolean;
 	/** Larger than a value may be: its entries have gone to these, and once all are written it goes. */
-	parts: Set<SharedValue<V>> | null;
+	parts: Set<RecordChunk<V>> | null;
 	/** The value that its entries were in before, if that was split. */
 	splitFrom: string | null;
 	/** The store has said no to it as it is. */
@@ -23,17 +23,17 @@
 
 /** A value in a write that is on its way, with the entries that the write confirms. */
 interface Written<V> {
-	pack: SharedValue<V>;
+	pack: RecordChunk<V>;
 	fresh: Map<string, V>;
 }
 
 /** What all shared records of a term have in common. */
-export interface SharedRecordsEnvironment {
+export interface ChunkedRecordsEnvironment {
 	leaderCondition: StoreCondition;
 	/** Largest value that is written, and changes that one transaction may hold. */
 	mostBytes: number;
 	mostChanges: number;
-	store: StorePort;
+	store: KeyValueStore;
 	post(command: () => void): void;
 	now(): number;
 	/** The leader's key has changed hands. */
@@ -43,16 +43,16 @@
 	tooLarge(keys: string[], mostBytes: number): void;
 }
 
-export interface SharedRecordsOptions<V> extends SharedRecordsEnvironment {
+export interface ChunkedRecordsOptions<V> extends ChunkedRecordsEnvironment {
 	/** Begins the keys of the values. */
 	prefix: string;
-	pace: SharedRecordsPace;
+	pace: WritePace;
 	/** The store has confirmed these. */
 	confirmed(entries: Map<string, V>): void;
 }
 
-export interface SharedRecordsPace {
-	rateClass: RateClass;
+export interface WritePace {
+	rateClass: WritePriority;
 	/** Least time between writes, and how long what was taken out may stay. */
 	everyMs: number;
 	shrinkMs: number;
@@ -77,20 +77,20 @@
  * those are written: whoever reads at any moment finds every entry, the newer of two in
  * the value with the later revision.
  */
-export class SharedRecords<V> {
-	private readonly packs = new Map<string, SharedValue<V>>();
-	private readonly home = new Map<string, SharedValue<V>>();
+export class ChunkedRecords<V> {
+	private readonly packs = new Map<string, RecordChunk<V>>();
+	private readonly home = new Map<string, RecordChunk<V>>();
 	private writing = false;
 	private nextWrite = -Infinity;
 	private nextShrink = -Infinity;
 	private made = 0;
 
 	private readonly leaderCondition: StoreCondition;
-	private readonly pace: SharedRecordsPace;
+	private readonly pace: WritePace;
 	private mostBytes: number;
 	private mostChanges: number;
 
-	constructor(private readonly options: SharedRecordsOptions<V>) {
+	constructor(private readonly options: ChunkedRecordsOptions<V>) {
 		this.leaderCondition = options.leaderCondition;
 		this.pace = options.pace;
 		this.mostBytes = options.mostBytes;
@@ -130,17 +130,17 @@
 		pack.refused = false;
 	}
 
-	private another(): SharedValue<V> {
+	private another(): RecordChunk<V> {
 		return this.newPack(`${this.options.prefix}${this.leaderCondition.revision}-${++this.made}`, 0);
 	}
 
-	private partsOf(key: string): SharedValue<V>[] {
+	private partsOf(key: string): RecordChunk<V>[] {
 		return [...this.packs.values()].filter((pack) => pack.splitFrom === key);
 	}
 
 	/** Its entries go to new values, which are written like any other. */
-	private split(pack: SharedValue<V>): void {
-		const parts = new Set<SharedValue<V>>();
+	private split(pack: RecordChunk<V>): void {
+		const parts = new Set<RecordChunk<V>>();
 		let part = this.another();
 		for (const [name, value] of pack.entries) {
 			if (part.entries.size > 0 && part.bytes + sizeOf(name, value) > this.mostBytes) part = this.another();
@@ -168,8 +168,8 @@
 		pack.shrunk = true;
 	}
 
-	private newPack(key: string, revision: number): SharedValue<V> {
-		const pack: SharedValue<V> = {
+	private newPack(key: string, revision: number): RecordChunk<V> {
+		const pack: RecordChunk<V> = {
 			key,
 			revision,
 			entries: new Map(),
@@ -184,7 +184,7 @@
 		return pack;
 	}
 
-	private put(pack: SharedValue<V>, name: string, value: V): void {
+	private put(pack: RecordChunk<V>, name: string, value: V): void {
 		const old = pack.entries.get(name);
 		if (old !== undefined) pack.bytes -= sizeOf(name, old);
 		pack.entries.set(name, value);
@@ -197,7 +197,7 @@
 		const now = this.options.now();
 		if (this.writing || now < this.nextWrite) return;
 		const shrinkToo = now >= this.nextShrink;
-		const wants = (pack: SharedValue<V>) =>
+		const wants = (pack: RecordChunk<V>) =>
 			!pack.refused && (pack.fresh.size > 0 || (pack.shrunk && (shrinkToo || pack.revision === 0)));
 		for (const pack of [...this.packs.values()])
 			if (pack.bytes > this.mostBytes && pack.entries.size > 1 && wants(pack)) this.split(pack);
@@ -213,7 +213,7 @@
 	}
 
 	/** As many of them as one transaction may hold; what is set from now on is not in it. */
-	private firstOf(due: SharedValue<V>[]): Written<V>[] {
+	private firstOf(due: RecordChunk<V>[]): Written<V>[] {
 		const most = Math.min(mostPerWrite, this.mostChanges);
 		const written: Written<V>[] = [];
 		let bytes = 0;
@@ -228,7 +228,7 @@
 		return written;
 	}
 
-	private changeOf(pack: SharedValue<V>): StoreChange[] {
+	private changeOf(pack: RecordChunk<V>): StoreChange[] {
 		const value: StoredChunk<V> = { entries: Object.fromEntries(pack.entries) };
 		if (pack.entries.size > 0) return [{ put: pack.key, value }];
 		if (pack.revision > 0) return [{ delete: pack.key }];
@@ -242,11 +242,11 @@
 			this.leaderCondition,
 			...written.map(({ pack }) => ({ key: pack.key, revision: pack.revision })),
 		];
-		this.options.store.transact(conditions, changes, this.pace.rateClass).then(
+		this.options.store.compareAndSwap(conditions, changes, this.pace.rateClass).then(
 			(result) =>
 				this.options.post(() => {
-					if (result.ok) this.succeeded(changes, written, result.epoch);
-					else this.conflicted(written, result.failed);
+					if (result.swapped) this.succeeded(changes, written, result.revision);
+					else this.conflicted(written, result.conflicts);
 				}),
 			(error) => this.options.post(() => this.notWritten(written, error)),
 		);
@@ -273,7 +273,7 @@
 
 	private notWritten(written: Written<V>[], error: unknown): void {
 		this.writeAgain(written);
-		if (error instanceof CallFailed && error.status === 400) this.shrinkValues(written);
+		if (error instanceof CallError && error.status === 400) this.shrinkValues(written);
 		else this.options.failed(error);
 	}
 
@@ -288,13 +288,13 @@
 		}
 	}
 
-	private forget(pack: SharedValue<V>): void {
+	private forget(pack: RecordChunk<V>): void {
 		this.packs.delete(pack.key);
 		this.written(pack);
 	}
 
 	/** What was split into it, among others, need not keep its entries any more. */
-	private written(pack: SharedValue<V>): void {
+	private written(pack: RecordChunk<V>): void {
 		for (const other of this.packs.values()) other.parts?.delete(pack);
 	}
 
--- a/src/coordination/replication/replica-sync.ts
+++ b/src/coordination/replication/replica-sync.ts
@@ -1,9 +1,9 @@
-import type { StoreCopy } from "../../bookkeeping/store-replica.js";
+import type { StoreReplica } from "../../bookkeeping/store-replica.js";
 import { keys } from "../../protocol/records/keys.js";
-import { CallFailed } from "../ports/call-error.js";
-import type { TimePort } from "../ports/clock.js";
+import { CallError } from "../ports/call-error.js";
+import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
-import type { StorePort } from "../ports/store.js";
+import type { KeyValueStore } from "../ports/store.js";
 
 const watchMs = 2500;
 const watchPauseMs = 100;
@@ -24,7 +24,7 @@
  * all who wait at that moment. Silence of the long watch is never taken for
  * "nothing changed".
  */
-export class StoreSync {
+export class ReplicaSync {
 	private waiters: Waiter[] = [];
 	private fencing = false;
 	private stopped = false;
@@ -36,16 +36,16 @@
 	 * latest request whose answer covers it. The answer itself may be held up on its way, or
 	 * come while the process stands still.
 	 */
-	knownAt = -Infinity;
+	syncedAt = -Infinity;
 	private failedAt = -Infinity;
 	/** The process stood still until then: no silence counts from before. */
 	private awakeSince = -Infinity;
 	private doubtful = new Set<string>();
 
 	constructor(
-		private readonly storeCopy: StoreCopy,
-		private readonly store: StorePort,
-		private readonly time: TimePort,
+		private readonly storeCopy: StoreReplica,
+		private readonly store: KeyValueStore,
+		private readonly time: Clock,
 		private readonly post: (command: () => void) => void,
 		private readonly log: Log,
 	) {}
@@ -65,7 +65,7 @@
 		const sentAt = this.time.now();
 		const step = this.storeCopy.loaded
 			? // In silence, short calls find out soon that it has ended.
-				this.store.watch(keys.root, from, this.silent ? 0 : watchMs)
+				this.store.watch(keys.root, from, this.unresponsive ? 0 : watchMs)
 			: this.reload().then(() => null);
 		step.then(
 			(answer) =>
@@ -80,17 +80,17 @@
 				this.post(() => {
 					this.failedAt = this.time.now();
 					this.log.debug({ err: String(error) }, "watch failed");
-					if (error instanceof CallFailed && error.status === 410) this.storeCopy.loaded = false;
+					if (error instanceof CallError && error.status === 410) this.storeCopy.loaded = false;
 					this.time.after(200, () => this.watchOn());
 				}),
 		);
 	}
 
 	/** An answer covers everything after `from`; it must not leave a gap behind a reload. */
-	private take(from: number, answer: Awaited<ReturnType<StorePort["watch"]>>, sentAt: number): void {
+	private take(from: number, answer: Awaited<ReturnType<KeyValueStore["watch"]>>, sentAt: number): void {
 		if (!this.storeCopy.loaded || from > this.storeCopy.revision) return;
-		this.storeCopy.apply(answer.events, answer.epoch);
-		this.knownAt = Math.max(this.knownAt, sentAt);
+		this.storeCopy.apply(answer.events, answer.revision);
+		this.syncedAt = Math.max(this.syncedAt, sentAt);
 	}
 
 	private reload(): Promise<void> {
@@ -105,20 +105,20 @@
 		const beganAt = this.time.now();
 		// One after the other, machines last: a burst of calls would use up a starting node's share.
 		for (const prefix of [keys.singletons, keys.jobs, keys.progress, keys.machines])
-			parts.push(await this.store.rows(prefix));
+			parts.push(await this.store.readPrefix(prefix));
 		const rows = parts.flatMap((p) => p.rows);
-		const revision = Math.min(...parts.map((p) => p.epoch));
+		const revision = Math.min(...parts.map((p) => p.revision));
 		await new Promise<void>((resolve) =>
 			this.post(() => {
 				this.storeCopy.reset(rows, revision);
-				this.knownAt = Math.max(this.knownAt, beganAt);
+				this.syncedAt = Math.max(this.syncedAt, beganAt);
 				resolve();
 			}),
 		);
 	}
 
 	/** Nothing has been heard of the store for longer than a watch lasts, and calls fail. */
-	get silent(): boolean {
+	get unresponsive(): boolean {
 		const lastSignAt = Math.max(this.heardAt, this.awakeSince);
 		return this.time.now() - lastSignAt > silentMs && this.failedAt > this.heardAt;
 	}
@@ -129,8 +129,8 @@
 	}
 
 	/** Throws if a call to the store would only keep its user waiting. */
-	expectAnswer(): void {
-		if (this.silent) throw new CallFailed("refused", 0, "the state service is silent");
+	assertResponsive(): void {
+		if (this.unresponsive) throw new CallError("not executed", 0, "the state service is silent");
 	}
 
 	private compareLater(ms: number): void {
@@ -149,8 +149,8 @@
 	 */
 	private async compare(): Promise<boolean> {
 		if (!this.storeCopy.loaded) return false;
-		const { rows } = await this.store.rows(keys.jobs);
-		await this.fence();
+		const { rows } = await this.store.readPrefix(keys.jobs);
+		await this.readBarrier();
 		return new Promise((resolve) =>
 			this.post(() => {
 				const there = new Set(rows.map((row) => row.key.slice(keys.jobs.length)));
@@ -169,9 +169,9 @@
 	}
 
 	/** Resolves once the copy holds all that was in the store when this was called. */
-	fence(): Promise<void> {
+	readBarrier(): Promise<void> {
 		return new Promise((resolve, reject) => {
-			this.expectAnswer();
+			this.assertResponsive();
 			this.waiters.push({ resolve, reject });
 			if (this.fencing) return;
 			this.fencing = true;
@@ -188,7 +188,7 @@
 			else this.fencing = false;
 		};
 		if (!this.storeCopy.loaded) {
-			done((w) => w.reject(new CallFailed("refused", 0, "the local copy is not loaded")));
+			done((w) => w.reject(new CallError("not executed", 0, "the local copy is not loaded")));
 			return;
 		}
 		const from = this.storeCopy.revision;
@@ -203,7 +203,7 @@
 			(error) =>
 				this.post(() => {
 					this.failedAt = this.time.now();
-					if (error instanceof CallFailed && error.status === 410) this.storeCopy.loaded = false;
+					if (error instanceof CallError && error.status === 410) this.storeCopy.loaded = false;
 					done((w) => w.reject(error));
 				}),
 		);
--- a/src/coordination/runtime/pause-detector.ts
+++ b/src/coordination/runtime/pause-detector.ts
@@ -1,4 +1,4 @@
-import type { TimePort } from "../ports/clock.js";
+import type { Clock } from "../ports/clock.js";
 
 /** A process that is merely short of processor time handles its commands more often than this. */
 const shortestStallMs = 2000;
@@ -8,10 +8,10 @@
  * commands; the controller's own tick makes sure that there is one several times a second, so a
  * longer gap by the steady clock means that nothing of this process ran in between.
  */
-export class StallDetector {
+export class PauseDetector {
 	private lastSeenAt: number;
 
-	constructor(private readonly time: Pick<TimePort, "now">) {
+	constructor(private readonly time: Pick<Clock, "now">) {
 		this.lastSeenAt = time.now();
 	}
 
--- a/src/coordination/runtime/serial-executor.ts
+++ b/src/coordination/runtime/serial-executor.ts
@@ -4,7 +4,7 @@
  * Commands run in batches; work that a batch makes necessary, such as placing,
  * is done once after it.
  */
-export class CommandQueue {
+export class SerialExecutor {
 	private queue: (() => void)[] = [];
 	private scheduled = false;
 	private readonly beforeBatch: (() => void)[] = [];
@@ -31,7 +31,7 @@
 		this.schedule(() => this.drain());
 	}
 
-	ask<T>(command: () => T | Promise<T>): Promise<T> {
+	call<T>(command: () => T | Promise<T>): Promise<T> {
 		return new Promise<T>((resolve, reject) => {
 			this.post(() => {
 				try {
--- a/src/coordination/runtime/tick-delay.ts
+++ b/src/coordination/runtime/tick-delay.ts
@@ -4,7 +4,7 @@
 const latestWeight = 0.2;
 
 /** How late a process's regular ticks come, which tells whether it is short of processor time. */
-export class TickLateness {
+export class TickDelay {
 	private averageMs = 0;
 
 	constructor(
@@ -22,7 +22,7 @@
 		this.lastTickAt = now;
 	}
 
-	get busy(): boolean {
+	get overloaded(): boolean {
 		return this.averageMs > busyMs;
 	}
 }
--- a/src/coordination/sharding/rendezvous-hash.ts
+++ b/src/coordination/sharding/rendezvous-hash.ts
@@ -13,7 +13,7 @@
 }
 
 /** Rendezvous hashing: a team moves only when its own placer comes or goes. */
-export function placerOf(team: string, live: readonly string[]): string | null {
+export function ownerOf(team: string, live: readonly string[]): string | null {
 	let best: string | null = null;
 	let most = -1;
 	for (const node of live) {
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -2,7 +2,7 @@
 import { Job } from "../../bookkeeping/job.js";
 import type { Machine, UnwantedTask } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { Quotas, type TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import { QuotaLedger, type TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import { tasksPerPage } from "../../bookkeeping/task-set.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec, TaskDemand } from "../../protocol/model/job.js";
@@ -24,7 +24,7 @@
 export class ClusterState {
 	readonly jobs = new Map<string, Job>();
 	readonly machines = new Map<string, Machine>();
-	readonly quotas: Quotas;
+	readonly quotas: QuotaLedger;
 	private counter = 0;
 	/** Something has happened that may let a task start. */
 	placementDue = false;
@@ -46,7 +46,7 @@
 		/** What a task of a job that is over takes; null: not known. */
 		private readonly demandOf: (job: string) => TaskDemand | null = () => null,
 	) {
-		this.quotas = new Quotas(teams);
+		this.quotas = new QuotaLedger(teams);
 	}
 
 	get exhausted(): boolean {
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -2,8 +2,8 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { WorkerCommand } from "../../protocol/model/worker.js";
 import type { Log } from "../ports/log.js";
-import type { WorkerPort } from "../ports/workers.js";
-import { stopsFor } from "./heartbeat-reconciliation.js";
+import type { WorkerGateway } from "../ports/workers.js";
+import { stopCommandsFor } from "./heartbeat-reconciliation.js";
 
 interface WaitingOrders {
 	machine: Machine;
@@ -15,7 +15,7 @@
  * harm. Starts never go this way. Each takes a connection of its own, and the end of one large job
  * concerns thousands of machines, so only so many are on their way at a time.
  */
-export class OrderSender {
+export class DirectCommandSender {
 	private inFlight = 0;
 	private waiting: WaitingOrders[] = [];
 
@@ -23,7 +23,7 @@
 		private readonly token: number,
 		/** Most orders on their way at a time. */
 		private readonly mostInFlight: number,
-		private readonly workers: WorkerPort,
+		private readonly workers: WorkerGateway,
 		private readonly active: () => boolean,
 		private readonly post: (command: () => void) => void,
 		private readonly log: Log,
@@ -38,7 +38,7 @@
 			if (list) list.push(attempt);
 			else byMachine.set(attempt.machine, [attempt]);
 		}
-		for (const [machine, list] of byMachine) this.send(machine, stopsFor(list));
+		for (const [machine, list] of byMachine) this.send(machine, stopCommandsFor(list));
 	}
 
 	send(machine: Machine, orders: WorkerCommand[]): void {
@@ -59,7 +59,7 @@
 	private call({ machine, orders }: WaitingOrders): void {
 		this.inFlight += 1;
 		this.workers
-			.command(machine.endpoint, this.token, machine.session, orders)
+			.sendCommands(machine.endpoint, this.token, machine.session, orders)
 			.catch((error) => this.log.debug({ machine: machine.id, err: String(error) }, "order not sent"))
 			.finally(() => {
 				this.inFlight -= 1;
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -2,7 +2,7 @@
 import { type Machine, muchTooSlow, noteRun } from "../../bookkeeping/machine.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { Outcome } from "./heartbeat-reconciliation.js";
+import type { AttemptOutcome } from "./heartbeat-reconciliation.js";
 
 /** Runs of a job after which their mean says something of its other tasks. */
 const runsForMean = 4;
@@ -33,7 +33,7 @@
 }
 
 /** Draws conclusions about jobs and machines from attempts that have ended. */
-export class TaskOutcomes {
+export class FaultAttribution {
 	constructor(
 		private readonly clusterState: ClusterState,
 		/** Failures of different jobs after which a machine is set aside. */
@@ -41,7 +41,7 @@
 		private readonly log: Log,
 	) {}
 
-	record({ attempt, cause }: Outcome, now: number): void {
+	record({ attempt, cause }: AttemptOutcome, now: number): void {
 		if (cause === "done") this.succeeded(attempt, now);
 		else if (cause === "error" || cause === "unknown") this.failed(attempt, cause, now);
 	}
--- a/src/coordination/workers/heartbeat-forwarding.ts
+++ b/src/coordination/workers/heartbeat-forwarding.ts
@@ -1,7 +1,7 @@
 import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { ForwardedHeartbeat, ForwardedResponse } from "../../protocol/peer/messages.js";
-import type { TimePort } from "../ports/clock.js";
-import type { PeerPort } from "../ports/peers.js";
+import type { Clock } from "../ports/clock.js";
+import type { PeerMessenger } from "../ports/peers.js";
 
 /** Reports, and answers, of this long pass between controllers as one message. */
 const gatherRelayedMs = 20;
@@ -20,7 +20,7 @@
  * and keeps nothing: the leader answers each report, and its answer goes to the worker
  * with the leader's token. To the worker and to the leader it is a slower network.
  */
-export class Relay {
+export class HeartbeatForwarder {
 	private leader = "";
 	private term = 0;
 	private count = 0;
@@ -29,8 +29,8 @@
 	private readonly pending = new Map<number, Pending>();
 
 	constructor(
-		private readonly peers: PeerPort,
-		private readonly time: TimePort,
+		private readonly peers: PeerMessenger,
+		private readonly time: Clock,
 	) {}
 
 	/** Whoever waits for an answer of the one before is given up, to be passed on anew. */
@@ -43,7 +43,7 @@
 	}
 
 	/** null: reports cannot be passed on for now. Otherwise the leader's orders, or null if it may not answer. */
-	take(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> | null {
+	forward(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> | null {
 		const now = this.time.now();
 		if (now < this.pausedUntil) return null;
 		this.count += 1;
@@ -60,7 +60,7 @@
 			this.peers.send(this.leader, { kind: "forwarded-heartbeats", term: this.term, heartbeats: reports });
 	}
 
-	answered(from: string, term: number, answers: ForwardedResponse[]): void {
+	handleResponses(from: string, term: number, answers: ForwardedResponse[]): void {
 		if (from !== this.leader || term !== this.term) return;
 		for (const { requestId, commands } of answers) {
 			this.pending.get(requestId)?.resolve(commands);
@@ -95,12 +95,12 @@
 }
 
 /** Answers of one moment to one relay go together. */
-export class AnswerBatches {
+export class ForwardedResponseBatches {
 	private readonly batches = new Map<string, { term: number; answers: ForwardedResponse[] }>();
 
 	constructor(
-		private readonly peers: PeerPort,
-		private readonly time: TimePort,
+		private readonly peers: PeerMessenger,
+		private readonly time: Clock,
 	) {}
 
 	add(to: string, term: number, response: ForwardedResponse): void {
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -4,16 +4,16 @@
 import { type ClusterState, taskKey } from "../state/cluster-state.js";
 
 /** What a report tells about jobs and machines, for those who log and decide on it. */
-export interface Outcome {
+export interface AttemptOutcome {
 	attempt: Attempt;
 	cause: NonNullable<TaskStatus["exitCause"]>;
 }
 
-export type Applied =
+export type ReconciliationResult =
 	| {
 			kind: "applied";
 			machine: Machine;
-			outcomes: Outcome[];
+			outcomes: AttemptOutcome[];
 			/** Jobs with tasks that are done, under whichever leader's attempts. */
 			progressed: Set<Job>;
 			vanished: Attempt[];
@@ -34,7 +34,11 @@
  * a larger (session, seq) was sent after the answer to the one before was carried
  * out or can no longer be: what it does not list is not there.
  */
-export function applyReport(clusterState: ClusterState, report: WorkerHeartbeat, now: number): Applied {
+export function reconcileHeartbeat(
+	clusterState: ClusterState,
+	report: WorkerHeartbeat,
+	now: number,
+): ReconciliationResult {
 	const known = clusterState.machines.get(report.machineId);
 	const machine = known ?? newMachine(clusterState, report, now);
 	if (!machine) return { kind: "unknown type" };
@@ -106,7 +110,7 @@
 
 /** What the tasks that a report lists tell. */
 interface Listing {
-	outcomes: Outcome[];
+	outcomes: AttemptOutcome[];
 	progressed: Set<Job>;
 	begun: Attempt[];
 	/** Tasks of which an attempt is on the machine. */
@@ -305,7 +309,7 @@
  * later forgetting makes the worker report. Starts go out only this way, never to
  * /commands, where they could be carried out minutes late.
  */
-export function ordersFor(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
+export function commandsFor(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
 	const orders: WorkerCommand[] = [];
 	const over = machine.exited.filter((task) => outcomeKept(clusterState, task));
 	machine.reminder = machine.schedulable ? (over.pop() ?? null) : null;
@@ -340,7 +344,7 @@
 }
 
 /** Stops for /commands, which may be carried out late without harm. */
-export function stopsFor(attempts: Attempt[]): WorkerCommand[] {
+export function stopCommandsFor(attempts: Attempt[]): WorkerCommand[] {
 	return attempts.map((a) => ({
 		kind: "stop",
 		jobId: a.job.id,
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -5,11 +5,11 @@
 	LeaderHeartbeat,
 	PlacementRequest,
 } from "../../protocol/peer/messages.js";
-import type { TimePort } from "../ports/clock.js";
-import type { PeerPort } from "../ports/peers.js";
-import { AnswerBatches, Relay } from "./heartbeat-forwarding.js";
+import type { Clock } from "../ports/clock.js";
+import type { PeerMessenger } from "../ports/peers.js";
+import { ForwardedResponseBatches, HeartbeatForwarder } from "./heartbeat-forwarding.js";
 
-export type ReportResult =
+export type HeartbeatResponse =
 	| { kind: "orders"; token: number; orders: WorkerCommand[] }
 	| { kind: "elsewhere"; node: string | null };
 
@@ -22,9 +22,9 @@
 /** What the router needs of a leader. */
 export interface HeartbeatHandler {
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerHeartbeat): Promise<WorkerCommand[] | null>;
+	handleHeartbeat(report: WorkerHeartbeat): Promise<WorkerCommand[] | null>;
 	/** The controller that receives the machine's heartbeats, or null for this one. */
-	relayFor(machine: string): string | null;
+	forwarderFor(machine: string): string | null;
 }
 
 /** The leader of a term, as far as this process acts for it. */
@@ -33,11 +33,11 @@
 	leader: HeartbeatHandler;
 }
 
-export interface ReportRouterOptions {
+export interface HeartbeatRouterOptions {
 	/** This node. */
 	self: string;
-	peers: PeerPort;
-	time: TimePort;
+	peers: PeerMessenger;
+	time: Clock;
 	/** null: this process does not lead, or may not act. */
 	active(): ActiveLeader | null;
 	/** The node in the leader's key, as this process's copy of the store has it. */
@@ -62,23 +62,23 @@
 }
 
 /** Brings each worker's report to the leader: here, by passing it on, or by naming another node. */
-export class ReportRouter {
-	private readonly relay: Relay;
-	private readonly answers: AnswerBatches;
+export class HeartbeatRouter {
+	private readonly relay: HeartbeatForwarder;
+	private readonly answers: ForwardedResponseBatches;
 	/** Machines that reported here lately though this node does not lead, and when. */
 	private readonly unexpectedReports = new Map<string, number>();
 	private unexpectedToldAt = -Infinity;
 	private leaderHeard: HeardLeader = { node: "", term: 0, at: -Infinity, hearing: true, relay: false };
 
-	constructor(private readonly options: ReportRouterOptions) {
-		this.relay = new Relay(options.peers, options.time);
-		this.answers = new AnswerBatches(options.peers, options.time);
+	constructor(private readonly options: HeartbeatRouterOptions) {
+		this.relay = new HeartbeatForwarder(options.peers, options.time);
+		this.answers = new ForwardedResponseBatches(options.peers, options.time);
 	}
 
-	async report(report: WorkerHeartbeat): Promise<ReportResult> {
+	async handle(report: WorkerHeartbeat): Promise<HeartbeatResponse> {
 		const active = this.options.active();
 		if (active) {
-			const relay = active.leader.relayFor(report.machineId);
+			const relay = active.leader.forwarderFor(report.machineId);
 			if (relay !== null) return { kind: "elsewhere", node: relay };
 			const orders = await this.answerTo(active, report);
 			return orders ? { kind: "orders", token: active.term, orders } : { kind: "elsewhere", node: null };
@@ -102,21 +102,21 @@
 		{ leader, term }: ActiveLeader,
 		report: WorkerHeartbeat,
 	): Promise<WorkerCommand[] | null> {
-		const orders = await leader.report(report);
+		const orders = await leader.handleHeartbeat(report);
 		// Authority may have ended while the answer waited for places to be filled.
 		return this.options.active()?.term === term ? orders : null;
 	}
 
 	/** Where the leader wants reports passed on, the worker need not know who leads. */
-	private passOn(report: WorkerHeartbeat): Promise<ReportResult> | null {
+	private passOn(report: WorkerHeartbeat): Promise<HeartbeatResponse> | null {
 		const { term, at, relay } = this.leaderHeard;
 		if (!relay || report.fencingToken > term || this.options.time.now() - at > leaderSilentMs) return null;
-		const taken = this.relay.take(report);
+		const taken = this.relay.forward(report);
 		if (!taken) return null;
 		return taken.then((orders) => {
 			if (orders) return { kind: "orders", token: term, orders };
 			// The leader has changed while the worker waits: this is still its latest report.
-			return this.leaderHeard.term > term ? this.report(report) : { kind: "elsewhere", node: null };
+			return this.leaderHeard.term > term ? this.handle(report) : { kind: "elsewhere", node: null };
 		});
 	}
 
@@ -133,7 +133,7 @@
 	}
 
 	answered(from: string, { term, responses }: ForwardedResponses): void {
-		this.relay.answered(from, term, responses);
+		this.relay.handleResponses(from, term, responses);
 	}
 
 	countUnexpected(): number {
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -1,16 +1,16 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
-import type { TimePort } from "../ports/clock.js";
+import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
-import type { TickLateness } from "../runtime/tick-delay.js";
+import type { TickDelay } from "../runtime/tick-delay.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { OrderSender } from "./direct-command-sender.js";
-import type { TaskOutcomes } from "./fault-attribution.js";
-import { type Applied, applyReport, ordersFor } from "./heartbeat-reconciliation.js";
-import type { UnwantedTasks } from "./orphan-cleanup.js";
-import { HeldReports } from "./pending-heartbeats.js";
-import { stopBeforeTaken } from "./spot-reclaim.js";
+import type { DirectCommandSender } from "./direct-command-sender.js";
+import type { FaultAttribution } from "./fault-attribution.js";
+import { commandsFor, type ReconciliationResult, reconcileHeartbeat } from "./heartbeat-reconciliation.js";
+import type { OrphanCleanup } from "./orphan-cleanup.js";
+import { PendingHeartbeats } from "./pending-heartbeats.js";
+import { stopBeforeReclaim } from "./spot-reclaim.js";
 
 const answerHoldMs = 150;
 /** A machine without tasks is answered after this, or this part of a report interval, if nothing comes. */
@@ -22,24 +22,24 @@
 /** What heartbeats tell the fleet, and what the fleet knows of machines. */
 export interface MachineLifecycleListener {
 	/** The cloud has confirmed that the machine is deleted: a late heartbeat of it must not be answered. */
-	isGone(machine: string): boolean;
+	isDeleted(machine: string): boolean;
 	/** The machine has sent its first heartbeat to this leader. */
-	cameUp(machine: Machine): void;
+	onMachineRunning(machine: Machine): void;
 }
 
-export interface MachineReportsOptions {
+export interface HeartbeatServiceOptions {
 	term: number;
 	/** Seconds between a worker's reports. */
 	reportS: number;
 	clusterState: ClusterState;
 	fleet: MachineLifecycleListener;
-	orders: OrderSender;
-	outcomes: TaskOutcomes;
-	unwanted: UnwantedTasks;
+	orders: DirectCommandSender;
+	outcomes: FaultAttribution;
+	unwanted: OrphanCleanup;
 	/** Ends the job in the store if all its tasks are done. */
 	finishIfDone(job: Job): void;
-	lateness: TickLateness;
-	time: TimePort;
+	lateness: TickDelay;
+	time: Clock;
 	log: Log;
 	post(command: () => void): void;
 	/** The leader may act. */
@@ -52,24 +52,24 @@
  * Takes workers' reports and answers them. What a report says is applied at once; its answer is held back
  * for a moment where something may be placed, since a start goes only in an answer.
  */
-export class MachineReports {
-	private readonly held: HeldReports;
+export class HeartbeatService {
+	private readonly held: PendingHeartbeats;
 	/** Machines with starts decided and not yet sent. */
 	private readonly assigned = new Set<Machine>();
 	/** Whether a task waits that may start, as found out in this batch; null: not looked yet. */
 	private waitingNow: boolean | null = null;
 
-	constructor(private readonly options: MachineReportsOptions) {
+	constructor(private readonly options: HeartbeatServiceOptions) {
 		const { time, post } = options;
-		this.held = new HeldReports(time, post, (machine) => this.answerById(machine));
+		this.held = new PendingHeartbeats(time, post, (machine) => this.answerById(machine));
 	}
 
 	/** null: this process may not answer for the controllers. */
-	report(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
+	handle(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
 		const { clusterState, fleet, time, reportS } = this.options;
 		// A worker that has seen a later token drops our answer, and would wait here while its lease runs out.
 		if (!this.options.active() || report.fencingToken > this.options.term) return Promise.resolve(null);
-		if (fleet.isGone(report.machineId)) return Promise.resolve(null);
+		if (fleet.isDeleted(report.machineId)) return Promise.resolve(null);
 		const now = time.now();
 		const applied = this.apply(report);
 		// Of a type that nobody knows no task can be told from another: it gets no answer that keeps them.
@@ -94,7 +94,7 @@
 		if (!this.options.active()) return null;
 		machine.answeredAt = this.options.time.now();
 		this.assigned.delete(machine);
-		return ordersFor(this.options.clusterState, machine);
+		return commandsFor(this.options.clusterState, machine);
 	}
 
 	private answerById(id: string): WorkerCommand[] | null {
@@ -103,16 +103,16 @@
 	}
 
 	/** Without an answer: also for what a machine says when it is asked. */
-	apply(report: WorkerHeartbeat): Applied["kind"] {
+	apply(report: WorkerHeartbeat): ReconciliationResult["kind"] {
 		const { clusterState, time, log, unwanted, fleet, outcomes, orders } = this.options;
 		const now = time.now();
 		const toldBefore = clusterState.machines.get(report.machineId)?.unwanted ?? [];
-		const applied = applyReport(clusterState, report, now);
+		const applied = reconcileHeartbeat(clusterState, report, now);
 		if (applied.kind !== "applied") return applied.kind;
 		const { machine } = applied;
 		if (machine.unwanted.length > 0) unwanted.stop(machine, toldBefore);
 		machine.onlyListed = false;
-		if (applied.cameUp) fleet.cameUp(machine);
+		if (applied.cameUp) fleet.onMachineRunning(machine);
 		if (applied.isNew) log.info({ machine: machine.id, type: machine.type.name }, "machine up");
 		for (const outcome of applied.outcomes) {
 			const { attempt, cause } = outcome;
@@ -124,7 +124,7 @@
 		for (const attempt of applied.begun) this.logReplica(attempt, "replica runs");
 		for (const { job, index } of applied.vanished)
 			log.info({ machine: machine.id, job: job.id, task: index }, "task vanished");
-		orders.stop(stopBeforeTaken(machine, now, this.options.reportS));
+		orders.stop(stopBeforeReclaim(machine, now, this.options.reportS));
 		return "applied";
 	}
 
@@ -172,7 +172,7 @@
 				continue;
 			}
 			const { reminder } = machine;
-			if (reminder === null || lateness.busy || now - machine.reportedAt > latelyMs) continue;
+			if (reminder === null || lateness.overloaded || now - machine.reportedAt > latelyMs) continue;
 			machine.reminder = null;
 			const { job, index, attempt } = reminder;
 			orders.send(machine, [{ kind: "forget", jobId: job, taskIndex: index, attempt }]);
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -7,7 +7,7 @@
 const fewUnreachablePart = 1 / 5;
 
 /** Looks at all machines in each tick: what has expired, what is over, and whom answers do not reach. */
-export class MachineWatch {
+export class LeaseMonitor {
 	private rebuiltSaid = false;
 
 	constructor(
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -2,14 +2,14 @@
 import type { WorkerCommand } from "../../protocol/model/worker.js";
 import { decodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import { keys } from "../../protocol/records/keys.js";
-import type { TimePort } from "../ports/clock.js";
-import type { StorePort } from "../ports/store.js";
+import type { Clock } from "../ports/clock.js";
+import type { KeyValueStore } from "../ports/store.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { OrderSender } from "./direct-command-sender.js";
+import type { DirectCommandSender } from "./direct-command-sender.js";
 
 const retryMs = 500;
 
-export interface UnwantedTasksHooks {
+export interface OrphanCleanupHooks {
 	post(command: () => void): void;
 	active(): boolean;
 	/** The end of a job was read from the store. */
@@ -23,16 +23,16 @@
  * Until one is gone its team's cores are taken, or, where the job was over before this process
  * knew of it, nothing starts until its end has been read.
  */
-export class UnwantedTasks {
+export class OrphanCleanup {
 	/** Jobs whose end is being read, or was. */
 	private readonly lookedUp = new Set<string>();
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly store: StorePort,
-		private readonly time: TimePort,
-		private readonly orders: OrderSender,
-		private readonly hooks: UnwantedTasksHooks,
+		private readonly store: KeyValueStore,
+		private readonly time: Clock,
+		private readonly orders: DirectCommandSender,
+		private readonly hooks: OrphanCleanupHooks,
 	) {}
 
 	/** Told to stop at once, also where no answer goes: a machine may have been asked straight. */
--- a/src/coordination/workers/pending-heartbeats.ts
+++ b/src/coordination/workers/pending-heartbeats.ts
@@ -1,10 +1,10 @@
 import type { WorkerCommand } from "../../protocol/model/worker.js";
-import type { TimePort } from "../ports/clock.js";
+import type { Clock } from "../ports/clock.js";
 
 /** How often held reports are looked at. */
 const sweepMs = 30;
 
-interface HeldReport {
+interface PendingHeartbeat {
 	until: number;
 	/** Held only in case work comes, not because a place is being filled. */
 	idle: boolean;
@@ -15,12 +15,12 @@
  * Reports whose answers wait for something to start. A machine has one report in flight, so a
  * later one takes the place of the one before, which is answered without orders.
  */
-export class HeldReports {
-	private readonly held = new Map<string, HeldReport>();
+export class PendingHeartbeats {
+	private readonly held = new Map<string, PendingHeartbeat>();
 	private sweeping = false;
 
 	constructor(
-		private readonly time: TimePort,
+		private readonly time: Clock,
 		private readonly post: (command: () => void) => void,
 		/** The answer to a machine's report, as of now. */
 		private readonly answerFor: (machine: string) => WorkerCommand[] | null,
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -13,7 +13,7 @@
  *
  * Sets the stop of every such attempt, and returns those to be stopped at once.
  */
-export function stopBeforeTaken(machine: Machine, now: number, reportS: number): Attempt[] {
+export function stopBeforeReclaim(machine: Machine, now: number, reportS: number): Attempt[] {
 	if (machine.takenAt === null) return [];
 	const leftS = (machine.takenAt - now) / 1000;
 	const atOnce: Attempt[] = [];
--- a/src/main.ts
+++ b/src/main.ts
@@ -4,9 +4,10 @@
 import { pino } from "pino";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { Controller } from "./coordination/controller.js";
-import type { TimePort } from "./coordination/ports/clock.js";
+import type { Clock } from "./coordination/ports/clock.js";
+import { SettingsError } from "./protocol/errors.js";
 import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
-import { parsePlatform, readText, SettingsError } from "./protocol/settings/platform.js";
+import { parsePlatform, readText } from "./protocol/settings/platform.js";
 import { QuotaCommandError, quotaCommand } from "./quota-command.js";
 import { makeTeamQuota } from "./team-quota.js";
 import { CloudClient } from "./transport/cloud-client.js";
@@ -24,7 +25,7 @@
 	return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
 }
 
-const steadyTime: TimePort = {
+const steadyTime: Clock = {
 	now: () => performance.now(),
 	date: () => new Date(),
 	after: (ms, run) => {
@@ -113,8 +114,8 @@
 	const service: PublicService = {
 		submit: (spec) => controller.jobs.submit(spec),
 		status: (id) => controller.jobs.status(id),
-		abort: (id) => controller.jobs.abort(id),
-		report: (report) => controller.report(report),
+		cancel: (id) => controller.jobs.cancel(id),
+		handleHeartbeat: (report) => controller.handleHeartbeat(report),
 		ready: () => controller.ready(),
 	};
 	const front = split(platform.front);
--- a/src/protocol/checks.ts
+++ b/src/protocol/checks.ts
@@ -1,10 +1,8 @@
 import * as v from "valibot";
+import { MalformedMessageError } from "./errors.js";
 
 /** Checks shared by the parsers of everything that comes from outside this process. */
 
-/** What was received does not have the published form. The message names the field and what is expected. */
-export class MalformedMessageError extends Error {}
-
 const finite = v.pipe(v.number("must be a number"), v.finite("must be finite"));
 
 export const positive = v.pipe(finite, v.gtValue(0, "must be above 0"));
--- a/src/protocol/http/store-api.ts
+++ b/src/protocol/http/store-api.ts
@@ -1,5 +1,6 @@
 import * as v from "valibot";
 import { checkShape, count, name, orNull } from "../checks.js";
+import type { Revision } from "../model/identifiers.js";
 import { paths } from "./paths.js";
 
 /** The state service's API: rows, transactions, leases and watches. */
@@ -47,26 +48,28 @@
 
 const Rows = v.object({ rows: v.array(Row), truncated: orNull(v.boolean()), epoch: count });
 
-export function rowsFrom(raw: unknown): { rows: StoreRow[]; more: boolean; epoch: number } {
+export function rowsFrom(raw: unknown): { rows: StoreRow[]; more: boolean; revision: number } {
 	const page = checkShape(Rows, raw);
 	return {
 		rows: page.rows.map((row) => ({ key: row.key, value: row.v, revision: row.stamp })),
 		more: page.truncated === true,
-		epoch: page.epoch,
+		revision: page.epoch,
 	};
 }
 
-const Epoch = v.object({ epoch: count });
+const RevisionBody = v.object({ epoch: count });
 
-export function revisionFrom(raw: unknown): number {
-	return checkShape(Epoch, raw).epoch;
+/** The revision in an answer that holds nothing else. */
+export function revisionFrom(raw: unknown): Revision {
+	return checkShape(RevisionBody, raw).epoch;
 }
 
-const Conflict = v.object({ failed: v.array(v.string()), epoch: count });
+const ConflictsBody = v.object({ failed: v.array(v.string()), epoch: count });
 
-/** The keys whose conditions did not hold, as of an epoch. */
-export function conflictsFrom(raw: unknown): { failed: string[]; epoch: number } {
-	return checkShape(Conflict, raw);
+/** The keys whose conditions did not hold, as of a revision. */
+export function conflictsFrom(raw: unknown): { conflicts: string[]; revision: Revision } {
+	const { failed, epoch } = checkShape(ConflictsBody, raw);
+	return { conflicts: failed, revision: epoch };
 }
 
 const Lease = v.object({ permit: count });
@@ -82,7 +85,7 @@
 	),
 });
 
-export function eventsFrom(raw: unknown): { events: StoreEvent[]; epoch: number } {
+export function eventsFrom(raw: unknown): { events: StoreEvent[]; revision: Revision } {
 	const { events, epoch } = checkShape(Events, raw);
 	return {
 		events: events.map((event) =>
@@ -90,7 +93,7 @@
 				? { key: event.put, value: event.v, revision: event.stamp }
 				: { key: event.drop, value: undefined, revision: event.stamp },
 		),
-		epoch,
+		revision: epoch,
 	};
 }
 
--- a/src/protocol/http/user-api.ts
+++ b/src/protocol/http/user-api.ts
@@ -1,14 +1,6 @@
 import * as v from "valibot";
-import {
-	amount,
-	checkShape,
-	flag,
-	MalformedMessageError,
-	name,
-	orNull,
-	parseObject,
-	positive,
-} from "../checks.js";
+import { amount, checkShape, flag, name, orNull, parseObject, positive } from "../checks.js";
+import { MalformedMessageError } from "../errors.js";
 import type { JobSpec, JobStatus } from "../model/job.js";
 
 /** The users' API: wire words of jobs, mapped to the service's own. */
--- a/src/protocol/http/worker-api.ts
+++ b/src/protocol/http/worker-api.ts
@@ -1,4 +1,5 @@
-import { MalformedMessageError, parseObject } from "../checks.js";
+import { parseObject } from "../checks.js";
+import { MalformedMessageError } from "../errors.js";
 import type { JobId } from "../model/identifiers.js";
 import type { ExitCause, TaskState, TaskStatus, WorkerCommand, WorkerHeartbeat } from "../model/worker.js";
 
--- a/src/protocol/peer/codec.ts
+++ b/src/protocol/peer/codec.ts
@@ -4,7 +4,8 @@
  * whatever the types of the service are called. Unknown fields are ignored.
  */
 
-import { checkShape, MalformedMessageError } from "../checks.js";
+import { checkShape } from "../checks.js";
+import { MalformedMessageError } from "../errors.js";
 import {
 	decodeForwardedHeartbeats,
 	decodeForwardedResponses,
--- a/src/protocol/records/job-record.ts
+++ b/src/protocol/records/job-record.ts
@@ -1,7 +1,8 @@
 /** Records of live jobs, as they are stored below `r/job/`: one value for each job. */
 
 import * as v from "valibot";
-import { amount, checkShape, count, flag, MalformedMessageError, name, positive } from "../checks.js";
+import { amount, checkShape, count, flag, name, positive } from "../checks.js";
+import { MalformedMessageError } from "../errors.js";
 import type { JobId } from "../model/identifiers.js";
 import type { JobSpec } from "../model/job.js";
 
--- a/src/protocol/settings/operator.ts
+++ b/src/protocol/settings/operator.ts
@@ -1,6 +1,7 @@
 import * as v from "valibot";
 import { amount, positive } from "../checks.js";
-import { checkSchema, SettingsError } from "./platform.js";
+import { SettingsError } from "../errors.js";
+import { checkSchema } from "./platform.js";
 
 /** Operators' own settings (YAML). Unknown fields are rejected by name. */
 const whole = v.pipe(v.number(), v.integer(), v.minValue(1));
--- a/src/protocol/settings/platform.ts
+++ b/src/protocol/settings/platform.ts
@@ -2,6 +2,7 @@
 import { parse as parseToml } from "smol-toml";
 import * as v from "valibot";
 import { amount, positive } from "../checks.js";
+import { SettingsError } from "../errors.js";
 
 /** What the platform hands over in its TOML file. Unknown fields are ignored. */
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
@@ -22,7 +23,7 @@
 	gpus_max: v.optional(limit, 0),
 });
 
-const Objective = v.object({
+const ServiceLevelObjective = v.object({
 	kind: v.string(),
 	class: v.optional(v.string()),
 	within_s: v.optional(v.number()),
@@ -44,7 +45,7 @@
 		zones: v.optional(v.array(text), []),
 		clock_off_ms: v.optional(amount, 0),
 		teams: v.optional(v.array(Team), []),
-		objectives: v.optional(v.array(Objective), []),
+		objectives: v.optional(v.array(ServiceLevelObjective), []),
 		workers: v.object({
 			report_s: positive,
 			lease_s: positive,
@@ -70,17 +71,17 @@
 export type PlatformSettings = v.InferOutput<typeof Platform>;
 export type TeamSettings = v.InferOutput<typeof Team>;
 
-export type Objective = v.InferOutput<typeof Objective>;
+export type ServiceLevelObjective = v.InferOutput<typeof ServiceLevelObjective>;
 
 /** A class of jobs whose tasks are to start within a time. */
-export interface StartObjective {
+export interface StartTimeObjective {
 	jobClass: string;
 	withinS: number;
 }
 
 /** Of what the platform expects, how soon tasks of which classes are to start. */
-export function startObjectives(objectives: readonly Objective[]): StartObjective[] {
-	const starts: StartObjective[] = [];
+export function startTimeObjectives(objectives: readonly ServiceLevelObjective[]): StartTimeObjective[] {
+	const starts: StartTimeObjective[] = [];
 	for (const { kind, class: jobClass, within_s: withinS } of objectives) {
 		if (kind === "wait" && jobClass !== undefined && withinS !== undefined)
 			starts.push({ jobClass, withinS });
@@ -88,9 +89,6 @@
 	return starts;
 }
 
-/** A settings file that cannot be used; the message names file, field and what is expected. */
-export class SettingsError extends Error {}
-
 export function readText(file: string): string {
 	try {
 		return readFileSync(file, "utf8");
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -10,9 +10,9 @@
 	showQuotas,
 	UnknownTeamError,
 } from "#team-quota";
-import { CallFailed } from "./coordination/ports/call-error.js";
-import type { TimePort } from "./coordination/ports/clock.js";
-import type { StorePort } from "./coordination/ports/store.js";
+import { CallError } from "./coordination/ports/call-error.js";
+import type { Clock } from "./coordination/ports/clock.js";
+import type { KeyValueStore } from "./coordination/ports/store.js";
 import { keys } from "./protocol/records/keys.js";
 import { decodeStoredRecord } from "./protocol/records/stored-record.js";
 import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
@@ -52,7 +52,7 @@
 	return value;
 }
 
-export function quotaCommand(time: TimePort): Command {
+export function quotaCommand(time: Clock): Command {
 	const quota = new Command("quota").description("Shows and changes teams' limits.").exitOverride();
 	const withFiles = (command: Command) =>
 		command
@@ -80,13 +80,13 @@
 		if (error instanceof UnknownTeamError || error instanceof LimitChangeError)
 			throw new QuotaCommandError(error.message, 2);
 		if (error instanceof ContendedError) throw new QuotaCommandError(error.message, 1);
-		if (error instanceof CallFailed)
+		if (error instanceof CallError)
 			throw new QuotaCommandError(`the state service does not answer: ${error.message}`, 1);
 		throw error;
 	}
 }
 
-function connect(time: TimePort, options: CommandOptions): StorePort {
+function connect(time: Clock, options: CommandOptions): KeyValueStore {
 	const { cluster, endpoints } = parsePlatform(options.config, readText(options.config));
 	return new StoreClient(
 		new HttpClient(endpoints.state, connections),
@@ -97,14 +97,14 @@
 	);
 }
 
-async function show(time: TimePort, options: CommandOptions, team: string | undefined): Promise<string> {
+async function show(time: Clock, options: CommandOptions, team: string | undefined): Promise<string> {
 	const shown = await showQuotas(quotaStore(connect(time, options)), keys.quota, team);
 	if (options.json) return JSON.stringify(shown, null, 2);
 	const faults = shown.faults.map(({ key, team: name, fault }) => `unreadable: ${key} ${name}: ${fault}`);
 	return [...shown.teams.map(describeTeam), ...faults].join("\n");
 }
 
-async function set(time: TimePort, options: SetOptions, team: string): Promise<string> {
+async function set(time: Clock, options: SetOptions, team: string): Promise<string> {
 	const { cpus, gpus, guaranteedCpus, guaranteedGpus } = options;
 	const request: LimitRequest = { cpus, gpus, guaranteedCpus, guaranteedGpus };
 	if (Object.values(request).every((value) => value === undefined))
@@ -117,7 +117,7 @@
 }
 
 /** All that there can be: as many machines as operators allow, of the largest type. null: no bound is set. */
-async function knownCapacity(store: StorePort, options: CommandOptions) {
+async function knownCapacity(store: KeyValueStore, options: CommandOptions) {
 	const operator =
 		options.operator === undefined
 			? defaultOperator()
--- a/src/team-quota.ts
+++ b/src/team-quota.ts
@@ -1,7 +1,7 @@
 import { limitAmount, QuotaService, type QuotaStore, type StoredChange, TeamQuota } from "#team-quota";
-import type { TimePort } from "./coordination/ports/clock.js";
+import type { Clock } from "./coordination/ports/clock.js";
 import type { Log } from "./coordination/ports/log.js";
-import type { StorePort } from "./coordination/ports/store.js";
+import type { KeyValueStore } from "./coordination/ports/store.js";
 import type { TeamQuotaPort } from "./coordination/ports/team-quota.js";
 import { keys } from "./protocol/records/keys.js";
 import type { OperatorSettings } from "./protocol/settings/operator.js";
@@ -13,22 +13,22 @@
 const valuePart = 0.8;
 
 /** The state service as the package asks for it. */
-export function quotaStore(store: StorePort): QuotaStore {
+export function quotaStore(store: KeyValueStore): QuotaStore {
 	return {
 		read: async (key) => {
 			const { row } = await store.read(key);
 			return row && { key, value: row.value, revision: row.revision };
 		},
 		rows: async (prefix) => {
-			const { rows } = await store.rows(prefix);
+			const { rows } = await store.readPrefix(prefix);
 			return rows.map(({ key, value, revision }) => ({ key, value, revision }));
 		},
 		transact: async (conditions, changes) => {
 			const puts = changes.map(({ key, value }: StoredChange) => ({ put: key, value }));
-			const result = await store.transact(conditions, puts, "normal");
-			return result.ok
-				? { kind: "written", revision: result.epoch }
-				: { kind: "conflict", keys: result.failed };
+			const result = await store.compareAndSwap(conditions, puts, "normal");
+			return result.swapped
+				? { kind: "written", revision: result.revision }
+				: { kind: "conflict", keys: result.conflicts };
 		},
 	};
 }
@@ -38,8 +38,8 @@
 	operator: OperatorSettings;
 	/** This process. */
 	incarnation: string;
-	store: StorePort;
-	time: TimePort;
+	store: KeyValueStore;
+	time: Clock;
 	log: Log;
 	post(command: () => void): void;
 }
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,6 +1,6 @@
-import { CallFailed } from "../coordination/ports/call-error.js";
-import type { TimePort } from "../coordination/ports/clock.js";
-import type { CloudPort } from "../coordination/ports/cloud.js";
+import { CallError } from "../coordination/ports/call-error.js";
+import type { Clock } from "../coordination/ports/clock.js";
+import type { CloudProvider } from "../coordination/ports/cloud.js";
 import {
 	createdMachinesFrom,
 	createMachinesBody,
@@ -20,13 +20,13 @@
 const callMs = 4000;
 
 /** The cloud's API. Only the leader calls it, so one node may use nearly all of the rate. */
-export class CloudClient implements CloudPort {
+export class CloudClient implements CloudProvider {
 	private readonly bucket: TokenBucket;
 	private readonly reserve: number;
 
 	constructor(
 		private readonly http: HttpCaller,
-		private readonly time: TimePort,
+		private readonly time: Clock,
 		rps: number,
 	) {
 		this.bucket = new TokenBucket(rps * 0.9, Math.max(1, rps * 1.5), () => time.now());
@@ -41,7 +41,7 @@
 			await new Promise<void>((resolve) => this.time.after(wait + 1, resolve));
 			if (this.bucket.take(1, reserve)) return;
 		}
-		throw new CallFailed("refused", 429, "own share of the cloud's rate is used up");
+		throw new CallError("not executed", 429, "own share of the cloud's rate is used up");
 	}
 
 	async machineTypes(): Promise<MachineType[]> {
@@ -51,7 +51,7 @@
 		return parseResponse(answer, "machine types", machineTypesFrom);
 	}
 
-	async rent(request: ScaleOutRequest): Promise<string[]> {
+	async createMachines(request: ScaleOutRequest): Promise<string[]> {
 		await this.admit(0);
 		const answer = await this.http.call("POST", paths.machines, createMachinesBody(request), callMs);
 		// Only this answer speaks of capacity; during an outage there is another 503.
@@ -60,13 +60,13 @@
 		return parseResponse(answer, "rental", createdMachinesFrom);
 	}
 
-	async giveBack(machines: string[]): Promise<void> {
+	async deleteMachines(machines: string[]): Promise<void> {
 		await this.admit(0);
 		const answer = await this.http.call("POST", paths.machinesReturn, deleteMachinesBody(machines), callMs);
 		expectStatus(answer, "return", 200);
 	}
 
-	async list(after: string): Promise<MachineListPage> {
+	async listMachines(after: string): Promise<MachineListPage> {
 		await this.admit(this.reserve);
 		const answer = await this.http.call("GET", machineListPath(after, 500), undefined, callMs);
 		expectStatus(answer, "list", 200);
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,6 +1,6 @@
 import { Agent, request } from "node:http";
-import { CallFailed } from "../coordination/ports/call-error.js";
-import { MalformedMessageError } from "../protocol/checks.js";
+import { CallError } from "../coordination/ports/call-error.js";
+import { MalformedMessageError } from "../protocol/errors.js";
 
 export interface HttpResponse {
 	status: number;
@@ -46,7 +46,7 @@
 				settled = true;
 				clearTimeout(timer);
 				// Nothing was sent as long as no connection was made, so nothing can be executed later.
-				reject(new CallFailed(connected ? "unknown" : "refused", 0, `${method} ${path}: ${message}`));
+				reject(new CallError(connected ? "unknown" : "not executed", 0, `${method} ${path}: ${message}`));
 				req.destroy();
 			};
 			const req = request(
@@ -64,7 +64,7 @@
 						try {
 							resolve({ status: res.statusCode ?? 0, body: text === "" ? null : JSON.parse(text) });
 						} catch {
-							reject(new CallFailed("unknown", res.statusCode ?? 0, `${method} ${path}: answer is not JSON`));
+							reject(new CallError("unknown", res.statusCode ?? 0, `${method} ${path}: answer is not JSON`));
 						}
 					});
 				},
@@ -99,8 +99,8 @@
 export function expectStatus(answer: HttpResponse, what: string, ...good: number[]): unknown {
 	if (good.includes(answer.status)) return answer.body;
 	const refused = answer.status === 429 || answer.status === 503;
-	throw new CallFailed(
-		refused ? "refused" : answer.status >= 500 ? "unknown" : "rejected",
+	throw new CallError(
+		refused ? "not executed" : answer.status >= 500 ? "unknown" : "rejected",
 		answer.status,
 		`${what}: status ${answer.status}`,
 	);
@@ -115,6 +115,6 @@
 		return parse(answer.body);
 	} catch (error) {
 		if (!(error instanceof MalformedMessageError)) throw error;
-		throw new CallFailed("unknown", answer.status, `${what}: malformed answer: ${error.message}`);
+		throw new CallError("unknown", answer.status, `${what}: malformed answer: ${error.message}`);
 	}
 }
--- a/src/transport/public-api.ts
+++ b/src/transport/public-api.ts
@@ -3,8 +3,8 @@
 import { Hono } from "hono";
 import type { JobLookup, SubmitResult } from "../coordination/jobs/job-service.js";
 import type { Log } from "../coordination/ports/log.js";
-import type { ReportResult } from "../coordination/workers/heartbeat-router.js";
-import { MalformedMessageError } from "../protocol/checks.js";
+import type { HeartbeatResponse } from "../coordination/workers/heartbeat-router.js";
+import { MalformedMessageError } from "../protocol/errors.js";
 import { paths } from "../protocol/http/paths.js";
 import { isJobId, jobIdOf, jobResponseBody, parseJobSpec } from "../protocol/http/user-api.js";
 import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../protocol/http/worker-api.js";
@@ -20,8 +20,8 @@
 export interface PublicService {
 	submit(spec: JobSpec): Promise<SubmitResult>;
 	status(id: string): Promise<JobLookup>;
-	abort(id: string): Promise<JobLookup>;
-	report(report: WorkerHeartbeat): Promise<ReportResult>;
+	cancel(id: string): Promise<JobLookup>;
+	handleHeartbeat(report: WorkerHeartbeat): Promise<HeartbeatResponse>;
 	ready(): boolean;
 }
 
@@ -102,7 +102,7 @@
 	app.post(`${paths.jobs}/:id/abort`, async (c) => {
 		const id = c.req.param("id");
 		if (!isJobId(id)) return failure(404, "there is no such job");
-		const result = await service.abort(id);
+		const result = await service.cancel(id);
 		if (result.kind === "unknown") return failure(404, "there is no such job");
 		if (result.kind === "later") return later(result.reason);
 		return Response.json(jobResponseBody(id, result.status));
@@ -130,7 +130,7 @@
  * core. They pass by the routes and objects that users' requests go through.
  */
 export function reportListener(
-	service: Pick<PublicService, "report">,
+	service: Pick<PublicService, "handleHeartbeat">,
 	log: Log,
 	/** Sockets are short: a worker is asked to open its connection anew for each report. */
 	crowded: () => boolean = () => false,
@@ -165,7 +165,7 @@
 			if (size > maxBody) return;
 			const body = chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks);
 			try {
-				service.report(parseHeartbeat(body.toString("utf8"))).then((result) => {
+				service.handleHeartbeat(parseHeartbeat(body.toString("utf8"))).then((result) => {
 					if (result.kind === "elsewhere") answer(421, redirectBody(result.node));
 					else answer(200, heartbeatResponseBody(result.token, result.orders));
 				}, failed);
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -1,6 +1,6 @@
-import { CallFailed } from "../coordination/ports/call-error.js";
-import type { TimePort } from "../coordination/ports/clock.js";
-import type { RateClass, StorePort, TransactionResult } from "../coordination/ports/store.js";
+import { CallError } from "../coordination/ports/call-error.js";
+import type { Clock } from "../coordination/ports/clock.js";
+import type { CompareAndSwapResult, KeyValueStore, WritePriority } from "../coordination/ports/store.js";
 import { paths } from "../protocol/http/paths.js";
 import {
 	compareAndSwapBody,
@@ -17,6 +17,7 @@
 	type StoreRow,
 	watchPath,
 } from "../protocol/http/store-api.js";
+import type { Revision } from "../protocol/model/identifiers.js";
 import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
 import { TokenBucket } from "./token-bucket.js";
 
@@ -25,7 +26,7 @@
 const leaderShare = 0.6;
 
 /** The state service. Rates are a node's share of limits that all nodes draw on. */
-export class StoreClient implements StorePort {
+export class StoreClient implements KeyValueStore {
 	private readonly requests: TokenBucket;
 	private readonly writes: TokenBucket;
 	private readonly writeReserve: number;
@@ -33,7 +34,7 @@
 
 	constructor(
 		private readonly http: HttpCaller,
-		private readonly time: TimePort,
+		private readonly time: Clock,
 		rps: number,
 		writeRps: number,
 		nodes: number,
@@ -56,19 +57,20 @@
 			await new Promise<void>((resolve) => this.time.after(wait + 1, resolve));
 			if (bucket.take(n, reserve)) return;
 		}
-		throw new CallFailed("refused", 429, "own share of the state service's rate is used up");
+		throw new CallError("not executed", 429, "own share of the state service's rate is used up");
 	}
 
-	async read(key: string): Promise<{ row: StoreRow | null; epoch: number }> {
+	async read(key: string): Promise<{ row: StoreRow | null }> {
 		await this.admit(this.requests, 1, 0, 300);
 		const answer = await this.http.call("GET", `${paths.store}/${key}`, undefined, callMs);
 		expectStatus(answer, "read", 200, 404);
-		return answer.status === 200
-			? { row: parseResponse(answer, "read", rowFrom), epoch: -1 }
-			: { row: null, epoch: parseResponse(answer, "read", revisionFrom) };
+		if (answer.status === 200) return { row: parseResponse(answer, "read", rowFrom) };
+		// A 404 without a revision does not come from the store and says nothing about the key.
+		parseResponse(answer, "read", revisionFrom);
+		return { row: null };
 	}
 
-	async rows(prefix: string): Promise<{ rows: StoreRow[]; epoch: number }> {
+	async readPrefix(prefix: string): Promise<{ rows: StoreRow[]; revision: Revision }> {
 		const all: StoreRow[] = [];
 		let after: string | null = null;
 		let first = -1;
@@ -76,24 +78,24 @@
 			await this.admit(this.requests, 1, 0, 1000);
 			const answer = await this.http.call("GET", rowsPath(prefix, after, 200), undefined, 4000);
 			expectStatus(answer, "rows", 200);
-			const { rows, more, epoch } = parseResponse(answer, "rows", rowsFrom);
-			// Later pages may hold later changes; a watch from the first page's epoch repeats those.
-			if (first < 0) first = epoch;
+			const { rows, more, revision } = parseResponse(answer, "rows", rowsFrom);
+			// Later pages may hold later changes; a watch from the first page's revision repeats those.
+			if (first < 0) first = revision;
 			all.push(...rows);
 			const last = rows.at(-1);
-			if (!more || !last) return { rows: all, epoch: first };
+			if (!more || !last) return { rows: all, revision: first };
 			after = last.key;
 		}
 	}
 
-	async transact(
+	async compareAndSwap(
 		conditions: StoreCondition[],
 		changes: StoreChange[],
-		rateClass: RateClass,
-	): Promise<TransactionResult> {
-		if (rateClass === "first") this.writes.debit(changes.length);
+		priority: WritePriority,
+	): Promise<CompareAndSwapResult> {
+		if (priority === "user") this.writes.debit(changes.length);
 		else {
-			const reserve = rateClass === "normal" ? 1 : this.writeReserve;
+			const reserve = priority === "normal" ? 1 : this.writeReserve;
 			await this.admit(this.writes, changes.length, reserve, 200);
 		}
 		await this.admit(this.requests, 1, 0, 300);
@@ -101,14 +103,14 @@
 		let answer = await this.http.call("POST", paths.transaction, sent, callMs);
 		// Refused for its rate a transaction was not executed. What users wait for is tried again
 		// a few times within a second, before they are told to come back.
-		for (let tries = 1; answer.status === 429 && rateClass === "first" && tries <= 4; tries++) {
+		for (let tries = 1; answer.status === 429 && priority === "user" && tries <= 4; tries++) {
 			await new Promise<void>((resolve) => this.time.after(100 * tries + (this.retries++ % 7) * 20, resolve));
 			answer = await this.http.call("POST", paths.transaction, sent, callMs);
 		}
 		expectStatus(answer, "transaction", 200, 409);
 		return answer.status === 200
-			? { ok: true, epoch: parseResponse(answer, "transaction", revisionFrom) }
-			: { ok: false, ...parseResponse(answer, "transaction", conflictsFrom) };
+			? { swapped: true, revision: parseResponse(answer, "transaction", revisionFrom) }
+			: { swapped: false, ...parseResponse(answer, "transaction", conflictsFrom) };
 	}
 
 	async grantLease(ttlMs: number): Promise<number> {
@@ -122,7 +124,7 @@
 		expectStatus(answer, "renewal", 200, 204);
 	}
 
-	async endLease(lease: number): Promise<void> {
+	async revokeLease(lease: number): Promise<void> {
 		const answer = await this.http.call("DELETE", `${paths.leases}/${lease}`, undefined, callMs);
 		expectStatus(answer, "end of lease", 200, 204, 404);
 	}
@@ -131,7 +133,7 @@
 		prefix: string,
 		from: number,
 		waitMs: number,
-	): Promise<{ events: StoreEvent[]; epoch: number }> {
+	): Promise<{ events: StoreEvent[]; revision: Revision }> {
 		await this.admit(this.requests, 1, 0, 300);
 		const answer = await this.http.call(
 			"GET",
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,16 +1,16 @@
-import type { WorkerPort } from "../coordination/ports/workers.js";
+import type { WorkerGateway } from "../coordination/ports/workers.js";
 import { paths } from "../protocol/http/paths.js";
 import { directCommandsBody, heartbeatFrom } from "../protocol/http/worker-api.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../protocol/model/worker.js";
 import { expectStatus, type HttpCaller, HttpClient, parseResponse } from "./http-client.js";
 
 /** Orders sent straight to workers; each call has its own short-lived connection. */
-export class WorkerClient implements WorkerPort {
+export class WorkerClient implements WorkerGateway {
 	constructor(
 		private readonly open: (endpoint: string) => HttpCaller = (endpoint) => new HttpClient(endpoint, 1),
 	) {}
 
-	async command(
+	async sendCommands(
 		endpoint: string,
 		token: number,
 		session: number,
--- a/tests/boot-times.test.ts
+++ b/tests/boot-times.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Machine, unknownType } from "../src/bookkeeping/machine.js";
-import { BootTimes } from "../src/coordination/fleet/provisioning-times.js";
+import { ProvisioningTimes } from "../src/coordination/fleet/provisioning-times.js";
 
 const type = { ...unknownType("t"), bootS: 40 };
 const other = { ...unknownType("u"), bootS: 40 };
@@ -11,7 +11,7 @@
 }
 
 test("a machine that is late no longer counts as coming, and counts again once it is up", () => {
-	const boots = new BootTimes(3);
+	const boots = new ProvisioningTimes(3);
 	const late = rented(0);
 	assert.equal(boots.isOverdue(late, 60_000), false, "one and a half times the stated time is usual");
 	assert.equal(boots.isOverdue(late, 65_000), true);
@@ -25,7 +25,7 @@
 });
 
 test("a machine that others of its type overtook goes back; those of another type say nothing", () => {
-	const boots = new BootTimes(3);
+	const boots = new ProvisioningTimes(3);
 	const dead = rented(0);
 	boots.noteUp(rented(10, other), 50_000);
 	assert.equal(boots.isGivenUp(dead, 85_000), false);
@@ -35,7 +35,7 @@
 });
 
 test("where a type boots slowly all its machines are given time, until it boots fast again", () => {
-	const boots = new BootTimes(3);
+	const boots = new ProvisioningTimes(3);
 	boots.noteUp(rented(0), 150_000);
 	const next = rented(100);
 	assert.equal(boots.isOverdue(next, 270_000), false);
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -4,21 +4,21 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Job } from "../src/bookkeeping/job.js";
 import { Machine, muchTooSlow, noteRun } from "../src/bookkeeping/machine.js";
-import { Quotas } from "../src/bookkeeping/quota-ledger.js";
+import { QuotaLedger } from "../src/bookkeeping/quota-ledger.js";
 import { remainingOfRunning, remainingOfWaiting } from "../src/bookkeeping/remaining-work.js";
 import { countInPage, TaskSet, tasksPerPage } from "../src/bookkeeping/task-set.js";
 import { Fleet } from "../src/coordination/fleet/fleet.js";
 import {
-	climb,
 	loadOf,
 	machinesToCut,
 	machinesToSpare,
+	nextScalingDecision,
 	rankOffers,
 } from "../src/coordination/fleet/hill-climb.js";
-import { placeable, placeFirstFit, sampled } from "../src/coordination/placement/first-fit.js";
+import { placeableTasks, placeFirstFit, sampleOf } from "../src/coordination/placement/first-fit.js";
 import { servingOrder, starved } from "../src/coordination/placement/job-order.js";
 import { chooseVictims } from "../src/coordination/preemption/preemption-planner.js";
-import { placerOf } from "../src/coordination/sharding/rendezvous-hash.js";
+import { ownerOf } from "../src/coordination/sharding/rendezvous-hash.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
 import type { JobSpec, Priority } from "../src/protocol/model/job.js";
 import type { MachineType } from "../src/protocol/model/machine.js";
@@ -59,13 +59,13 @@
 
 test("a team moves only when its own placer goes, and every placer gets some", () => {
 	const teams = Array.from({ length: 50 }, (_, i) => `team-${i}`);
-	const before = teams.map((t) => placerOf(t, ["a", "b", "c"]));
-	const after = teams.map((t) => placerOf(t, ["a", "b"]));
+	const before = teams.map((t) => ownerOf(t, ["a", "b", "c"]));
+	const after = teams.map((t) => ownerOf(t, ["a", "b"]));
 	teams.forEach((_, i) => {
 		if (before[i] !== "c") assert.equal(after[i], before[i]);
 	});
 	assert.equal(new Set(before).size, 3);
-	assert.equal(placerOf("x", []), null);
+	assert.equal(ownerOf("x", []), null);
 });
 
 test("first-fit never overfills a machine nor exceeds a grant, whatever the view", () => {
@@ -162,7 +162,7 @@
 	});
 	const views = [view("a", 4, 16), view("a", 2, 1), view("b", 3, 16, false)];
 	const count = (more: Partial<JobSpec>, zones = {}) =>
-		placeable(specOf("j-1", { taskCount: 8, cpus: 1, memoryGb: 2, ...more }), zones, views);
+		placeableTasks(specOf("j-1", { taskCount: 8, cpus: 1, memoryGb: 2, ...more }), zones, views);
 	assert.equal(count({}), 7, "not where memory is short");
 	assert.equal(count({ zone: "c" }), 0);
 	assert.equal(count({ allowSpot: false }), 3);
@@ -194,9 +194,9 @@
 		clusterState,
 		cloud: {
 			machineTypes: async () => [],
-			rent: async () => [],
-			giveBack: async () => {},
-			list: async () => ({ machines: [], more: false }),
+			createMachines: async () => [],
+			deleteMachines: async () => {},
+			listMachines: async () => ({ machines: [], more: false }),
 		},
 		time,
 		settings: defaultOperator(),
@@ -304,9 +304,9 @@
 
 test("a sample holds distinct machines and no more than asked for", () => {
 	const all = Array.from({ length: 50 }, (_, i) => i);
-	const some = sampled(all, 10, xoroshiro128plus(3));
+	const some = sampleOf(all, 10, xoroshiro128plus(3));
 	assert.equal(new Set(some).size, 10);
-	assert.deepEqual(sampled(all, 50, xoroshiro128plus(3)), all);
+	assert.deepEqual(sampleOf(all, 50, xoroshiro128plus(3)), all);
 });
 
 test("decisions never pass a team's limit or a machine's cores, in any order of starts and ends", () => {
@@ -364,7 +364,7 @@
 });
 
 test("quotas count room by the tighter of cores and accelerators", () => {
-	const quotas = new Quotas([{ name: "t", cpus: 8, cpus_max: 16, gpus: 1, gpus_max: 2 }]);
+	const quotas = new QuotaLedger([{ name: "t", cpus: 8, cpus_max: 16, gpus: 1, gpus_max: 2 }]);
 	assert.equal(quotas.room("t", 2, 0, true), 4);
 	assert.equal(quotas.room("t", 2, 1, false), 2);
 	quotas.add("t", 15, 0);
@@ -386,7 +386,7 @@
 	const settings = { high: 1.2, low: 0.6, up_past: 3, down_at: 3, cap_s: 600 };
 	let counters = { up: 0, down: 2 };
 	const step = (load: number, machines = 4) => {
-		const result = climb(counters, load, machines, 10, settings);
+		const result = nextScalingDecision(counters, load, machines, 10, settings);
 		counters = result.counters;
 		return result.action;
 	};
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -3,9 +3,9 @@
 import type { Attempt, Job } from "../src/bookkeeping/job.js";
 import { Machine } from "../src/bookkeeping/machine.js";
 import { grantsFor } from "../src/coordination/placement/grants.js";
-import { viewOf } from "../src/coordination/placement/placement-cycle.js";
+import { capacityOf } from "../src/coordination/placement/placement-cycle.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
-import { TaskOutcomes } from "../src/coordination/workers/fault-attribution.js";
+import { FaultAttribution } from "../src/coordination/workers/fault-attribution.js";
 import { silentLog } from "./support/silent-log.js";
 import { mediumType, specOf } from "./support/specs.js";
 
@@ -16,7 +16,7 @@
 		[{ name: "red", cpus: 1000, cpus_max: 1000, gpus: 0, gpus_max: 0 }],
 		new Map([[mediumType.name, mediumType]]),
 	);
-	private readonly outcomes = new TaskOutcomes(this.clusterState, 2, silentLog);
+	private readonly outcomes = new FaultAttribution(this.clusterState, 2, silentLog);
 	private now = 0;
 
 	machine(id: string, type = mediumType): Machine {
@@ -48,7 +48,7 @@
 
 	/** Machines that the job would be kept off this long after its last failure. */
 	avoidedBy(job: Job, sinceMs: number): string[] {
-		const views = [...this.clusterState.machines.values()].map(viewOf);
+		const views = [...this.clusterState.machines.values()].map(capacityOf);
 		const moment = { now: job.failedAt + sinceMs, date: 0 };
 		return grantsFor(this.clusterState, [job], views, moment)[0]?.grant.avoidedMachines ?? [];
 	}
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -6,7 +6,7 @@
 import type { ScaleOutRequest } from "../src/protocol/http/cloud-api.js";
 import type { JobSpec } from "../src/protocol/model/job.js";
 import { defaultOperator } from "../src/protocol/settings/operator.js";
-import { type Objective, startObjectives } from "../src/protocol/settings/platform.js";
+import { type ServiceLevelObjective, startTimeObjectives } from "../src/protocol/settings/platform.js";
 import { FakeTime } from "./support/fake-time.js";
 import { silentLog } from "./support/silent-log.js";
 import { specOf, mediumType as type } from "./support/specs.js";
@@ -21,21 +21,21 @@
 	private readonly fleet: Fleet;
 	private jobs = 0;
 
-	constructor(objectives: Objective[] = []) {
+	constructor(objectives: ServiceLevelObjective[] = []) {
 		this.fleet = new Fleet({
 			clusterState: this.clusterState,
 			cloud: {
 				machineTypes: async () => [type],
-				rent: async (request) => {
+				createMachines: async (request) => {
 					this.requests.push(request);
 					return Array.from({ length: request.count }, (_, i) => `${request.name}-${i}`);
 				},
-				giveBack: async () => {},
-				list: async () => ({ machines: [], more: false }),
+				deleteMachines: async () => {},
+				listMachines: async () => ({ machines: [], more: false }),
 			},
 			time: this.time,
 			settings: defaultOperator(),
-			objectives: startObjectives(objectives),
+			objectives: startTimeObjectives(objectives),
 			listLagMs: 1000,
 			leaseMs: 10_000,
 			requestPrefix: "r",
@@ -83,7 +83,7 @@
 	}
 }
 
-const startWithin = (name: string, seconds: number): Objective => ({
+const startWithin = (name: string, seconds: number): ServiceLevelObjective => ({
 	kind: "wait",
 	class: name,
 	within_s: seconds,
--- a/tests/malformed.test.ts
+++ b/tests/malformed.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { CallFailed } from "../src/coordination/ports/call-error.js";
-import { MalformedMessageError } from "../src/protocol/checks.js";
+import { CallError } from "../src/coordination/ports/call-error.js";
+import { MalformedMessageError } from "../src/protocol/errors.js";
 import { createdMachinesFrom, machineListFrom, machineTypesFrom } from "../src/protocol/http/cloud-api.js";
 import { eventsFrom, leaseIdFrom, revisionFrom, rowFrom, rowsFrom } from "../src/protocol/http/store-api.js";
 import { parseResponse } from "../src/transport/http-client.js";
@@ -93,7 +93,7 @@
 			assert.throws(() => parse(body), MalformedMessageError, `${parse.name} ${JSON.stringify(body)}`);
 			assert.throws(
 				() => parseResponse({ status: 200, body }, "call", parse),
-				(error) => error instanceof CallFailed && error.kind === "unknown",
+				(error) => error instanceof CallError && error.outcome === "unknown",
 			);
 		}
 	}
--- a/tests/production.test.ts
+++ b/tests/production.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
-import { MalformedMessageError } from "../src/protocol/checks.js";
+import { MalformedMessageError } from "../src/protocol/errors.js";
 import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peer/codec.js";
 import { type RecordedRun, recordRun } from "./support/recorded-run.js";
 import { nodeNames, World } from "./support/world.js";
--- a/tests/races.test.ts
+++ b/tests/races.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { StoreCopy } from "../src/bookkeeping/store-replica.js";
+import { StoreReplica } from "../src/bookkeeping/store-replica.js";
 import { Leadership } from "../src/coordination/leadership/leadership.js";
-import { CallFailed } from "../src/coordination/ports/call-error.js";
-import type { StorePort } from "../src/coordination/ports/store.js";
-import { SharedRecords } from "../src/coordination/replication/chunked-records.js";
-import { StoreSync } from "../src/coordination/replication/replica-sync.js";
+import { CallError } from "../src/coordination/ports/call-error.js";
+import type { KeyValueStore } from "../src/coordination/ports/store.js";
+import { ChunkedRecords } from "../src/coordination/replication/chunked-records.js";
+import { ReplicaSync } from "../src/coordination/replication/replica-sync.js";
 import { compareAndSwapBody } from "../src/protocol/http/store-api.js";
 import type { Cancellation, PeerMessage } from "../src/protocol/peer/messages.js";
 import { encodeJobRecord } from "../src/protocol/records/job-record.js";
@@ -140,11 +140,11 @@
 	/** What its local copy knows: all up to now, while the store answers its watch. */
 	const copy = { knownAt: 0, stuck: false, epoch: 5, cancelled: null as Cancellation[] | null };
 	const faults = { loseAnswers: false };
-	const store: StorePort = new StoreClient(
+	const store: KeyValueStore = new StoreClient(
 		{
 			call: async (method, path, body) => {
 				const answer = await service.handle(method, path, body, "me");
-				if (faults.loseAnswers && path === "/multi") throw new CallFailed("unknown", 0, "no answer");
+				if (faults.loseAnswers && path === "/multi") throw new CallError("unknown", 0, "no answer");
 				return answer;
 			},
 			close() {},
@@ -404,23 +404,23 @@
 		},
 		close() {},
 	};
-	const replica = new StoreCopy();
+	const replica = new StoreReplica();
 	const store = new StoreClient(caller, time, 1000, 1000, 1);
-	const copy = new StoreSync(replica, store, time, (command) => command(), silentLog);
+	const copy = new ReplicaSync(replica, store, time, (command) => command(), silentLog);
 	copy.start();
 	await time.advance(8000);
-	assert.ok(time.now() - copy.knownAt <= 5100, "two waits of a watch at most");
+	assert.ok(time.now() - copy.syncedAt <= 5100, "two waits of a watch at most");
 	heldMs = 5000;
 	await time.advance(10_000);
 	assert.ok(time.now() - copy.heardAt < 10_000, "answers do come");
-	assert.ok(time.now() - copy.knownAt >= 5000, `known up to ${copy.knownAt} at ${time.now()}`);
+	assert.ok(time.now() - copy.syncedAt >= 5000, `known up to ${copy.syncedAt} at ${time.now()}`);
 	copy.stop();
 });
 
 test("a node names every cancellation since an epoch that it can have told of, or says that it cannot", () => {
-	const replica = new StoreCopy();
+	const replica = new StoreReplica();
 	const cancelled = (id: string, revision: number) =>
-		replica.applyOwn(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
+		replica.applyOwnWrite(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
 	assert.equal(replica.cancelledSince(0), null, "nothing is loaded");
 	const record = encodeJobRecord({ spec: specOf("j-000001"), acceptedAt: 0 });
 	replica.reset([{ key: keys.job("j-000001"), value: record, revision: 8 }], 10);
@@ -482,7 +482,7 @@
 	};
 	const confirmed: string[] = [];
 	const tooLarge: string[] = [];
-	const records = new SharedRecords<string>({
+	const records = new ChunkedRecords<string>({
 		prefix: "r/x/",
 		leaderCondition: { key: "r/one/leader", revision: 1 },
 		mostBytes,
@@ -513,7 +513,7 @@
 		late = false;
 		time.after(5000, () => void handle());
 		return new Promise((_, reject) =>
-			time.after(1500, () => reject(new CallFailed("unknown", 0, "no answer in time"))),
+			time.after(1500, () => reject(new CallError("unknown", 0, "no answer in time"))),
 		);
 	});
 	records.set("a", "1");
@@ -536,7 +536,7 @@
 		const answer = await handle();
 		if (!lose || path !== "/multi") return answer;
 		lose = false;
-		throw new CallFailed("unknown", 0, "no answer");
+		throw new CallError("unknown", 0, "no answer");
 	});
 	records.set("a", "1");
 	await run(3000);
@@ -605,7 +605,7 @@
 		left.map(([key, r]) => [key, { value: r.v as { entries: Record<string, string> }, revision: r.stamp }]),
 	);
 	for (const name of names) assert.ok(second.records.has(name));
-	const replica = new StoreCopy();
+	const replica = new StoreReplica();
 	const pages = { entries: { "j-1/0": "old" } };
 	replica.reset(
 		[
--- a/tests/relay.test.ts
+++ b/tests/relay.test.ts
@@ -1,6 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { AnswerBatches, Relay } from "../src/coordination/workers/heartbeat-forwarding.js";
+import {
+	ForwardedResponseBatches,
+	HeartbeatForwarder,
+} from "../src/coordination/workers/heartbeat-forwarding.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../src/protocol/model/worker.js";
 import { decodeHeartbeat, encodeHeartbeat } from "../src/protocol/peer/forwarding-wire.js";
 import type { PeerMessage } from "../src/protocol/peer/messages.js";
@@ -35,12 +38,12 @@
 	const peers = {
 		send: (to: string, message: unknown) => sent.push({ to, message: message as PeerMessage }),
 	};
-	const relay = new Relay(peers, time);
+	const relay = new HeartbeatForwarder(peers, time);
 	relay.newLeader(leader, epoch);
 	/** What came of a report: undefined while it waits. */
 	const pass = () => {
 		const result: { orders?: WorkerCommand[] | null } = {};
-		const taken = relay.take(report);
+		const taken = relay.forward(report);
 		taken?.then((orders) => {
 			result.orders = orders;
 		});
@@ -62,7 +65,7 @@
 	assert.ok(to === "runner-1" && message.kind === "forwarded-heartbeats" && message.term === 3);
 	const numbers = message.heartbeats.map(({ requestId }) => requestId);
 	const stop: WorkerCommand = { kind: "stop", jobId: "j-1", taskIndex: 4, attempt: 1, graceS: 0 };
-	relay.answered("runner-1", 3, [
+	relay.handleResponses("runner-1", 3, [
 		{ requestId: numbers[1] as number, commands: [stop] },
 		{ requestId: numbers[0] as number, commands: null },
 	]);
@@ -77,11 +80,11 @@
 	await time.advance(1);
 	assert.equal(before?.orders, null);
 	const after = pass();
-	relay.answered("runner-1", 3, [{ requestId: 2, commands: [] }]);
-	relay.answered("runner-1", 9, [{ requestId: 2, commands: [] }]);
+	relay.handleResponses("runner-1", 3, [{ requestId: 2, commands: [] }]);
+	relay.handleResponses("runner-1", 9, [{ requestId: 2, commands: [] }]);
 	await time.advance(1);
 	assert.equal(after?.orders, undefined, "only the leader asked may answer");
-	relay.answered("runner-2", 9, [{ requestId: 2, commands: [] }]);
+	relay.handleResponses("runner-2", 9, [{ requestId: 2, commands: [] }]);
 	await time.advance(1);
 	assert.deepEqual(after?.orders, []);
 });
@@ -101,7 +104,7 @@
 
 test("answers to one relay go together, each under the epoch that it was decided in", async () => {
 	const { time, sent, peers } = relayTo("runner-1", 3);
-	const answers = new AnswerBatches(peers, time);
+	const answers = new ForwardedResponseBatches(peers, time);
 	answers.add("runner-0", 3, { requestId: 1, commands: [] });
 	answers.add("runner-0", 3, { requestId: 2, commands: null });
 	answers.add("runner-0", 4, { requestId: 1, commands: [] });
