--- a/tests/reports.test.ts
+++ b/tests/reports.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { StoreCopy } from "../src/bookkeeping/store-replica.js";
+import { StoreReplica } from "../src/bookkeeping/store-replica.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
-import { applyReport, ordersFor } from "../src/coordination/workers/heartbeat-reconciliation.js";
+import { commandsFor, reconcileHeartbeat } from "../src/coordination/workers/heartbeat-reconciliation.js";
 import type { TaskDemand } from "../src/protocol/model/job.js";
 import type { TaskStatus, WorkerHeartbeat } from "../src/protocol/model/worker.js";
 import { encodeJobRecord } from "../src/protocol/records/job-record.js";
@@ -64,20 +64,20 @@
 /** A machine that has reported, with one start sent to it. */
 function withOneSent() {
 	const { clusterState, job } = fresh();
-	applyReport(clusterState, report(1), 0);
+	reconcileHeartbeat(clusterState, report(1), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
 	const attempt = clusterState.decide(job, machine);
 	assert.ok(attempt);
-	const orders = ordersFor(clusterState, machine);
+	const orders = commandsFor(clusterState, machine);
 	assert.deepEqual(orders, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
 	return { clusterState, job, machine, attempt };
 }
 
 test("no start goes to a machine before its record is durable and it has seen the token", () => {
 	const { clusterState, job } = fresh();
-	applyReport(clusterState, report(1, [], { fencingToken: epoch - 1 }), 0);
+	reconcileHeartbeat(clusterState, report(1, [], { fencingToken: epoch - 1 }), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
@@ -86,7 +86,7 @@
 		null,
 		"its answers of an earlier leader may still be on the way",
 	);
-	applyReport(clusterState, report(2), 0);
+	reconcileHeartbeat(clusterState, report(2), 0);
 	machine.durable = false;
 	assert.equal(clusterState.decide(job, machine), null, "a later leader would not know of it");
 	machine.durable = true;
@@ -95,39 +95,39 @@
 
 test("a machine marked to drain between a decision and its report still gets the start", () => {
 	const { clusterState, job } = fresh();
-	applyReport(clusterState, report(1), 0);
+	reconcileHeartbeat(clusterState, report(1), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
 	clusterState.decide(job, machine);
 	machine.draining = true;
-	assert.equal(ordersFor(clusterState, machine).length, 1);
+	assert.equal(commandsFor(clusterState, machine).length, 1);
 	assert.equal(clusterState.decide(job, machine), null, "nothing new is decided for it");
 	machine.draining = false;
 	clusterState.decide(job, machine);
 	machine.quarantined = true;
-	assert.deepEqual(ordersFor(clusterState, machine), [], "on one set aside for failing nothing starts");
+	assert.deepEqual(commandsFor(clusterState, machine), [], "on one set aside for failing nothing starts");
 });
 
 test("a start whose answer was lost is sent again with the same number", () => {
 	const { clusterState, machine, attempt } = withOneSent();
-	applyReport(clusterState, report(2), 100);
-	const orders = ordersFor(clusterState, machine);
+	reconcileHeartbeat(clusterState, report(2), 100);
+	const orders = commandsFor(clusterState, machine);
 	assert.deepEqual(orders, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
 });
 
 test("an old report changes nothing", () => {
 	const { clusterState, machine, attempt } = withOneSent();
-	applyReport(clusterState, report(5, [task(0, attempt.number, "running")]), 100);
-	assert.equal(applyReport(clusterState, report(4), 200).kind, "old");
+	reconcileHeartbeat(clusterState, report(5, [task(0, attempt.number, "running")]), 100);
+	assert.equal(reconcileHeartbeat(clusterState, report(4), 200).kind, "old");
 	assert.equal(machine.attempts.size, 1);
 	assert.equal(attempt.phase, "running");
 });
 
 test("a task that a newer report lacks is over and waits again", () => {
 	const { clusterState, job, attempt } = withOneSent();
-	applyReport(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
-	const applied = applyReport(clusterState, report(3), 200);
+	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
+	const applied = reconcileHeartbeat(clusterState, report(3), 200);
 	assert.equal(applied.kind === "applied" && applied.vanished.length, 1);
 	assert.ok(job.waiting.includes(0));
 	assert.equal(clusterState.quotas.use("red").cpus, 0);
@@ -135,44 +135,44 @@
 
 test("a report with an earlier token adds tasks but proves no absence", () => {
 	const { clusterState, job } = fresh();
-	applyReport(clusterState, report(3, [task(2, 900, "running")], { fencingToken: 7 }), 0);
+	reconcileHeartbeat(clusterState, report(3, [task(2, 900, "running")], { fencingToken: 7 }), 0);
 	assert.equal(job.attempts.get(2)?.number, 900);
-	applyReport(clusterState, report(4, [], { fencingToken: 7 }), 10);
+	reconcileHeartbeat(clusterState, report(4, [], { fencingToken: 7 }), 10);
 	assert.equal(job.attempts.get(2)?.number, 900, "an answer of the leader before may come after this report");
 	assert.equal(clusterState.quotas.use("red").cpus, 1);
-	applyReport(clusterState, report(5), 20);
+	reconcileHeartbeat(clusterState, report(5), 20);
 	assert.equal(job.attempts.has(2), false);
 });
 
 test("a later session ends all tasks of the one before; a report of an expired lease is refused", () => {
 	const { clusterState, job, machine, attempt } = withOneSent();
-	applyReport(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
-	applyReport(clusterState, report(1, [], { agentEpoch: 2 }), 200);
+	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
+	reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 2 }), 200);
 	assert.equal(job.attempts.size, 0);
 	clusterState.expire(machine);
-	assert.equal(applyReport(clusterState, report(9, [], { agentEpoch: 2 }), 300).kind, "expired");
-	assert.equal(applyReport(clusterState, report(1, [], { agentEpoch: 3 }), 300).kind, "applied");
+	assert.equal(reconcileHeartbeat(clusterState, report(9, [], { agentEpoch: 2 }), 300).kind, "expired");
+	assert.equal(reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 3 }), 300).kind, "applied");
 });
 
 test("a completed task is forgotten only when its completion is durable", () => {
 	const { clusterState, job, machine, attempt } = withOneSent();
-	applyReport(clusterState, report(2, [task(0, attempt.number, "exited", "done")]), 100);
+	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "exited", "done")]), 100);
 	assert.ok(job.done.has(0));
 	machine.draining = true;
-	assert.deepEqual(ordersFor(clusterState, machine), [], "a takeover now would lose it");
+	assert.deepEqual(commandsFor(clusterState, machine), [], "a takeover now would lose it");
 	machine.draining = false;
 	job.durable.add(0);
-	assert.deepEqual(ordersFor(clusterState, machine), [], "the last one is kept as a handle");
+	assert.deepEqual(commandsFor(clusterState, machine), [], "the last one is kept as a handle");
 	assert.equal(machine.reminder?.attempt, attempt.number);
 	machine.draining = true;
 	const forget = { kind: "forget", jobId: "j-1", taskIndex: 0, attempt: attempt.number };
-	assert.deepEqual(ordersFor(clusterState, machine), [forget]);
+	assert.deepEqual(commandsFor(clusterState, machine), [forget]);
 });
 
 test("tasks that ended under an earlier leader are counted, and their job is named so that it can end", () => {
 	const { clusterState, job } = fresh();
 	const ended = Array.from({ length: job.spec.taskCount }, (_, i) => task(i, 7, "exited", "done"));
-	const applied = applyReport(clusterState, report(1, ended), 0);
+	const applied = reconcileHeartbeat(clusterState, report(1, ended), 0);
 	assert.ok(applied.kind === "applied");
 	assert.ok(job.done.full);
 	assert.deepEqual([...applied.progressed], [job]);
@@ -188,11 +188,11 @@
 			machineId: "n-2",
 		},
 	);
-	applyReport(clusterState, other, 0);
+	reconcileHeartbeat(clusterState, other, 0);
 	const machine = clusterState.machines.get("n-2");
 	assert.ok(machine);
 	assert.deepEqual(
-		ordersFor(clusterState, machine).map((o) => [o.kind, o.attempt]),
+		commandsFor(clusterState, machine).map((o) => [o.kind, o.attempt]),
 		[
 			["stop", 900],
 			["stop", 901],
@@ -209,7 +209,7 @@
 	const job = clusterState.addJob("j-1", spec, 0, 1);
 	job.fillWaiting();
 	const gone = (index: number) => ({ ...task(index, 7, "running"), jobId: "j-9" });
-	applyReport(clusterState, report(1, [gone(0), gone(1)]), 0);
+	reconcileHeartbeat(clusterState, report(1, [gone(0), gone(1)]), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.durable = true;
@@ -219,7 +219,7 @@
 	clusterState.resolveDemand("j-9");
 	assert.equal(clusterState.quotas.use("red").cpus, 8);
 	assert.equal(clusterState.decide(job, machine), null, "they fill the limit");
-	applyReport(clusterState, report(2, [gone(1)]), 500);
+	reconcileHeartbeat(clusterState, report(2, [gone(1)]), 500);
 	assert.equal(clusterState.quotas.use("red").cpus, 4);
 	assert.notEqual(clusterState.decide(job, machine), null);
 	clusterState.expire(machine);
@@ -234,66 +234,66 @@
 	const still = clusterState.endJob(job);
 	assert.deepEqual(still, [attempt]);
 	assert.equal(clusterState.quotas.use("red").cpus, 1, "what was sent still counts");
-	applyReport(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
-	assert.equal(ordersFor(clusterState, machine)[0]?.kind, "stop");
-	applyReport(clusterState, report(3, [task(0, attempt.number, "exited", "stopped")]), 200);
+	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
+	assert.equal(commandsFor(clusterState, machine)[0]?.kind, "stop");
+	reconcileHeartbeat(clusterState, report(3, [task(0, attempt.number, "exited", "stopped")]), 200);
 	assert.equal(clusterState.quotas.use("red").cpus, 0);
 });
 
 test("one lost answer changes nothing; after two in a row nothing more is sent until its lease has held", () => {
 	const { clusterState, job, machine, attempt } = withOneSent();
-	applyReport(clusterState, report(2), 1000);
+	reconcileHeartbeat(clusterState, report(2), 1000);
 	assert.equal(machine.unreachableSince, null);
-	assert.equal(ordersFor(clusterState, machine).length, 1);
-	applyReport(clusterState, report(3), 2000);
+	assert.equal(commandsFor(clusterState, machine).length, 1);
+	reconcileHeartbeat(clusterState, report(3), 2000);
 	assert.equal(machine.unreachableSince, 2000);
 	assert.equal(job.attempts.has(0), false, "a start that no report lists can no longer be carried out");
 	assert.ok(job.waiting.includes(attempt.index));
 	assert.equal(clusterState.decide(job, machine), null);
-	applyReport(clusterState, report(4), 2000 + clusterState.certainMs);
+	reconcileHeartbeat(clusterState, report(4), 2000 + clusterState.certainMs);
 	assert.notEqual(machine.unreachableSince, null);
-	applyReport(clusterState, report(5), 2000 + 1.6 * clusterState.certainMs);
+	reconcileHeartbeat(clusterState, report(5), 2000 + 1.6 * clusterState.certainMs);
 	assert.equal(machine.unreachableSince, null);
 	assert.notEqual(clusterState.decide(job, machine), null);
 });
 
 test("a start that is listed after one lost answer counts as heard", () => {
 	const { clusterState, machine, attempt } = withOneSent();
-	applyReport(clusterState, report(2), 1000);
-	ordersFor(clusterState, machine);
-	applyReport(clusterState, report(3, [task(0, attempt.number, "running")]), 2000);
+	reconcileHeartbeat(clusterState, report(2), 1000);
+	commandsFor(clusterState, machine);
+	reconcileHeartbeat(clusterState, report(3, [task(0, attempt.number, "running")]), 2000);
 	assert.equal(machine.ineffectiveAnswers, 0);
 });
 
 test("a lease that runs out although it was answered all the time shows a machine that hears nothing", () => {
 	const { clusterState, machine } = withOneSent();
 	machine.answeredAt = 20_000;
-	applyReport(clusterState, report(1, [], { agentEpoch: 2 }), 21_000);
+	reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 2 }), 21_000);
 	assert.equal(machine.unreachableSince, null, "the last answer may have come too late");
 	machine.answeredAt = 33_000;
-	applyReport(clusterState, report(1, [], { agentEpoch: 3 }), 34_000);
+	reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 3 }), 34_000);
 	assert.equal(machine.unreachableSince, 34_000);
 	const silent = withOneSent();
 	silent.machine.answeredAt = 0;
-	applyReport(silent.clusterState, report(1, [], { agentEpoch: 2 }), 21_000);
+	reconcileHeartbeat(silent.clusterState, report(1, [], { agentEpoch: 2 }), 21_000);
 	assert.equal(silent.machine.ineffectiveAnswers, 0, "it was cut off both ways");
 });
 
 test("answers to a machine that never takes up the token renew nothing", () => {
 	const { clusterState, job } = fresh();
 	const old = { fencingToken: epoch - 1 };
-	applyReport(clusterState, report(1, [task(0, 900, "running")], old), 0);
+	reconcileHeartbeat(clusterState, report(1, [task(0, 900, "running")], old), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	clusterState.awaitReport(machine);
 	for (let at = 3000; at < clusterState.certainMs; at += 3000) {
 		machine.answeredAt = at;
-		assert.equal(applyReport(clusterState, report(1 + at, [], old), at).kind, "applied");
+		assert.equal(reconcileHeartbeat(clusterState, report(1 + at, [], old), at).kind, "applied");
 		assert.equal(job.attempts.size, 1);
 		assert.equal(clusterState.rebuilt, false);
 	}
 	assert.equal(
-		applyReport(clusterState, report(99_999, [], old), clusterState.certainMs + 1).kind,
+		reconcileHeartbeat(clusterState, report(99_999, [], old), clusterState.certainMs + 1).kind,
 		"expired",
 	);
 	assert.equal(job.attempts.size, 0);
@@ -302,20 +302,20 @@
 
 test("a late copy that lists an earlier attempt yields to the later one", () => {
 	const { clusterState, job } = fresh();
-	applyReport(clusterState, report(7, [task(0, 900, "running")], { fencingToken: 7 }), 0);
+	reconcileHeartbeat(clusterState, report(7, [task(0, 900, "running")], { fencingToken: 7 }), 0);
 	const real = report(1, [task(0, 905, "running")], { machineId: "n-2", fencingToken: 7 });
-	applyReport(clusterState, real, 10);
+	reconcileHeartbeat(clusterState, real, 10);
 	assert.equal(job.attempts.get(0)?.number, 905, "it was decided when the one before was proved over");
 	assert.equal(clusterState.quotas.use("red").cpus, 1);
 	const n2 = clusterState.machines.get("n-2");
 	assert.ok(n2);
-	assert.deepEqual(ordersFor(clusterState, n2), []);
-	applyReport(clusterState, report(9, [task(0, 900, "running")], { fencingToken: 7 }), 20);
+	assert.deepEqual(commandsFor(clusterState, n2), []);
+	reconcileHeartbeat(clusterState, report(9, [task(0, 900, "running")], { fencingToken: 7 }), 20);
 	assert.equal(job.attempts.get(0)?.number, 905);
 });
 
 test("answers of overlapping watches never bring back what has ended", () => {
-	const replica = new StoreCopy();
+	const replica = new StoreReplica();
 	const record = encodeJobRecord({ spec, acceptedAt: 0 });
 	replica.reset([], 5);
 	const put = { key: keys.job("j-1"), value: record, revision: 6 };
@@ -324,9 +324,9 @@
 	replica.apply([put, drop, final], 8);
 	replica.apply([put], 7);
 	assert.equal(replica.jobs.has("j-1"), false);
-	assert.equal(replica.terminal.get("j-1")?.status, "done");
+	assert.equal(replica.finalRecords.get("j-1")?.status, "done");
 	assert.equal(replica.revision, 8);
-	replica.applyOwn(keys.job("j-1"), record, 6);
+	replica.applyOwnWrite(keys.job("j-1"), record, 6);
 	assert.equal(replica.jobs.has("j-1"), false);
 	// Made anew from rows that were read before the job ended.
 	replica.reset([{ key: keys.job("j-1"), value: record, revision: 6 }], 7);
--- a/tests/scale.test.ts
+++ b/tests/scale.test.ts
@@ -2,17 +2,17 @@
 import { test } from "node:test";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { Machine } from "../src/bookkeeping/machine.js";
-import { StoreCopy } from "../src/bookkeeping/store-replica.js";
-import { MachineList } from "../src/coordination/fleet/cloud-inventory.js";
+import { StoreReplica } from "../src/bookkeeping/store-replica.js";
+import { CloudInventory } from "../src/coordination/fleet/cloud-inventory.js";
 import { machinesToCut, machinesToSpare } from "../src/coordination/fleet/hill-climb.js";
-import { Takeover } from "../src/coordination/leadership/failover.js";
-import { PeerMonitor } from "../src/coordination/leadership/failure-detector.js";
-import { ReservedMachines } from "../src/coordination/placement/machine-reservations.js";
+import { Failover } from "../src/coordination/leadership/failover.js";
+import { FailureDetector } from "../src/coordination/leadership/failure-detector.js";
+import { MachineReservations } from "../src/coordination/placement/machine-reservations.js";
 import { PlacementCycle } from "../src/coordination/placement/placement-cycle.js";
-import { CallFailed } from "../src/coordination/ports/call-error.js";
-import { SharedRecords } from "../src/coordination/replication/chunked-records.js";
+import { CallError } from "../src/coordination/ports/call-error.js";
+import { ChunkedRecords } from "../src/coordination/replication/chunked-records.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
-import { OrderSender } from "../src/coordination/workers/direct-command-sender.js";
+import { DirectCommandSender } from "../src/coordination/workers/direct-command-sender.js";
 import { encodePeerMessage } from "../src/protocol/peer/codec.js";
 import type { PeerMessage } from "../src/protocol/peer/messages.js";
 import { defaultOperator } from "../src/protocol/settings/operator.js";
@@ -48,20 +48,20 @@
 		const mostBytes = 13_000;
 		let writes: { put: string; bytes: number }[][] = [];
 		const time = new FakeTime();
-		const records = new SharedRecords<object>({
+		const records = new ChunkedRecords<object>({
 			prefix: "r/machs/",
 			leaderCondition: { key: "r/one/leader", revision: 1 },
 			mostBytes,
 			mostChanges: 12,
 			store: {
-				transact: async (_conditions: unknown, changes: { put?: string; value?: unknown }[]) => {
+				compareAndSwap: async (_conditions: unknown, changes: { put?: string; value?: unknown }[]) => {
 					writes.push(
 						changes.map(({ put, value }) => ({
 							put: put ?? "",
 							bytes: JSON.stringify(value ?? null).length,
 						})),
 					);
-					return { ok: true, epoch: writes.length + 1 };
+					return { swapped: true, revision: writes.length + 1 };
 				},
 			} as never,
 			post: (command) => command(),
@@ -103,7 +103,7 @@
 		let calls = 0;
 		let lastCallAt = -Infinity;
 		const list = async (after: string) => {
-			if (time.now() - lastCallAt < 1000) throw new CallFailed("refused", 429, "too many");
+			if (time.now() - lastCallAt < 1000) throw new CallError("not executed", 429, "too many");
 			lastCallAt = time.now();
 			calls += 1;
 			const from = after === "" ? 0 : Number(after.slice(2)) + 1;
@@ -119,8 +119,15 @@
 			}));
 			return { machines, more: from + count < size };
 		};
-		const hooks = { post: (run: () => void) => run(), isGone: () => false };
-		const machineList = new MachineList(clusterState, { list } as never, time, 4000, hooks, silentLog);
+		const hooks = { post: (run: () => void) => run(), isDeleted: () => false };
+		const machineList = new CloudInventory(
+			clusterState,
+			{ listMachines: list } as never,
+			time,
+			4000,
+			hooks,
+			silentLog,
+		);
 		let t = 0;
 		for (; !machineList.looked && t < 60_000; t += 100) {
 			machineList.tick(time.now());
@@ -146,7 +153,7 @@
 				largest = Math.max(largest, frame(encodePeerMessage(message)).length);
 			},
 		};
-		const peerMonitor = new PeerMonitor({
+		const peerMonitor = new FailureDetector({
 			term: 7,
 			beganAt: 0,
 			platform: platform as unknown as PlatformSettings,
@@ -208,7 +215,7 @@
 			searches += 1;
 			return machines.slice(0, most);
 		};
-		const reserved = new ReservedMachines(clusterState, 600, sample, silentLog);
+		const reserved = new MachineReservations(clusterState, 600, sample, silentLog);
 		reserved.update(100_000, 100_000);
 		const kept = [...clusterState.machines.values()].filter((m) => m.reservedFor !== null);
 		assert.ok(kept.some((m) => m.reservedFor === wide));
@@ -228,7 +235,7 @@
 		const clusterState = fleetOf(size);
 		const asked = new Set<string>();
 		const workers = {
-			command: (endpoint: string) => {
+			sendCommands: (endpoint: string) => {
 				asked.add(endpoint);
 				return new Promise<never>(() => {});
 			},
@@ -240,7 +247,7 @@
 			apply() {},
 			unlisted: () => false,
 		};
-		const takeover = new Takeover(clusterState, workers, 0, hooks, silentLog);
+		const takeover = new Failover(clusterState, workers, 0, hooks, silentLog);
 		for (const machine of clusterState.machines.values()) takeover.hide(machine, 1);
 		for (let t = 0; t < 12_000; t += 100) {
 			takeover.tick(time.now(), false);
@@ -275,10 +282,10 @@
 			inFlight -= 1;
 			return {} as never;
 		};
-		const orders = new OrderSender(
+		const orders = new DirectCommandSender(
 			7,
 			100,
-			{ command },
+			{ sendCommands: command },
 			() => true,
 			(run) => run(),
 			silentLog,
@@ -292,7 +299,7 @@
 
 test("ends of jobs are kept by the store's rate, and a promise of all of them is a message that links take", () => {
 	const changesPerS = 400;
-	const copy = new StoreCopy(() => assert.fail("malformed"), changesPerS);
+	const copy = new StoreReplica(() => assert.fail("malformed"), changesPerS);
 	copy.reset([], 1);
 	const ends = (changesPerS / 2) * 300;
 	for (let i = 0; i < ends; i++) {
--- a/tests/stalls.test.ts
+++ b/tests/stalls.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Machine, unknownType } from "../src/bookkeeping/machine.js";
-import { StoreCopy } from "../src/bookkeeping/store-replica.js";
-import { Takeover } from "../src/coordination/leadership/failover.js";
-import { PeerMonitor } from "../src/coordination/leadership/failure-detector.js";
-import { CallFailed } from "../src/coordination/ports/call-error.js";
-import type { StorePort } from "../src/coordination/ports/store.js";
-import { StoreSync } from "../src/coordination/replication/replica-sync.js";
-import { StallDetector } from "../src/coordination/runtime/pause-detector.js";
+import { StoreReplica } from "../src/bookkeeping/store-replica.js";
+import { Failover } from "../src/coordination/leadership/failover.js";
+import { FailureDetector } from "../src/coordination/leadership/failure-detector.js";
+import { CallError } from "../src/coordination/ports/call-error.js";
+import type { KeyValueStore } from "../src/coordination/ports/store.js";
+import { ReplicaSync } from "../src/coordination/replication/replica-sync.js";
+import { PauseDetector } from "../src/coordination/runtime/pause-detector.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
 import { defaultOperator } from "../src/protocol/settings/operator.js";
 import type { PlatformSettings } from "../src/protocol/settings/platform.js";
@@ -27,7 +27,7 @@
 
 test("a pause is measured by the steady clock, and one of the processor's share is none", async () => {
 	const time = new FakeTime();
-	const detector = new StallDetector(time);
+	const detector = new PauseDetector(time);
 	await time.advance(1900);
 	assert.equal(detector.observe(), null);
 	await time.advance(6000);
@@ -39,7 +39,7 @@
 test("workers are not judged by a time in which the leader had no authority or stood still", () => {
 	const resigned: string[] = [];
 	const clusterState = fleetOf(6);
-	const monitor = new PeerMonitor({
+	const monitor = new FailureDetector({
 		term: 1,
 		beganAt: 0,
 		platform: {
@@ -85,8 +85,8 @@
 test("a pause in a takeover does not make machines silent", async () => {
 	const clusterState = fleetOf(50);
 	const hooks = { post() {}, active: () => true, ended: () => false, apply() {}, unlisted: () => false };
-	const workers = { command: () => new Promise<never>(() => {}) };
-	const takeover = new Takeover(clusterState, workers, 0, hooks, silentLog);
+	const workers = { sendCommands: () => new Promise<never>(() => {}) };
+	const takeover = new Failover(clusterState, workers, 0, hooks, silentLog);
 	const [one] = clusterState.machines.values();
 	takeover.hide(one as Machine, 1);
 	takeover.tick(1000, false);
@@ -120,17 +120,21 @@
 	const time = new FakeTime();
 	const fail: ((error: Error) => void)[] = [];
 	const store = {
-		rows: async () => ({ rows: [], epoch: 1 }),
+		readPrefix: async () => ({ rows: [], revision: 1 }),
 		watch: () => new Promise<never>((_, reject) => fail.push(reject)),
-	} as unknown as StorePort;
-	const sync = new StoreSync(new StoreCopy(), store, time, (run) => run(), silentLog);
+	} as unknown as KeyValueStore;
+	const sync = new ReplicaSync(new StoreReplica(), store, time, (run) => run(), silentLog);
 	sync.start();
 	await time.advance(100);
 	await time.advance(9000);
 	sync.stalled();
-	for (const reject of fail) reject(new CallFailed("unknown", 0, "no answer in time"));
+	for (const reject of fail) reject(new CallError("unknown", 0, "no answer in time"));
 	await time.advance(100);
-	sync.expectAnswer();
+	sync.assertResponsive();
 	await time.advance(5000);
-	assert.throws(() => sync.expectAnswer(), { kind: "refused" }, "a store that stays silent is noticed");
+	assert.throws(
+		() => sync.assertResponsive(),
+		{ outcome: "not executed" },
+		"a store that stays silent is noticed",
+	);
 });
--- a/tests/support/fake-time.ts
+++ b/tests/support/fake-time.ts
@@ -1,4 +1,4 @@
-import type { TimePort } from "../../src/coordination/ports/clock.js";
+import type { Clock } from "../../src/coordination/ports/clock.js";
 
 interface Timer {
 	at: number;
@@ -10,7 +10,7 @@
  * Steady time that moves only when a test says so. After each timer all promises
  * that can go on do so: a macrotask boundary lets the microtask queue run empty.
  */
-export class FakeTime implements TimePort {
+export class FakeTime implements Clock {
 	private clock = 0;
 	private order = 0;
 	private timers: Timer[] = [];
--- a/tests/support/network.ts
+++ b/tests/support/network.ts
@@ -1,4 +1,4 @@
-import { CallFailed } from "../../src/coordination/ports/call-error.js";
+import { CallError, type CallOutcome } from "../../src/coordination/ports/call-error.js";
 import type { HttpCaller, HttpResponse } from "../../src/transport/http-client.js";
 import type { FakeTime } from "./fake-time.js";
 
@@ -69,12 +69,12 @@
 		const slowMs = to === "state" ? this.slowStateMs : 0;
 		const copy = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
 		return new Promise((resolve, reject) => {
-			const fail = (kind: "refused" | "unknown", why: string) =>
-				reject(new CallFailed(kind, 0, `${method} ${path}: ${why}`));
+			const fail = (outcome: CallOutcome, why: string) =>
+				reject(new CallError(outcome, 0, `${method} ${path}: ${why}`));
 			this.time.after(deadlineMs, () => fail("unknown", "no answer in time"));
 			if (fault.cut || this.down.has(from)) return;
 			if (this.down.has(to)) {
-				this.time.after(this.latencyMs, () => fail("refused", "connection refused"));
+				this.time.after(this.latencyMs, () => fail("not executed", "connection refused"));
 				return;
 			}
 			this.time.after(this.latencyMs + (fault.delayMs ?? 0), async () => {
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -4,7 +4,7 @@
  */
 import { type AllotmentManager, type Amount, TeamQuota } from "#team-quota";
 import { Leadership } from "../../src/coordination/leadership/leadership.js";
-import type { TimePort } from "../../src/coordination/ports/clock.js";
+import type { Clock } from "../../src/coordination/ports/clock.js";
 import { decodePeerMessage, encodePeerMessage } from "../../src/protocol/peer/codec.js";
 import type { LeadershipMessage } from "../../src/protocol/peer/messages.js";
 import { quotaStore } from "../../src/team-quota.js";
@@ -71,7 +71,7 @@
 	private made = 0;
 	private readonly waitingSince = new Map<string, number>();
 
-	private readonly time: TimePort = {
+	private readonly time: Clock = {
 		now: () => performance.now() * this.config.rate,
 		date: () => new Date(),
 		after: (ms, run) => {
@@ -144,13 +144,13 @@
 	// --- the store ---
 
 	private async follow(): Promise<void> {
-		const { rows, epoch } = await this.store.rows("r/");
+		const { rows, revision } = await this.store.readPrefix("r/");
 		for (const row of rows) this.stored(row.key, row.value, row.revision);
 		this.loaded = true;
-		for (let from = epoch; ; ) {
+		for (let from = revision; ; ) {
 			const answer = await this.store.watch("r/", from, 500);
 			for (const event of answer.events) this.stored(event.key, event.value, event.revision);
-			from = answer.epoch;
+			from = answer.revision;
 		}
 	}
 
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -1,6 +1,6 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { Controller } from "../../src/coordination/controller.js";
-import type { TimePort } from "../../src/coordination/ports/clock.js";
+import type { Clock } from "../../src/coordination/ports/clock.js";
 import type { Log } from "../../src/coordination/ports/log.js";
 import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../../src/protocol/http/worker-api.js";
 import { defaultOperator } from "../../src/protocol/settings/operator.js";
@@ -91,7 +91,7 @@
 		);
 	}
 
-	time(time: TimePort): TimePort {
+	time(time: Clock): Clock {
 		return {
 			now: () => time.now(),
 			date: () => time.date(),
@@ -295,8 +295,8 @@
 			{
 				submit: (spec) => controller.jobs.submit(spec),
 				status: (job) => controller.jobs.status(job),
-				abort: (job) => controller.jobs.abort(job),
-				report: (report) => controller.report(report),
+				cancel: (job) => controller.jobs.cancel(job),
+				handleHeartbeat: (report) => controller.handleHeartbeat(report),
 				ready: () => controller.ready(),
 			},
 			log,
@@ -362,7 +362,7 @@
 		for (const seconds of this.copiesAfterS) {
 			this.time.after(seconds * 1000, () => {
 				const process = this.processes.get(node);
-				process?.gate.pass(() => void process.controller.report(parseHeartbeat(sent)));
+				process?.gate.pass(() => void process.controller.handleHeartbeat(parseHeartbeat(sent)));
 			});
 		}
 		return new Promise<HttpResponse | undefined>((resolve) => {
@@ -377,7 +377,7 @@
 			this.time.after(2 + (fault.delayMs ?? 0), () => {
 				const now = this.processes.get(node);
 				now?.gate.pass(async () => {
-					const result = await now.controller.report(parseHeartbeat(sent));
+					const result = await now.controller.handleHeartbeat(parseHeartbeat(sent));
 					if (fault.loseAnswer || this.network.isDown(now.id)) return;
 					const answer: HttpResponse =
 						result.kind === "orders"
--- a/tests/surface.test.ts
+++ b/tests/surface.test.ts
@@ -85,8 +85,8 @@
 			: { kind: "impossible", reason: "there is no team" },
 	status: async (id) =>
 		id === "j-1" ? { kind: "job", status: "running", done: 1, running: 2 } : { kind: "unknown" },
-	abort: async () => ({ kind: "later", reason: "not now" }),
-	report: async () => ({ kind: "elsewhere", node: "runner-2" }),
+	cancel: async () => ({ kind: "later", reason: "not now" }),
+	handleHeartbeat: async () => ({ kind: "elsewhere", node: "runner-2" }),
 	ready: () => true,
 };
 
@@ -287,7 +287,7 @@
 		front.close();
 	}
 	const gone = new HttpClient(`127.0.0.1:${front.port}`, 2);
-	await assert.rejects(gone.call("GET", "/ready", undefined, 5000), { kind: "refused" });
+	await assert.rejects(gone.call("GET", "/ready", undefined, 5000), { outcome: "not executed" });
 	gone.close();
 });
 
@@ -339,7 +339,7 @@
 		await client.call("GET", "/", undefined, 5000);
 		const answer = client.call("GET", "/", undefined, 1500);
 		const none = client.call("GET", "/never", undefined, 1500);
-		const failed = assert.rejects(none, { kind: "unknown" });
+		const failed = assert.rejects(none, { outcome: "unknown" });
 		// The requests leave before the process stands still, and both deadlines pass meanwhile.
 		await new Promise((resolve) => setTimeout(resolve, 30));
 		// Between an immediate and the next look at sockets timers come first.
