--- a/src/bookkeeping/job.ts
+++ b/src/bookkeeping/job.ts
@@ -105,7 +105,7 @@
 		if (this.isService || !this.failsOnSeveral) return false;
 		let machines = 0;
 		// What a faulty machine does to a job says nothing of the job.
-		for (const machine of this.failedOn) if (!machine.quarantinedForFailures) machines += 1;
+		for (const machine of this.failedOn) if (!machine.health.quarantinedForFailures) machines += 1;
 		return machines >= failsEverywhereFrom || this.failuresInRow >= failsEverywhereFailures;
 	}
 
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -107,9 +107,9 @@
 	private reconcile(listed: ListedMachine, now: number): void {
 		const machine = this.clusterState.machines.get(listed.id) ?? this.takeIn(listed, now);
 		if (!machine) return;
-		if (listed.endpoint !== "" && machine.endpoint === "") machine.endpoint = listed.endpoint;
-		if (listed.status === "failed" && !machine.returning) {
-			machine.returning = true;
+		machine.agent.endpointLearned(listed.endpoint);
+		if (listed.status === "failed" && !machine.lifecycle.deleting) {
+			machine.lifecycle.startDeleting();
 			this.log.info({ machine: listed.id }, "failed machine goes back");
 		}
 	}
@@ -117,8 +117,10 @@
 	private takeIn(listed: ListedMachine, now: number): Machine | null {
 		const type = this.clusterState.types.get(listed.machineType);
 		if (!type) return null;
-		const machine = new Machine(listed.id, type, listed.zone, listed.spot, now - listed.ageS * 1000);
-		machine.onlyListed = true;
+		const machine = new Machine(
+			{ id: listed.id, type, zone: listed.zone, spot: listed.spot, origin: "listed" },
+			now - listed.ageS * 1000,
+		);
 		this.clusterState.machines.set(machine.id, machine);
 		this.log.info({ machine: listed.id, status: listed.status }, "unexpected machine listed");
 		return machine;
@@ -127,7 +129,7 @@
 	/** One known only from a list, never heard of and no longer listed, is not there. */
 	private dropUnlisted(names: Set<string>): void {
 		for (const machine of [...this.clusterState.machines.values()]) {
-			if (machine.onlyListed && !machine.up && !names.has(machine.id))
+			if (machine.lifecycle.onlyListed && !machine.agent.running && !names.has(machine.id))
 				this.clusterState.machines.delete(machine.id);
 		}
 	}
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -39,7 +39,7 @@
 			marked = this.choose(others, look);
 		}
 		if (marked.size === 0) return;
-		for (const machine of marked) machine.draining = true;
+		for (const machine of marked) machine.lifecycle.startDraining();
 		this.log.info({ machines: [...marked].map((m) => m.id) }, "marked to drain and return");
 	}
 
@@ -68,7 +68,8 @@
 		return machines
 			.filter(
 				(machine) =>
-					machine.reservedFor === null && !unsettled.some((job) => machineAllowed(job.spec, machine)),
+					machine.capacity.reservedFor === null &&
+					!unsettled.some((job) => machineAllowed(job.spec, machine)),
 			)
 			.map((machine) => this.candidate(machine, now))
 			.filter((c) => !c.replicas || replicas.couldLeave(c.machine, machines))
@@ -102,8 +103,8 @@
 		let { cpus } = look;
 		let count = look.machines.length;
 		for (const machine of this.clusterState.machines.values()) {
-			if (!machine.draining || machine.returning || machine.leaseExpired) continue;
-			machine.draining = false;
+			if (!machine.lifecycle.draining || machine.lifecycle.deleting || machine.agent.leaseExpired) continue;
+			machine.lifecycle.cancelDraining();
 			back.push(machine.id);
 			cpus += machine.type.cpus;
 			count += 1;
@@ -118,9 +119,9 @@
 	/** Takes back the mark of a machine with room for the job; false if there is none. */
 	cancelDrainingFor(job: Job): boolean {
 		for (const machine of this.clusterState.machines.values()) {
-			if (!machine.draining || !machine.usable) continue;
-			if (!machineAllowed(job.spec, machine) || !machine.hasRoomFor(job.spec)) continue;
-			machine.draining = false;
+			if (!machine.lifecycle.draining || !machine.usable) continue;
+			if (!machineAllowed(job.spec, machine) || !machine.capacity.hasRoomFor(job.spec)) continue;
+			machine.lifecycle.cancelDraining();
 			this.clusterState.placementDue = true;
 			this.log.info({ machines: [machine.id], job: job.id }, "unmarked");
 			return true;
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -121,7 +121,7 @@
 
 	/** The machine has reported to this leader for the first time. */
 	onMachineRunning(machine: Machine): void {
-		if (machine.rentedHere) this.bootTimes.noteUp(machine, this.time.now());
+		if (machine.lifecycle.createdByThisLeader) this.bootTimes.noteUp(machine, this.time.now());
 	}
 
 	/** The machine's return was answered. */
@@ -137,11 +137,11 @@
 	/** What was rented and is late no longer counts as coming; it does again once it is up. */
 	private noteOverdue(now: number): void {
 		for (const machine of this.clusterState.machines.values()) {
-			const before = machine.overdue;
-			machine.overdue = this.bootTimes.isOverdue(machine, now);
-			if (before || !machine.overdue) continue;
-			const { id, type, zone, rentedAt } = machine;
-			const bootingS = Math.round((now - rentedAt) / 1000);
+			const before = machine.lifecycle.overdue;
+			machine.lifecycle.setOverdue(this.bootTimes.isOverdue(machine, now));
+			if (before || !machine.lifecycle.overdue) continue;
+			const { id, type, zone, lifecycle } = machine;
+			const bootingS = Math.round((now - lifecycle.requestedAt) / 1000);
 			this.log.info({ machine: id, type: type.name, zone, bootingS }, "late in coming up");
 		}
 	}
--- a/src/coordination/fleet/provisioning-times.ts
+++ b/src/coordination/fleet/provisioning-times.ts
@@ -34,27 +34,31 @@
 	) {}
 
 	/** A machine that this leader rented has reported for the first time. */
-	noteUp({ type, rentedAt }: Machine, now: number): void {
+	noteUp({ type, lifecycle }: Machine, now: number): void {
+		const { requestedAt } = lifecycle;
 		const boots = this.byType.get(type.name) ?? { durationsMs: [], latestRentedAt: -Infinity };
 		this.byType.set(type.name, boots);
-		boots.durationsMs.push(now - rentedAt);
+		boots.durationsMs.push(now - requestedAt);
 		if (boots.durationsMs.length > bootsKept) boots.durationsMs.shift();
-		boots.latestRentedAt = Math.max(boots.latestRentedAt, rentedAt);
+		boots.latestRentedAt = Math.max(boots.latestRentedAt, requestedAt);
 	}
 
 	/** It should be up by now, and another is to be had in its place. */
 	isOverdue(machine: Machine, now: number): boolean {
-		if (machine.up) return false;
+		if (machine.agent.running) return false;
 		const observed = Math.max(0, ...(this.byType.get(machine.type.name)?.durationsMs ?? []));
-		return now - machine.rentedAt > Math.max(statedMs(machine) * usualBootTimes, observed * observedFactor);
+		return (
+			now - machine.lifecycle.requestedAt >
+			Math.max(statedMs(machine) * usualBootTimes, observed * observedFactor)
+		);
 	}
 
 	/** It will hardly come up any more. */
 	isGivenUp(machine: Machine, now: number): boolean {
-		if (machine.up) return false;
-		const age = now - machine.rentedAt;
+		if (machine.agent.running) return false;
+		const age = now - machine.lifecycle.requestedAt;
 		const latest = this.byType.get(machine.type.name)?.latestRentedAt ?? -Infinity;
-		const times = latest >= machine.rentedAt ? overtakenBootTimes : this.bootTimes * patience;
+		const times = latest >= machine.lifecycle.requestedAt ? overtakenBootTimes : this.bootTimes * patience;
 		return age > statedMs(machine) * times && this.isOverdue(machine, now);
 	}
 }
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -169,8 +169,8 @@
 	 * room elsewhere now.
 	 */
 	couldLeave(machine: Machine, machines: Machine[]): boolean {
-		if (machine.usedCpus > machine.type.cpus / 4) return false;
-		const others = machines.filter((m) => m !== machine && m.up && !m.onProbation);
+		if (machine.capacity.usedCpus > machine.type.cpus / 4) return false;
+		const others = machines.filter((m) => m !== machine && m.agent.running && !m.health.onProbation);
 		const room = new FreeCapacity(freeOn);
 		for (const attempt of machine.attempts.values()) {
 			if (!attempt.job.isService) continue;
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -30,7 +30,7 @@
 		this.nextAt = now + everyMs;
 		const moved: Attempt[] = [];
 		for (const machine of this.clusterState.machines.values())
-			if (machine.leaving && !machine.leaseExpired) moved.push(...this.moveFrom(machine, now));
+			if (machine.leaving && !machine.agent.leaseExpired) moved.push(...this.moveFrom(machine, now));
 		if (moved.length === 0) return;
 		const replicas = moved.map((a) => `${a.job.id}/${a.index}`);
 		this.log.info({ replicas }, "moved from machines that go");
@@ -38,7 +38,7 @@
 	}
 
 	private moveFrom(machine: Machine, now: number): Attempt[] {
-		const takenSoon = machine.takenAt !== null && machine.takenAt - now < takenSoonMs;
+		const takenSoon = machine.lifecycle.reclaimAt !== null && machine.lifecycle.reclaimAt - now < takenSoonMs;
 		const moved: Attempt[] = [];
 		for (const attempt of machine.attempts.values()) {
 			const { job } = attempt;
@@ -63,13 +63,13 @@
 		for (const machine of this.clusterState.machines.values()) {
 			if (
 				!machine.schedulable ||
-				machine.onProbation ||
-				machine.reservedFor !== null ||
+				machine.health.onProbation ||
+				machine.capacity.reservedFor !== null ||
 				!machineAllowed(spec, machine)
 			)
 				continue;
-			if (!machine.hasRoomFor(spec) || zoneRoom(spec, zones, machine.zone) < 1) continue;
-			const worth = (beside.has(machine) ? 0 : 2) + (machine.images.has(spec.image) ? 1 : 0);
+			if (!machine.capacity.hasRoomFor(spec) || zoneRoom(spec, zones, machine.zone) < 1) continue;
+			const worth = (beside.has(machine) ? 0 : 2) + (machine.capacity.images.has(spec.image) ? 1 : 0);
 			if (worth <= bestWorth) continue;
 			best = machine;
 			bestWorth = worth;
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -72,8 +72,8 @@
 		for (const machine of this.clusterState.machines.values()) {
 			const why = this.reasonToReturn(machine, now);
 			if (why === null) continue;
-			if (!machine.returning) this.log.info({ machine: machine.id, why }, "returning");
-			machine.returning = true;
+			if (!machine.lifecycle.deleting) this.log.info({ machine: machine.id, why }, "returning");
+			machine.lifecycle.startDeleting();
 			leaving.push(machine);
 			if (leaving.length === mostPerCall) break;
 		}
@@ -97,28 +97,30 @@
 	}
 
 	private reasonToReturn(machine: Machine, now: number): string | null {
-		if (machine.returning) return "return requested";
+		if (machine.lifecycle.deleting) return "return requested";
 		// A machine that vanishes proves nothing until its lease has run out; one that was
 		// returned is proved gone at once, and so are the tasks on it.
-		if (machine.takenAt !== null && now >= machine.takenAt - takenLeadMs) return "about to be taken";
+		if (machine.lifecycle.reclaimAt !== null && now >= machine.lifecycle.reclaimAt - takenLeadMs)
+			return "about to be taken";
 		const hidden = this.clusterState.awaited.has(machine);
 		const holdsTasks = machine.attempts.size > 0 || hidden;
 		const outOfReach = this.outOfReach(machine, hidden, holdsTasks, now);
 		if (outOfReach !== null || holdsTasks) return outOfReach;
-		if (machine.quarantined) return "faulty";
-		if (machine.draining) return "drained";
-		return machine.takenAt !== null && machine.confirmed ? "drained before it is taken" : null;
+		if (machine.health.quarantined) return "faulty";
+		if (machine.lifecycle.draining) return "drained";
+		return machine.lifecycle.reclaimAt !== null && machine.agent.fenced ? "drained before it is taken" : null;
 	}
 
 	private outOfReach(machine: Machine, hidden: boolean, holdsTasks: boolean, now: number): string | null {
 		// Most of a zone does not fall silent machine by machine: it is cut off, and what runs
 		// there is worth more when it is heard again than what would have to boot then.
 		const patience = this.cutOff.has(machine.zone) ? zonePatience : 1;
-		if (machine.leaseExpired && now - machine.answeredAt > this.silentMs * patience) return "silent";
+		if (machine.agent.leaseExpired && now - machine.agent.respondedAt > this.silentMs * patience)
+			return "silent";
 		if (!hidden && this.bootTimes.isGivenUp(machine, now)) return "never came up";
 		// Its tasks go on until its lease has run out, unless answers reach it again before.
 		const deafMs = holdsTasks ? this.leaseMs : deafPatienceMs;
-		if (machine.unreachableSince !== null && now - machine.unreachableSince > deafMs)
+		if (machine.agent.unreachableSince !== null && now - machine.agent.unreachableSince > deafMs)
 			return "answers do not reach it";
 		return null;
 	}
@@ -129,10 +131,10 @@
 	const zones = new Map<string, { lost: number; up: number }>();
 	for (const machine of machines) {
 		// One that a new leader never heard is lost too, once its lease has run out.
-		if (!machine.up && !machine.leaseExpired) continue;
+		if (!machine.agent.running && !machine.agent.leaseExpired) continue;
 		const zone = zones.get(machine.zone) ?? { lost: 0, up: 0 };
 		zone.up += 1;
-		if (machine.leaseExpired) zone.lost += 1;
+		if (machine.agent.leaseExpired) zone.lost += 1;
 		zones.set(machine.zone, zone);
 	}
 	const silent = new Set<string>();
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -191,8 +191,7 @@
 
 	private expect(id: string, { type, request: { zone, spot } }: Rental, now: number): void {
 		if (this.clusterState.machines.has(id) || this.hooks.isDeleted(id)) return;
-		const machine = new Machine(id, type, zone, spot, now);
-		machine.rentedHere = true;
+		const machine = new Machine({ id, type, zone, spot, origin: "created" }, now);
 		this.clusterState.machines.set(id, machine);
 	}
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -1,6 +1,6 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Job } from "../bookkeeping/job.js";
-import { Machine, unknownType } from "../bookkeeping/machine.js";
+import { Machine, unknownMachineType } from "../bookkeeping/machine.js";
 import type { StoreReplica, Versioned } from "../bookkeeping/store-replica.js";
 import type { StoreCondition } from "../protocol/http/store-api.js";
 import type { MachineType } from "../protocol/model/machine.js";
@@ -320,11 +320,13 @@
 
 	private loadMachine(id: string, record: MachineRecord): void {
 		if (this.clusterState.machines.has(id)) return;
-		const type = this.clusterState.types.get(record.machineType) ?? unknownType(record.machineType);
-		const machine = new Machine(id, type, record.zone, record.spot, this.beganAt);
+		const type = this.clusterState.types.get(record.machineType) ?? unknownMachineType(record.machineType);
+		const machine = new Machine(
+			{ id, type, zone: record.zone, spot: record.spot, origin: "record" },
+			this.beganAt,
+		);
 		this.clusterState.machines.set(id, machine);
-		machine.endpoint = record.endpoint;
-		machine.durable = true;
+		machine.agent.endpointLearned(record.endpoint);
 		this.takeover.hide(machine, record.agentEpoch);
 	}
 
@@ -363,15 +365,15 @@
 	/** A machine's record is written before the first start is sent to it. */
 	private record(machine: Machine): void {
 		if (this.machineRecords.has(machine.id)) return;
-		const { endpoint, type, zone, spot, session } = machine;
+		const { agent, type, zone, spot } = machine;
 		this.machineRecords.set(
 			machine.id,
 			encodeMachineRecord({
-				endpoint,
+				endpoint: agent.endpoint,
 				machineType: type.name,
 				zone,
 				spot,
-				agentEpoch: session,
+				agentEpoch: agent.epoch,
 			}),
 		);
 		this.machineRecords.flush();
@@ -380,7 +382,7 @@
 	private machinesDurable(ids: Iterable<string>): void {
 		for (const id of ids) {
 			const machine = this.clusterState.machines.get(id);
-			if (machine) machine.durable = true;
+			machine?.lifecycle.markRecorded();
 		}
 		this.clusterState.placementDue = true;
 	}
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -1,4 +1,4 @@
-import { Machine, unknownType } from "../../bookkeeping/machine.js";
+import { Machine, unknownMachineType } from "../../bookkeeping/machine.js";
 import type { WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { Log } from "../ports/log.js";
 import type { WorkerGateway } from "../ports/workers.js";
@@ -63,7 +63,10 @@
 
 	/** Machines of which nothing is known may hold tasks: nothing starts before every lease has run out. */
 	waitForUnreadable(): void {
-		this.unreadable = new Machine("unreadable records", unknownType(""), "", false, this.beganAt);
+		this.unreadable = new Machine(
+			{ id: "unreadable records", type: unknownMachineType(""), zone: "", spot: false, origin: "heartbeat" },
+			this.beganAt,
+		);
 		this.clusterState.awaitReport(this.unreadable);
 	}
 
@@ -87,7 +90,7 @@
 		while (left > 0) {
 			const next = this.probes.shift();
 			if (!next) return;
-			if (!this.clusterState.awaited.has(next.machine) || next.machine.endpoint === "") continue;
+			if (!this.clusterState.awaited.has(next.machine) || next.machine.agent.endpoint === "") continue;
 			left -= 1;
 			this.probe(next);
 		}
@@ -95,7 +98,7 @@
 
 	private probe({ machine, session, tries }: Probe): void {
 		if (!this.hooks.active()) return;
-		this.workers.sendCommands(machine.endpoint, this.clusterState.term, session, []).then(
+		this.workers.sendCommands(machine.agent.endpoint, this.clusterState.term, session, []).then(
 			({ executed, report }) =>
 				this.hooks.post(() => {
 					if (!this.clusterState.awaited.has(machine) || this.hooks.ended()) return;
@@ -129,8 +132,8 @@
 		const few = here.length <= Math.max(2, machines.size * share);
 		for (const machine of hidden) {
 			if (machine === this.unreadable) continue;
-			if (machine.returning || !(few || this.hooks.unlisted(machine.id))) continue;
-			machine.returning = true;
+			if (machine.lifecycle.deleting || !(few || this.hooks.unlisted(machine.id))) continue;
+			machine.lifecycle.startDeleting();
 			this.log.info({ machine: machine.id }, "not heard since the takeover: returning");
 		}
 	}
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -147,11 +147,11 @@
 	forwarderFor(id: string, now: number): string | null {
 		if (!this.relaying || !this.clusterState.rebuilt) return null;
 		const machine = this.clusterState.machines.get(id);
-		if (!machine || now - machine.redirectedAt < redirectPauseMs) return null;
+		if (!machine || now - machine.agent.redirectedAt < redirectPauseMs) return null;
 		const relays: string[] = [];
 		for (const [node, { at }] of this.redirected) if (now - at < relaySilentMs) relays.push(node);
 		const relay = ownerOf(id, relays);
-		if (relay !== null) machine.redirectedAt = now;
+		if (relay !== null) machine.agent.redirected(now);
 		return relay;
 	}
 
@@ -173,9 +173,9 @@
 		let up = 0;
 		let heard = 0;
 		for (const machine of this.clusterState.machines.values()) {
-			if (!machine.up) continue;
+			if (!machine.agent.running) continue;
 			up += 1;
-			if (machine.reportedAt > since && machine.unreachableSince === null) heard += 1;
+			if (machine.agent.heartbeatAt > since && machine.agent.unreachableSince === null) heard += 1;
 		}
 		return { up, heard };
 	}
--- a/src/coordination/placement/free-capacity.ts
+++ b/src/coordination/placement/free-capacity.ts
@@ -11,7 +11,11 @@
 }
 
 export function freeOn(machine: Machine): Amounts {
-	return { cpus: machine.freeCpus, gpus: machine.freeGpus, memory: machine.freeMemory };
+	return {
+		cpus: machine.capacity.freeCpus,
+		gpus: machine.capacity.freeGpus,
+		memory: machine.capacity.freeMemoryGb,
+	};
 }
 
 /** What is free, or taken by work that yields to replicas. */
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -79,7 +79,9 @@
 
 	/** Jobs whose reserved machine has room by now. */
 	startable(): Job[] {
-		const ready = [...this.reservations].filter(([job, { machine }]) => machine.hasRoomFor(job.spec));
+		const ready = [...this.reservations].filter(([job, { machine }]) =>
+			machine.capacity.hasRoomFor(job.spec),
+		);
 		return ready.map(([job]) => job);
 	}
 
@@ -90,7 +92,7 @@
 
 	private release(job: Job, machine: Machine): void {
 		this.reservations.delete(job);
-		machine.reservedFor = null;
+		machine.capacity.cancelJobReservation();
 		this.clusterState.placementDue = true;
 	}
 
@@ -109,7 +111,9 @@
 
 	private reserveFor(jobs: Job[], now: number): void {
 		if (jobs.length === 0) return;
-		const open = [...this.clusterState.machines.values()].filter((m) => m.schedulable && !m.onProbation);
+		const open = [...this.clusterState.machines.values()].filter(
+			(m) => m.schedulable && !m.health.onProbation,
+		);
 		const most = Math.max(1, Math.floor(open.length * mostReservedPart));
 		/** Demands that were looked at: what is not wide, or has no machine, is so for all jobs with them. */
 		const unserved = new Set<string>();
@@ -122,7 +126,7 @@
 				unserved.add(job.demandKey);
 				continue;
 			}
-			best.machine.reservedFor = job;
+			best.machine.capacity.reserveForJob(job);
 			this.reservations.set(job, { machine: best.machine, until: now + longestMs });
 			const inS = Math.round(best.seconds);
 			this.log.info({ job: job.id, machine: best.machine.id, inS }, "machine reserved");
@@ -130,7 +134,7 @@
 	}
 
 	private soonest(job: Job, open: Machine[], now: number): Prospect | null {
-		const able = open.filter((machine) => machine.reservedFor === null && couldHold(machine, job));
+		const able = open.filter((machine) => machine.capacity.reservedFor === null && couldHold(machine, job));
 		let best: Prospect | null = null;
 		for (const machine of this.sample(able, machinesSampled)) {
 			const prospect = this.prospect(machine, job, now);
@@ -141,7 +145,11 @@
 
 	/** null: replicas, which do not end, take too much of it. */
 	private prospect(machine: Machine, { spec }: Job, now: number): Prospect | null {
-		const left = { cpus: machine.freeCpus, gpus: machine.freeGpus, memory: machine.freeMemory };
+		const left = {
+			cpus: machine.capacity.freeCpus,
+			gpus: machine.capacity.freeGpus,
+			memory: machine.capacity.freeMemoryGb,
+		};
 		const ending = [...machine.attempts.values()]
 			.filter((attempt) => !attempt.job.isService)
 			.map((attempt) => ({
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -147,10 +147,10 @@
 	/** Cheap cores fill first, so that dear machines are the ones to run empty and go back. */
 	private views(): MachineCapacity[] {
 		const open = [...this.clusterState.machines.values()].filter(
-			(m) => m.schedulable && m.freeCpus > 0 && m.reservedFor === null,
+			(m) => m.schedulable && m.capacity.freeCpus > 0 && m.capacity.reservedFor === null,
 		);
 		return sampleOf(open, this.options.sample, this.options.random)
-			.sort((a, b) => pricePerCpu(a) - pricePerCpu(b) || b.freeCpus - a.freeCpus)
+			.sort((a, b) => pricePerCpu(a) - pricePerCpu(b) || b.capacity.freeCpus - a.capacity.freeCpus)
 			.map(capacityOf);
 	}
 
@@ -250,10 +250,10 @@
 		type: machine.type.name,
 		zone: machine.zone,
 		spot: machine.spot,
-		cpus: machine.freeCpus,
-		gpus: machine.freeGpus,
-		memory: machine.freeMemory,
-		slots: machine.onProbation ? Math.max(0, 1 - machine.attempts.size) : manySlots,
-		images: [...machine.images],
+		cpus: machine.capacity.freeCpus,
+		gpus: machine.capacity.freeGpus,
+		memory: machine.capacity.freeMemoryGb,
+		slots: machine.health.onProbation ? Math.max(0, 1 - machine.attempts.size) : manySlots,
+		images: [...machine.capacity.images],
 	};
 }
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -104,7 +104,8 @@
 		for (const machine of clusterState.machines.values()) {
 			for (const attempt of machine.attempts.values()) if (attempt.stop !== null) this.free(attempt);
 		}
-		for (const m of this.open) if (m.freeCpus + (this.extra.get(m)?.cpus ?? 0) > slack) this.withRoom.add(m);
+		for (const m of this.open)
+			if (m.capacity.freeCpus + (this.extra.get(m)?.cpus ?? 0) > slack) this.withRoom.add(m);
 		this.sampledMachines = sample(this.open);
 	}
 
@@ -131,9 +132,9 @@
 	private roomOn(machine: Machine, { spec }: Job): Amount {
 		const more = this.extra.get(machine);
 		return {
-			cpus: machine.freeCpus + (more?.cpus ?? 0) - spec.cpus,
-			memory: machine.freeMemory + (more?.memory ?? 0) - spec.memoryGb,
-			gpus: machine.freeGpus + (more?.gpus ?? 0) - spec.gpus,
+			cpus: machine.capacity.freeCpus + (more?.cpus ?? 0) - spec.cpus,
+			memory: machine.capacity.freeMemoryGb + (more?.memory ?? 0) - spec.memoryGb,
+			gpus: machine.capacity.freeGpus + (more?.gpus ?? 0) - spec.gpus,
 		};
 	}
 
@@ -278,7 +279,7 @@
 }
 
 function takesWork(machine: Machine): boolean {
-	return machine.schedulable && !machine.onProbation && machine.reservedFor === null;
+	return machine.schedulable && !machine.health.onProbation && machine.capacity.reservedFor === null;
 }
 
 function enough(room: Amount): boolean {
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -1,6 +1,6 @@
 import type { Attempt } from "../../bookkeeping/job.js";
 import { Job } from "../../bookkeeping/job.js";
-import type { Machine, UnwantedTask } from "../../bookkeeping/machine.js";
+import type { Machine, OrphanedTask } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
 import { QuotaLedger, type TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import { tasksPerPage } from "../../bookkeeping/task-set.js";
@@ -67,7 +67,7 @@
 		for (const machine of this.machines.values()) {
 			for (const attempt of machine.attempts.values())
 				attempt.charge = admission.chargeFound(taskDemandOf(attempt.job.spec));
-			for (const task of machine.unwanted) if (task.demand) task.charge = admission.chargeFound(task.demand);
+			for (const task of machine.orphans) if (task.demand) task.charge = admission.chargeFound(task.demand);
 		}
 		this.placementDue = true;
 	}
@@ -76,20 +76,20 @@
 	 * A task that nobody wants takes its team's cores until it is proved gone, such as one of a job
 	 * that was cancelled while nobody led. Of a job unknown here anything may be at its limit.
 	 */
-	addUnwanted(machine: Machine, task: Omit<UnwantedTask, "demand" | "charge">): void {
-		const spec = this.jobs.get(task.job)?.spec;
-		const demand = spec ? taskDemandOf(spec) : this.demandOf(task.job);
+	addUnwanted(machine: Machine, task: Omit<OrphanedTask, "demand" | "charge">): void {
+		const spec = this.jobs.get(task.jobId)?.spec;
+		const demand = spec ? taskDemandOf(spec) : this.demandOf(task.jobId);
 		const charge = demand && this.admission ? this.admission.chargeFound(demand) : null;
-		machine.unwanted.push({ ...task, demand, charge });
+		machine.orphans.push({ ...task, demand, charge });
 		this.count(machine, demand, 1);
 	}
 
 	clearUnwanted(machine: Machine): void {
-		for (const { demand, charge } of machine.unwanted) {
+		for (const { demand, charge } of machine.orphans) {
 			this.count(machine, demand, -1);
 			if (charge) this.admission?.release(charge);
 		}
-		machine.unwanted = [];
+		machine.orphans = [];
 	}
 
 	private count(machine: Machine, demand: TaskDemand | null, sign: 1 | -1): void {
@@ -107,7 +107,7 @@
 	jobsOfUnknownDemand(): Set<string> {
 		const jobs = new Set<string>();
 		for (const machine of this.unknownDemands.keys())
-			for (const task of machine.unwanted) if (task.demand === null) jobs.add(task.job);
+			for (const task of machine.orphans) if (task.demand === null) jobs.add(task.jobId);
 		return jobs;
 	}
 
@@ -116,8 +116,8 @@
 		const demand = this.demandOf(job);
 		if (demand === null) return;
 		for (const machine of [...this.unknownDemands.keys()]) {
-			for (const task of machine.unwanted) {
-				if (task.job !== job || task.demand !== null) continue;
+			for (const task of machine.orphans) {
+				if (task.jobId !== job || task.demand !== null) continue;
 				this.count(machine, null, -1);
 				task.demand = demand;
 				task.charge = this.admission?.chargeFound(demand) ?? null;
@@ -201,10 +201,11 @@
 		if (job.cancelled || job.ending) return "job is over";
 		if (!machine.schedulable) return "machine is not open";
 		if (this.exhausted) return "attempt numbers used up";
-		if (machine.reservedFor !== null && machine.reservedFor !== job) return "machine is reserved";
+		if (machine.capacity.reservedFor !== null && machine.capacity.reservedFor !== job)
+			return "machine is reserved";
 		if (!machineAllowed(spec, machine)) return "machine not allowed";
-		if (!machine.hasRoomFor(spec)) return "no room";
-		if (machine.onProbation && machine.attempts.size > 0) return "machine is on trial";
+		if (!machine.capacity.hasRoomFor(spec)) return "no room";
+		if (machine.health.onProbation && machine.attempts.size > 0) return "machine is on trial";
 		if (!this.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus)) return "team is at its limit";
 		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, this.zonesOf(job), machine.zone) < 1) {
 			return "zone rule";
@@ -272,7 +273,7 @@
 		this.placementDue = true;
 		const to = attempt.moveTo;
 		if (to === null) return;
-		to.reserve(job.spec, -1);
+		to.capacity.releaseReplicaReservation(job.spec);
 		attempt.moveTo = null;
 		// It goes where room was kept for it, before anything else is placed.
 		// Its holder has not been told of the end: the place in the allotment is still the replica's.
@@ -282,7 +283,7 @@
 	/** The replica's next attempt is to be on the other machine; its end here is asked for first. */
 	move(attempt: Attempt, to: Machine): void {
 		attempt.moveTo = to;
-		to.reserve(attempt.job.spec, 1);
+		to.capacity.reserveForReplica(attempt.job.spec);
 		attempt.stop = { graceS: attempt.job.spec.checkpointCostS, why: "moved" };
 	}
 
@@ -317,16 +318,14 @@
 		const all = [...machine.attempts.values()];
 		for (const attempt of all) this.finish(attempt);
 		this.stopAwaiting(machine);
-		machine.exited = [];
+		machine.exitedTasks = [];
 		this.clearUnwanted(machine);
 		return all.length;
 	}
 
 	/** Its lease has certainly expired; it may come back, but only with a later session. */
 	expire(machine: Machine): number {
-		machine.leaseExpired = true;
-		machine.confirmed = false;
-		if (machine.session > 0) machine.leastSession = machine.session + 1;
+		machine.agent.expireLease();
 		return this.clearMachine(machine);
 	}
 
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -52,14 +52,14 @@
 		while (this.inFlight < this.mostInFlight) {
 			const next = this.waiting.shift();
 			if (!next) return;
-			if (next.machine.endpoint !== "" && !next.machine.leaseExpired) this.call(next);
+			if (next.machine.agent.endpoint !== "" && !next.machine.agent.leaseExpired) this.call(next);
 		}
 	}
 
 	private call({ machine, orders }: WaitingOrders): void {
 		this.inFlight += 1;
 		this.workers
-			.sendCommands(machine.endpoint, this.token, machine.session, orders)
+			.sendCommands(machine.agent.endpoint, this.token, machine.agent.epoch, orders)
 			.catch((error) => this.log.debug({ machine: machine.id, err: String(error) }, "order not sent"))
 			.finally(() => {
 				this.inFlight -= 1;
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -1,5 +1,6 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
-import { type Machine, muchTooSlow, noteRun } from "../../bookkeeping/machine.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import { isMuchSlower } from "../../bookkeeping/machine-health.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { AttemptOutcome } from "./heartbeat-reconciliation.js";
@@ -48,12 +49,13 @@
 
 	private succeeded({ job, machine, runningAt }: Attempt, now: number): void {
 		if (runningAt !== null) this.recordRun(job, machine, (now - runningAt) / 1000, now);
-		machine.onProbation = false;
-		machine.failedJobs.clear();
+		machine.health.clearProbation();
+		machine.health.failedJobs.clear();
 		job.noteSuccess(machine.type.name);
 		// The job is sound, so what failed before was the machines' fault, unless it does not suit their type.
 		const failedOn = [...job.failedOn].filter(({ type }) => !job.unfitTypes.has(type.name));
-		for (const other of job.failedOn) if (job.unfitTypes.has(other.type.name)) other.failedJobs.delete(job);
+		for (const other of job.failedOn)
+			if (job.unfitTypes.has(other.type.name)) other.health.failedJobs.delete(job);
 		job.failedOn.clear();
 		job.failuresInRow = 0;
 		job.notBefore = 0;
@@ -62,10 +64,10 @@
 
 	private recordRun(job: Job, machine: Machine, seconds: number, now: number): void {
 		// Enough runs for a mean, mostly on other machines.
-		if (job.finishedRuns >= runsForMean) noteRun(machine, seconds, job.estimatedRunS);
-		if (!machine.quarantined && muchTooSlow(machine, this.clusterState.machines.values())) {
-			machine.quarantine(now);
-			this.log.info({ machine: machine.id, ratio: machine.runRatio }, "set aside as much too slow");
+		if (job.finishedRuns >= runsForMean) machine.health.noteRun(seconds, job.estimatedRunS);
+		if (!machine.health.quarantined && isMuchSlower(machine, this.clusterState.machines.values())) {
+			machine.health.quarantine("slow", now);
+			this.log.info({ machine: machine.id, ratio: machine.health.slowdown }, "set aside as much too slow");
 		}
 		job.finishedRuns += 1;
 		job.finishedSeconds += seconds;
@@ -84,10 +86,10 @@
 		// Perhaps it fails everywhere: tried again with growing pauses.
 		else if (job.failsOnSeveral) job.notBefore = now + pauseMs(failsOnSeveralPause, failureSteps(job));
 		if (cause !== "error" || job.unfitTypes.has(machine.type.name)) return;
-		machine.failedJobs.add(job);
+		machine.health.failedJobs.add(job);
 		// Whatever was held against the others for this job may now be the job's fault.
 		if (job.failedOn.size > 1) this.acquit(job);
-		else machine.startProbation(now);
+		else machine.health.startProbation(now);
 		this.judge(machine, now);
 	}
 
@@ -98,7 +100,7 @@
 	 */
 	private evidenceAgainst(machine: Machine): number {
 		let evidence = 0;
-		for (const job of machine.failedJobs) {
+		for (const job of machine.health.failedJobs) {
 			const elsewhere = [...job.failedOn].some((other) => other !== machine);
 			if (!elsewhere) evidence += job.done.count > 0 ? 1 : unprovenJobWeight;
 		}
@@ -106,9 +108,8 @@
 	}
 
 	private judge(machine: Machine, now: number): void {
-		if (machine.quarantined || this.evidenceAgainst(machine) < this.faultyAfter) return;
-		machine.quarantine(now);
-		machine.quarantinedForFailures = true;
+		if (machine.health.quarantined || this.evidenceAgainst(machine) < this.faultyAfter) return;
+		machine.health.quarantine("failures", now);
 		this.log.info({ machine: machine.id }, "set aside as faulty");
 	}
 
@@ -116,9 +117,14 @@
 	private acquit(job: Job): void {
 		for (const machine of job.failedOn) {
 			const evidence = this.evidenceAgainst(machine);
-			if (evidence === 0) machine.onProbation = false;
-			if (evidence >= this.faultyAfter || !machine.quarantinedForFailures || machine.returning) continue;
-			machine.releaseFromQuarantine();
+			if (evidence === 0) machine.health.clearProbation();
+			if (
+				evidence >= this.faultyAfter ||
+				!machine.health.quarantinedForFailures ||
+				machine.lifecycle.deleting
+			)
+				continue;
+			machine.health.release();
 			this.clusterState.placementDue = true;
 			this.log.info({ machine: machine.id, job: job.id }, "no longer set aside: the job fails elsewhere too");
 		}
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -1,5 +1,5 @@
 import type { Attempt, Job } from "../../bookkeeping/job.js";
-import { Machine } from "../../bookkeeping/machine.js";
+import { type ExitedTask, Machine } from "../../bookkeeping/machine.js";
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import { type ClusterState, taskKey } from "../state/cluster-state.js";
 
@@ -44,16 +44,15 @@
 	if (!machine) return { kind: "unknown type" };
 	const refused = refusal(clusterState, machine, report, now);
 	if (refused) return { kind: refused };
-	const newSession = machine.session !== 0 && report.agentEpoch > machine.session;
+	const newSession = machine.agent.epoch !== 0 && report.agentEpoch > machine.agent.epoch;
 	// Its lease ran out although it was answered lately. Once, the answer may just have come too late.
-	const ranOut = newSession && now - machine.answeredAt < clusterState.certainMs / 2;
-	const cameUp = !machine.up;
+	const ranOut = newSession && now - machine.agent.respondedAt < clusterState.certainMs / 2;
+	const cameUp = !machine.agent.running;
 	update(clusterState, machine, report, now);
 	const listing = applyListed(clusterState, machine, report.tasks, now);
 	const startUnseen = !newSession && hasUnlistedStart(machine, listing.listed);
-	noteReachability(
-		machine,
-		{ ranOut, startUnseen, startSeen: listing.startSeen },
+	machine.agent.noteResponseEffects(
+		{ leaseExpired: ranOut, startMissing: startUnseen, startListed: listing.startSeen },
 		clusterState.certainMs,
 		now,
 	);
@@ -67,7 +66,10 @@
 function newMachine(clusterState: ClusterState, report: WorkerHeartbeat, now: number): Machine | null {
 	const type = clusterState.types.get(report.machineType);
 	if (!type) return null;
-	const machine = new Machine(report.machineId, type, report.zone, report.spot, now);
+	const machine = new Machine(
+		{ id: report.machineId, type, zone: report.zone, spot: report.spot, origin: "heartbeat" },
+		now,
+	);
 	clusterState.machines.set(machine.id, machine);
 	return machine;
 }
@@ -80,30 +82,24 @@
 	now: number,
 ): "expired" | "old" | null {
 	const { agentEpoch: session, sequence: seq, fencingToken: token } = report;
-	if (session < machine.leastSession) return "expired";
-	if (session < machine.session) return "old";
-	if (session > machine.session) return null;
-	if (seq <= machine.reportNumber) return "old";
+	if (session < machine.agent.leastEpoch) return "expired";
+	if (session < machine.agent.epoch) return "old";
+	if (session > machine.agent.epoch) return null;
+	if (seq <= machine.agent.sequence) return "old";
 	// One report is in flight at a time, so one that shows an earlier token was sent without
 	// the answers before it, and these can no longer arrive: they have renewed nothing. What
 	// its lease rests on is older than this term, however often we have answered.
-	const unrenewed = !machine.confirmed && token < clusterState.term;
-	if (!unrenewed || now - machine.knownAt <= clusterState.certainMs) return null;
+	const unrenewed = !machine.agent.fenced && token < clusterState.term;
+	if (!unrenewed || now - machine.lifecycle.requestedAt <= clusterState.certainMs) return null;
 	clusterState.expire(machine);
 	return "expired";
 }
 
 function update(clusterState: ClusterState, machine: Machine, report: WorkerHeartbeat, now: number): void {
-	machine.session = report.agentEpoch;
-	machine.reportNumber = report.sequence;
-	machine.endpoint = report.endpoint;
-	machine.reportedAt = now;
-	machine.up = true;
-	machine.overdue = false;
-	machine.leaseExpired = false;
-	machine.takenAt = report.reclaimInS === null ? null : now + report.reclaimInS * 1000;
-	if (report.fencingToken !== clusterState.term || machine.confirmed) return;
-	machine.confirmed = true;
+	machine.agent.heartbeatReceived(report, now);
+	machine.lifecycle.heartbeatReceived(report.reclaimInS === null ? null : now + report.reclaimInS * 1000);
+	if (report.fencingToken !== clusterState.term || machine.agent.fenced) return;
+	machine.agent.fencingConfirmed();
 	clusterState.stopAwaiting(machine);
 	clusterState.placementDue = true;
 }
@@ -132,7 +128,7 @@
 		listed: new Set(),
 		startSeen: false,
 	};
-	machine.exited = [];
+	machine.exitedTasks = [];
 	clusterState.clearUnwanted(machine);
 	for (const task of tasks) {
 		const key = taskKey(task.jobId, task.taskIndex);
@@ -196,7 +192,7 @@
 	newSession: boolean,
 ): Attempt[] {
 	const vanished: Attempt[] = [];
-	const unreachable = machine.unreachableSince !== null;
+	const unreachable = machine.agent.unreachableSince !== null;
 	for (const [key, attempt] of [...machine.attempts]) {
 		if (listed.has(key)) continue;
 		if (attempt.phase === "assigned") {
@@ -205,7 +201,7 @@
 		}
 		// Tasks of a lease that expired were killed. Otherwise absence counts only
 		// once older answers are known to be dead, that is, from a confirmed machine.
-		if (!newSession && !machine.confirmed) continue;
+		if (!newSession && !machine.agent.fenced) continue;
 		const startLost = attempt.phase === "sent" && !newSession && attempt.stop === null;
 		// The answer with the start was lost; it is sent again with the same number, or,
 		// where answers do not arrive at all, given up: it can no longer be carried out.
@@ -216,39 +212,10 @@
 	return vanished;
 }
 
-/** Answers in a row without effect after which nothing more is sent to a machine: one may get lost. */
-const unreachableAfter = 2;
-
-/**
- * Reports may arrive while answers do not, and then no count of time since the last
- * answer ends. It shows by starts that are never listed, and by a lease that runs out
- * although it was renewed.
- */
-function noteReachability(
-	machine: Machine,
-	seen: { ranOut: boolean; startUnseen: boolean; startSeen: boolean },
-	certainMs: number,
-	now: number,
-): void {
-	if (seen.startSeen) machine.ineffectiveAnswers = 0;
-	else if (seen.ranOut || seen.startUnseen) machine.ineffectiveAnswers += 1;
-	if (seen.ranOut || seen.startUnseen) {
-		machine.lastIneffectiveAt = now;
-		if (machine.ineffectiveAnswers >= unreachableAfter) machine.unreachableSince ??= now;
-	} else if (
-		machine.unreachableSince !== null &&
-		(seen.startSeen || now - machine.lastIneffectiveAt > 1.5 * certainMs)
-	) {
-		// It has kept its lease for longer than it could without our answers.
-		machine.unreachableSince = null;
-		machine.ineffectiveAnswers = 0;
-	}
-}
-
 function exited(clusterState: ClusterState, machine: Machine, task: TaskStatus): void {
-	machine.exited.push({
-		job: task.jobId,
-		index: task.taskIndex,
+	machine.exitedTasks.push({
+		jobId: task.jobId,
+		taskIndex: task.taskIndex,
 		attempt: task.attempt,
 		done: task.exitCause === "done" && clusterState.jobs.get(task.jobId)?.isService === false,
 	});
@@ -270,7 +237,7 @@
 	attempt.phase = task.state;
 	if (task.state !== "running" || attempt.runningAt !== null) return false;
 	attempt.runningAt = now;
-	attempt.machine.noteImage(attempt.job.spec.image);
+	attempt.machine.capacity.noteImage(attempt.job.spec.image);
 	return true;
 }
 
@@ -286,7 +253,11 @@
 		// report may have listed that one again after a change of leader.
 		(other === undefined || other.number < task.attempt);
 	if (!wanted) {
-		clusterState.addUnwanted(machine, { job: task.jobId, index: task.taskIndex, attempt: task.attempt });
+		clusterState.addUnwanted(machine, {
+			jobId: task.jobId,
+			taskIndex: task.taskIndex,
+			attempt: task.attempt,
+		});
 		return false;
 	}
 	if (other) clusterState.finish(other);
@@ -295,13 +266,10 @@
 }
 
 /** Whether the outcome of an exited attempt can no longer be lost with the machine's report. */
-function outcomeKept(
-	clusterState: ClusterState,
-	task: { job: string; index: number; done: boolean },
-): boolean {
+function outcomeKept(clusterState: ClusterState, task: ExitedTask): boolean {
 	if (!task.done) return true;
-	const job = clusterState.jobs.get(task.job);
-	return job === undefined || job.durable.has(task.index);
+	const job = clusterState.jobs.get(task.jobId);
+	return job === undefined || job.durable.has(task.taskIndex);
 }
 
 /**
@@ -311,13 +279,19 @@
  */
 export function commandsFor(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
 	const orders: WorkerCommand[] = [];
-	const over = machine.exited.filter((task) => outcomeKept(clusterState, task));
+	const over = machine.exitedTasks.filter((task) => outcomeKept(clusterState, task));
 	machine.reminder = machine.schedulable ? (over.pop() ?? null) : null;
 	for (const task of over) {
-		orders.push({ kind: "forget", jobId: task.job, taskIndex: task.index, attempt: task.attempt });
+		orders.push({ kind: "forget", jobId: task.jobId, taskIndex: task.taskIndex, attempt: task.attempt });
 	}
-	for (const task of machine.unwanted) {
-		orders.push({ kind: "stop", jobId: task.job, taskIndex: task.index, attempt: task.attempt, graceS: 0 });
+	for (const task of machine.orphans) {
+		orders.push({
+			kind: "stop",
+			jobId: task.jobId,
+			taskIndex: task.taskIndex,
+			attempt: task.attempt,
+			graceS: 0,
+		});
 	}
 	const starts: WorkerCommand[] = [];
 	for (const attempt of [...machine.attempts.values()]) {
@@ -325,7 +299,8 @@
 		if (attempt.phase === "assigned") {
 			// Since the decision the machine may have been closed or the job ended. One that was marked
 			// meanwhile runs this first: work that fits nowhere else would be put off again and again.
-			if (!machine.takesDecidedStarts || attempt.stop !== null || job.cancelled) clusterState.finish(attempt);
+			if (!machine.acceptsAssignedStarts || attempt.stop !== null || job.cancelled)
+				clusterState.finish(attempt);
 			else {
 				attempt.phase = "sent";
 				starts.push({ kind: "start", jobId: job.id, taskIndex: index, attempt: number });
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -76,12 +76,12 @@
 		if (applied === "expired" || applied === "unknown type") return Promise.resolve(null);
 		if (applied === "old") return Promise.resolve([]);
 		const machine = clusterState.machines.get(report.machineId) as Machine;
-		machine.answeredAt = now;
-		if (!machine.durable) this.options.record(machine);
+		machine.agent.responded(now);
+		if (!machine.lifecycle.recorded) this.options.record(machine);
 		this.held.supersede(machine.id);
 		const waiting = this.anyWaiting(now);
 		const idle = machine.attempts.size === 0 && !waiting;
-		if (!machine.schedulable || machine.freeCpus <= 0 || !(waiting || idle))
+		if (!machine.schedulable || machine.capacity.freeCpus <= 0 || !(waiting || idle))
 			return Promise.resolve(this.answer(machine));
 		// Freed places are filled in the same answer: the next one is a report interval away.
 		// A machine without tasks has nothing to report meanwhile and is answered when work comes.
@@ -92,7 +92,7 @@
 
 	private answer(machine: Machine): WorkerCommand[] | null {
 		if (!this.options.active()) return null;
-		machine.answeredAt = this.options.time.now();
+		machine.agent.responded(this.options.time.now());
 		this.assigned.delete(machine);
 		return commandsFor(this.options.clusterState, machine);
 	}
@@ -106,12 +106,11 @@
 	apply(report: WorkerHeartbeat): ReconciliationResult["kind"] {
 		const { clusterState, time, log, unwanted, fleet, outcomes, orders } = this.options;
 		const now = time.now();
-		const toldBefore = clusterState.machines.get(report.machineId)?.unwanted ?? [];
+		const toldBefore = clusterState.machines.get(report.machineId)?.orphans ?? [];
 		const applied = reconcileHeartbeat(clusterState, report, now);
 		if (applied.kind !== "applied") return applied.kind;
 		const { machine } = applied;
-		if (machine.unwanted.length > 0) unwanted.stop(machine, toldBefore);
-		machine.onlyListed = false;
+		if (machine.orphans.length > 0) unwanted.stop(machine, toldBefore);
 		if (applied.cameUp) fleet.onMachineRunning(machine);
 		if (applied.isNew) log.info({ machine: machine.id, type: machine.type.name }, "machine up");
 		for (const outcome of applied.outcomes) {
@@ -172,10 +171,10 @@
 				continue;
 			}
 			const { reminder } = machine;
-			if (reminder === null || lateness.overloaded || now - machine.reportedAt > latelyMs) continue;
+			if (reminder === null || lateness.overloaded || now - machine.agent.heartbeatAt > latelyMs) continue;
 			machine.reminder = null;
-			const { job, index, attempt } = reminder;
-			orders.send(machine, [{ kind: "forget", jobId: job, taskIndex: index, attempt }]);
+			const { jobId, taskIndex, attempt } = reminder;
+			orders.send(machine, [{ kind: "forget", jobId, taskIndex, attempt }]);
 		}
 		this.assigned.clear();
 	}
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -21,8 +21,8 @@
 		this.sayRebuilt(now);
 		const unreachable: Machine[] = [];
 		for (const machine of this.clusterState.machines.values()) {
-			if (machine.unreachableSince !== null && !machine.returning) unreachable.push(machine);
-			if (machine.quarantined || machine.onProbation) machine.endProbation(now);
+			if (machine.agent.unreachableSince !== null && !machine.lifecycle.deleting) unreachable.push(machine);
+			if (machine.health.quarantined || machine.health.onProbation) machine.health.endIfOver(now);
 			this.expireIfSilent(machine, now);
 		}
 		if (busy) this.excuse(unreachable);
@@ -34,8 +34,7 @@
 		if (unreachable.length <= few) return;
 		this.log.info({ machines: unreachable.length }, "answers reach few machines: taken as our own delay");
 		for (const machine of unreachable) {
-			machine.unreachableSince = null;
-			machine.ineffectiveAnswers = 0;
+			machine.agent.assumeReachable();
 		}
 	}
 
@@ -47,8 +46,9 @@
 	}
 
 	private expireIfSilent(machine: Machine, now: number): void {
-		if (machine.leaseExpired || !(machine.up || this.clusterState.awaited.has(machine))) return;
-		if (now - machine.answeredAt <= this.clusterState.certainMs) return;
+		if (machine.agent.leaseExpired || !(machine.agent.running || this.clusterState.awaited.has(machine)))
+			return;
+		if (now - machine.agent.respondedAt <= this.clusterState.certainMs) return;
 		const tasks = this.clusterState.expire(machine);
 		this.log.info({ machine: machine.id, tasks }, "machine silent: its lease has expired");
 	}
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -1,4 +1,4 @@
-import type { Machine, UnwantedTask } from "../../bookkeeping/machine.js";
+import type { Machine, OrphanedTask } from "../../bookkeeping/machine.js";
 import type { WorkerCommand } from "../../protocol/model/worker.js";
 import { decodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import { keys } from "../../protocol/records/keys.js";
@@ -16,7 +16,7 @@
 	learned(job: string, final: FinalJobRecord, revision: number): void;
 }
 
-const nameOf = ({ job, index, attempt }: UnwantedTask) => `${job}/${index}/${attempt}`;
+const nameOf = ({ jobId: job, taskIndex: index, attempt }: OrphanedTask) => `${job}/${index}/${attempt}`;
 
 /**
  * Stops tasks that nobody wants, such as those of a job that was cancelled while nobody led.
@@ -36,12 +36,12 @@
 	) {}
 
 	/** Told to stop at once, also where no answer goes: a machine may have been asked straight. */
-	stop(machine: Machine, toldBefore: UnwantedTask[]): void {
+	stop(machine: Machine, toldBefore: OrphanedTask[]): void {
 		const told = new Set(toldBefore.map(nameOf));
-		const stops = machine.unwanted
+		const stops = machine.orphans
 			.filter((task) => !told.has(nameOf(task)))
 			.map(
-				({ job, index, attempt }): WorkerCommand => ({
+				({ jobId: job, taskIndex: index, attempt }): WorkerCommand => ({
 					kind: "stop",
 					jobId: job,
 					taskIndex: index,
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -14,8 +14,8 @@
  * Sets the stop of every such attempt, and returns those to be stopped at once.
  */
 export function stopBeforeReclaim(machine: Machine, now: number, reportS: number): Attempt[] {
-	if (machine.takenAt === null) return [];
-	const leftS = (machine.takenAt - now) / 1000;
+	if (machine.lifecycle.reclaimAt === null) return [];
+	const leftS = (machine.lifecycle.reclaimAt - now) / 1000;
 	const atOnce: Attempt[] = [];
 	for (const attempt of machine.attempts.values()) {
 		const { job, phase } = attempt;
--- a/tests/boot-times.test.ts
+++ b/tests/boot-times.test.ts
@@ -1,13 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Machine, unknownType } from "../src/bookkeeping/machine.js";
+import { Machine, unknownMachineType } from "../src/bookkeeping/machine.js";
 import { ProvisioningTimes } from "../src/coordination/fleet/provisioning-times.js";
+import { heartbeatOf } from "./support/machines.js";
 
-const type = { ...unknownType("t"), bootS: 40 };
-const other = { ...unknownType("u"), bootS: 40 };
+const type = { ...unknownMachineType("t"), bootS: 40 };
+const other = { ...unknownMachineType("u"), bootS: 40 };
 
 function rented(at: number, of = type): Machine {
-	return new Machine(`n-${at}`, of, "a", true, at * 1000);
+	return new Machine({ id: `n-${at}`, type: of, zone: "a", spot: true, origin: "heartbeat" }, at * 1000);
 }
 
 test("a machine that is late no longer counts as coming, and counts again once it is up", () => {
@@ -17,9 +18,9 @@
 	assert.equal(boots.isOverdue(late, 65_000), true);
 	assert.equal(boots.isGivenUp(late, 200_000), false, "it may be all of its type");
 	assert.equal(boots.isGivenUp(late, 241_000), true, "nobody waits and pays for ever");
-	late.overdue = true;
+	late.lifecycle.setOverdue(true);
 	assert.equal(late.countsAsCapacity, false);
-	late.up = true;
+	late.agent.heartbeatReceived(heartbeatOf(late), 64_000);
 	assert.equal(boots.isOverdue(late, 65_000), false);
 	assert.equal(boots.isGivenUp(late, 500_000), false);
 });
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -3,7 +3,8 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Job } from "../src/bookkeeping/job.js";
-import { Machine, muchTooSlow, noteRun } from "../src/bookkeeping/machine.js";
+import { Machine } from "../src/bookkeeping/machine.js";
+import { isMuchSlower } from "../src/bookkeeping/machine-health.js";
 import { QuotaLedger } from "../src/bookkeeping/quota-ledger.js";
 import { remainingOfRunning, remainingOfWaiting } from "../src/bookkeeping/remaining-work.js";
 import { countInPage, TaskSet, tasksPerPage } from "../src/bookkeeping/task-set.js";
@@ -25,6 +26,7 @@
 import type { Grant, MachineCapacity } from "../src/protocol/peer/messages.js";
 import { defaultOperator } from "../src/protocol/settings/operator.js";
 import { FakeTime } from "./support/fake-time.js";
+import { makeSchedulable } from "./support/machines.js";
 import { silentLog } from "./support/silent-log.js";
 import { specOf } from "./support/specs.js";
 
@@ -48,10 +50,11 @@
 		new Map([[small.name, small]]),
 	);
 	for (let i = 0; i < machines; i++) {
-		const m = new Machine(`n-${i}`, small, i % 2 ? "b" : "a", true, 0);
-		m.up = true;
-		m.confirmed = true;
-		m.durable = true;
+		const m = new Machine(
+			{ id: `n-${i}`, type: small, zone: i % 2 ? "b" : "a", spot: true, origin: "heartbeat" },
+			0,
+		);
+		makeSchedulable(m);
 		clusterState.machines.set(m.id, m);
 	}
 	return clusterState;
@@ -182,7 +185,7 @@
 		const attempt = clusterState.decide(busy, machine);
 		if (attempt) attempt.runningAt = -1e6;
 	}
-	first.draining = true;
+	first.lifecycle.startDraining();
 	const waits = clusterState.addJob(
 		"j-2",
 		specOf("j-2", { team: "blue", taskCount: 1, cpus: 4, estimatedRunS: 300 }),
@@ -219,7 +222,7 @@
 		stop: null,
 		charge: null,
 	});
-	first.usedCpus = 0;
+	first.capacity.clear();
 	const run = async (ms: number) => {
 		for (let t = 0; t < ms; t += 500) {
 			fleet.tick();
@@ -227,9 +230,9 @@
 		}
 	};
 	await run(18_000);
-	assert.ok(first.draining, "it may still come in elsewhere");
+	assert.ok(first.lifecycle.draining, "it may still come in elsewhere");
 	await run(4000);
-	assert.ok(!first.draining);
+	assert.ok(!first.lifecycle.draining);
 });
 
 test("the last replica goes beside another of its job where there is no machine apart", () => {
@@ -266,8 +269,11 @@
 
 test("room for work that few machines may hold is sought on those, whatever the sample of all holds", () => {
 	const clusterState = tablesWith(30, 400);
-	const ordinary = new Machine("n-ordinary", small, "a", false, 0);
-	Object.assign(ordinary, { up: true, confirmed: true, durable: true });
+	const ordinary = new Machine(
+		{ id: "n-ordinary", type: small, zone: "a", spot: false, origin: "heartbeat" },
+		0,
+	);
+	makeSchedulable(ordinary);
 	clusterState.machines.set(ordinary.id, ordinary);
 	const batch = clusterState.addJob(
 		"j-1",
@@ -347,7 +353,7 @@
 				assert.ok(used <= 8);
 				assert.ok(Math.abs(clusterState.quotas.use(team).cpus - used) < 1e-6);
 			}
-			for (const m of clusterState.machines.values()) assert.ok(m.freeCpus >= -1e-9);
+			for (const m of clusterState.machines.values()) assert.ok(m.capacity.freeCpus >= -1e-9);
 		}
 	}
 });
@@ -661,7 +667,8 @@
 });
 
 test("a machine much slower than others with the same work is noticed, ordinary spread is not", () => {
-	const machine = (id: string) => new Machine(id, small, "a", true, 0);
+	const machine = (id: string) =>
+		new Machine({ id, type: small, zone: "a", spot: true, origin: "heartbeat" }, 0);
 	const random = xoroshiro128plus(21);
 	const all = ["n-1", "n-2", "n-3", "n-slow"].map(machine);
 	let noticedAfter = 0;
@@ -669,14 +676,18 @@
 		for (const m of all) {
 			const factor = 0.6 + uniformInt(random, 0, 80) / 100;
 			// The mean of a job whose long tasks still run is too low, for all alike.
-			noteRun(m, (m.id === "n-slow" ? 75 : 30) * factor, 20);
-			const slow = muchTooSlow(m, all);
+			m.health.noteRun((m.id === "n-slow" ? 75 : 30) * factor, 20);
+			const slow = isMuchSlower(m, all);
 			if (m.id !== "n-slow") assert.equal(slow, false);
 			else if (slow && noticedAfter === 0) noticedAfter = i;
 		}
 	}
 	assert.ok(noticedAfter >= 10 && noticedAfter <= 20, `after ${noticedAfter} runs`);
-	assert.equal(muchTooSlow(all[3] as Machine, [all[0] as Machine]), false, "one other machine is no measure");
+	assert.equal(
+		isMuchSlower(all[3] as Machine, [all[0] as Machine]),
+		false,
+		"one other machine is no measure",
+	);
 });
 
 test("a done-set survives its pages, also one of 100,000 tasks in a store of small values", () => {
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -6,6 +6,7 @@
 import { capacityOf } from "../src/coordination/placement/placement-cycle.js";
 import { ClusterState } from "../src/coordination/state/cluster-state.js";
 import { FaultAttribution } from "../src/coordination/workers/fault-attribution.js";
+import { makeSchedulable } from "./support/machines.js";
 import { silentLog } from "./support/silent-log.js";
 import { mediumType, specOf } from "./support/specs.js";
 
@@ -20,8 +21,8 @@
 	private now = 0;
 
 	machine(id: string, type = mediumType): Machine {
-		const machine = new Machine(id, type, "a", true, 0);
-		Object.assign(machine, { up: true, confirmed: true, durable: true });
+		const machine = new Machine({ id, type, zone: "a", spot: true, origin: "heartbeat" }, 0);
+		makeSchedulable(machine);
 		this.clusterState.machines.set(id, machine);
 		return machine;
 	}
@@ -67,8 +68,8 @@
 	const jobs = ["j-1", "j-2", "j-3"].map((id) => setup.job(id));
 	for (const machine of machines) for (const job of jobs) setup.fails(job, machine);
 	for (const machine of machines) {
-		assert.equal(machine.quarantined, false, machine.id);
-		assert.equal(machine.onProbation, false, machine.id);
+		assert.equal(machine.health.quarantined, false, machine.id);
+		assert.equal(machine.health.onProbation, false, machine.id);
 	}
 	for (const job of jobs) assert.equal(job.failsEverywhere, true, job.id);
 	setup.succeeds(jobs[0] as Job, machines[0] as Machine);
@@ -81,10 +82,13 @@
 	const [a, b, good] = ["a", "b", "good"].map((id) => setup.machine(id)) as [Machine, Machine, Machine];
 	const [first, second] = ["j-1", "j-2"].map((id) => setup.job(id)) as [Job, Job];
 	for (const machine of [a, b]) for (const job of [first, second]) setup.fails(job, machine);
-	assert.equal(a.quarantined || b.quarantined, false, "it may be the jobs");
+	assert.equal(a.health.quarantined || b.health.quarantined, false, "it may be the jobs");
 	setup.succeeds(first, good);
 	setup.succeeds(second, good);
-	assert.deepEqual([a.quarantined, b.quarantined, good.quarantined], [true, true, false]);
+	assert.deepEqual(
+		[a.health.quarantined, b.health.quarantined, good.health.quarantined],
+		[true, true, false],
+	);
 	assert.equal(first.failsEverywhere, false);
 });
 
@@ -94,9 +98,9 @@
 	const jobs = ["j-1", "j-2"].map((id) => setup.job(id));
 	for (const job of jobs) setup.succeeds(job, good);
 	setup.fails(jobs[0] as Job, sick);
-	assert.deepEqual([sick.onProbation, sick.quarantined], [true, false]);
+	assert.deepEqual([sick.health.onProbation, sick.health.quarantined], [true, false]);
 	setup.fails(jobs[1] as Job, sick);
-	assert.equal(sick.quarantined, true);
+	assert.equal(sick.health.quarantined, true);
 });
 
 test("a machine set aside for jobs that turn out faulty is taken back", () => {
@@ -104,10 +108,10 @@
 	const [suspect, other] = ["suspect", "other"].map((id) => setup.machine(id)) as [Machine, Machine];
 	const jobs = ["j-1", "j-2", "j-3", "j-4"].map((id) => setup.job(id));
 	for (const job of jobs) setup.fails(job, suspect);
-	assert.equal(suspect.quarantined, true, "four of which nothing is known count as two");
+	assert.equal(suspect.health.quarantined, true, "four of which nothing is known count as two");
 	setup.fails(jobs[0] as Job, other);
-	assert.equal(suspect.quarantined, false);
-	assert.equal(other.quarantined, false);
+	assert.equal(suspect.health.quarantined, false);
+	assert.equal(other.health.quarantined, false);
 });
 
 test("what faulty machines do to a job does not make the job fail everywhere", () => {
@@ -122,7 +126,7 @@
 	for (const machine of sick) for (const job of proven) setup.fails(job, machine);
 	for (const job of proven) setup.succeeds(job, good);
 	assert.deepEqual(
-		sick.map((machine) => machine.quarantined),
+		sick.map((machine) => machine.health.quarantined),
 		[true, true, true],
 	);
 	assert.equal(unlucky.failsEverywhere, false);
@@ -139,7 +143,7 @@
 		for (const job of jobs) setup.succeeds(job, good);
 		for (const machine of unsuited)
 			assert.deepEqual(
-				[machine.quarantined, machine.onProbation],
+				[machine.health.quarantined, machine.health.onProbation],
 				[false, false],
 				`${machine.id} in ${round}`,
 			);
@@ -151,5 +155,5 @@
 	setup.succeeds(job, unsuited[0] as Machine);
 	assert.equal(job.unfitTypes.size, 0, "one good run there clears the type");
 	setup.fails(jobs[1], unsuited[0] as Machine);
-	assert.equal(unsuited[0]?.quarantined, false);
+	assert.equal(unsuited[0]?.health.quarantined, false);
 });
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -8,6 +8,7 @@
 import { defaultOperator } from "../src/protocol/settings/operator.js";
 import { type ServiceLevelObjective, startTimeObjectives } from "../src/protocol/settings/platform.js";
 import { FakeTime } from "./support/fake-time.js";
+import { makeSchedulable } from "./support/machines.js";
 import { silentLog } from "./support/silent-log.js";
 import { specOf, mediumType as type } from "./support/specs.js";
 
@@ -45,8 +46,8 @@
 	}
 
 	machine(id: string, zone: string, spot: boolean): Machine {
-		const machine = new Machine(id, type, zone, spot, 0);
-		Object.assign(machine, { up: true, confirmed: true, durable: true });
+		const machine = new Machine({ id, type, zone, spot, origin: "heartbeat" }, 0);
+		makeSchedulable(machine);
 		this.clusterState.machines.set(id, machine);
 		return machine;
 	}
@@ -127,8 +128,8 @@
 		estimatedRunS: 0,
 	});
 	await setup.run(10);
-	assert.ok([...setup.clusterState.machines.values()].some((m) => m.spot && m.draining));
-	assert.ok(!spare.draining, "it is there for the replica");
+	assert.ok([...setup.clusterState.machines.values()].some((m) => m.spot && m.lifecycle.draining));
+	assert.ok(!spare.lifecycle.draining, "it is there for the replica");
 	assert.equal(live.waiting.length, 1);
 });
 
@@ -151,6 +152,6 @@
 		if (attempt) attempt.runningAt = 0;
 	}
 	await setup.run(10);
-	assert.ok(spot.some((machine) => machine.draining));
-	assert.ok(kept.filter((machine) => !machine.draining).length >= 2, "as much as came lately");
+	assert.ok(spot.some((machine) => machine.lifecycle.draining));
+	assert.ok(kept.filter((machine) => !machine.lifecycle.draining).length >= 2, "as much as came lately");
 });
--- a/tests/reports.test.ts
+++ b/tests/reports.test.ts
@@ -67,7 +67,7 @@
 	reconcileHeartbeat(clusterState, report(1), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
-	machine.durable = true;
+	machine.lifecycle.markRecorded();
 	const attempt = clusterState.decide(job, machine);
 	assert.ok(attempt);
 	const orders = commandsFor(clusterState, machine);
@@ -80,16 +80,23 @@
 	reconcileHeartbeat(clusterState, report(1, [], { fencingToken: epoch - 1 }), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
-	machine.durable = true;
+	machine.lifecycle.markRecorded();
 	assert.equal(
 		clusterState.decide(job, machine),
 		null,
 		"its answers of an earlier leader may still be on the way",
 	);
 	reconcileHeartbeat(clusterState, report(2), 0);
-	machine.durable = false;
+	assert.notEqual(clusterState.decide(job, machine), null);
+});
+
+test("no start goes to a machine that has seen the token before its record is durable", () => {
+	const { clusterState, job } = fresh();
+	reconcileHeartbeat(clusterState, report(1), 0);
+	const machine = clusterState.machines.get("n-1");
+	assert.ok(machine?.agent.fenced);
 	assert.equal(clusterState.decide(job, machine), null, "a later leader would not know of it");
-	machine.durable = true;
+	machine.lifecycle.markRecorded();
 	assert.notEqual(clusterState.decide(job, machine), null);
 });
 
@@ -98,14 +105,14 @@
 	reconcileHeartbeat(clusterState, report(1), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
-	machine.durable = true;
+	machine.lifecycle.markRecorded();
 	clusterState.decide(job, machine);
-	machine.draining = true;
+	machine.lifecycle.startDraining();
 	assert.equal(commandsFor(clusterState, machine).length, 1);
 	assert.equal(clusterState.decide(job, machine), null, "nothing new is decided for it");
-	machine.draining = false;
+	machine.lifecycle.cancelDraining();
 	clusterState.decide(job, machine);
-	machine.quarantined = true;
+	machine.health.quarantine("failures", 0);
 	assert.deepEqual(commandsFor(clusterState, machine), [], "on one set aside for failing nothing starts");
 });
 
@@ -158,13 +165,13 @@
 	const { clusterState, job, machine, attempt } = withOneSent();
 	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "exited", "done")]), 100);
 	assert.ok(job.done.has(0));
-	machine.draining = true;
+	machine.lifecycle.startDraining();
 	assert.deepEqual(commandsFor(clusterState, machine), [], "a takeover now would lose it");
-	machine.draining = false;
+	machine.lifecycle.cancelDraining();
 	job.durable.add(0);
 	assert.deepEqual(commandsFor(clusterState, machine), [], "the last one is kept as a handle");
 	assert.equal(machine.reminder?.attempt, attempt.number);
-	machine.draining = true;
+	machine.lifecycle.startDraining();
 	const forget = { kind: "forget", jobId: "j-1", taskIndex: 0, attempt: attempt.number };
 	assert.deepEqual(commandsFor(clusterState, machine), [forget]);
 });
@@ -212,7 +219,7 @@
 	reconcileHeartbeat(clusterState, report(1, [gone(0), gone(1)]), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
-	machine.durable = true;
+	machine.lifecycle.markRecorded();
 	assert.deepEqual([...clusterState.jobsOfUnknownDemand()], ["j-9"]);
 	assert.equal(clusterState.decide(job, machine), null, "whose cores they take is not known");
 	known.set("j-9", { team: "red", cpus: 4, gpus: 0 });
@@ -243,17 +250,17 @@
 test("one lost answer changes nothing; after two in a row nothing more is sent until its lease has held", () => {
 	const { clusterState, job, machine, attempt } = withOneSent();
 	reconcileHeartbeat(clusterState, report(2), 1000);
-	assert.equal(machine.unreachableSince, null);
+	assert.equal(machine.agent.unreachableSince, null);
 	assert.equal(commandsFor(clusterState, machine).length, 1);
 	reconcileHeartbeat(clusterState, report(3), 2000);
-	assert.equal(machine.unreachableSince, 2000);
+	assert.equal(machine.agent.unreachableSince, 2000);
 	assert.equal(job.attempts.has(0), false, "a start that no report lists can no longer be carried out");
 	assert.ok(job.waiting.includes(attempt.index));
 	assert.equal(clusterState.decide(job, machine), null);
 	reconcileHeartbeat(clusterState, report(4), 2000 + clusterState.certainMs);
-	assert.notEqual(machine.unreachableSince, null);
+	assert.notEqual(machine.agent.unreachableSince, null);
 	reconcileHeartbeat(clusterState, report(5), 2000 + 1.6 * clusterState.certainMs);
-	assert.equal(machine.unreachableSince, null);
+	assert.equal(machine.agent.unreachableSince, null);
 	assert.notEqual(clusterState.decide(job, machine), null);
 });
 
@@ -262,21 +269,21 @@
 	reconcileHeartbeat(clusterState, report(2), 1000);
 	commandsFor(clusterState, machine);
 	reconcileHeartbeat(clusterState, report(3, [task(0, attempt.number, "running")]), 2000);
-	assert.equal(machine.ineffectiveAnswers, 0);
+	assert.equal(machine.agent.ineffectiveResponses, 0);
 });
 
 test("a lease that runs out although it was answered all the time shows a machine that hears nothing", () => {
 	const { clusterState, machine } = withOneSent();
-	machine.answeredAt = 20_000;
+	machine.agent.responded(20_000);
 	reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 2 }), 21_000);
-	assert.equal(machine.unreachableSince, null, "the last answer may have come too late");
-	machine.answeredAt = 33_000;
+	assert.equal(machine.agent.unreachableSince, null, "the last answer may have come too late");
+	machine.agent.responded(33_000);
 	reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 3 }), 34_000);
-	assert.equal(machine.unreachableSince, 34_000);
+	assert.equal(machine.agent.unreachableSince, 34_000);
 	const silent = withOneSent();
-	silent.machine.answeredAt = 0;
+	silent.machine.agent.responded(0);
 	reconcileHeartbeat(silent.clusterState, report(1, [], { agentEpoch: 2 }), 21_000);
-	assert.equal(silent.machine.ineffectiveAnswers, 0, "it was cut off both ways");
+	assert.equal(silent.machine.agent.ineffectiveResponses, 0, "it was cut off both ways");
 });
 
 test("answers to a machine that never takes up the token renew nothing", () => {
@@ -287,7 +294,7 @@
 	assert.ok(machine);
 	clusterState.awaitReport(machine);
 	for (let at = 3000; at < clusterState.certainMs; at += 3000) {
-		machine.answeredAt = at;
+		machine.agent.responded(at);
 		assert.equal(reconcileHeartbeat(clusterState, report(1 + at, [], old), at).kind, "applied");
 		assert.equal(job.attempts.size, 1);
 		assert.equal(clusterState.rebuilt, false);
--- a/tests/scale.test.ts
+++ b/tests/scale.test.ts
@@ -19,6 +19,7 @@
 import type { PlatformSettings } from "../src/protocol/settings/platform.js";
 import { frame } from "../src/transport/peer-link.js";
 import { FakeTime } from "./support/fake-time.js";
+import { makeSchedulable } from "./support/machines.js";
 import { silentLog } from "./support/silent-log.js";
 import { specOf, mediumType as type } from "./support/specs.js";
 
@@ -36,8 +37,11 @@
 	const teams = [{ name: "red", cpus: 10 * size, cpus_max: 10 * size, gpus: 0, gpus_max: 0 }];
 	const clusterState = new ClusterState(7, teams, new Map([[type.name, type]]));
 	for (let i = 0; i < size; i++) {
-		const machine = new Machine(nameOf(i), type, type.zones[i % 3] as string, i % 2 === 0, 0);
-		Object.assign(machine, { up: true, confirmed: true, durable: true, endpoint: `${machine.id}:9000` });
+		const machine = new Machine(
+			{ id: nameOf(i), type, zone: type.zones[i % 3] as string, spot: i % 2 === 0, origin: "heartbeat" },
+			0,
+		);
+		makeSchedulable(machine);
 		clusterState.machines.set(machine.id, machine);
 	}
 	return clusterState;
@@ -217,8 +221,8 @@
 		};
 		const reserved = new MachineReservations(clusterState, 600, sample, silentLog);
 		reserved.update(100_000, 100_000);
-		const kept = [...clusterState.machines.values()].filter((m) => m.reservedFor !== null);
-		assert.ok(kept.some((m) => m.reservedFor === wide));
+		const kept = [...clusterState.machines.values()].filter((m) => m.capacity.reservedFor !== null);
+		assert.ok(kept.some((m) => m.capacity.reservedFor === wide));
 		assert.ok(kept.length <= size / 20);
 		assert.ok(searches <= kept.length + 8, `${searches} searches`);
 	});
@@ -255,7 +259,7 @@
 		}
 		assert.equal(asked.size, size);
 		assert.equal(
-			[...clusterState.machines.values()].filter((m) => m.returning).length,
+			[...clusterState.machines.values()].filter((m) => m.lifecycle.deleting).length,
 			0,
 			"all silent: our fault",
 		);
--- a/tests/stalls.test.ts
+++ b/tests/stalls.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Machine, unknownType } from "../src/bookkeeping/machine.js";
+import { Machine, unknownMachineType } from "../src/bookkeeping/machine.js";
 import { StoreReplica } from "../src/bookkeeping/store-replica.js";
 import { Failover } from "../src/coordination/leadership/failover.js";
 import { FailureDetector } from "../src/coordination/leadership/failure-detector.js";
@@ -12,14 +12,18 @@
 import { defaultOperator } from "../src/protocol/settings/operator.js";
 import type { PlatformSettings } from "../src/protocol/settings/platform.js";
 import { FakeTime } from "./support/fake-time.js";
+import { heartbeatOf } from "./support/machines.js";
 import { silentLog } from "./support/silent-log.js";
 import { World } from "./support/world.js";
 
 function fleetOf(size: number): ClusterState {
 	const clusterState = new ClusterState(1, [], new Map());
 	for (let i = 0; i < size; i++) {
-		const machine = new Machine(`n-${i}`, unknownType("t"), "a", true, 0);
-		machine.up = true;
+		const machine = new Machine(
+			{ id: `n-${i}`, type: unknownMachineType("t"), zone: "a", spot: true, origin: "heartbeat" },
+			0,
+		);
+		machine.agent.heartbeatReceived(heartbeatOf(machine), Number.NEGATIVE_INFINITY);
 		clusterState.machines.set(machine.id, machine);
 	}
 	return clusterState;
@@ -59,7 +63,8 @@
 		for (let now = from; now <= to; now += 100) monitor.tick(now, () => []);
 	};
 	const reports = (at: number) => {
-		for (const machine of clusterState.machines.values()) machine.reportedAt = at;
+		for (const machine of clusterState.machines.values())
+			machine.agent.heartbeatReceived(heartbeatOf(machine), at);
 	};
 	const reply = {
 		kind: "leader-heartbeat-reply",
@@ -92,9 +97,9 @@
 	takeover.tick(1000, false);
 	takeover.stalled(2500);
 	takeover.tick(3500, false);
-	assert.equal(one?.returning, false);
+	assert.equal(one?.lifecycle.deleting, false);
 	takeover.tick(4600, false);
-	assert.equal(one?.returning, true);
+	assert.equal(one?.lifecycle.deleting, true);
 });
 
 test("users that come as a controller wakes up are answered by a fresh question to the store", async () => {
