--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -79,12 +79,12 @@
 		this.commands = new SerialExecutor(ports.schedule, (error) =>
 			log.error(
 				{ err: error instanceof Error ? (error.stack ?? error.message) : String(error) },
-				"command failed",
+				"state action failed",
 			),
 		);
 		const post = (command: () => void) => this.commands.post(command);
 		this.storeCopy = new StoreReplica(
-			(key, error) => log.error({ key, err: error.message }, "malformed value in the state service"),
+			(key, error) => log.error({ key, err: error.message }, "malformed value in the store"),
 			platform.cluster.state.write_rps,
 		);
 		this.teamQuota = ports.teamQuota?.(post) ?? null;
@@ -180,7 +180,7 @@
 	stop(): void {
 		this.stopped = true;
 		this.storeSync.stop();
-		this.commands.post(() => this.leadership.resign("stopping"));
+		this.commands.post(() => this.leadership.resign("controller stopping"));
 	}
 
 	/**
@@ -201,7 +201,7 @@
 	 * answer, and silence of the store, the workers and the other controllers by a fresh wait.
 	 */
 	private stalled(stalledMs: number): void {
-		this.ports.log.info({ stalledMs: Math.round(stalledMs) }, "this process stood still");
+		this.ports.log.info({ stalledMs: Math.round(stalledMs) }, "process pause detected");
 		this.leadership.stalled();
 		this.storeSync.stalled();
 		this.reports.stalled();
@@ -228,7 +228,7 @@
 	// --- leadership ---
 
 	private won(term: number): void {
-		this.ports.log.info({ term }, "leadership won");
+		this.ports.log.info({ term }, "leadership acquired");
 		this.starting = term;
 		this.beginTerm(term);
 	}
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -101,7 +101,7 @@
 		this.nextRead = this.time.now() + retryMs;
 		// Without the cloud nothing can be rented either; do not hold the rounds up for long.
 		this.looked ||= !(error instanceof CallError) || error.status !== 429;
-		this.log.debug({ err: String(error) }, "list failed");
+		this.log.debug({ err: String(error) }, "machine list not read");
 	}
 
 	private reconcile(listed: ListedMachine, now: number): void {
@@ -110,7 +110,7 @@
 		machine.agent.endpointLearned(listed.endpoint);
 		if (listed.status === "failed" && !machine.lifecycle.deleting) {
 			machine.lifecycle.startDeleting();
-			this.log.info({ machine: listed.id }, "failed machine goes back");
+			this.log.info({ machine: listed.id }, "machine failed");
 		}
 	}
 
@@ -122,7 +122,7 @@
 			now - listed.ageS * 1000,
 		);
 		this.clusterState.machines.set(machine.id, machine);
-		this.log.info({ machine: listed.id, status: listed.status }, "unexpected machine listed");
+		this.log.info({ machine: listed.id, status: listed.status }, "unknown machine listed");
 		return machine;
 	}
 
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -40,7 +40,7 @@
 		}
 		if (marked.size === 0) return;
 		for (const machine of marked) machine.lifecycle.startDraining();
-		this.log.info({ machines: [...marked].map((m) => m.id) }, "marked to drain and return");
+		this.log.info({ machines: [...marked].map((m) => m.id) }, "draining started");
 	}
 
 	/** The first of the candidates, as many as the load spares. */
@@ -112,7 +112,7 @@
 		}
 		if (back.length === 0) return false;
 		this.clusterState.placementDue = true;
-		this.log.info({ machines: back }, "unmarked");
+		this.log.info({ machines: back }, "draining cancelled");
 		return true;
 	}
 
@@ -123,7 +123,7 @@
 			if (!machineAllowed(job.spec, machine) || !machine.capacity.hasRoomFor(job.spec)) continue;
 			machine.lifecycle.cancelDraining();
 			this.clusterState.placementDue = true;
-			this.log.info({ machines: [machine.id], job: job.id }, "unmarked");
+			this.log.info({ machines: [machine.id], job: job.id }, "draining cancelled");
 			return true;
 		}
 		return false;
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -142,7 +142,7 @@
 			if (before || !machine.lifecycle.overdue) continue;
 			const { id, type, zone, lifecycle } = machine;
 			const bootingS = Math.round((now - lifecycle.requestedAt) / 1000);
-			this.log.info({ machine: id, type: type.name, zone, bootingS }, "late in coming up");
+			this.log.info({ machine: id, type: type.name, zone, bootingS }, "machine overdue");
 		}
 	}
 
@@ -172,7 +172,7 @@
 		this.counters = counters;
 		if (action !== "up" && counters.up === 0) this.rentals.loadIsDown();
 		const { work, cpus } = look;
-		this.log.debug({ work: Math.round(work), n: count, cpus, ...counters, action }, "round");
+		this.log.debug({ work: Math.round(work), n: count, cpus, ...counters, action }, "scaling round");
 		if (action === "up") this.grow(look);
 		else if (action === "down") this.drain.startDraining(look, this.replicas);
 	}
--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -77,7 +77,7 @@
 				post(() => {
 					// Too many types for one value: they are read from the cloud then, by each leader.
 					if (error instanceof CallError && error.outcome === "rejected")
-						log.error({ key: keys.machineTypes, err: error.message }, "not written");
+						log.error({ key: keys.machineTypes, err: error.message }, "record rejected by the store");
 					else this.nextReadAt = 0;
 				}),
 			);
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -33,7 +33,7 @@
 			if (machine.leaving && !machine.agent.leaseExpired) moved.push(...this.moveFrom(machine, now));
 		if (moved.length === 0) return;
 		const replicas = moved.map((a) => `${a.job.id}/${a.index}`);
-		this.log.info({ replicas }, "moved from machines that go");
+		this.log.info({ replicas }, "replicas relocating");
 		this.orders.stop(moved);
 	}
 
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -72,7 +72,7 @@
 		for (const machine of this.clusterState.machines.values()) {
 			const why = this.reasonToReturn(machine, now);
 			if (why === null) continue;
-			if (!machine.lifecycle.deleting) this.log.info({ machine: machine.id, why }, "returning");
+			if (!machine.lifecycle.deleting) this.log.info({ machine: machine.id, why }, "scale-in requested");
 			machine.lifecycle.startDeleting();
 			leaving.push(machine);
 			if (leaving.length === mostPerCall) break;
@@ -93,7 +93,7 @@
 	private failed(error: unknown): void {
 		this.returning = false;
 		this.nextReturn = this.time.now() + retryMs;
-		this.log.debug({ err: String(error) }, "return failed");
+		this.log.debug({ err: String(error) }, "scale-in failed");
 	}
 
 	private reasonToReturn(machine: Machine, now: number): string | null {
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -159,8 +159,8 @@
 		const now = this.time.now();
 		this.rental = null;
 		for (const id of ids) this.expect(id, rental, now);
-		if (ids.length > 0) this.log.info({ ...request, got: ids.length }, "rented");
-		else this.log.debug({ ...request }, "no capacity");
+		if (ids.length > 0) this.log.info({ ...request, got: ids.length }, "scale-out complete");
+		else this.log.debug({ ...request }, "scale-out refused: no capacity");
 		if (ids.length < request.count) this.refuse(rental, now);
 		// What one offer could not give is asked of the next, and what one call could not
 		// ask for of another, without waiting for more rounds.
@@ -173,7 +173,7 @@
 		if (rejected || now - rental.firstSentAt > rentalTriesMs) {
 			this.rental = null;
 			this.refuse(rental, now);
-			this.log.info({ ...rental.request, err: String(error) }, "rental given up");
+			this.log.info({ ...rental.request, err: String(error) }, "scale-out abandoned");
 			return;
 		}
 		// Perhaps it was carried out: the same name gets the same machines.
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -121,7 +121,7 @@
 		const { time, post, log } = this.options;
 		// What the store will not take is left to the audit, and said.
 		const refused = error instanceof CallError && error.outcome === "rejected";
-		if (refused) log.error({ key: keys.final(job.id), err: error.message }, "not written");
+		if (refused) log.error({ key: keys.final(job.id), err: error.message }, "record rejected by the store");
 		else time.after(retryMs, () => post(() => this.writeFinal(job)));
 	}
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -290,7 +290,7 @@
 			lostKey: () => this.lostKey(),
 			failed: (error) => log.debug({ err: String(error) }, "records not written"),
 			tooLarge: (tooLarge, mostBytes) =>
-				log.error({ keys: tooLarge, mostBytes }, "the state service refuses values: made smaller"),
+				log.error({ keys: tooLarge, mostBytes }, "store rejected values: splitting them"),
 		};
 	}
 
@@ -314,7 +314,7 @@
 		this.takeover.sendProbes(false);
 		ports.log.info(
 			{ term: this.term, jobs: clusterState.jobs.size, machines: clusterState.machines.size },
-			"leading: rebuilding",
+			"failover started",
 		);
 	}
 
@@ -339,7 +339,7 @@
 		job.knownAt = this.ports.time.now();
 		job.fillWaiting();
 		const { jobClass, team, taskCount: tasks, estimatedRunS, deadlineS } = spec;
-		this.ports.log.debug({ job: id, jobClass, team, tasks, estimatedRunS, dueS: deadlineS }, "job known");
+		this.ports.log.debug({ job: id, jobClass, team, tasks, estimatedRunS, dueS: deadlineS }, "job loaded");
 		this.completion.finishIfDone(job);
 	}
 
@@ -389,7 +389,7 @@
 
 	private machineGone(machine: Machine): void {
 		const held = this.clusterState.removeMachine(machine);
-		this.ports.log.info({ machine: machine.id, held }, "machine gone");
+		this.ports.log.info({ machine: machine.id, held }, "machine deleted");
 		this.reports.machineGone(machine);
 		// A record left behind only makes a later leader wait for a machine that is gone.
 		this.machineRecords.delete(machine.id);
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -134,7 +134,7 @@
 			if (machine === this.unreadable) continue;
 			if (machine.lifecycle.deleting || !(few || this.hooks.unlisted(machine.id))) continue;
 			machine.lifecycle.startDeleting();
-			this.log.info({ machine: machine.id }, "not heard since the takeover: returning");
+			this.log.info({ machine: machine.id }, "unreconciled machine given up");
 		}
 	}
 }
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -163,7 +163,7 @@
 		const relaying = perCore > 0 && rate >= (this.relaying ? perCore / 2 : perCore);
 		if (relaying === this.relaying) return;
 		this.relaying = relaying;
-		const by = relaying ? "all controllers receive reports" : "this controller alone receives reports";
+		const by = relaying ? "heartbeat forwarding enabled" : "heartbeat forwarding disabled";
 		this.log.info({ perCore: Math.round(rate) }, by);
 	}
 
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -197,7 +197,7 @@
 		const until = this.promiseEnd(sentAt);
 		latest(this.promises, until);
 		this.unchallengedUntil = Math.max(this.unchallengedUntil, this.earliest(this.promises));
-		this.log.debug({ from, forMs: Math.round(until - now) }, "promise received");
+		this.log.debug({ from, forMs: Math.round(until - now) }, "lease extension vote received");
 	}
 
 	/** Promises only when a request made after the question was refused. */
@@ -308,7 +308,7 @@
 					this.nextRenewal = this.time.now() + Math.min(150, this.settings.ttlMs / 10) * (1 + this.jitter());
 					if (this.lease !== lease) return;
 					if (error instanceof CallError && error.status === 404) this.resign("lease ended");
-					else this.log.debug({ err: String(error) }, "renewal failed");
+					else this.log.debug({ err: String(error) }, "leader lease renewal failed");
 				}),
 		);
 	}
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -69,7 +69,7 @@
 				attempt.keptUntil = now + keptMs;
 				job.hadReservation = true;
 				started.push(attempt);
-				this.log.info({ job: job.id, machine: machine.id }, "start decided on the reserved machine");
+				this.log.info({ job: job.id, machine: machine.id }, "reservation used");
 			}
 			const usable = machine.schedulable && this.holds(machine) && now < until;
 			if (attempt || !usable || !stillWaits(job)) this.release(job, machine);
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -75,7 +75,7 @@
 		this.started = true;
 		clusterState.useAdmission(leaderQuota);
 		leaderQuota.start();
-		log.info({}, "teams' limits are divided among the controllers");
+		log.info({}, "team quota enabled");
 	}
 
 	/** Allotments follow the placers, which change when controllers come and go. */
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -38,7 +38,7 @@
 			const { checkpointIntervalS, checkpointCostS } = victim.job.spec;
 			victim.stop = { graceS: checkpointIntervalS > 0 ? graceFactor * checkpointCostS : 0, why: "preempted" };
 		}
-		this.log.debug({ tasks: victims.map((v) => `${v.job.id}/${v.index}`) }, "preempted");
+		this.log.debug({ tasks: victims.map((v) => `${v.job.id}/${v.index}`) }, "tasks preempted");
 		this.orders.stop(victims);
 	}
 }
--- a/src/coordination/replication/replica-sync.ts
+++ b/src/coordination/replication/replica-sync.ts
@@ -79,7 +79,7 @@
 			(error) =>
 				this.post(() => {
 					this.failedAt = this.time.now();
-					this.log.debug({ err: String(error) }, "watch failed");
+					this.log.debug({ err: String(error) }, "store watch failed");
 					if (error instanceof CallError && error.status === 410) this.storeCopy.loaded = false;
 					this.time.after(200, () => this.watchOn());
 				}),
@@ -160,7 +160,7 @@
 				const missed = [...differing].filter((id) => this.doubtful.has(id));
 				this.doubtful = differing;
 				if (missed.length > 0) {
-					this.log.error({ jobs: missed }, "the local copy differs from the store: made anew");
+					this.log.error({ jobs: missed }, "replica differs from the store: reloading");
 					this.reload().catch(() => {});
 				}
 				resolve(differing.size > 0);
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -60,7 +60,7 @@
 		this.inFlight += 1;
 		this.workers
 			.sendCommands(machine.agent.endpoint, this.token, machine.agent.epoch, orders)
-			.catch((error) => this.log.debug({ machine: machine.id, err: String(error) }, "order not sent"))
+			.catch((error) => this.log.debug({ machine: machine.id, err: String(error) }, "direct command failed"))
 			.finally(() => {
 				this.inFlight -= 1;
 				this.post(() => this.sendWaiting());
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -67,7 +67,7 @@
 		if (job.finishedRuns >= runsForMean) machine.health.noteRun(seconds, job.estimatedRunS);
 		if (!machine.health.quarantined && isMuchSlower(machine, this.clusterState.machines.values())) {
 			machine.health.quarantine("slow", now);
-			this.log.info({ machine: machine.id, ratio: machine.health.slowdown }, "set aside as much too slow");
+			this.log.info({ machine: machine.id, ratio: machine.health.slowdown }, "machine quarantined: slow");
 		}
 		job.finishedRuns += 1;
 		job.finishedSeconds += seconds;
@@ -110,7 +110,7 @@
 	private judge(machine: Machine, now: number): void {
 		if (machine.health.quarantined || this.evidenceAgainst(machine) < this.faultyAfter) return;
 		machine.health.quarantine("failures", now);
-		this.log.info({ machine: machine.id }, "set aside as faulty");
+		this.log.info({ machine: machine.id }, "machine quarantined: faulty");
 	}
 
 	/** The job has failed on several machines: those against which nothing else stands are not to blame. */
@@ -126,7 +126,7 @@
 				continue;
 			machine.health.release();
 			this.clusterState.placementDue = true;
-			this.log.info({ machine: machine.id, job: job.id }, "no longer set aside: the job fails elsewhere too");
+			this.log.info({ machine: machine.id, job: job.id }, "machine released from quarantine");
 		}
 	}
 }
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -112,7 +112,7 @@
 		const { machine } = applied;
 		if (machine.orphans.length > 0) unwanted.stop(machine, toldBefore);
 		if (applied.cameUp) fleet.onMachineRunning(machine);
-		if (applied.isNew) log.info({ machine: machine.id, type: machine.type.name }, "machine up");
+		if (applied.isNew) log.info({ machine: machine.id, type: machine.type.name }, "machine running");
 		for (const outcome of applied.outcomes) {
 			const { attempt, cause } = outcome;
 			if (attempt.job.isService) this.logReplica(attempt, `replica ended: ${cause}`);
@@ -120,9 +120,9 @@
 		}
 		// Not only by outcomes: a job's last tasks may have ended while nobody led.
 		for (const job of applied.progressed) this.options.finishIfDone(job);
-		for (const attempt of applied.begun) this.logReplica(attempt, "replica runs");
+		for (const attempt of applied.begun) this.logReplica(attempt, "replica running");
 		for (const { job, index } of applied.vanished)
-			log.info({ machine: machine.id, job: job.id, task: index }, "task vanished");
+			log.info({ machine: machine.id, job: job.id, task: index }, "task lost");
 		orders.stop(stopBeforeReclaim(machine, now, this.options.reportS));
 		return "applied";
 	}
@@ -148,7 +148,7 @@
 	/** A start was decided; it goes out with the answer to the machine's report. */
 	decided(attempt: Attempt): void {
 		this.assigned.add(attempt.machine);
-		if (attempt.job.isService) this.logReplica(attempt, "replica start decided");
+		if (attempt.job.isService) this.logReplica(attempt, "replica assigned");
 	}
 
 	/** Starts were decided for the machine apart from placing. */
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -32,7 +32,7 @@
 	private excuse(unreachable: Machine[]): void {
 		const few = Math.max(fewUnreachable, this.clusterState.machines.size * fewUnreachablePart);
 		if (unreachable.length <= few) return;
-		this.log.info({ machines: unreachable.length }, "answers reach few machines: taken as our own delay");
+		this.log.info({ machines: unreachable.length }, "many machines unreachable while overloaded: ignored");
 		for (const machine of unreachable) {
 			machine.agent.assumeReachable();
 		}
@@ -42,7 +42,7 @@
 		if (this.rebuiltSaid || !this.clusterState.rebuilt) return;
 		this.rebuiltSaid = true;
 		const afterMs = Math.round(now - this.beganAt);
-		this.log.info({ term: this.clusterState.term, afterMs }, "rebuilt: starting tasks");
+		this.log.info({ term: this.clusterState.term, afterMs }, "failover complete");
 	}
 
 	private expireIfSilent(machine: Machine, now: number): void {
@@ -50,6 +50,6 @@
 			return;
 		if (now - machine.agent.respondedAt <= this.clusterState.certainMs) return;
 		const tasks = this.clusterState.expire(machine);
-		this.log.info({ machine: machine.id, tasks }, "machine silent: its lease has expired");
+		this.log.info({ machine: machine.id, tasks }, "worker lease expired");
 	}
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -76,10 +76,13 @@
 	);
 	// A fault in one request or answer must not end the process.
 	process.on("uncaughtException", (error) =>
-		log.error({ err: error.message, stack: error.stack }, "uncaught"),
+		log.error({ err: error.message, stack: error.stack }, "uncaught exception"),
 	);
 	process.on("unhandledRejection", (error) =>
-		log.error({ err: String(error), stack: error instanceof Error ? error.stack : undefined }, "unhandled"),
+		log.error(
+			{ err: String(error), stack: error instanceof Error ? error.stack : undefined },
+			"unhandled promise rejection",
+		),
 	);
 
 	const { cluster, endpoints } = platform;
@@ -125,10 +128,10 @@
 	const server = await listenPublicApi(service, front.host, front.port, sockets, log);
 	await peers.listen(back.host, back.port);
 	controller.start();
-	log.info({ front: platform.front, back: platform.back, version: version }, "started");
+	log.info({ front: platform.front, back: platform.back, version: version }, "controller started");
 
 	const stop = () => {
-		log.info({}, "stopping");
+		log.info({}, "controller stopping");
 		controller.stop();
 		server.close();
 		peers.close();
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -92,7 +92,7 @@
 			server.once("error", reject);
 			server.listen(port, host, resolve);
 		});
-		server.on("error", (error) => this.log.error({ err: error.message }, "back listener"));
+		server.on("error", (error) => this.log.error({ err: error.message }, "peer listener failed"));
 		this.timer = setInterval(() => this.dialAll(), 250);
 		this.dialAll();
 		const address = server.address();
@@ -120,7 +120,7 @@
 					} else this.receive(from, message);
 				}
 			} catch (error) {
-				this.log.info({ from, err: (error as Error).message }, "link closed: bad frame");
+				this.log.info({ from, err: (error as Error).message }, "peer link closed: bad frame");
 				socket.destroy();
 			}
 		});
--- a/src/transport/public-api.ts
+++ b/src/transport/public-api.ts
@@ -211,7 +211,7 @@
 		server.once("error", reject);
 		server.listen(port, host, resolve);
 	});
-	server.on("error", (error) => log.error({ err: error.message }, "front listener"));
+	server.on("error", (error) => log.error({ err: error.message }, "public listener failed"));
 	server.on("clientError", (_error, socket) => {
 		if (socket.writable) socket.end("HTTP/1.1 400 Bad Request\r\nconnection: close\r\n\r\n");
 		else socket.destroy();
