--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -38,7 +38,7 @@
 	cloud: CloudProvider;
 	workers: WorkerGateway;
 	peers: PeerTransport;
-	time: Clock;
+	clock: Clock;
 	log: Log;
 	random: RandomGenerator;
 	schedule(run: () => void): void;
@@ -51,10 +51,10 @@
 
 /** One controller: the owner of its process's state. */
 export class Controller {
-	readonly commands: SerialExecutor;
-	readonly storeCopy: StoreReplica;
+	readonly executor: SerialExecutor;
+	readonly replica: StoreReplica;
 	readonly jobs: JobService;
-	private readonly storeSync: ReplicaSync;
+	private readonly replicaSync: ReplicaSync;
 	private readonly leadership: Leadership;
 	private leader: Leader | null = null;
 	private starting: number | null = null;
@@ -63,7 +63,7 @@
 	/** Steady time of the last word of any other controller, and of the last that the store answers it. */
 	private peerHeardAt = -Infinity;
 	private othersServedAt = -Infinity;
-	private readonly reports: HeartbeatRouter;
+	private readonly heartbeatRouter: HeartbeatRouter;
 	private readonly peers: PeerChannel;
 	private readonly machineTypes: MachineTypeCatalog;
 	private readonly teamQuota: TeamQuotaPort | null;
@@ -74,21 +74,21 @@
 		private readonly incarnation: string,
 		private readonly ports: ControllerPorts,
 	) {
-		const { store, time, log } = ports;
+		const { store, clock: time, log } = ports;
 		this.peers = new PeerChannel(ports.peers, log);
-		this.commands = new SerialExecutor(ports.schedule, (error) =>
+		this.executor = new SerialExecutor(ports.schedule, (error) =>
 			log.error(
 				{ err: error instanceof Error ? (error.stack ?? error.message) : String(error) },
 				"state action failed",
 			),
 		);
-		const post = (command: () => void) => this.commands.post(command);
-		this.storeCopy = new StoreReplica(
+		const post = (command: () => void) => this.executor.post(command);
+		this.replica = new StoreReplica(
 			(key, error) => log.error({ key, err: error.message }, "malformed value in the store"),
 			platform.cluster.state.write_rps,
 		);
 		this.teamQuota = ports.teamQuota?.(post) ?? null;
-		this.storeSync = new ReplicaSync(this.storeCopy, store, time, post, log);
+		this.replicaSync = new ReplicaSync(this.replica, store, time, post, log);
 		this.leadership = new Leadership(
 			platform.node,
 			incarnation,
@@ -106,10 +106,10 @@
 				tell: (message) => {
 					for (const other of platform.others) this.peers.send(other.node, message);
 				},
-				knownAt: () => this.storeSync.syncedAt,
-				knownRevision: () => this.storeCopy.revision,
+				knownAt: () => this.replicaSync.syncedAt,
+				knownRevision: () => this.replica.revision,
 				cancelledSince: (revision) =>
-					this.storeCopy.cancelledSince(revision)?.map(({ id, record, revision: at }) => ({
+					this.replica.cancelledSince(revision)?.map(({ id, record, revision: at }) => ({
 						jobId: id,
 						revision: at,
 						taskCount: record.taskCount,
@@ -117,7 +117,7 @@
 					})) ?? null,
 				learn: (cancelled) => {
 					for (const { jobId, revision, taskCount, doneCount } of cancelled)
-						this.storeCopy.applyOwnWrite(
+						this.replica.applyOwnWrite(
 							keys.final(jobId),
 							encodeFinalRecord({ status: "cancelled", taskCount, doneCount }),
 							revision,
@@ -129,22 +129,22 @@
 			() => uniformInt(ports.random, 0, 999) / 1000,
 		);
 		this.jobs = new JobService(
-			this.storeCopy,
-			this.storeSync,
+			this.replica,
+			this.replicaSync,
 			store,
 			time,
 			(team) => this.limitsOf(team),
 			platform.cluster.zones,
 			platform.cluster.state.value_kb,
-			(command) => this.commands.call(command),
+			(command) => this.executor.call(command),
 			(id) => (this.leader ? this.leader.runningCount(id) : (this.running.get(id) ?? 0)),
 		);
-		this.reports = new HeartbeatRouter({
+		this.heartbeatRouter = new HeartbeatRouter({
 			self: platform.node,
 			peers: this.peers,
 			time,
 			active: () => this.activeLeader(),
-			leaderInStore: () => this.storeCopy.leader?.value.node ?? null,
+			leaderInStore: () => this.replica.leader?.value.node ?? null,
 			tellUnexpected: (leader, term) => this.sendHeartbeatReply(leader, term),
 		});
 		this.machineTypes = new MachineTypeCatalog({
@@ -154,16 +154,16 @@
 			log,
 			post,
 			authority: () => this.leadership.authority(),
-			stored: () => this.storeCopy.machineTypes?.value ?? null,
+			stored: () => this.replica.machineTypes?.value ?? null,
 			refreshed: (types) => this.leader?.typesRefreshed(types),
 		});
-		this.storeCopy.onChange((key) => this.changed(key));
+		this.replica.onChange((key) => this.changed(key));
 		const stalls = new PauseDetector(time);
-		this.commands.onBatchStart(() => {
+		this.executor.onBatchStart(() => {
 			const stalledMs = stalls.observe();
 			if (stalledMs !== null) this.stalled(stalledMs);
 		});
-		this.commands.onBatchEnd(() => this.leader?.maybePlace());
+		this.executor.onBatchEnd(() => this.leader?.maybePlace());
 	}
 
 	/** Of a team that the platform names: what its record says, else the platform's settings. */
@@ -173,14 +173,14 @@
 	}
 
 	start(): void {
-		this.storeSync.start();
+		this.replicaSync.start();
 		this.scheduleTick();
 	}
 
 	stop(): void {
 		this.stopped = true;
-		this.storeSync.stop();
-		this.commands.post(() => this.leadership.resign("controller stopping"));
+		this.replicaSync.stop();
+		this.executor.post(() => this.leadership.resign("controller stopping"));
 	}
 
 	/**
@@ -188,9 +188,9 @@
 	 * are better off there; if nobody is, a node that is taken out comes back late.
 	 */
 	ready(): boolean {
-		if (!this.storeCopy.loaded || this.storeCopy.machineTypes === null) return false;
-		if (!this.storeSync.unresponsive) return true;
-		const now = this.ports.time.now();
+		if (!this.replica.loaded || this.replica.machineTypes === null) return false;
+		if (!this.replicaSync.unresponsive) return true;
+		const now = this.ports.clock.now();
 		const alone = this.platform.others.length > 0 && now - this.peerHeardAt > isolatedMs;
 		return !alone && now - this.othersServedAt > isolatedMs;
 	}
@@ -203,26 +203,26 @@
 	private stalled(stalledMs: number): void {
 		this.ports.log.info({ stalledMs: Math.round(stalledMs) }, "process pause detected");
 		this.leadership.stalled();
-		this.storeSync.stalled();
-		this.reports.stalled();
+		this.replicaSync.stalled();
+		this.heartbeatRouter.stalled();
 		this.leader?.stalled(stalledMs);
 	}
 
 	private scheduleTick(): void {
-		this.ports.time.after(tickMs, () => {
+		this.ports.clock.after(tickMs, () => {
 			if (this.stopped) return;
-			this.commands.post(() => this.tick());
+			this.executor.post(() => this.tick());
 			this.scheduleTick();
 		});
 	}
 
 	private tick(): void {
 		// Machine types are the first thing a first leader writes.
-		if (this.storeCopy.loaded && this.storeCopy.machineTypes === null) this.leadership.releaseStartHold();
-		this.leadership.tick(this.storeCopy.leader, this.storeCopy.loaded);
+		if (this.replica.loaded && this.replica.machineTypes === null) this.leadership.releaseStartHold();
+		this.leadership.tick(this.replica.leader, this.replica.loaded);
 		if (this.leadership.authority() !== null) this.machineTypes.tick();
 		this.leader?.tick();
-		this.reports.tick();
+		this.heartbeatRouter.tick();
 	}
 
 	// --- leadership ---
@@ -238,12 +238,12 @@
 		if (this.starting !== term || this.leadership.currentTerm !== term) return;
 		const { types } = this.machineTypes;
 		if (types === null) {
-			this.ports.time.after(50, () => this.commands.post(() => this.beginTerm(term)));
+			this.ports.clock.after(50, () => this.executor.post(() => this.beginTerm(term)));
 			return;
 		}
-		this.storeSync.readBarrier().then(
+		this.replicaSync.readBarrier().then(
 			() =>
-				this.commands.post(() => {
+				this.executor.post(() => {
 					if (this.starting !== term || this.leadership.currentTerm !== term) return;
 					this.starting = null;
 					this.leader = new Leader({
@@ -251,18 +251,18 @@
 						self: this.platform.node,
 						platform: this.platform,
 						settings: this.settings,
-						storeCopy: this.storeCopy,
+						replica: this.replica,
 						types,
-						ports: { ...this.ports, peers: this.peers, post: (command) => this.commands.post(command) },
+						ports: { ...this.ports, peers: this.peers, post: (command) => this.executor.post(command) },
 						authority: () => this.leadership.authority() === term,
-						served: () => !this.storeSync.unresponsive,
+						served: () => !this.replicaSync.unresponsive,
 						resign: (why) => this.leadership.resign(why),
 						teamQuota: this.teamQuota,
 						requestPrefix: `${this.platform.node}-${this.incarnation}-${term}`,
 					});
-					this.reports.leads(term);
+					this.heartbeatRouter.leads(term);
 				}),
-			() => this.ports.time.after(100, () => this.commands.post(() => this.beginTerm(term))),
+			() => this.ports.clock.after(100, () => this.executor.post(() => this.beginTerm(term))),
 		);
 	}
 
@@ -277,12 +277,12 @@
 
 	private changed(key: string): void {
 		if (key.startsWith(keys.jobs)) this.leader?.jobChanged(key.slice(keys.jobs.length));
-		const quota = key.startsWith(keys.quota) ? this.storeCopy.quota.get(key) : undefined;
+		const quota = key.startsWith(keys.quota) ? this.replica.quota.get(key) : undefined;
 		if (quota) this.teamQuota?.stored(key, quota.value, quota.revision);
 	}
 
 	handleHeartbeat(report: WorkerHeartbeat): Promise<HeartbeatResponse> {
-		return this.commands.call(() => this.reports.handle(report));
+		return this.executor.call(() => this.heartbeatRouter.handle(report));
 	}
 
 	private activeLeader(): ActiveLeader | null {
@@ -294,7 +294,7 @@
 		const reply: LeaderHeartbeatReply = {
 			kind: "leader-heartbeat-reply",
 			term,
-			misdirectedWorkers: this.reports.countUnexpected(),
+			misdirectedWorkers: this.heartbeatRouter.countUnexpected(),
 			supportsServiceJobs: true,
 			...(this.teamQuota && { teamQuota: this.teamQuota.reply() }),
 		};
@@ -303,13 +303,13 @@
 
 	peerMessage(from: string, raw: unknown): void {
 		const message = this.peers.read(from, raw);
-		if (message) this.commands.post(() => this.handle(from, message));
+		if (message) this.executor.post(() => this.handle(from, message));
 	}
 
 	private handle(from: string, message: PeerMessage): void {
-		this.peerHeardAt = this.ports.time.now();
+		this.peerHeardAt = this.ports.clock.now();
 		if (message.kind === "leader-heartbeat" || message.kind === "placement-request")
-			this.reports.noteLeader(from, message, this.peerHeardAt);
+			this.heartbeatRouter.noteLeader(from, message, this.peerHeardAt);
 		switch (message.kind) {
 			case "placement-request":
 				this.propose(from, message);
@@ -318,10 +318,10 @@
 				this.heartbeat(from, message);
 				break;
 			case "forwarded-heartbeats":
-				this.reports.relayed(from, message);
+				this.heartbeatRouter.relayed(from, message);
 				break;
 			case "forwarded-responses":
-				this.reports.answered(from, message);
+				this.heartbeatRouter.answered(from, message);
 				break;
 			case "lease-extension-request":
 			case "lease-extension-vote":
@@ -336,7 +336,7 @@
 
 	private heartbeat(from: string, message: LeaderHeartbeat): void {
 		// A late copy from an earlier leader: what users are told must not go back.
-		if (message.term < (this.storeCopy.leader?.revision ?? 0)) return;
+		if (message.term < (this.replica.leader?.revision ?? 0)) return;
 		if (message.storeReachable) this.othersServedAt = this.peerHeardAt;
 		this.running = new Map(message.runningTasks);
 		if (message.teamQuota !== undefined) this.teamQuota?.takeTerms(message.term, message.teamQuota);
@@ -346,7 +346,7 @@
 	/** This node as a placer. */
 	private propose(from: string, request: PlacementRequest): void {
 		const { term, cycle, machines, grants, startIndex: start } = request;
-		const { jobs } = this.storeCopy;
+		const { jobs } = this.replica;
 		const specOf = (id: string) => jobs.get(id)?.value.spec;
 		const unknownJobs = grants.map((grant) => grant.jobId).filter((id) => !jobs.has(id));
 		const proposal = { kind: "placement-proposal", term, cycle, unknownJobs } as const;
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -115,7 +115,7 @@
 	}
 
 	private takeIn(listed: ListedMachine, now: number): Machine | null {
-		const type = this.clusterState.types.get(listed.machineType);
+		const type = this.clusterState.machineTypes.get(listed.machineType);
 		if (!type) return null;
 		const machine = new Machine(
 			{ id: listed.id, type, zone: listed.zone, spot: listed.spot, origin: "listed" },
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -58,7 +58,7 @@
 		return [...this.clusterState.jobs.values()].filter(
 			(job) =>
 				job.isService &&
-				(job.waiting.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)),
+				(job.waitingTasks.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)),
 		);
 	}
 
@@ -89,7 +89,7 @@
 	/** Rented because nothing else could hold some work, a machine is the idlest of all until it is up. */
 	private keepForWaiting(marked: Set<Machine>, machines: Machine[]): void {
 		for (const job of this.clusterState.jobs.values()) {
-			if (job.waiting.length === 0) continue;
+			if (job.waitingTasks.length === 0) continue;
 			if (machines.some((m) => !marked.has(m) && couldHold(m, job))) continue;
 			const holder = machines.find((m) => couldHold(m, job));
 			if (holder) marked.delete(holder);
@@ -135,9 +135,9 @@
 	 */
 	cancelDrainingForWaiting(now: number): void {
 		for (const job of this.clusterState.jobs.values()) {
-			if (job.waiting.length === 0 || job.attempts.size > 0) continue;
-			if (now - Math.max(job.knownAt, job.failedAt) < waitsBesideMarkedMs) continue;
-			if (this.clusterState.mayRun(job, now) && this.cancelDrainingFor(job)) return;
+			if (job.waitingTasks.length === 0 || job.attempts.size > 0) continue;
+			if (now - Math.max(job.loadedAt, job.lastFailureAt) < waitsBesideMarkedMs) continue;
+			if (this.clusterState.hasRunnableTask(job, now) && this.cancelDrainingFor(job)) return;
 		}
 	}
 }
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -16,7 +16,7 @@
 	let sum = 0;
 	for (const job of clusterState.jobs.values()) {
 		if (job.failsEverywhere || job.isService) continue;
-		const share = (job.waiting.length + job.attempts.size) * job.spec.cpus;
+		const share = (job.waitingTasks.length + job.attempts.size) * job.spec.cpus;
 		cpus += share;
 		sum += share * Math.min(job.estimatedRunS, capS);
 	}
@@ -54,8 +54,8 @@
  * on the average, which lies between the marks: it neither rents nor returns machines.
  */
 function remainingOfJob(job: Job, now: number, secondsLeft: number, capS: number): number {
-	if (job.isService) return (job.waiting.length + job.attempts.size) * job.spec.cpus * secondsLeft;
-	let work = job.waiting.length * remainingOfWaiting(job.spec.cpus, job.estimatedRunS, capS);
+	if (job.isService) return (job.waitingTasks.length + job.attempts.size) * job.spec.cpus * secondsLeft;
+	let work = job.waitingTasks.length * remainingOfWaiting(job.spec.cpus, job.estimatedRunS, capS);
 	for (const attempt of job.attempts.values()) work += remainingOfAttempt(attempt, now, capS);
 	return work;
 }
@@ -65,7 +65,7 @@
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
 		if (job.failsEverywhere) continue;
-		const tasks = job.waiting.length + job.attempts.size;
+		const tasks = job.waitingTasks.length + job.attempts.size;
 		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + tasks * job.spec.cpus);
 	}
 	let sum = 0;
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -114,7 +114,7 @@
 		this.noteOverdue(now);
 		this.returns.tick(now);
 		this.list.tick(now);
-		if (now < this.nextRound || !this.list.looked || !this.clusterState.rebuilt) return;
+		if (now < this.nextRound || !this.list.looked || !this.clusterState.reconciled) return;
 		this.nextRound = now + this.climb.round_s * 1000;
 		this.round(fleetSnapshot(this.clusterState, now, this.climb));
 	}
@@ -189,7 +189,7 @@
 	}
 
 	private anyWaiting(now: number): boolean {
-		for (const job of this.clusterState.jobs.values()) if (this.clusterState.mayRun(job, now)) return true;
+		for (const job of this.clusterState.jobs.values()) if (this.clusterState.hasRunnableTask(job, now)) return true;
 		return false;
 	}
 
@@ -201,10 +201,10 @@
 	private waitingByAge(now: number): Job[] {
 		const byDemand = new Map<string, Job>();
 		const before = (a: Job, b: Job) =>
-			a.failsEverywhere === b.failsEverywhere ? a.at < b.at : b.failsEverywhere;
+			a.failsEverywhere === b.failsEverywhere ? a.acceptedAt < b.acceptedAt : b.failsEverywhere;
 		for (const job of this.clusterState.jobs.values()) {
 			// Replicas have machines rented by themselves, and of no other kind than they need.
-			if (job.isService || !this.clusterState.mayRun(job, now)) continue;
+			if (job.isService || !this.clusterState.hasRunnableTask(job, now)) continue;
 			const best = byDemand.get(job.demandKey);
 			if (!best || before(job, best)) byDemand.set(job.demandKey, job);
 		}
@@ -218,7 +218,7 @@
 	 */
 	private serveUnheld(look: FleetSnapshot): boolean {
 		for (const job of this.clusterState.jobs.values()) {
-			if (job.waiting.length === 0 || job.notBefore > look.now) continue;
+			if (job.waitingTasks.length === 0 || job.retryNotBefore > look.now) continue;
 			if (look.machines.some((m) => couldHold(m, job))) continue;
 			if (this.rentals.pending || this.drain.cancelDrainingFor(job)) return true;
 			if (this.rentFor(job, 0, look) === "asked") return true;
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -62,9 +62,9 @@
 	}
 
 	private noteWaiting(now: number): void {
-		for (const job of this.waitingSince.keys()) if (job.waiting.length === 0) this.waitingSince.delete(job);
+		for (const job of this.waitingSince.keys()) if (job.waitingTasks.length === 0) this.waitingSince.delete(job);
 		for (const job of this.clusterState.jobs.values())
-			if (job.isService && job.waiting.length > 0 && !this.waitingSince.has(job))
+			if (job.isService && job.waitingTasks.length > 0 && !this.waitingSince.has(job))
 				this.waitingSince.set(job, now);
 	}
 
@@ -75,15 +75,15 @@
 
 	/** Replicas that wait, beyond the room that is up or on its way. */
 	private shortageOfWaiting(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
-		if (job.waiting.length === 0 || job.notBefore > look.now) return null;
-		return shortageOf(job, job.waiting.length, look, room, this.clusterState.zonesOf(job));
+		if (job.waitingTasks.length === 0 || job.retryNotBefore > look.now) return null;
+		return shortageOf(job, job.waitingTasks.length, look, room, this.clusterState.tasksByZone(job));
 	}
 
 	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
 	private shortageOfLeaving(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
-		const leaving = [...job.attempts.values()].filter((a) => a.machine.leaving && a.moveTo === null);
+		const leaving = [...job.attempts.values()].filter((a) => a.machine.leaving && a.relocateTo === null);
 		if (leaving.length === 0) return null;
-		return shortageOf(job, leaving.length, look, room, this.clusterState.zonesWithout(job, leaving));
+		return shortageOf(job, leaving.length, look, room, this.clusterState.tasksByZoneWithout(job, leaving));
 	}
 
 	/**
@@ -143,13 +143,13 @@
 		const specs: JobSpec[] = [];
 		/** Classes with a job of more than a minute ago: what comes of them shows. */
 		const known = new Set<string>();
-		for (const { isService: standing, spec, at } of this.clusterState.jobs.values()) {
+		for (const { isService: standing, spec, acceptedAt: at } of this.clusterState.jobs.values()) {
 			if (!standing) this.arrayClasses.add(spec.jobClass);
 			else if (date - at <= expectedMs) specs.push(spec);
 			else known.add(spec.jobClass);
 		}
 		if (this.clusterState.jobs.size === 0) return specs;
-		for (const name of classesWithFastStart(this.objectives, this.clusterState.types.values()))
+		for (const name of classesWithFastStart(this.objectives, this.clusterState.machineTypes.values()))
 			if (!known.has(name) && !this.arrayClasses.has(name))
 				specs.push(assumedReplicas(name, this.clusterState.schedulableCpus));
 		return specs;
@@ -174,7 +174,7 @@
 		const room = new FreeCapacity(freeOn);
 		for (const attempt of machine.attempts.values()) {
 			if (!attempt.job.isService) continue;
-			const zones = this.clusterState.zonesWithout(attempt.job, [attempt]);
+			const zones = this.clusterState.tasksByZoneWithout(attempt.job, [attempt]);
 			if (room.take(attempt.job.spec, 1, others, zones) > 0) return false;
 		}
 		return true;
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -26,13 +26,13 @@
 
 	/** Called often, with authority. */
 	tick(now: number): void {
-		if (now < this.nextAt || !this.clusterState.rebuilt) return;
+		if (now < this.nextAt || !this.clusterState.reconciled) return;
 		this.nextAt = now + everyMs;
 		const moved: Attempt[] = [];
 		for (const machine of this.clusterState.machines.values())
 			if (machine.leaving && !machine.agent.leaseExpired) moved.push(...this.moveFrom(machine, now));
 		if (moved.length === 0) return;
-		const replicas = moved.map((a) => `${a.job.id}/${a.index}`);
+		const replicas = moved.map((a) => `${a.job.id}/${a.taskIndex}`);
 		this.log.info({ replicas }, "replicas relocating");
 		this.orders.stop(moved);
 	}
@@ -43,10 +43,10 @@
 		for (const attempt of machine.attempts.values()) {
 			const { job } = attempt;
 			if (!job.isService || attempt.stop !== null || attempt.phase === "assigned") continue;
-			if (!takenSoon && [...job.attempts.values()].some((a) => a.moveTo !== null)) continue;
+			if (!takenSoon && [...job.attempts.values()].some((a) => a.relocateTo !== null)) continue;
 			const target = this.targetFor(attempt);
 			if (!target) continue;
-			this.clusterState.move(attempt, target);
+			this.clusterState.relocate(attempt, target);
 			moved.push(attempt);
 		}
 		return moved;
@@ -56,7 +56,7 @@
 	private targetFor(attempt: Attempt): Machine | null {
 		const { job } = attempt;
 		const { spec } = job;
-		const zones = this.clusterState.zonesWithout(job, [attempt]);
+		const zones = this.clusterState.tasksByZoneWithout(job, [attempt]);
 		const beside = new Set([...job.attempts.values()].map((a) => a.machine));
 		let best: Machine | null = null;
 		let bestWorth = -1;
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -102,7 +102,7 @@
 		// returned is proved gone at once, and so are the tasks on it.
 		if (machine.lifecycle.reclaimAt !== null && now >= machine.lifecycle.reclaimAt - takenLeadMs)
 			return "about to be taken";
-		const hidden = this.clusterState.awaited.has(machine);
+		const hidden = this.clusterState.unreconciledMachines.has(machine);
 		const holdsTasks = machine.attempts.size > 0 || hidden;
 		const outOfReach = this.outOfReach(machine, hidden, holdsTasks, now);
 		if (outOfReach !== null || holdsTasks) return outOfReach;
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -56,8 +56,8 @@
 		if (now < this.nextProgress) return;
 		this.nextProgress = now + progressEveryMs;
 		for (const job of this.options.jobs()) {
-			if (job.dirtyPages.size === 0 || job.ending) continue;
-			for (const page of job.dirtyPages) this.progress.set(pageName(job.id, page), job.done.page(page));
+			if (job.dirtyPages.size === 0 || job.finalizing) continue;
+			for (const page of job.dirtyPages) this.progress.set(pageName(job.id, page), job.doneTasks.page(page));
 			job.dirtyPages.clear();
 		}
 		this.progress.flush();
@@ -66,7 +66,7 @@
 	private confirmed(entries: Map<string, string>): void {
 		for (const [name, bits] of entries) {
 			const { jobId: job, page } = parsePageName(name);
-			this.options.jobOf(job)?.durable.addPage(page, bits);
+			this.options.jobOf(job)?.durableDoneTasks.addPage(page, bits);
 		}
 	}
 
@@ -77,16 +77,16 @@
 	}
 
 	finishIfDone(job: Job): void {
-		if (!job.done.full || job.ending || job.cancelled) return;
-		job.ending = true;
+		if (!job.doneTasks.full || job.finalizing || job.over) return;
+		job.finalizing = true;
 		this.writeFinal(job);
 	}
 
 	/** Tries again all along while the store is away, so the audit leaves it alone. */
 	writeFinal(job: Job): void {
 		const { options } = this;
-		if (options.ended() || job.cancelled) return;
-		job.endingAt = options.time.now();
+		if (options.ended() || job.over) return;
+		job.finalizingAt = options.time.now();
 		const { spec } = job;
 		const final: FinalJobRecord = {
 			status: "done",
@@ -111,7 +111,7 @@
 	}
 
 	private written(job: Job, final: FinalJobRecord, revision: number): void {
-		const tookS = Math.round((this.options.time.date().getTime() - job.at) / 100) / 10;
+		const tookS = Math.round((this.options.time.date().getTime() - job.acceptedAt) / 100) / 10;
 		const { jobClass, deadlineS } = job.spec;
 		this.options.log.info({ job: job.id, jobClass, tookS, dueS: deadlineS }, "job done");
 		this.options.finished(job, final, revision);
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -48,7 +48,7 @@
 	cloud: CloudProvider;
 	workers: WorkerGateway;
 	peers: PeerMessenger;
-	time: Clock;
+	clock: Clock;
 	log: Log;
 	post(command: () => void): void;
 	random: RandomGenerator;
@@ -61,7 +61,7 @@
 	self: string;
 	platform: PlatformSettings;
 	settings: OperatorSettings;
-	storeCopy: StoreReplica;
+	replica: StoreReplica;
 	types: MachineType[];
 	ports: LeaderPorts;
 	/** This process may act for the controllers now. */
@@ -121,9 +121,9 @@
 		const { cluster } = platform;
 		this.term = term;
 		this.platform = platform;
-		this.storeCopy = options.storeCopy;
+		this.storeCopy = options.replica;
 		this.ports = ports;
-		this.beganAt = ports.time.now();
+		this.beganAt = ports.clock.now();
 		this.lateness = new TickDelay(tickMs, this.beganAt);
 		const leaseMs = cluster.workers.lease_s * 1000;
 		const certainMs = leaseMs * (1 + 2 * maxClockDrift) + expiryMarginMs;
@@ -132,7 +132,7 @@
 			this.storeCopy.demandOf(job),
 		);
 		const { clusterState } = this;
-		const { time, log, post } = ports;
+		const { clock: time, log, post } = ports;
 		const active = () => this.active;
 		const ordersInFlight = Math.max(leastOrdersInFlight, cluster.resources.fd_limit * orderSocketsPart);
 		this.watch = new LeaseMonitor(clusterState, this.beganAt, log);
@@ -278,7 +278,7 @@
 	}
 
 	private recordsEnvironment(): ChunkedRecordsEnvironment {
-		const { store, time, log, post } = this.ports;
+		const { store, clock: time, log, post } = this.ports;
 		const { value_kb, txn_ops } = this.platform.cluster.state;
 		return {
 			leaderCondition: this.leaderCondition(),
@@ -320,7 +320,7 @@
 
 	private loadMachine(id: string, record: MachineRecord): void {
 		if (this.clusterState.machines.has(id)) return;
-		const type = this.clusterState.types.get(record.machineType) ?? unknownMachineType(record.machineType);
+		const type = this.clusterState.machineTypes.get(record.machineType) ?? unknownMachineType(record.machineType);
 		const machine = new Machine(
 			{ id, type, zone: record.zone, spot: record.spot, origin: "record" },
 			this.beganAt,
@@ -333,11 +333,11 @@
 	private loadJob(id: string, { value: { spec, acceptedAt: at }, revision }: Versioned<JobRecord>): void {
 		const job = this.clusterState.addJob(id, spec, at, revision);
 		for (const [page, bits] of this.storeCopy.pagesOf(id)) {
-			job.done.addPage(page, bits);
-			job.durable.addPage(page, bits);
+			job.doneTasks.addPage(page, bits);
+			job.durableDoneTasks.addPage(page, bits);
 		}
-		job.knownAt = this.ports.time.now();
-		job.fillWaiting();
+		job.loadedAt = this.ports.clock.now();
+		job.resetWaitingTasks();
 		const { jobClass, team, taskCount: tasks, estimatedRunS, deadlineS } = spec;
 		this.ports.log.debug({ job: id, jobClass, team, tasks, estimatedRunS, dueS: deadlineS }, "job loaded");
 		this.completion.finishIfDone(job);
@@ -352,12 +352,12 @@
 
 	/** Prices move, and types may come and go. */
 	typesRefreshed(types: MachineType[]): void {
-		for (const type of types) this.clusterState.types.set(type.name, type);
+		for (const type of types) this.clusterState.machineTypes.set(type.name, type);
 	}
 
 	/** Who receives the machine's reports: another controller, or null for this one. */
 	forwarderFor(id: string): string | null {
-		return this.peerMonitor.forwarderFor(id, this.ports.time.now());
+		return this.peerMonitor.forwarderFor(id, this.ports.clock.now());
 	}
 
 	// --- machines ---
@@ -408,7 +408,7 @@
 		for (const id of jobs.keys()) if (!this.clusterState.jobs.has(id)) this.jobChanged(id);
 		for (const [id, job] of [...this.clusterState.jobs]) {
 			if (!jobs.has(id)) this.jobEnded(id);
-			else if (job.ending && now - job.endingAt > auditEveryMs) this.completion.writeFinal(job);
+			else if (job.finalizing && now - job.finalizingAt > auditEveryMs) this.completion.writeFinal(job);
 		}
 	}
 
@@ -424,7 +424,7 @@
 		const job = this.clusterState.jobs.get(id);
 		if (!job) return;
 		this.completion.forget(job);
-		const still = this.clusterState.endJob(job);
+		const still = this.clusterState.removeJob(job);
 		if (still.length > 0) this.ports.log.info({ job: id, running: still.length }, "job over: stopping tasks");
 		if (this.active) this.orders.stop(still);
 	}
@@ -433,7 +433,7 @@
 
 	/** The process stood still; see `Controller.stalled`. */
 	stalled(stalledMs: number): void {
-		const now = this.ports.time.now();
+		const now = this.ports.clock.now();
 		this.lateness.resume(now);
 		this.reports.refuseAll();
 		this.takeover.stalled(stalledMs);
@@ -442,7 +442,7 @@
 
 	tick(): void {
 		if (!this.active) return;
-		const now = this.ports.time.now();
+		const now = this.ports.clock.now();
 		this.lateness.observe(now);
 		this.takeover.tick(now, this.lateness.overloaded);
 		this.watch.tick(now, this.lateness.overloaded);
@@ -456,19 +456,19 @@
 		this.preemption.tick(now);
 		this.relocation.tick(now);
 		this.maybePlace();
-		if (this.clusterState.exhausted) this.options.resign("attempt numbers used up");
+		if (this.clusterState.attemptNumbersExhausted) this.options.resign("attempt numbers used up");
 	}
 
 	/** Tasks running by job, for users to see at any node. */
 	private runningCounts(): [string, number][] {
 		const counts: [string, number][] = [];
 		for (const job of this.clusterState.jobs.values())
-			if (job.attempts.size > 0) counts.push([job.id, job.running]);
+			if (job.attempts.size > 0) counts.push([job.id, job.runningCount]);
 		return counts;
 	}
 
 	runningCount(id: string): number {
-		return this.clusterState.jobs.get(id)?.running ?? 0;
+		return this.clusterState.jobs.get(id)?.runningCount ?? 0;
 	}
 
 	// --- placing ---
@@ -476,10 +476,10 @@
 	/** After each batch of commands. */
 	maybePlace(): void {
 		if (!this.active) return;
-		const now = this.ports.time.now();
+		const now = this.ports.clock.now();
 		this.placement.run(now);
-		for (const machine of this.clusterState.relocatedTo) this.reports.assign(machine);
-		this.clusterState.relocatedTo.clear();
+		for (const machine of this.clusterState.relocationTargets) this.reports.assign(machine);
+		this.clusterState.relocationTargets.clear();
 		if (this.placement.settled) {
 			this.reports.sendAssigned(now);
 			if (!this.clusterState.placementDue) this.reports.releaseWaiting();
@@ -491,7 +491,7 @@
 
 	peerMessage(from: string, message: PeerMessage): void {
 		if (this.ended || message.term !== this.term) return;
-		const now = this.ports.time.now();
+		const now = this.ports.clock.now();
 		this.peerMonitor.heard(from, now);
 		if (message.kind === "placement-proposal") this.placement.proposed(from, message, now);
 		if (message.kind !== "leader-heartbeat-reply") return;
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -57,7 +57,7 @@
 
 	/** The machine may hold tasks that nobody has listed yet. */
 	hide(machine: Machine, session: number): void {
-		this.clusterState.awaitReport(machine);
+		this.clusterState.markUnreconciled(machine);
 		this.probes.push({ machine, session, tries: probeTries });
 	}
 
@@ -67,12 +67,12 @@
 			{ id: "unreadable records", type: unknownMachineType(""), zone: "", spot: false, origin: "heartbeat" },
 			this.beganAt,
 		);
-		this.clusterState.awaitReport(this.unreadable);
+		this.clusterState.markUnreconciled(this.unreadable);
 	}
 
 	tick(now: number, late: boolean): void {
-		if (this.unreadable && now - this.beganAt > this.clusterState.certainMs) {
-			this.clusterState.stopAwaiting(this.unreadable);
+		if (this.unreadable && now - this.beganAt > this.clusterState.workerLeaseExpiryMs) {
+			this.clusterState.markReconciled(this.unreadable);
 			this.unreadable = null;
 		}
 		this.sendProbes(late);
@@ -90,7 +90,7 @@
 		while (left > 0) {
 			const next = this.probes.shift();
 			if (!next) return;
-			if (!this.clusterState.awaited.has(next.machine) || next.machine.agent.endpoint === "") continue;
+			if (!this.clusterState.unreconciledMachines.has(next.machine) || next.machine.agent.endpoint === "") continue;
 			left -= 1;
 			this.probe(next);
 		}
@@ -101,7 +101,7 @@
 		this.workers.sendCommands(machine.agent.endpoint, this.clusterState.term, session, []).then(
 			({ executed, report }) =>
 				this.hooks.post(() => {
-					if (!this.clusterState.awaited.has(machine) || this.hooks.ended()) return;
+					if (!this.clusterState.unreconciledMachines.has(machine) || this.hooks.ended()) return;
 					if (executed && report.machineId === machine.id) this.hooks.apply(report);
 					else if (report.fencingToken <= this.clusterState.term && tries > 1) {
 						this.probes.unshift({ machine, session: report.agentEpoch, tries: tries - 1 });
@@ -121,7 +121,7 @@
 	 * a while to be heard, so it is looked at again until few are left.
 	 */
 	private giveUpHidden(now: number): void {
-		const { awaited: hidden, machines } = this.clusterState;
+		const { unreconciledMachines: hidden, machines } = this.clusterState;
 		const waitedMs = now - this.listeningSince;
 		if (hidden.size === 0 || waitedMs < hiddenPatienceMs) return;
 		// The fewer are left, the sooner waiting for them costs more than they do.
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -145,7 +145,7 @@
 	 * that comes back after it was sent away does not reach its relay and stays for a while.
 	 */
 	forwarderFor(id: string, now: number): string | null {
-		if (!this.relaying || !this.clusterState.rebuilt) return null;
+		if (!this.relaying || !this.clusterState.reconciled) return null;
 		const machine = this.clusterState.machines.get(id);
 		if (!machine || now - machine.agent.redirectedAt < redirectPauseMs) return null;
 		const relays: string[] = [];
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -69,7 +69,7 @@
 			const { spec } = job;
 			const team = this.byTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
 			const already = this.counts.get(job) ?? 0;
-			const waiting = Math.min(job.waiting.length, job.failsEverywhere ? 1 : most) - already;
+			const waiting = Math.min(job.waitingTasks.length, job.failsEverywhere ? 1 : most) - already;
 			let count = Math.min(
 				waiting,
 				this.clusterState.quotas.room(spec.team, spec.cpus, spec.gpus, guarantee, team),
@@ -94,7 +94,7 @@
 		const key = zoneRule ? job.id : job.demandKey;
 		let count = this.usable.get(key);
 		if (count === undefined) {
-			count = placeableTasks(spec, zoneRule ? this.clusterState.zonesOf(job) : {}, this.views);
+			count = placeableTasks(spec, zoneRule ? this.clusterState.tasksByZone(job) : {}, this.views);
 			this.usable.set(key, count);
 		}
 		return count;
@@ -104,8 +104,8 @@
 /** For a while only: there may be no others, and what was wrong there may be over. */
 function machinesToAvoid(job: Job, views: MachineCapacity[], now: number): string[] {
 	if (job.failsEverywhere) return [];
-	const sinceMs = now - job.failedAt;
-	const machines = sinceMs <= avoidMs ? [...job.failedOn].map((machine) => machine.id) : [];
+	const sinceMs = now - job.lastFailureAt;
+	const machines = sinceMs <= avoidMs ? [...job.failedMachines].map((machine) => machine.id) : [];
 	if (job.unfitTypes.size === 0 || sinceMs > avoidTypeMs) return machines;
 	const unfit = views.filter((view) => job.unfitTypes.has(view.type)).map((view) => view.id);
 	return [...new Set([...machines, ...unfit])];
@@ -123,7 +123,7 @@
 		jobId: job.id,
 		count,
 		avoidedMachines: machinesToAvoid(job, views, now),
-		tasksByZone: spec.singleZone || spec.spreadZones ? clusterState.zonesOf(job) : {},
+		tasksByZone: spec.singleZone || spec.spreadZones ? clusterState.tasksByZone(job) : {},
 		...(job.isService && { replicaMachines: [...job.attempts.values()].map((a) => a.machine.id) }),
 	};
 }
--- a/src/coordination/placement/job-order.ts
+++ b/src/coordination/placement/job-order.ts
@@ -18,18 +18,18 @@
  */
 export function remainingSeconds(job: Job, team: TeamLimits | undefined, evenCpus: number): number {
 	const { spec } = job;
-	const tasks = spec.taskCount - job.done.count;
+	const tasks = spec.taskCount - job.doneTasks.count;
 	const cpus = Math.min(team?.cpus_max ?? spec.cpus, evenCpus);
 	return Math.max(1, (tasks * spec.cpus) / Math.max(cpus, spec.cpus)) * job.estimatedRunS;
 }
 
 function ageS(job: Job, date: number): number {
-	return Math.max(0, date - job.at) / 1000;
+	return Math.max(0, date - job.acceptedAt) / 1000;
 }
 
 /** Nothing of it has begun for so long that it would be counted as starved. */
 export function starved(job: Job, date: number): boolean {
-	return job.attempts.size === 0 && job.done.count === 0 && ageS(job, date) > starvedS;
+	return job.attempts.size === 0 && job.doneTasks.count === 0 && ageS(job, date) > starvedS;
 }
 
 /** So many times its deadline a job is still worth something to its user. */
@@ -45,9 +45,9 @@
 	const { deadlineS } = job.spec;
 	if (deadlineS === null) return Number.MAX_VALUE;
 	const ready = date + job.estimatedRunS * 1000;
-	const due = job.at + deadlineS * 1000;
+	const due = job.acceptedAt + deadlineS * 1000;
 	if (ready <= due || job.attempts.size > 0) return due;
-	const late = job.at + lateTimes * deadlineS * 1000;
+	const late = job.acceptedAt + lateTimes * deadlineS * 1000;
 	return ready <= late ? late : late + beyondAnyDeadlineMs;
 }
 
@@ -88,7 +88,7 @@
 				a.tier - b.tier ||
 				(a.due === b.due ? 0 : a.due - b.due) ||
 				a.seconds - b.seconds ||
-				a.job.at - b.job.at,
+				a.job.acceptedAt - b.job.acceptedAt,
 		)
 		.map((x) => x.job);
 }
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -64,9 +64,9 @@
 	private startReserved(now: number): Attempt[] {
 		const started: Attempt[] = [];
 		for (const [job, { machine, until }] of this.reservations) {
-			const attempt = this.clusterState.decide(job, machine);
+			const attempt = this.clusterState.assignNextTask(job, machine);
 			if (attempt) {
-				attempt.keptUntil = now + keptMs;
+				attempt.preemptionProtectedUntil = now + keptMs;
 				job.hadReservation = true;
 				started.push(attempt);
 				this.log.info({ job: job.id, machine: machine.id }, "reservation used");
@@ -103,10 +103,10 @@
 				(job) =>
 					stillWaits(job) &&
 					!this.reservations.has(job) &&
-					date - job.at > waitsForRoomS * 1000 &&
-					this.clusterState.mayRun(job, now),
+					date - job.acceptedAt > waitsForRoomS * 1000 &&
+					this.clusterState.hasRunnableTask(job, now),
 			)
-			.sort((a, b) => b.spec.cpus - a.spec.cpus || a.at - b.at);
+			.sort((a, b) => b.spec.cpus - a.spec.cpus || a.acceptedAt - b.acceptedAt);
 	}
 
 	private reserveFor(jobs: Job[], now: number): void {
@@ -174,6 +174,6 @@
 
 /** Nothing of the job has begun, and nothing but room is in the way. */
 function stillWaits(job: Job): boolean {
-	if (job.hadReservation || job.isService || job.cancelled || job.ending || job.failsOnSeveral) return false;
-	return job.attempts.size === 0 && job.done.count === 0 && job.waiting.length > 0;
+	if (job.hadReservation || job.isService || job.over || job.finalizing || job.failsOnSeveral) return false;
+	return job.attempts.size === 0 && job.doneTasks.count === 0 && job.waitingTasks.length > 0;
 }
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -79,7 +79,7 @@
 		if (!this.clusterState.placementDue || now < this.nextAt) return;
 		this.clusterState.placementDue = false;
 		this.nextAt = now + this.options.cycleMs;
-		if (this.clusterState.rebuilt) this.place(now);
+		if (this.clusterState.reconciled) this.place(now);
 	}
 
 	/** The process stood still: proposals for tables of before are not waited for, and nobody was silent. */
@@ -124,13 +124,13 @@
 		if (!quota?.admission.on) return;
 		const needs = this.reserved.startable().map((job) => ({ job, tasks: 1 }));
 		for (const job of this.clusterState.jobs.values())
-			if (job.placedHereUntil > now && job.waiting.length > 0) needs.push({ job, tasks: job.waiting.length });
+			if (job.placedByLeaderUntil > now && job.waitingTasks.length > 0) needs.push({ job, tasks: job.waitingTasks.length });
 		quota.admission.admitHere(needs);
 	}
 
 	private placer(job: Job, live: readonly string[], now: number): string | null {
 		const { self, quota } = this.options;
-		const here = job.placedHereUntil > now;
+		const here = job.placedByLeaderUntil > now;
 		if (here && (!quota?.admission.on || quota.admission.mayPlaceHere(job))) return self;
 		const preferred = ownerOf(job.spec.team, live) ?? self;
 		return quota?.admission.on ? quota.admission.placerFor(job, preferred, live) : preferred;
@@ -156,7 +156,7 @@
 
 	private grants(views: MachineCapacity[], now: number): TeamGrant[] {
 		const waiting = [...this.clusterState.jobs.values()].filter(
-			(job) => job.waiting.length > 0 && job.notBefore <= now && !job.ending,
+			(job) => job.waitingTasks.length > 0 && job.retryNotBefore <= now && !job.finalizing,
 		);
 		return grantsFor(this.clusterState, this.inOrder(waiting), views, {
 			now,
@@ -220,8 +220,8 @@
 			const job = this.clusterState.jobs.get(id);
 			this.clusterState.placementDue = true;
 			// What the placer may admit would have to come here first: a copy that only lags is given time.
-			const lags = job !== undefined && quota?.admission.on === true && now - job.knownAt < copyLagMs;
-			if (job && !lags) job.placedHereUntil = now + placedHereMs;
+			const lags = job !== undefined && quota?.admission.on === true && now - job.loadedAt < copyLagMs;
+			if (job && !lags) job.placedByLeaderUntil = now + placedHereMs;
 		}
 	}
 
@@ -232,7 +232,7 @@
 			const machine = this.clusterState.machines.get(machineId);
 			if (!job || !machine) continue;
 			for (let i = 0; i < count; i++) {
-				const attempt = this.clusterState.decide(job, machine, placer);
+				const attempt = this.clusterState.assignNextTask(job, machine, placer);
 				if (!attempt) break;
 				this.options.decided(attempt);
 			}
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -71,9 +71,9 @@
 	/** Only once all that may run is known, so that it can be charged. */
 	private considerStart(): void {
 		const { clusterState, leaderQuota, log } = this.options;
-		if (!clusterState.rebuilt || !this.options.servedByAll()) return;
+		if (!clusterState.reconciled || !this.options.servedByAll()) return;
 		this.started = true;
-		clusterState.useAdmission(leaderQuota);
+		clusterState.enableAdmission(leaderQuota);
 		leaderQuota.start();
 		log.info({}, "team quota enabled");
 	}
@@ -152,7 +152,7 @@
 			left.cpus -= cpus;
 			left.gpus -= gpus;
 			if (attempt.stop !== null) continue;
-			attempt.stop = { graceS: checkpointCostS, why: "the team's limit was lowered" };
+			attempt.stop = { graceS: checkpointCostS, reason: "the team's limit was lowered" };
 			stopped.push(attempt);
 		}
 		if (stopped.length === 0) return;
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -26,7 +26,7 @@
 
 	/** Called often, with authority. */
 	tick(now: number): void {
-		if (now < this.nextAt || !this.clusterState.rebuilt) return;
+		if (now < this.nextAt || !this.clusterState.reconciled) return;
 		this.nextAt = now + everyMs;
 		const waiting = [...this.clusterState.jobs.values()].filter((job) => mayPreempt(job, now));
 		if (waiting.length === 0) return;
@@ -36,14 +36,14 @@
 		if (victims.length === 0) return;
 		for (const victim of victims) {
 			const { checkpointIntervalS, checkpointCostS } = victim.job.spec;
-			victim.stop = { graceS: checkpointIntervalS > 0 ? graceFactor * checkpointCostS : 0, why: "preempted" };
+			victim.stop = { graceS: checkpointIntervalS > 0 ? graceFactor * checkpointCostS : 0, reason: "preempted" };
 		}
-		this.log.debug({ tasks: victims.map((v) => `${v.job.id}/${v.index}`) }, "tasks preempted");
+		this.log.debug({ tasks: victims.map((v) => `${v.job.id}/${v.taskIndex}`) }, "tasks preempted");
 		this.orders.stop(victims);
 	}
 }
 
 function mayPreempt(job: Job, now: number): boolean {
-	if (job.waiting.length === 0 || job.ending || job.failsEverywhere) return false;
-	return job.notBefore <= now && now - job.knownAt > patienceMs;
+	if (job.waitingTasks.length === 0 || job.finalizing || job.failsEverywhere) return false;
+	return job.retryNotBefore <= now && now - job.loadedAt > patienceMs;
 }
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -44,7 +44,7 @@
 }
 
 function stoppable(attempt: Attempt, now: number): boolean {
-	if (attempt.keptUntil !== undefined && now < attempt.keptUntil) return false;
+	if (attempt.preemptionProtectedUntil !== undefined && now < attempt.preemptionProtectedUntil) return false;
 	// A replica that was stopped would only be started elsewhere.
 	return (
 		attempt.stop === null &&
@@ -306,10 +306,10 @@
 		// Which machines they come free on nobody knows, and a replica can't wait for the next.
 		const served = job.isService
 			? 0
-			: Math.floor(Math.min(soonFree.all, atLimit ? own : soonFree.all, job.waiting.length));
+			: Math.floor(Math.min(soonFree.all, atLimit ? own : soonFree.all, job.waitingTasks.length));
 		soonFree.all -= served;
 		if (atLimit) soonFree.byTeam.set(spec.team, own - served);
-		let left = Math.min(job.waiting.length - served, mostPerPass);
+		let left = Math.min(job.waitingTasks.length - served, mostPerPass);
 		while (left > 0 && pass.victims.size < mostPerPass * 3 && pass.serve(job, limits)) left -= 1;
 	}
 	return [...pass.victims];
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -29,9 +29,9 @@
 	/** Something has happened that may let a task start. */
 	placementDue = false;
 	/** Machines that may hold tasks of an earlier leader and have not been heard. */
-	private readonly unconfirmed = new Set<Machine>();
+	private readonly unreconciled = new Set<Machine>();
 	/** Machines for which starts were decided apart from placing. */
-	readonly relocatedTo = new Set<Machine>();
+	readonly relocationTargets = new Set<Machine>();
 	/** Beside the leader's own check of limits; null: that alone. */
 	private admission: AdmissionControl | null = null;
 	/** Machines with tasks of jobs of which nothing is known, and how many. */
@@ -40,16 +40,16 @@
 	constructor(
 		readonly term: number,
 		teams: TeamLimits[],
-		readonly types: Map<string, MachineType>,
+		readonly machineTypes: Map<string, MachineType>,
 		/** A lease renewed this long ago, or earlier, has certainly run out. */
-		readonly certainMs = Number.POSITIVE_INFINITY,
+		readonly workerLeaseExpiryMs = Number.POSITIVE_INFINITY,
 		/** What a task of a job that is over takes; null: not known. */
 		private readonly demandOf: (job: string) => TaskDemand | null = () => null,
 	) {
 		this.quotas = new QuotaLedger(teams);
 	}
 
-	get exhausted(): boolean {
+	get attemptNumbersExhausted(): boolean {
 		return this.counter >= attemptsPerTerm - 1;
 	}
 
@@ -57,12 +57,12 @@
 	 * Every machine that may hold tasks of an earlier leader has been heard or waited out, and
 	 * it is known whose cores all tasks take that were found.
 	 */
-	get rebuilt(): boolean {
-		return this.unconfirmed.size === 0 && this.unknownDemands.size === 0;
+	get reconciled(): boolean {
+		return this.unreconciled.size === 0 && this.unknownDemands.size === 0;
 	}
 
 	/** From now on a task needs an allotment to start; those that may run already are charged to some. */
-	useAdmission(admission: AdmissionControl): void {
+	enableAdmission(admission: AdmissionControl): void {
 		this.admission = admission;
 		for (const machine of this.machines.values()) {
 			for (const attempt of machine.attempts.values())
@@ -76,7 +76,7 @@
 	 * A task that nobody wants takes its team's cores until it is proved gone, such as one of a job
 	 * that was cancelled while nobody led. Of a job unknown here anything may be at its limit.
 	 */
-	addUnwanted(machine: Machine, task: Omit<OrphanedTask, "demand" | "charge">): void {
+	addOrphan(machine: Machine, task: Omit<OrphanedTask, "demand" | "charge">): void {
 		const spec = this.jobs.get(task.jobId)?.spec;
 		const demand = spec ? taskDemandOf(spec) : this.demandOf(task.jobId);
 		const charge = demand && this.admission ? this.admission.chargeFound(demand) : null;
@@ -84,7 +84,7 @@
 		this.count(machine, demand, 1);
 	}
 
-	clearUnwanted(machine: Machine): void {
+	clearOrphans(machine: Machine): void {
 		for (const { demand, charge } of machine.orphans) {
 			this.count(machine, demand, -1);
 			if (charge) this.admission?.release(charge);
@@ -104,7 +104,7 @@
 	}
 
 	/** Jobs of tasks of which it is not known what they take. */
-	jobsOfUnknownDemand(): Set<string> {
+	jobsWithUnknownDemand(): Set<string> {
 		const jobs = new Set<string>();
 		for (const machine of this.unknownDemands.keys())
 			for (const task of machine.orphans) if (task.demand === null) jobs.add(task.jobId);
@@ -127,18 +127,18 @@
 	}
 
 	/** Asked for every decision of a start, so it is kept and not searched for. */
-	get awaited(): ReadonlySet<Machine> {
-		return this.unconfirmed;
+	get unreconciledMachines(): ReadonlySet<Machine> {
+		return this.unreconciled;
 	}
 
 	/** The machine may hold tasks that nobody has listed yet. */
-	awaitReport(machine: Machine): void {
-		this.unconfirmed.add(machine);
+	markUnreconciled(machine: Machine): void {
+		this.unreconciled.add(machine);
 	}
 
 	/** All its tasks are listed, or proved gone. */
-	stopAwaiting(machine: Machine): void {
-		this.unconfirmed.delete(machine);
+	markReconciled(machine: Machine): void {
+		this.unreconciled.delete(machine);
 	}
 
 	addJob(id: string, spec: JobSpec, at: number, revision: number): Job {
@@ -161,7 +161,7 @@
 	}
 
 	/** Tasks of the job that may be anywhere, by zone. */
-	zonesOf(job: Job): Record<string, number> {
+	tasksByZone(job: Job): Record<string, number> {
 		const zones: Record<string, number> = {};
 		for (const attempt of job.attempts.values()) {
 			zones[attempt.machine.zone] = (zones[attempt.machine.zone] ?? 0) + 1;
@@ -170,21 +170,21 @@
 	}
 
 	/** The same, without attempts that are to leave their machines. */
-	zonesWithout(job: Job, leaving: readonly Attempt[]): Record<string, number> {
-		const zones = this.zonesOf(job);
+	tasksByZoneWithout(job: Job, leaving: readonly Attempt[]): Record<string, number> {
+		const zones = this.tasksByZone(job);
 		for (const { machine } of leaving) zones[machine.zone] = (zones[machine.zone] ?? 1) - 1;
 		return zones;
 	}
 
 	/** Its tasks wait, and one of them may run now as far as its team's limit goes. */
-	mayRun(job: Job, now: number): boolean {
+	hasRunnableTask(job: Job, now: number): boolean {
 		const { team, cpus, gpus } = job.spec;
-		return job.waiting.length > 0 && job.notBefore <= now && this.quotas.fitsLimit(team, cpus, gpus);
+		return job.waitingTasks.length > 0 && job.retryNotBefore <= now && this.quotas.fitsLimit(team, cpus, gpus);
 	}
 
 	/** `admittedBy`: whose allotment it counts against; null: it was found, and nobody knows. */
 	private register(attempt: Attempt, admittedBy: string | null): void {
-		const { job, machine, index } = attempt;
+		const { job, machine, taskIndex: index } = attempt;
 		const demand = taskDemandOf(job.spec);
 		if (this.admission)
 			attempt.charge =
@@ -195,19 +195,19 @@
 	}
 
 	/** Why one more task of the job may not start on the machine now, or null. */
-	refusal(job: Job, machine: Machine, admittedBy = this.admission?.self ?? ""): string | null {
+	assignmentRefusal(job: Job, machine: Machine, admittedBy = this.admission?.self ?? ""): string | null {
 		const { spec } = job;
-		if (!this.rebuilt) return "not rebuilt";
-		if (job.cancelled || job.ending) return "job is over";
+		if (!this.reconciled) return "not rebuilt";
+		if (job.over || job.finalizing) return "job is over";
 		if (!machine.schedulable) return "machine is not open";
-		if (this.exhausted) return "attempt numbers used up";
+		if (this.attemptNumbersExhausted) return "attempt numbers used up";
 		if (machine.capacity.reservedFor !== null && machine.capacity.reservedFor !== job)
 			return "machine is reserved";
 		if (!machineAllowed(spec, machine)) return "machine not allowed";
 		if (!machine.capacity.hasRoomFor(spec)) return "no room";
 		if (machine.health.onProbation && machine.attempts.size > 0) return "machine is on trial";
 		if (!this.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus)) return "team is at its limit";
-		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, this.zonesOf(job), machine.zone) < 1) {
+		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, this.tasksByZone(job), machine.zone) < 1) {
 			return "zone rule";
 		}
 		if (this.admission && !this.admission.mayStart(taskDemandOf(spec), admittedBy)) return "no allotment";
@@ -218,21 +218,21 @@
 	 * Decides to start the job's next waiting task on the machine, if every rule allows it.
 	 * `admittedBy`: the controller that has admitted it, this one if not said.
 	 */
-	decide(job: Job, machine: Machine, admittedBy = this.admission?.self ?? ""): Attempt | null {
-		if (job.waiting.length === 0 || this.refusal(job, machine, admittedBy) !== null) return null;
-		let index = job.waiting.pop() as number;
-		while (job.done.has(index) || job.attempts.has(index)) {
-			const next = job.waiting.pop();
+	assignNextTask(job: Job, machine: Machine, admittedBy = this.admission?.self ?? ""): Attempt | null {
+		if (job.waitingTasks.length === 0 || this.assignmentRefusal(job, machine, admittedBy) !== null) return null;
+		let index = job.waitingTasks.pop() as number;
+		while (job.doneTasks.has(index) || job.attempts.has(index)) {
+			const next = job.waitingTasks.pop();
 			if (next === undefined) return null;
 			index = next;
 		}
 		const attempt: Attempt = {
 			job,
-			index,
+			taskIndex: index,
 			number: this.nextAttempt(),
 			machine,
 			phase: "assigned",
-			moveTo: null,
+			relocateTo: null,
 			runningAt: null,
 			stop: null,
 			charge: null,
@@ -242,70 +242,70 @@
 	}
 
 	/** Takes over an attempt of an earlier leader that a worker has listed. */
-	adopt(job: Job, index: number, number: number, machine: Machine): Attempt {
+	adoptAttempt(job: Job, index: number, number: number, machine: Machine): Attempt {
 		const attempt: Attempt = {
 			job,
-			index,
+			taskIndex: index,
 			number,
 			machine,
 			phase: "sent",
-			moveTo: null,
+			relocateTo: null,
 			runningAt: null,
 			stop: null,
 			charge: null,
 		};
-		const at = job.waiting.indexOf(index);
-		if (at >= 0) job.waiting.splice(at, 1);
+		const at = job.waitingTasks.indexOf(index);
+		if (at >= 0) job.waitingTasks.splice(at, 1);
 		this.register(attempt, null);
 		return attempt;
 	}
 
 	/** The attempt is proved over: it frees its place, and the task waits again unless done. */
-	finish(attempt: Attempt): void {
-		const { job, machine, index } = attempt;
+	endAttempt(attempt: Attempt): void {
+		const { job, machine, taskIndex: index } = attempt;
 		if (job.attempts.get(index) !== attempt) return;
 		job.attempts.delete(index);
 		machine.release(taskKey(job.id, index), attempt);
 		this.quotas.remove(job.spec.team, job.spec.cpus, job.spec.gpus);
 		const admittedBy = attempt.charge?.node;
 		if (attempt.charge) this.admission?.release(attempt.charge);
-		if (!job.cancelled && !job.done.has(index)) job.waiting.push(index);
+		if (!job.over && !job.doneTasks.has(index)) job.waitingTasks.push(index);
 		this.placementDue = true;
-		const to = attempt.moveTo;
+		const to = attempt.relocateTo;
 		if (to === null) return;
 		to.capacity.releaseReplicaReservation(job.spec);
-		attempt.moveTo = null;
+		attempt.relocateTo = null;
 		// It goes where room was kept for it, before anything else is placed.
 		// Its holder has not been told of the end: the place in the allotment is still the replica's.
-		if (!job.cancelled && this.decide(job, to, admittedBy)) this.relocatedTo.add(to);
+		if (!job.over && this.assignNextTask(job, to, admittedBy)) this.relocationTargets.add(to);
 	}
 
 	/** The replica's next attempt is to be on the other machine; its end here is asked for first. */
-	move(attempt: Attempt, to: Machine): void {
-		attempt.moveTo = to;
+	relocate(attempt: Attempt, to: Machine): void {
+		attempt.relocateTo = to;
 		to.capacity.reserveForReplica(attempt.job.spec);
-		attempt.stop = { graceS: attempt.job.spec.checkpointCostS, why: "moved" };
+		attempt.stop = { graceS: attempt.job.spec.checkpointCostS, reason: "moved" };
 	}
 
-	markDone(job: Job, index: number): void {
+	markTaskDone(job: Job, index: number): void {
 		// Whatever a replica reports, it runs again.
 		if (job.isService) return;
-		if (job.done.add(index)) {
+		if (job.doneTasks.add(index)) {
 			job.dirtyPages.add(Math.floor(index / tasksPerPage));
 			this.placementDue = true;
 		}
 	}
 
 	/** The job has ended in the store: nothing of it may start, and what runs is not wanted. */
-	endJob(job: Job): Attempt[] {
-		job.cancelled = true;
-		job.waiting.length = 0;
+	removeJob(job: Job): Attempt[] {
+		job.over = true;
+		job.waitingTasks.length = 0;
 		this.jobs.delete(job.id);
 		const still: Attempt[] = [];
 		for (const attempt of [...job.attempts.values()]) {
-			if (attempt.phase === "assigned") this.finish(attempt);
+			if (attempt.phase === "assigned") this.endAttempt(attempt);
 			else {
-				attempt.stop = { graceS: 0, why: "job is over" };
+				attempt.stop = { graceS: 0, reason: "job is over" };
 				still.push(attempt);
 			}
 		}
@@ -316,15 +316,15 @@
 	/** Everything on the machine is certainly gone. */
 	clearMachine(machine: Machine): number {
 		const all = [...machine.attempts.values()];
-		for (const attempt of all) this.finish(attempt);
-		this.stopAwaiting(machine);
+		for (const attempt of all) this.endAttempt(attempt);
+		this.markReconciled(machine);
 		machine.exitedTasks = [];
-		this.clearUnwanted(machine);
+		this.clearOrphans(machine);
 		return all.length;
 	}
 
 	/** Its lease has certainly expired; it may come back, but only with a later session. */
-	expire(machine: Machine): number {
+	expireLease(machine: Machine): number {
 		machine.agent.expireLease();
 		return this.clearMachine(machine);
 	}
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -25,7 +25,7 @@
 }
 
 /** With few machines in all the count of failures stands for that of machines, up to a few seconds. */
-function failureSteps({ failedOn, failuresInRow }: Job): number {
+function failureSteps({ failedMachines: failedOn, consecutiveFailures: failuresInRow }: Job): number {
 	return Math.max(failedOn.size, Math.min(mostStepsByFailures, Math.floor(Math.log2(failuresInRow))));
 }
 
@@ -53,12 +53,12 @@
 		machine.health.failedJobs.clear();
 		job.noteSuccess(machine.type.name);
 		// The job is sound, so what failed before was the machines' fault, unless it does not suit their type.
-		const failedOn = [...job.failedOn].filter(({ type }) => !job.unfitTypes.has(type.name));
-		for (const other of job.failedOn)
+		const failedOn = [...job.failedMachines].filter(({ type }) => !job.unfitTypes.has(type.name));
+		for (const other of job.failedMachines)
 			if (job.unfitTypes.has(other.type.name)) other.health.failedJobs.delete(job);
-		job.failedOn.clear();
-		job.failuresInRow = 0;
-		job.notBefore = 0;
+		job.failedMachines.clear();
+		job.consecutiveFailures = 0;
+		job.retryNotBefore = 0;
 		for (const other of failedOn) this.judge(other, now);
 	}
 
@@ -74,21 +74,21 @@
 	}
 
 	private failed(attempt: Attempt, cause: "error" | "unknown", now: number): void {
-		const { job, machine, index } = attempt;
+		const { job, machine, taskIndex: index } = attempt;
 		this.log.info({ machine: machine.id, job: job.id, task: index, cause }, "task failed");
 		// One that ran for long and failed says little of where it starts next.
 		const ranWell = attempt.runningAt !== null && now - attempt.runningAt > steadyMs;
-		if (job.isService && ranWell) job.failedOn.clear();
-		job.failedOn.add(machine);
-		job.failuresInRow += 1;
-		job.failedAt = now;
-		if (job.isService) job.notBefore = now + pauseMs(replicaPause, job.failedOn.size);
+		if (job.isService && ranWell) job.failedMachines.clear();
+		job.failedMachines.add(machine);
+		job.consecutiveFailures += 1;
+		job.lastFailureAt = now;
+		if (job.isService) job.retryNotBefore = now + pauseMs(replicaPause, job.failedMachines.size);
 		// Perhaps it fails everywhere: tried again with growing pauses.
-		else if (job.failsOnSeveral) job.notBefore = now + pauseMs(failsOnSeveralPause, failureSteps(job));
+		else if (job.failsOnSeveral) job.retryNotBefore = now + pauseMs(failsOnSeveralPause, failureSteps(job));
 		if (cause !== "error" || job.unfitTypes.has(machine.type.name)) return;
 		machine.health.failedJobs.add(job);
 		// Whatever was held against the others for this job may now be the job's fault.
-		if (job.failedOn.size > 1) this.acquit(job);
+		if (job.failedMachines.size > 1) this.acquit(job);
 		else machine.health.startProbation(now);
 		this.judge(machine, now);
 	}
@@ -101,8 +101,8 @@
 	private evidenceAgainst(machine: Machine): number {
 		let evidence = 0;
 		for (const job of machine.health.failedJobs) {
-			const elsewhere = [...job.failedOn].some((other) => other !== machine);
-			if (!elsewhere) evidence += job.done.count > 0 ? 1 : unprovenJobWeight;
+			const elsewhere = [...job.failedMachines].some((other) => other !== machine);
+			if (!elsewhere) evidence += job.doneTasks.count > 0 ? 1 : unprovenJobWeight;
 		}
 		return evidence;
 	}
@@ -115,7 +115,7 @@
 
 	/** The job has failed on several machines: those against which nothing else stands are not to blame. */
 	private acquit(job: Job): void {
-		for (const machine of job.failedOn) {
+		for (const machine of job.failedMachines) {
 			const evidence = this.evidenceAgainst(machine);
 			if (evidence === 0) machine.health.clearProbation();
 			if (
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -46,14 +46,14 @@
 	if (refused) return { kind: refused };
 	const newSession = machine.agent.epoch !== 0 && report.agentEpoch > machine.agent.epoch;
 	// Its lease ran out although it was answered lately. Once, the answer may just have come too late.
-	const ranOut = newSession && now - machine.agent.respondedAt < clusterState.certainMs / 2;
+	const ranOut = newSession && now - machine.agent.respondedAt < clusterState.workerLeaseExpiryMs / 2;
 	const cameUp = !machine.agent.running;
 	update(clusterState, machine, report, now);
 	const listing = applyListed(clusterState, machine, report.tasks, now);
 	const startUnseen = !newSession && hasUnlistedStart(machine, listing.listed);
 	machine.agent.noteResponseEffects(
 		{ leaseExpired: ranOut, startMissing: startUnseen, startListed: listing.startSeen },
-		clusterState.certainMs,
+		clusterState.workerLeaseExpiryMs,
 		now,
 	);
 	const vanished = applyAbsent(clusterState, machine, listing.listed, newSession);
@@ -64,7 +64,7 @@
 
 /** null: of its type nothing is known. */
 function newMachine(clusterState: ClusterState, report: WorkerHeartbeat, now: number): Machine | null {
-	const type = clusterState.types.get(report.machineType);
+	const type = clusterState.machineTypes.get(report.machineType);
 	if (!type) return null;
 	const machine = new Machine(
 		{ id: report.machineId, type, zone: report.zone, spot: report.spot, origin: "heartbeat" },
@@ -90,8 +90,8 @@
 	// the answers before it, and these can no longer arrive: they have renewed nothing. What
 	// its lease rests on is older than this term, however often we have answered.
 	const unrenewed = !machine.agent.fenced && token < clusterState.term;
-	if (!unrenewed || now - machine.lifecycle.requestedAt <= clusterState.certainMs) return null;
-	clusterState.expire(machine);
+	if (!unrenewed || now - machine.lifecycle.requestedAt <= clusterState.workerLeaseExpiryMs) return null;
+	clusterState.expireLease(machine);
 	return "expired";
 }
 
@@ -100,7 +100,7 @@
 	machine.lifecycle.heartbeatReceived(report.reclaimInS === null ? null : now + report.reclaimInS * 1000);
 	if (report.fencingToken !== clusterState.term || machine.agent.fenced) return;
 	machine.agent.fencingConfirmed();
-	clusterState.stopAwaiting(machine);
+	clusterState.markReconciled(machine);
 	clusterState.placementDue = true;
 }
 
@@ -129,7 +129,7 @@
 		startSeen: false,
 	};
 	machine.exitedTasks = [];
-	clusterState.clearUnwanted(machine);
+	clusterState.clearOrphans(machine);
 	for (const task of tasks) {
 		const key = taskKey(task.jobId, task.taskIndex);
 		const attempt = machine.attempts.get(key);
@@ -157,10 +157,10 @@
 	const cause = task.exitCause ?? "error";
 	exited(clusterState, attempt.machine, task);
 	if (cause === "done") {
-		clusterState.markDone(attempt.job, attempt.index);
+		clusterState.markTaskDone(attempt.job, attempt.taskIndex);
 		listing.progressed.add(attempt.job);
 	}
-	clusterState.finish(attempt);
+	clusterState.endAttempt(attempt);
 	listing.outcomes.push({ attempt, cause });
 }
 
@@ -196,7 +196,7 @@
 	for (const [key, attempt] of [...machine.attempts]) {
 		if (listed.has(key)) continue;
 		if (attempt.phase === "assigned") {
-			if (unreachable) clusterState.finish(attempt);
+			if (unreachable) clusterState.endAttempt(attempt);
 			continue;
 		}
 		// Tasks of a lease that expired were killed. Otherwise absence counts only
@@ -206,7 +206,7 @@
 		// The answer with the start was lost; it is sent again with the same number, or,
 		// where answers do not arrive at all, given up: it can no longer be carried out.
 		if (startLost && !unreachable) attempt.phase = "assigned";
-		else clusterState.finish(attempt);
+		else clusterState.endAttempt(attempt);
 		if (!startLost) vanished.push(attempt);
 	}
 	return vanished;
@@ -224,11 +224,11 @@
 /** Completed under an attempt that this leader did not know; the result counts all the same. */
 function foundDone(clusterState: ClusterState, job: Job, index: number): void {
 	if (job.isService) return;
-	clusterState.markDone(job, index);
+	clusterState.markTaskDone(job, index);
 	const other = job.attempts.get(index);
 	if (!other) return;
-	if (other.phase === "assigned") clusterState.finish(other);
-	else other.stop = { graceS: 0, why: "task is done" };
+	if (other.phase === "assigned") clusterState.endAttempt(other);
+	else other.stop = { graceS: 0, reason: "task is done" };
 }
 
 /** True if it is reported running for the first time. */
@@ -248,20 +248,20 @@
 	const wanted =
 		job !== undefined &&
 		task.taskIndex < job.spec.taskCount &&
-		!job.done.has(task.taskIndex) &&
+		!job.doneTasks.has(task.taskIndex) &&
 		// An attempt is decided only when the one before is proved over. A late copy of a
 		// report may have listed that one again after a change of leader.
 		(other === undefined || other.number < task.attempt);
 	if (!wanted) {
-		clusterState.addUnwanted(machine, {
+		clusterState.addOrphan(machine, {
 			jobId: task.jobId,
 			taskIndex: task.taskIndex,
 			attempt: task.attempt,
 		});
 		return false;
 	}
-	if (other) clusterState.finish(other);
-	progress(clusterState.adopt(job, task.taskIndex, task.attempt, machine), task, now);
+	if (other) clusterState.endAttempt(other);
+	progress(clusterState.adoptAttempt(job, task.taskIndex, task.attempt, machine), task, now);
 	return true;
 }
 
@@ -269,7 +269,7 @@
 function outcomeKept(clusterState: ClusterState, task: ExitedTask): boolean {
 	if (!task.done) return true;
 	const job = clusterState.jobs.get(task.jobId);
-	return job === undefined || job.durable.has(task.taskIndex);
+	return job === undefined || job.durableDoneTasks.has(task.taskIndex);
 }
 
 /**
@@ -295,12 +295,12 @@
 	}
 	const starts: WorkerCommand[] = [];
 	for (const attempt of [...machine.attempts.values()]) {
-		const { job, index, number } = attempt;
+		const { job, taskIndex: index, number } = attempt;
 		if (attempt.phase === "assigned") {
 			// Since the decision the machine may have been closed or the job ended. One that was marked
 			// meanwhile runs this first: work that fits nowhere else would be put off again and again.
-			if (!machine.acceptsAssignedStarts || attempt.stop !== null || job.cancelled)
-				clusterState.finish(attempt);
+			if (!machine.acceptsAssignedStarts || attempt.stop !== null || job.over)
+				clusterState.endAttempt(attempt);
 			else {
 				attempt.phase = "sent";
 				starts.push({ kind: "start", jobId: job.id, taskIndex: index, attempt: number });
@@ -323,7 +323,7 @@
 	return attempts.map((a) => ({
 		kind: "stop",
 		jobId: a.job.id,
-		taskIndex: a.index,
+		taskIndex: a.taskIndex,
 		attempt: a.number,
 		graceS: a.stop?.graceS ?? 0,
 	}));
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -121,13 +121,13 @@
 		// Not only by outcomes: a job's last tasks may have ended while nobody led.
 		for (const job of applied.progressed) this.options.finishIfDone(job);
 		for (const attempt of applied.begun) this.logReplica(attempt, "replica running");
-		for (const { job, index } of applied.vanished)
+		for (const { job, taskIndex: index } of applied.vanished)
 			log.info({ machine: machine.id, job: job.id, task: index }, "task lost");
 		orders.stop(stopBeforeReclaim(machine, now, this.options.reportS));
 		return "applied";
 	}
 
-	private logReplica({ job, index, machine }: Attempt, message: string): void {
+	private logReplica({ job, taskIndex: index, machine }: Attempt, message: string): void {
 		const { log } = this.options;
 		log.debug({ job: job.id, task: index, machine: machine.id, zone: machine.zone }, message);
 	}
@@ -135,7 +135,7 @@
 	/** Looked up once a batch, however many reports it holds. */
 	anyWaiting(now: number): boolean {
 		this.waitingNow ??= [...this.options.clusterState.jobs.values()].some(
-			(job) => job.waiting.length > 0 && job.notBefore <= now,
+			(job) => job.waitingTasks.length > 0 && job.retryNotBefore <= now,
 		);
 		return this.waitingNow;
 	}
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -39,17 +39,17 @@
 	}
 
 	private sayRebuilt(now: number): void {
-		if (this.rebuiltSaid || !this.clusterState.rebuilt) return;
+		if (this.rebuiltSaid || !this.clusterState.reconciled) return;
 		this.rebuiltSaid = true;
 		const afterMs = Math.round(now - this.beganAt);
 		this.log.info({ term: this.clusterState.term, afterMs }, "failover complete");
 	}
 
 	private expireIfSilent(machine: Machine, now: number): void {
-		if (machine.agent.leaseExpired || !(machine.agent.running || this.clusterState.awaited.has(machine)))
+		if (machine.agent.leaseExpired || !(machine.agent.running || this.clusterState.unreconciledMachines.has(machine)))
 			return;
-		if (now - machine.agent.respondedAt <= this.clusterState.certainMs) return;
-		const tasks = this.clusterState.expire(machine);
+		if (now - machine.agent.respondedAt <= this.clusterState.workerLeaseExpiryMs) return;
+		const tasks = this.clusterState.expireLease(machine);
 		this.log.info({ machine: machine.id, tasks }, "worker lease expired");
 	}
 }
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -50,7 +50,7 @@
 				}),
 			);
 		if (stops.length > 0) this.orders.send(machine, stops);
-		for (const job of this.clusterState.jobsOfUnknownDemand()) this.lookUp(job);
+		for (const job of this.clusterState.jobsWithUnknownDemand()) this.lookUp(job);
 	}
 
 	private lookUp(job: string): void {
@@ -68,6 +68,6 @@
 
 	private lookUpAgain(job: string): void {
 		this.lookedUp.delete(job);
-		if (this.hooks.active() && this.clusterState.jobsOfUnknownDemand().has(job)) this.lookUp(job);
+		if (this.hooks.active() && this.clusterState.jobsWithUnknownDemand().has(job)) this.lookUp(job);
 	}
 }
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -22,9 +22,9 @@
 		if (attempt.stop !== null || phase === "assigned" || job.isService) continue;
 		if (job.spec.checkpointIntervalS > 0 && phase === "running") {
 			// It goes out with the answer to a report, the next or the one after.
-			if (leftS <= job.spec.checkpointCostS + 2 * reportS) attempt.stop = { graceS: leftS, why };
+			if (leftS <= job.spec.checkpointCostS + 2 * reportS) attempt.stop = { graceS: leftS, reason: why };
 		} else if (secondsNeeded(attempt, now) > leftS * needsTooLongFactor) {
-			attempt.stop = { graceS: 0, why };
+			attempt.stop = { graceS: 0, reason: why };
 			atOnce.push(attempt);
 		}
 	}
--- a/src/main.ts
+++ b/src/main.ts
@@ -106,7 +106,7 @@
 		cloud: new CloudClient(new HttpClient(endpoints.cloud, 8), steadyTime, cluster.cloud.rps),
 		workers: new WorkerClient(),
 		peers,
-		time: steadyTime,
+		clock: steadyTime,
 		log,
 		random: xoroshiro128plus(seed),
 		schedule: setImmediate,
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -179,10 +179,10 @@
 	const clusterState = tablesWith(4, 16);
 	const [first] = [...clusterState.machines.values()] as [Machine];
 	const busy = clusterState.addJob("j-1", specOf("j-1", { taskCount: 3, cpus: 4, estimatedRunS: 300 }), 0, 1);
-	busy.fillWaiting();
+	busy.resetWaitingTasks();
 	// What runs is nearly done, so that the load lies between the marks and the counters do nothing.
 	for (const machine of [...clusterState.machines.values()].slice(1)) {
-		const attempt = clusterState.decide(busy, machine);
+		const attempt = clusterState.assignNextTask(busy, machine);
 		if (attempt) attempt.runningAt = -1e6;
 	}
 	first.lifecycle.startDraining();
@@ -192,7 +192,7 @@
 		0,
 		2,
 	);
-	waits.fillWaiting();
+	waits.resetWaitingTasks();
 	const fleet = new Fleet({
 		clusterState,
 		cloud: {
@@ -213,11 +213,11 @@
 	// Held: its one task runs, so nothing returns it while it is marked.
 	first.hold("j-9/0", {
 		job: busy,
-		index: 99,
+		taskIndex: 99,
 		number: 1,
 		machine: first,
 		phase: "running",
-		moveTo: null,
+		relocateTo: null,
 		runningAt: 0,
 		stop: null,
 		charge: null,
@@ -281,9 +281,9 @@
 		0,
 		1,
 	);
-	batch.fillWaiting();
+	batch.resetWaitingTasks();
 	for (const machine of clusterState.machines.values()) {
-		const attempt = clusterState.decide(batch, machine);
+		const attempt = clusterState.assignNextTask(batch, machine);
 		if (attempt) Object.assign(attempt, { phase: "running", runningAt: 0 });
 	}
 	const live = clusterState.addJob(
@@ -299,7 +299,7 @@
 		0,
 		2,
 	);
-	live.fillWaiting();
+	live.resetWaitingTasks();
 	const few = (machines: Machine[]) => machines.slice(0, 5);
 	const victims = chooseVictims(clusterState, [live], 1000, few);
 	assert.deepEqual(
@@ -326,7 +326,7 @@
 				0,
 				1,
 			);
-			job.fillWaiting();
+			job.resetWaitingTasks();
 			return job;
 		});
 		const seen = new Set<number>();
@@ -334,7 +334,7 @@
 			const job = jobs[uniformInt(random, 0, 2)] as (typeof jobs)[number];
 			const machine = clusterState.machines.get(`n-${uniformInt(random, 0, 3)}`) as Machine;
 			if (uniformInt(random, 0, 2) > 0) {
-				const attempt = clusterState.decide(job, machine);
+				const attempt = clusterState.assignNextTask(job, machine);
 				if (attempt) {
 					assert.ok(!seen.has(attempt.number), "attempt numbers never repeat");
 					assert.ok(Number.isSafeInteger(attempt.number));
@@ -343,8 +343,8 @@
 			} else {
 				const attempt = [...machine.attempts.values()][0];
 				if (attempt) {
-					if (uniformInt(random, 0, 1)) clusterState.markDone(attempt.job, attempt.index);
-					clusterState.finish(attempt);
+					if (uniformInt(random, 0, 1)) clusterState.markTaskDone(attempt.job, attempt.taskIndex);
+					clusterState.endAttempt(attempt);
 				}
 			}
 			for (const team of ["red", "blue"]) {
@@ -361,12 +361,12 @@
 test("nothing is decided while a machine of an earlier leader is unheard", () => {
 	const clusterState = tablesWith(2);
 	const job = clusterState.addJob("j-1", specOf("j-1"), 0, 1);
-	job.fillWaiting();
+	job.resetWaitingTasks();
 	const [first, second] = [...clusterState.machines.values()] as [Machine, Machine];
-	clusterState.awaitReport(second);
-	assert.equal(clusterState.decide(job, first), null);
-	clusterState.stopAwaiting(second);
-	assert.notEqual(clusterState.decide(job, first), null);
+	clusterState.markUnreconciled(second);
+	assert.equal(clusterState.assignNextTask(job, first), null);
+	clusterState.markReconciled(second);
+	assert.notEqual(clusterState.assignNextTask(job, first), null);
 });
 
 test("quotas count room by the tighter of cores and accelerators", () => {
@@ -506,7 +506,7 @@
 				if (!entry) continue;
 				entry.left -= 1;
 				entry.began ??= s;
-				entry.job.done.add(entry.left);
+				entry.job.doneTasks.add(entry.left);
 				free[slot] = s + 10;
 			}
 		}
@@ -564,7 +564,7 @@
 			if (n <= 0) return;
 			entry.left -= n;
 			entry.began ??= s;
-			for (let i = 0; i < n; i++) job.done.add(entry.left + i);
+			for (let i = 0; i < n; i++) job.doneTasks.add(entry.left + i);
 			free -= n;
 			used.set(team, (used.get(team) ?? 0) + n);
 			const at = ends.get(s + 18) ?? new Map<string, number>();
@@ -588,10 +588,10 @@
 
 function running(clusterState: ClusterState, id: string, more: Partial<JobSpec>, n: number, since: number) {
 	const job = clusterState.addJob(id, specOf(id, { taskCount: n, ...more }), 0, 1);
-	job.fillWaiting();
+	job.resetWaitingTasks();
 	for (const machine of clusterState.machines.values()) {
 		for (;;) {
-			const attempt = clusterState.decide(job, machine);
+			const attempt = clusterState.assignNextTask(job, machine);
 			if (!attempt) break;
 			attempt.phase = "running";
 			attempt.runningAt = since;
@@ -609,10 +609,10 @@
 		0,
 		1,
 	);
-	urgent.fillWaiting();
+	urgent.resetWaitingTasks();
 	const victims = chooseVictims(clusterState, [urgent], 1000);
 	assert.equal(victims.length, 2);
-	for (const victim of victims) victim.stop = { graceS: 0, why: "preempted" };
+	for (const victim of victims) victim.stop = { graceS: 0, reason: "preempted" };
 	assert.equal(chooseVictims(clusterState, [urgent], 1500).length, 0, "what was stopped already is counted");
 });
 
@@ -620,7 +620,7 @@
 	const clusterState = tablesWith(2);
 	running(clusterState, "j-1", { team: "blue", estimatedRunS: 100 }, 4, 0);
 	const other = clusterState.addJob("j-2", specOf("j-2", { taskCount: 4 }), 0, 1);
-	other.fillWaiting();
+	other.resetWaitingTasks();
 	const victims = chooseVictims(clusterState, [other], 1000);
 	assert.equal(victims.length, 2, "blue runs 8 of 4 guaranteed cores, red has a right to 4");
 	assert.ok(victims.every((v) => v.job.id === "j-1"));
@@ -628,7 +628,7 @@
 	const fair = tablesWith(1);
 	running(fair, "j-1", { team: "blue", estimatedRunS: 100 }, 2, 0);
 	const late = fair.addJob("j-2", specOf("j-2"), 0, 1);
-	late.fillWaiting();
+	late.resetWaitingTasks();
 	assert.deepEqual(chooseVictims(fair, [late], 1000), [], "blue is within its guarantee");
 });
 
@@ -636,7 +636,7 @@
 	const clusterState = tablesWith(2);
 	running(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
 	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", taskCount: 1 }), 0, 1);
-	urgent.fillWaiting();
+	urgent.resetWaitingTasks();
 	assert.equal(chooseVictims(clusterState, [urgent], 40_000).length, 2);
 	assert.deepEqual(chooseVictims(clusterState, [urgent], 60_000), []);
 });
@@ -654,7 +654,7 @@
 			0,
 			1,
 		);
-		urgent.fillWaiting();
+		urgent.resetWaitingTasks();
 		assert.equal(chooseVictims(clusterState, [urgent], 1000).length, stopped, `runs of ${estimatedRunS} s`);
 	}
 	// A team at its limit is helped by none but its own.
@@ -662,7 +662,7 @@
 	running(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
 	running(clusterState, "j-3", { cpus: 1, team: "blue", estimatedRunS: 1 }, 8, 0);
 	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", taskCount: 1 }), 0, 1);
-	urgent.fillWaiting();
+	urgent.resetWaitingTasks();
 	assert.equal(chooseVictims(clusterState, [urgent], 1000).length, 2);
 });
 
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -29,13 +29,13 @@
 
 	job(id: string): Job {
 		const job = this.clusterState.addJob(id, specOf(id, { taskCount: 50, cpus: 0.1 }), 0, 1);
-		job.fillWaiting();
+		job.resetWaitingTasks();
 		return job;
 	}
 
 	private run(job: Job, machine: Machine): Attempt {
-		const attempt = this.clusterState.decide(job, machine);
-		assert.ok(attempt, `${job.id} starts on ${machine.id}: ${this.clusterState.refusal(job, machine)}`);
+		const attempt = this.clusterState.assignNextTask(job, machine);
+		assert.ok(attempt, `${job.id} starts on ${machine.id}: ${this.clusterState.assignmentRefusal(job, machine)}`);
 		this.now += 1000;
 		attempt.runningAt = this.now;
 		return attempt;
@@ -43,21 +43,21 @@
 
 	fails(job: Job, machine: Machine): void {
 		const attempt = this.run(job, machine);
-		this.clusterState.finish(attempt);
+		this.clusterState.endAttempt(attempt);
 		this.outcomes.record({ attempt, cause: "error" }, this.now + 10);
 	}
 
 	/** Machines that the job would be kept off this long after its last failure. */
 	avoidedBy(job: Job, sinceMs: number): string[] {
 		const views = [...this.clusterState.machines.values()].map(capacityOf);
-		const moment = { now: job.failedAt + sinceMs, date: 0 };
+		const moment = { now: job.lastFailureAt + sinceMs, date: 0 };
 		return grantsFor(this.clusterState, [job], views, moment)[0]?.grant.avoidedMachines ?? [];
 	}
 
 	succeeds(job: Job, machine: Machine): void {
 		const attempt = this.run(job, machine);
-		this.clusterState.markDone(job, attempt.index);
-		this.clusterState.finish(attempt);
+		this.clusterState.markTaskDone(job, attempt.taskIndex);
+		this.clusterState.endAttempt(attempt);
 		this.outcomes.record({ attempt, cause: "done" }, this.now + 10);
 	}
 }
@@ -74,7 +74,7 @@
 	for (const job of jobs) assert.equal(job.failsEverywhere, true, job.id);
 	setup.succeeds(jobs[0] as Job, machines[0] as Machine);
 	assert.equal(jobs[0]?.failsEverywhere, false, "one good run clears it");
-	assert.equal(jobs[0]?.notBefore, 0);
+	assert.equal(jobs[0]?.retryNotBefore, 0);
 });
 
 test("machines that failed several jobs are set aside once these succeed elsewhere", () => {
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -56,7 +56,7 @@
 		this.jobs += 1;
 		const id = `j-${this.jobs}`;
 		const job = this.clusterState.addJob(id, specOf(id, more), this.time.date().getTime(), this.jobs);
-		job.fillWaiting();
+		job.resetWaitingTasks();
 		return job;
 	}
 
@@ -78,7 +78,7 @@
 	for (let i = 0; i < 50; i++) {
 		const machine = setup.machine(`n-${i}`, i % 2 ? "a" : "b", true);
 		for (let k = 0; k < 2; k++) {
-			const attempt = setup.clusterState.decide(job, machine);
+			const attempt = setup.clusterState.assignNextTask(job, machine);
 			if (attempt) attempt.runningAt = 0;
 		}
 	}
@@ -130,7 +130,7 @@
 	await setup.run(10);
 	assert.ok([...setup.clusterState.machines.values()].some((m) => m.spot && m.lifecycle.draining));
 	assert.ok(!spare.lifecycle.draining, "it is there for the replica");
-	assert.equal(live.waiting.length, 1);
+	assert.equal(live.waitingTasks.length, 1);
 });
 
 test("where the idlest machines are kept for replicas that may come, others are marked in their place", async () => {
@@ -144,11 +144,11 @@
 		estimatedRunS: 0,
 	});
 	const kept = ["a", "b", "a"].map((zone, i) => setup.machine(`n-kept${i}`, zone, false));
-	for (let i = 0; i < 8; i++) setup.clusterState.decide(live, kept[0] as Machine);
+	for (let i = 0; i < 8; i++) setup.clusterState.assignNextTask(live, kept[0] as Machine);
 	const small = setup.job({ jobClass: "batch", taskCount: 4, cpus: 1, estimatedRunS: 30 });
 	const spot = Array.from({ length: 4 }, (_, i) => setup.machine(`n-spot${i}`, "a", true));
 	for (const machine of spot) {
-		const attempt = setup.clusterState.decide(small, machine);
+		const attempt = setup.clusterState.assignNextTask(small, machine);
 		if (attempt) attempt.runningAt = 0;
 	}
 	await setup.run(10);
--- a/tests/races.test.ts
+++ b/tests/races.test.ts
@@ -683,14 +683,14 @@
 	await world.submit("runner-0", { ...job, id: "j-000002" });
 	await world.time.advance(500);
 	const leader = world.controllerOf(world.leaderNode() as string);
-	const known = leader.storeCopy.jobs.get("j-000002");
+	const known = leader.replica.jobs.get("j-000002");
 	assert.ok(known);
 	world.expectJob({ ...job, id: "j-000003" });
 	const value = { ...known.value, spec: { ...known.value.spec, id: "j-000003" } };
 	world.state.epoch += 1;
 	world.state.rows.set("r/job/j-000003", { v: encodeJobRecord(value), stamp: world.state.epoch });
 	// In the copy, but no listener was called.
-	leader.storeCopy.jobs.set("j-000003", { value, revision: world.state.epoch });
+	leader.replica.jobs.set("j-000003", { value, revision: world.state.epoch });
 	await world.time.advance(30_000);
 	assert.equal((world.state.rows.get("r/fin/j-000003")?.v as { status: string } | undefined)?.status, "done");
 });
--- a/tests/reports.test.ts
+++ b/tests/reports.test.ts
@@ -32,7 +32,7 @@
 		12_000,
 	);
 	const job = clusterState.addJob("j-1", spec, 0, 1);
-	job.fillWaiting();
+	job.resetWaitingTasks();
 	return { clusterState, job };
 }
 
@@ -68,7 +68,7 @@
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.lifecycle.markRecorded();
-	const attempt = clusterState.decide(job, machine);
+	const attempt = clusterState.assignNextTask(job, machine);
 	assert.ok(attempt);
 	const orders = commandsFor(clusterState, machine);
 	assert.deepEqual(orders, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
@@ -82,12 +82,12 @@
 	assert.ok(machine);
 	machine.lifecycle.markRecorded();
 	assert.equal(
-		clusterState.decide(job, machine),
+		clusterState.assignNextTask(job, machine),
 		null,
 		"its answers of an earlier leader may still be on the way",
 	);
 	reconcileHeartbeat(clusterState, report(2), 0);
-	assert.notEqual(clusterState.decide(job, machine), null);
+	assert.notEqual(clusterState.assignNextTask(job, machine), null);
 });
 
 test("no start goes to a machine that has seen the token before its record is durable", () => {
@@ -95,9 +95,9 @@
 	reconcileHeartbeat(clusterState, report(1), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine?.agent.fenced);
-	assert.equal(clusterState.decide(job, machine), null, "a later leader would not know of it");
+	assert.equal(clusterState.assignNextTask(job, machine), null, "a later leader would not know of it");
 	machine.lifecycle.markRecorded();
-	assert.notEqual(clusterState.decide(job, machine), null);
+	assert.notEqual(clusterState.assignNextTask(job, machine), null);
 });
 
 test("a machine marked to drain between a decision and its report still gets the start", () => {
@@ -106,12 +106,12 @@
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.lifecycle.markRecorded();
-	clusterState.decide(job, machine);
+	clusterState.assignNextTask(job, machine);
 	machine.lifecycle.startDraining();
 	assert.equal(commandsFor(clusterState, machine).length, 1);
-	assert.equal(clusterState.decide(job, machine), null, "nothing new is decided for it");
+	assert.equal(clusterState.assignNextTask(job, machine), null, "nothing new is decided for it");
 	machine.lifecycle.cancelDraining();
-	clusterState.decide(job, machine);
+	clusterState.assignNextTask(job, machine);
 	machine.health.quarantine("failures", 0);
 	assert.deepEqual(commandsFor(clusterState, machine), [], "on one set aside for failing nothing starts");
 });
@@ -136,7 +136,7 @@
 	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
 	const applied = reconcileHeartbeat(clusterState, report(3), 200);
 	assert.equal(applied.kind === "applied" && applied.vanished.length, 1);
-	assert.ok(job.waiting.includes(0));
+	assert.ok(job.waitingTasks.includes(0));
 	assert.equal(clusterState.quotas.use("red").cpus, 0);
 });
 
@@ -156,7 +156,7 @@
 	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
 	reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 2 }), 200);
 	assert.equal(job.attempts.size, 0);
-	clusterState.expire(machine);
+	clusterState.expireLease(machine);
 	assert.equal(reconcileHeartbeat(clusterState, report(9, [], { agentEpoch: 2 }), 300).kind, "expired");
 	assert.equal(reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 3 }), 300).kind, "applied");
 });
@@ -164,11 +164,11 @@
 test("a completed task is forgotten only when its completion is durable", () => {
 	const { clusterState, job, machine, attempt } = withOneSent();
 	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "exited", "done")]), 100);
-	assert.ok(job.done.has(0));
+	assert.ok(job.doneTasks.has(0));
 	machine.lifecycle.startDraining();
 	assert.deepEqual(commandsFor(clusterState, machine), [], "a takeover now would lose it");
 	machine.lifecycle.cancelDraining();
-	job.durable.add(0);
+	job.durableDoneTasks.add(0);
 	assert.deepEqual(commandsFor(clusterState, machine), [], "the last one is kept as a handle");
 	assert.equal(machine.reminder?.attempt, attempt.number);
 	machine.lifecycle.startDraining();
@@ -181,13 +181,13 @@
 	const ended = Array.from({ length: job.spec.taskCount }, (_, i) => task(i, 7, "exited", "done"));
 	const applied = reconcileHeartbeat(clusterState, report(1, ended), 0);
 	assert.ok(applied.kind === "applied");
-	assert.ok(job.done.full);
+	assert.ok(job.doneTasks.full);
 	assert.deepEqual([...applied.progressed], [job]);
 });
 
 test("tasks nobody wants are stopped: of unknown jobs, done already, or on another machine", () => {
 	const { clusterState, job } = withOneSent();
-	clusterState.markDone(job, 1);
+	clusterState.markTaskDone(job, 1);
 	const other = report(
 		1,
 		[task(0, 900, "running"), task(1, 901, "running"), { ...task(0, 902, "running"), jobId: "j-9" }],
@@ -214,31 +214,31 @@
 	const types = new Map([["small", type]]);
 	const clusterState = new ClusterState(epoch, teams, types, 12_000, (id) => known.get(id) ?? null);
 	const job = clusterState.addJob("j-1", spec, 0, 1);
-	job.fillWaiting();
+	job.resetWaitingTasks();
 	const gone = (index: number) => ({ ...task(index, 7, "running"), jobId: "j-9" });
 	reconcileHeartbeat(clusterState, report(1, [gone(0), gone(1)]), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.lifecycle.markRecorded();
-	assert.deepEqual([...clusterState.jobsOfUnknownDemand()], ["j-9"]);
-	assert.equal(clusterState.decide(job, machine), null, "whose cores they take is not known");
+	assert.deepEqual([...clusterState.jobsWithUnknownDemand()], ["j-9"]);
+	assert.equal(clusterState.assignNextTask(job, machine), null, "whose cores they take is not known");
 	known.set("j-9", { team: "red", cpus: 4, gpus: 0 });
 	clusterState.resolveDemand("j-9");
 	assert.equal(clusterState.quotas.use("red").cpus, 8);
-	assert.equal(clusterState.decide(job, machine), null, "they fill the limit");
+	assert.equal(clusterState.assignNextTask(job, machine), null, "they fill the limit");
 	reconcileHeartbeat(clusterState, report(2, [gone(1)]), 500);
 	assert.equal(clusterState.quotas.use("red").cpus, 4);
-	assert.notEqual(clusterState.decide(job, machine), null);
-	clusterState.expire(machine);
+	assert.notEqual(clusterState.assignNextTask(job, machine), null);
+	clusterState.expireLease(machine);
 	assert.equal(clusterState.quotas.use("red").cpus, 0);
-	assert.ok(clusterState.rebuilt);
+	assert.ok(clusterState.reconciled);
 });
 
 test("the end of a job withdraws what is not sent and stops the rest until it is over", () => {
 	const { clusterState, job, machine, attempt } = withOneSent();
-	const second = clusterState.decide(job, machine);
+	const second = clusterState.assignNextTask(job, machine);
 	assert.ok(second);
-	const still = clusterState.endJob(job);
+	const still = clusterState.removeJob(job);
 	assert.deepEqual(still, [attempt]);
 	assert.equal(clusterState.quotas.use("red").cpus, 1, "what was sent still counts");
 	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
@@ -255,13 +255,13 @@
 	reconcileHeartbeat(clusterState, report(3), 2000);
 	assert.equal(machine.agent.unreachableSince, 2000);
 	assert.equal(job.attempts.has(0), false, "a start that no report lists can no longer be carried out");
-	assert.ok(job.waiting.includes(attempt.index));
-	assert.equal(clusterState.decide(job, machine), null);
-	reconcileHeartbeat(clusterState, report(4), 2000 + clusterState.certainMs);
+	assert.ok(job.waitingTasks.includes(attempt.taskIndex));
+	assert.equal(clusterState.assignNextTask(job, machine), null);
+	reconcileHeartbeat(clusterState, report(4), 2000 + clusterState.workerLeaseExpiryMs);
 	assert.notEqual(machine.agent.unreachableSince, null);
-	reconcileHeartbeat(clusterState, report(5), 2000 + 1.6 * clusterState.certainMs);
+	reconcileHeartbeat(clusterState, report(5), 2000 + 1.6 * clusterState.workerLeaseExpiryMs);
 	assert.equal(machine.agent.unreachableSince, null);
-	assert.notEqual(clusterState.decide(job, machine), null);
+	assert.notEqual(clusterState.assignNextTask(job, machine), null);
 });
 
 test("a start that is listed after one lost answer counts as heard", () => {
@@ -292,19 +292,19 @@
 	reconcileHeartbeat(clusterState, report(1, [task(0, 900, "running")], old), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
-	clusterState.awaitReport(machine);
-	for (let at = 3000; at < clusterState.certainMs; at += 3000) {
+	clusterState.markUnreconciled(machine);
+	for (let at = 3000; at < clusterState.workerLeaseExpiryMs; at += 3000) {
 		machine.agent.responded(at);
 		assert.equal(reconcileHeartbeat(clusterState, report(1 + at, [], old), at).kind, "applied");
 		assert.equal(job.attempts.size, 1);
-		assert.equal(clusterState.rebuilt, false);
+		assert.equal(clusterState.reconciled, false);
 	}
 	assert.equal(
-		reconcileHeartbeat(clusterState, report(99_999, [], old), clusterState.certainMs + 1).kind,
+		reconcileHeartbeat(clusterState, report(99_999, [], old), clusterState.workerLeaseExpiryMs + 1).kind,
 		"expired",
 	);
 	assert.equal(job.attempts.size, 0);
-	assert.equal(clusterState.rebuilt, true);
+	assert.equal(clusterState.reconciled, true);
 });
 
 test("a late copy that lists an earlier attempt yields to the later one", () => {
--- a/tests/scale.test.ts
+++ b/tests/scale.test.ts
@@ -191,7 +191,7 @@
 		});
 		for (let i = 0; i < size; i++) {
 			const id = `j-${i}`;
-			clusterState.addJob(id, specOf(id, { taskCount: 4, image: `image-${i % 40}` }), 0, 1).fillWaiting();
+			clusterState.addJob(id, specOf(id, { taskCount: 4, image: `image-${i % 40}` }), 0, 1).resetWaitingTasks();
 		}
 		for (let t = 0; t < 20_000 && started < size; t += 200) {
 			clusterState.placementDue = true;
@@ -206,14 +206,14 @@
 		const clusterState = fleetOf(size);
 		for (let i = 0; i < size; i++) {
 			const id = `j-${i}`;
-			clusterState.addJob(id, specOf(id, { cpus: 1 + (i % 20) / 10 }), 0, 1).fillWaiting();
+			clusterState.addJob(id, specOf(id, { cpus: 1 + (i % 20) / 10 }), 0, 1).resetWaitingTasks();
 		}
 		const full = clusterState.addJob("j-full", specOf("j-full", { taskCount: size * 8, cpus: 1 }), 0, 1);
-		full.fillWaiting();
+		full.resetWaitingTasks();
 		for (const machine of clusterState.machines.values())
-			for (let i = 0; i < 8; i++) assert.ok(clusterState.decide(full, machine));
+			for (let i = 0; i < 8; i++) assert.ok(clusterState.assignNextTask(full, machine));
 		const wide = clusterState.addJob("j-wide", specOf("j-wide", { cpus: 8 }), 0, 1);
-		wide.fillWaiting();
+		wide.resetWaitingTasks();
 		let searches = 0;
 		const sample = (machines: Machine[], most: number) => {
 			searches += 1;
@@ -269,9 +269,9 @@
 		const time = new FakeTime();
 		const clusterState = fleetOf(size);
 		const job = clusterState.addJob("j-1", specOf("j-1", { taskCount: size, cpus: 8 }), 0, 1);
-		job.fillWaiting();
+		job.resetWaitingTasks();
 		for (const machine of clusterState.machines.values()) {
-			const attempt = clusterState.decide(job, machine);
+			const attempt = clusterState.assignNextTask(job, machine);
 			assert.ok(attempt);
 			attempt.phase = "running";
 		}
@@ -294,7 +294,7 @@
 			(run) => run(),
 			silentLog,
 		);
-		orders.stop(clusterState.endJob(job));
+		orders.stop(clusterState.removeJob(job));
 		await time.advance((size / 100) * 10);
 		assert.equal(told.size, size);
 		assert.equal(most, 100);
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -284,7 +284,7 @@
 				return gate.caller(caller);
 			}),
 			peers: { send: (to, message) => this.peer(id, node, to, message) },
-			time,
+			clock: time,
 			log,
 			random: xoroshiro128plus(this.incarnation),
 			schedule: queueMicrotask,
