--- a/packages/team-quota/src/quota-service.ts
+++ b/packages/team-quota/src/quota-service.ts
@@ -14,10 +14,8 @@
 /** A team's limit and guarantee, in CPUs and accelerators; Infinity is no limit. */
 export interface UsableLimits {
 	name: string;
-	cpus: number;
-	cpus_max: number;
-	gpus: number;
-	gpus_max: number;
+	guaranteed: { cpus: number; gpus: number };
+	limit: { cpus: number; gpus: number };
 }
 
 const amountOf = ({ cpus, gpus }: TaskDemand): Amount => demandAmount(cpus, gpus);
@@ -46,10 +44,8 @@
 		const { limit, guarantee } = terms;
 		return {
 			name: team,
-			cpus: inUnits(guarantee.cpus),
-			cpus_max: inUnits(limit.cpus),
-			gpus: inUnits(guarantee.gpus),
-			gpus_max: inUnits(limit.gpus),
+			guaranteed: { cpus: inUnits(guarantee.cpus), gpus: inUnits(guarantee.gpus) },
+			limit: { cpus: inUnits(limit.cpus), gpus: inUnits(limit.gpus) },
 		};
 	}
 
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,7 +1,7 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import type { TeamLimits } from "../bookkeeping/quota-ledger.js";
 import { StoreReplica } from "../bookkeeping/store-replica.js";
+import type { TeamQuota } from "../protocol/model/team-quota.js";
 import type { WorkerHeartbeat } from "../protocol/model/worker.js";
 import type {
 	LeaderHeartbeat,
@@ -167,7 +167,7 @@
 	}
 
 	/** Of a team that the platform names: what its record says, else the platform's settings. */
-	private limitsOf(team: string): TeamLimits | undefined {
+	private limitsOf(team: string): TeamQuota | undefined {
 		const settings = this.platform.cluster.teams.find(({ name }) => name === team);
 		return settings && (this.teamQuota?.limits(team) ?? settings);
 	}
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -43,7 +43,7 @@
 	}
 	let sum = 0;
 	for (const [team, work] of byTeam) {
-		const limit = clusterState.quotas.team(team)?.cpus_max ?? 0;
+		const limit = clusterState.quotas.quotaOf(team)?.limit.cpus ?? 0;
 		sum += Math.min(work, limit * climb.high * secondsLeft);
 	}
 	return sum;
@@ -69,7 +69,8 @@
 		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + tasks * job.spec.cpus);
 	}
 	let sum = 0;
-	for (const [team, cpus] of byTeam) sum += Math.min(cpus, clusterState.quotas.team(team)?.cpus_max ?? 0);
+	for (const [team, cpus] of byTeam)
+		sum += Math.min(cpus, clusterState.quotas.quotaOf(team)?.limit.cpus ?? 0);
 	return sum;
 }
 
--- a/src/coordination/jobs/job-service.ts
+++ b/src/coordination/jobs/job-service.ts
@@ -1,9 +1,9 @@
 import { typeFits } from "../../bookkeeping/machine-fit.js";
-import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import type { StoreReplica } from "../../bookkeeping/store-replica.js";
 import { MalformedMessageError } from "../../protocol/errors.js";
 import { isService, type JobSpec, type JobStatus, taskDemandOf } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
+import type { TeamQuota } from "../../protocol/model/team-quota.js";
 import {
 	decodeFinalRecord,
 	encodeFinalRecord,
@@ -42,11 +42,11 @@
  */
 export function reasonImpossible(
 	spec: JobSpec,
-	team: TeamLimits | undefined,
+	team: TeamQuota | undefined,
 	types: Parameters<typeof typeFits>[1][],
 ): string | null {
 	if (!team) return `there is no team "${spec.team}"`;
-	if (spec.cpus > team.cpus_max || spec.gpus > team.gpus_max) {
+	if (spec.cpus > team.limit.cpus || spec.gpus > team.limit.gpus) {
 		return `a task needs more than the limit of team "${spec.team}"`;
 	}
 	const fitting = types.filter((type) => typeFits(spec, type));
@@ -55,8 +55,8 @@
 }
 
 /** Replicas run all at the same time. */
-function impossibleTogether(spec: JobSpec, team: TeamLimits, fitting: MachineType[]): string | null {
-	if (spec.taskCount * spec.cpus > team.cpus_max || spec.taskCount * spec.gpus > team.gpus_max) {
+function impossibleTogether(spec: JobSpec, team: TeamQuota, fitting: MachineType[]): string | null {
+	if (spec.taskCount * spec.cpus > team.limit.cpus || spec.taskCount * spec.gpus > team.limit.gpus) {
 		return `all replicas together need more than the limit of team "${spec.team}"`;
 	}
 	const zones = new Set(fitting.flatMap((type) => type.zones));
@@ -78,7 +78,7 @@
 		private readonly storeSync: ReplicaSync,
 		private readonly store: KeyValueStore,
 		private readonly time: Clock,
-		private readonly limitsOf: (team: string) => TeamLimits | undefined,
+		private readonly limitsOf: (team: string) => TeamQuota | undefined,
 		/** Empty: not told. */
 		private readonly zones: readonly string[],
 		private readonly valueKb: number,
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -1,4 +1,5 @@
 import type { Job } from "../../bookkeeping/job.js";
+import type { QuotaBound } from "../../bookkeeping/quota-ledger.js";
 import type { Grant, MachineCapacity } from "../../protocol/peer/messages.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import { placeableTasks } from "./first-fit.js";
@@ -24,8 +25,8 @@
 	jobs: Job[];
 	/** Most tasks of a job that this pass grants. */
 	most: number;
-	/** Only within teams' guarantees. */
-	guarantee: boolean;
+	/** Up to which part of teams' quotas. */
+	bound: QuotaBound;
 }
 
 /** Who may start how much now: guarantees first, then borrowing; urgent before the rest. */
@@ -37,9 +38,9 @@
 ): TeamGrant[] {
 	const allocation = new Allocation(clusterState, views);
 	const passes: GrantPass[] = [
-		{ jobs: jobs.filter((job) => starved(job, moment.date)), most: 1, guarantee: false },
-		{ jobs, most: Number.POSITIVE_INFINITY, guarantee: true },
-		{ jobs, most: Number.POSITIVE_INFINITY, guarantee: false },
+		{ jobs: jobs.filter((job) => starved(job, moment.date)), most: 1, bound: "limit" },
+		{ jobs, most: Number.POSITIVE_INFINITY, bound: "guaranteed" },
+		{ jobs, most: Number.POSITIVE_INFINITY, bound: "limit" },
 	];
 	for (const pass of passes) allocation.run(pass);
 	return [...allocation.counts].map(([job, count]) => ({
@@ -63,7 +64,7 @@
 		for (const view of views) this.freeCpus += view.cpus;
 	}
 
-	run({ jobs, most, guarantee }: GrantPass): void {
+	run({ jobs, most, bound }: GrantPass): void {
 		for (const job of jobs) {
 			if (this.freeCpus <= 0) return;
 			const { spec } = job;
@@ -72,7 +73,7 @@
 			const waiting = Math.min(job.waitingTasks.length, job.failsEverywhere ? 1 : most) - already;
 			let count = Math.min(
 				waiting,
-				this.clusterState.quotas.room(spec.team, spec.cpus, spec.gpus, guarantee, team),
+				this.clusterState.quotas.room(spec, bound, team),
 				Math.ceil(this.freeCpus / spec.cpus),
 			);
 			// Room promised to work that cannot use it would be kept from work that can.
--- a/src/coordination/placement/job-order.ts
+++ b/src/coordination/placement/job-order.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../../bookkeeping/job.js";
-import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import type { TeamQuota } from "../../protocol/model/team-quota.js";
 
 /** Best effort work counts as this many times as long as it is. */
 const bestEffortFactor = 1.2;
@@ -16,10 +16,10 @@
  * Seconds that the job still needs if it had its team's whole limit, or an even part
  * of the machines if that is less.
  */
-export function remainingSeconds(job: Job, team: TeamLimits | undefined, evenCpus: number): number {
+export function remainingSeconds(job: Job, team: TeamQuota | undefined, evenCpus: number): number {
 	const { spec } = job;
 	const tasks = spec.taskCount - job.doneTasks.count;
-	const cpus = Math.min(team?.cpus_max ?? spec.cpus, evenCpus);
+	const cpus = Math.min(team?.limit.cpus ?? spec.cpus, evenCpus);
 	return Math.max(1, (tasks * spec.cpus) / Math.max(cpus, spec.cpus)) * job.estimatedRunS;
 }
 
@@ -68,7 +68,7 @@
  */
 export function servingOrder(
 	jobs: Job[],
-	teamOf: (name: string) => TeamLimits | undefined,
+	teamOf: (name: string) => TeamQuota | undefined,
 	date: number,
 	evenCpus = Number.POSITIVE_INFINITY,
 ): Job[] {
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -93,7 +93,7 @@
 		const teams = new Set(jobs.map((job) => job.spec.team)).size;
 		return servingOrder(
 			jobs,
-			(team) => quotas.team(team),
+			(team) => quotas.quotaOf(team),
 			this.options.time.date().getTime(),
 			cpus > 0 ? cpus / Math.max(1, teams) : Number.POSITIVE_INFINITY,
 		);
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -57,7 +57,7 @@
 		this.scrub(now);
 		if (now < this.nextLimitsAt) return;
 		this.nextLimitsAt = now + limitsEveryMs;
-		for (const team of [...this.options.clusterState.quotas.names]) this.followLimit(team, now);
+		for (const team of [...this.options.clusterState.quotas.teams]) this.followLimit(team, now);
 	}
 
 	/** The leader's own count and the charges are kept apart, so each shows a fault of the other. */
@@ -65,7 +65,7 @@
 		if (now < this.nextScrubAt) return;
 		this.nextScrubAt = now + scrubEveryMs;
 		const { quotas } = this.options.clusterState;
-		this.options.leaderQuota.scrub([...quotas.names].map((team) => ({ team, ...quotas.use(team) })));
+		this.options.leaderQuota.scrub([...quotas.teams].map((team) => ({ team, ...quotas.usage(team) })));
 	}
 
 	/** Only once all that may run is known, so that it can be charged. */
@@ -84,7 +84,7 @@
 		const live = peerMonitor.livePlacers(now);
 		if (live.join() === this.placers.join()) return;
 		this.placers = live;
-		for (const team of clusterState.quotas.names)
+		for (const team of clusterState.quotas.teams)
 			leaderQuota.prefer(team, ownerOf(team, live) ?? leaderQuota.self, nodes);
 	}
 
@@ -125,7 +125,7 @@
 	private followLimit(team: string, now: number): void {
 		const { quota, clusterState, leaderQuota } = this.options;
 		const limits = quota.limits(team);
-		if (limits) clusterState.quotas.setLimits(limits);
+		if (limits) clusterState.quotas.setQuota(limits);
 		const excess = leaderQuota.excess(team);
 		if (!excess) {
 			this.excessSince.delete(team);
--- a/src/coordination/ports/team-quota.ts
+++ b/src/coordination/ports/team-quota.ts
@@ -1,5 +1,6 @@
-import type { QuotaCharge, TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import type { QuotaCharge } from "../../bookkeeping/quota-ledger.js";
 import type { TaskDemand } from "../../protocol/model/job.js";
+import type { TeamQuota } from "../../protocol/model/team-quota.js";
 /**
  * Team quota: limits divided among the controllers. What controllers tell each other of it is passed
  * on as it is; `packages/team-quota` makes and checks it.
@@ -8,7 +9,7 @@
 	/** News of a stored value; undefined: it is gone. */
 	stored(key: string, value: unknown, revision: number): void;
 	/** What the team may use for now; null: the platform's settings say it. */
-	limits(team: string): TeamLimits | null;
+	limits(team: string): TeamQuota | null;
 	/** From the leader of the term. */
 	takeTerms(term: number, terms: unknown): void;
 	/** How many tasks of this size this controller admits, of `most`. */
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -2,6 +2,7 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
 import { type JobSpec, priorityRank } from "../../protocol/model/job.js";
+import type { TeamQuota } from "../../protocol/model/team-quota.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
 /**
@@ -61,8 +62,10 @@
 }
 
 function beyondGuarantee(clusterState: ClusterState, team: string, freedCpus: number): boolean {
-	const limits = clusterState.quotas.team(team);
-	return limits !== undefined && clusterState.quotas.use(team).cpus - freedCpus > limits.cpus + slack;
+	const quota = clusterState.quotas.quotaOf(team);
+	return (
+		quota !== undefined && clusterState.quotas.usage(team).cpus - freedCpus > quota.guaranteed.cpus + slack
+	);
 }
 
 /** Machines looked through for work to stop; with more than this, a sample of them stands for all. */
@@ -139,17 +142,17 @@
 	}
 
 	private used(team: string, more: number): number {
-		return this.clusterState.quotas.use(team).cpus - (this.freed.get(team) ?? 0) + more;
+		return this.clusterState.quotas.usage(team).cpus - (this.freed.get(team) ?? 0) + more;
 	}
 
 	/** Finds a place for one more task of the job; false if nothing more can be done for it. */
-	serve(job: Job, limits: { cpus: number; cpus_max: number }): boolean {
+	serve(job: Job, { guaranteed, limit }: TeamQuota): boolean {
 		const { spec } = job;
 		const urgent = isUrgent(job);
-		if (urgent) this.makeRoomInTeam(job, limits.cpus_max);
-		if (this.used(spec.team, spec.cpus) > limits.cpus_max + slack) return false;
+		if (urgent) this.makeRoomInTeam(job, limit.cpus);
+		if (this.used(spec.team, spec.cpus) > limit.cpus + slack) return false;
 		if (this.takeFree(job)) return true;
-		const withinGuarantee = this.used(spec.team, spec.cpus) <= limits.cpus + slack;
+		const withinGuarantee = this.used(spec.team, spec.cpus) <= guaranteed.cpus + slack;
 		return (urgent || withinGuarantee) && this.stopFor(job, withinGuarantee);
 	}
 
@@ -298,10 +301,10 @@
 	for (const job of waiting) {
 		if (pass.victims.size >= mostPerPass * 3) break;
 		const { spec } = job;
-		const limits = clusterState.quotas.team(spec.team);
-		if (!limits) continue;
+		const quota = clusterState.quotas.quotaOf(spec.team);
+		if (!quota) continue;
 		// A team at its limit gets only the places that it frees itself.
-		const atLimit = !clusterState.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus);
+		const atLimit = !clusterState.quotas.fitsLimit(spec);
 		const own = soonFree.byTeam.get(spec.team) ?? 0;
 		// Which machines they come free on nobody knows, and a replica can't wait for the next.
 		const served = job.isService
@@ -310,7 +313,7 @@
 		soonFree.all -= served;
 		if (atLimit) soonFree.byTeam.set(spec.team, own - served);
 		let left = Math.min(job.waitingTasks.length - served, mostPerPass);
-		while (left > 0 && pass.victims.size < mostPerPass * 3 && pass.serve(job, limits)) left -= 1;
+		while (left > 0 && pass.victims.size < mostPerPass * 3 && pass.serve(job, quota)) left -= 1;
 	}
 	return [...pass.victims];
 }
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -2,12 +2,13 @@
 import { Job } from "../../bookkeeping/job.js";
 import type { Machine, OrphanedTask } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { QuotaLedger, type TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import { QuotaLedger } from "../../bookkeeping/quota-ledger.js";
 import { tasksPerPage } from "../../bookkeeping/task-set.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec, TaskDemand } from "../../protocol/model/job.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
+import type { TeamQuota } from "../../protocol/model/team-quota.js";
 import type { AdmissionControl } from "../ports/team-quota.js";
 
 /** Attempts of one epoch; beyond them the leader must get itself a new epoch. */
@@ -39,7 +40,7 @@
 
 	constructor(
 		readonly term: number,
-		teams: TeamLimits[],
+		teams: TeamQuota[],
 		readonly machineTypes: Map<string, MachineType>,
 		/** A lease renewed this long ago, or earlier, has certainly run out. */
 		readonly workerLeaseExpiryMs = Number.POSITIVE_INFINITY,
@@ -94,8 +95,8 @@
 
 	private count(machine: Machine, demand: TaskDemand | null, sign: 1 | -1): void {
 		this.placementDue = true;
-		if (demand && sign > 0) this.quotas.add(demand.team, demand.cpus, demand.gpus);
-		else if (demand) this.quotas.remove(demand.team, demand.cpus, demand.gpus);
+		if (demand && sign > 0) this.quotas.take(demand);
+		else if (demand) this.quotas.giveBack(demand);
 		else {
 			const n = (this.unknownDemands.get(machine) ?? 0) + sign;
 			if (n > 0) this.unknownDemands.set(machine, n);
@@ -178,10 +179,7 @@
 
 	/** Its tasks wait, and one of them may run now as far as its team's limit goes. */
 	hasRunnableTask(job: Job, now: number): boolean {
-		const { team, cpus, gpus } = job.spec;
-		return (
-			job.waitingTasks.length > 0 && job.retryNotBefore <= now && this.quotas.fitsLimit(team, cpus, gpus)
-		);
+		return job.waitingTasks.length > 0 && job.retryNotBefore <= now && this.quotas.fitsLimit(job.spec);
 	}
 
 	/** `admittedBy`: whose allotment it counts against; null: it was found, and nobody knows. */
@@ -193,7 +191,7 @@
 				admittedBy === null ? this.admission.chargeFound(demand) : this.admission.charge(demand, admittedBy);
 		job.attempts.set(index, attempt);
 		machine.hold(taskKey(job.id, index), attempt);
-		this.quotas.add(job.spec.team, job.spec.cpus, job.spec.gpus);
+		this.quotas.take(job.spec);
 	}
 
 	/** Why one more task of the job may not start on the machine now, or null. */
@@ -208,7 +206,7 @@
 		if (!machineAllowed(spec, machine)) return "machine not allowed";
 		if (!machine.capacity.hasRoomFor(spec)) return "no room";
 		if (machine.health.onProbation && machine.attempts.size > 0) return "machine is on trial";
-		if (!this.quotas.fitsLimit(spec.team, spec.cpus, spec.gpus)) return "team is at its limit";
+		if (!this.quotas.fitsLimit(spec)) return "team is at its limit";
 		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, this.tasksByZone(job), machine.zone) < 1) {
 			return "zone rule";
 		}
@@ -269,7 +267,7 @@
 		if (job.attempts.get(index) !== attempt) return;
 		job.attempts.delete(index);
 		machine.release(taskKey(job.id, index), attempt);
-		this.quotas.remove(job.spec.team, job.spec.cpus, job.spec.gpus);
+		this.quotas.giveBack(job.spec);
 		const admittedBy = attempt.charge?.node;
 		if (attempt.charge) this.admission?.release(attempt.charge);
 		if (!job.over && !job.doneTasks.has(index)) job.waitingTasks.push(index);
--- a/src/protocol/settings/platform.ts
+++ b/src/protocol/settings/platform.ts
@@ -3,6 +3,7 @@
 import * as v from "valibot";
 import { amount, positive } from "../checks.js";
 import { SettingsError } from "../errors.js";
+import type { TeamQuota } from "../model/team-quota.js";
 
 /** What the platform hands over in its TOML file. Unknown fields are ignored. */
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
@@ -15,13 +16,23 @@
 	v.transform((most) => (most === 0 ? Number.POSITIVE_INFINITY : most)),
 );
 
-const Team = v.object({
-	name: text,
-	cpus: amount,
-	cpus_max: limit,
-	gpus: v.optional(amount, 0),
-	gpus_max: v.optional(limit, 0),
-});
+/** A team's guarantee and limit, as `TeamQuota` has them. */
+const Team = v.pipe(
+	v.object({
+		name: text,
+		cpus: amount,
+		cpus_max: limit,
+		gpus: v.optional(amount, 0),
+		gpus_max: v.optional(limit, 0),
+	}),
+	v.transform(
+		({ name, cpus, cpus_max, gpus, gpus_max }): TeamQuota => ({
+			name,
+			guaranteed: { cpus, gpus },
+			limit: { cpus: cpus_max, gpus: gpus_max },
+		}),
+	),
+);
 
 const ServiceLevelObjective = v.object({
 	kind: v.string(),
@@ -69,7 +80,6 @@
 });
 
 export type PlatformSettings = v.InferOutput<typeof Platform>;
-export type TeamSettings = v.InferOutput<typeof Team>;
 
 export type ServiceLevelObjective = v.InferOutput<typeof ServiceLevelObjective>;
 
@@ -123,7 +133,8 @@
 			throw new SettingsError(`${file}: field "cluster.teams.${i}.name": "${team.name}" is named twice`);
 		}
 		names.add(team.name);
-		if (team.cpus > team.cpus_max || team.gpus > team.gpus_max) {
+		const { guaranteed, limit } = team;
+		if (guaranteed.cpus > limit.cpus || guaranteed.gpus > limit.gpus) {
 			throw new SettingsError(`${file}: field "cluster.teams.${i}": the guarantee must not exceed the limit`);
 		}
 	});
--- a/src/team-quota.ts
+++ b/src/team-quota.ts
@@ -58,8 +58,8 @@
 			teams.map((team) => [
 				team.name,
 				{
-					limit: limitAmount(team.cpus_max, team.gpus_max),
-					guarantee: limitAmount(team.cpus, team.gpus),
+					limit: limitAmount(team.limit.cpus, team.limit.gpus),
+					guarantee: limitAmount(team.guaranteed.cpus, team.guaranteed.gpus),
 				},
 			]),
 		),
--- a/tests/coordination/fleet/replica-capacity.test.ts
+++ b/tests/coordination/fleet/replica-capacity.test.ts
@@ -12,7 +12,7 @@
 import { silentLog } from "../../support/silent-log.js";
 import { specOf, mediumType as type } from "../../support/specs.js";
 
-const teams = [{ name: "red", cpus: 400, cpus_max: 400, gpus: 0, gpus_max: 0 }];
+const teams = [{ name: "red", guaranteed: { cpus: 400, gpus: 0 }, limit: { cpus: 400, gpus: 0 } }];
 
 /** A fleet between tables and a cloud that rents whatever is asked for. */
 class Setup {
--- a/tests/coordination/jobs/job-service.test.ts
+++ b/tests/coordination/jobs/job-service.test.ts
@@ -33,7 +33,7 @@
 		type("deep", 4, 128, 2, ["b"]),
 		type("nowhere", 64, 512, 8, []),
 	];
-	const team = { name: "red", cpus: 4, cpus_max: 20, gpus: 0, gpus_max: 4 };
+	const team = { name: "red", guaranteed: { cpus: 4, gpus: 0 }, limit: { cpus: 20, gpus: 4 } };
 	const why = (more: Partial<JobSpec>) => reasonImpossible(specOf("j-1", { cpus: 2, ...more }), team, types);
 	assert.equal(why({}), null);
 	assert.equal(why({ cpus: 16, zone: "a" }), null);
--- a/tests/coordination/placement/job-order.test.ts
+++ b/tests/coordination/placement/job-order.test.ts
@@ -15,7 +15,7 @@
 	add("j-late", "urgent", 4, 90);
 	add("j-soon", "urgent", 4, 50);
 	add("j-crit", "critical", 4);
-	const order = servingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.team(t), 0).map(
+	const order = servingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.quotaOf(t), 0).map(
 		(j) => j.id,
 	);
 	assert.deepEqual(order, ["j-crit", "j-soon", "j-late", "j-short", "j-effort", "j-long"]);
@@ -29,7 +29,9 @@
 	add("j-later", 29);
 	add("j-last", 60);
 	const order = (date: number) =>
-		servingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.team(t), date).map((j) => j.id);
+		servingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.quotaOf(t), date).map(
+			(j) => j.id,
+		);
 	assert.deepEqual(order(0), ["j-soon", "j-later", "j-last"]);
 	assert.deepEqual(order(15_000), ["j-later", "j-soon", "j-last"], "j-soon has until 30 s now");
 	assert.deepEqual(
--- a/tests/coordination/placement/starvation.test.ts
+++ b/tests/coordination/placement/starvation.test.ts
@@ -30,7 +30,7 @@
 				const waiting = [...jobs.values()].filter((j) => j.left > 0).map((j) => j.job);
 				const next =
 					waiting.find((job) => starved(job, date)) ??
-					servingOrder(waiting, (team) => clusterState.quotas.team(team), date)[0];
+					servingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date)[0];
 				const entry = next && jobs.get(next.id);
 				if (!entry) continue;
 				entry.left -= 1;
@@ -47,10 +47,10 @@
 
 test("with 1000 machines, 16 teams and a backlog of hundreds of arrays the largest still begin within four minutes", () => {
 	const teams = Array.from({ length: 16 }, (_, i) => `team-${i}`);
-	const limit = { cpus: 300, cpus_max: 800, gpus: 0, gpus_max: 0 };
+	const quota = { guaranteed: { cpus: 300, gpus: 0 }, limit: { cpus: 800, gpus: 0 } };
 	const clusterState = new ClusterState(
 		1,
-		teams.map((name) => ({ name, ...limit })),
+		teams.map((name) => ({ name, ...quota })),
 		new Map(),
 	);
 	const random = xoroshiro128plus(5);
@@ -89,7 +89,7 @@
 		const serve = (job: Job, most: number) => {
 			const entry = state.get(job) as { left: number; began: number | null };
 			const { team } = job.spec;
-			const n = Math.min(entry.left, most, free, limit.cpus_max - (used.get(team) ?? 0));
+			const n = Math.min(entry.left, most, free, quota.limit.cpus - (used.get(team) ?? 0));
 			if (n <= 0) return;
 			entry.left -= n;
 			entry.began ??= s;
@@ -100,7 +100,7 @@
 			ends.set(s + 18, at.set(team, (at.get(team) ?? 0) + n));
 		};
 		for (const job of waiting) if (starved(job, date)) serve(job, 1);
-		for (const job of servingOrder(waiting, (team) => clusterState.quotas.team(team), date, 250)) {
+		for (const job of servingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date, 250)) {
 			if (free <= 0) break;
 			serve(job, Number.POSITIVE_INFINITY);
 		}
--- a/tests/coordination/state/cluster-state.test.ts
+++ b/tests/coordination/state/cluster-state.test.ts
@@ -42,7 +42,7 @@
 				let used = 0;
 				for (const j of jobs) if (j.spec.team === team) used += j.attempts.size * j.spec.cpus;
 				assert.ok(used <= 8);
-				assert.ok(Math.abs(clusterState.quotas.use(team).cpus - used) < 1e-6);
+				assert.ok(Math.abs(clusterState.quotas.usage(team).cpus - used) < 1e-6);
 			}
 			for (const m of clusterState.machines.values()) assert.ok(m.capacity.freeCpus >= -1e-9);
 		}
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -14,7 +14,7 @@
 class Setup {
 	readonly clusterState = new ClusterState(
 		1,
-		[{ name: "red", cpus: 1000, cpus_max: 1000, gpus: 0, gpus_max: 0 }],
+		[{ name: "red", guaranteed: { cpus: 1000, gpus: 0 }, limit: { cpus: 1000, gpus: 0 } }],
 		new Map([[mediumType.name, mediumType]]),
 	);
 	private readonly outcomes = new FaultAttribution(this.clusterState, 2, silentLog);
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -70,7 +70,7 @@
 	const applied = reconcileHeartbeat(clusterState, report(3), 200);
 	assert.equal(applied.kind === "applied" && applied.vanished.length, 1);
 	assert.ok(job.waitingTasks.includes(0));
-	assert.equal(clusterState.quotas.use("red").cpus, 0);
+	assert.equal(clusterState.quotas.usage("red").cpus, 0);
 });
 
 test("a report with an earlier token adds tasks but proves no absence", () => {
@@ -79,7 +79,7 @@
 	assert.equal(job.attempts.get(2)?.number, 900);
 	reconcileHeartbeat(clusterState, report(4, [], { fencingToken: 7 }), 10);
 	assert.equal(job.attempts.get(2)?.number, 900, "an answer of the leader before may come after this report");
-	assert.equal(clusterState.quotas.use("red").cpus, 1);
+	assert.equal(clusterState.quotas.usage("red").cpus, 1);
 	reconcileHeartbeat(clusterState, report(5), 20);
 	assert.equal(job.attempts.has(2), false);
 });
@@ -143,7 +143,7 @@
 
 test("tasks of a job that is over take their team's cores until gone; of one unknown, nothing starts meanwhile", () => {
 	const known = new Map<string, TaskDemand>();
-	const teams = [{ name: "red", cpus: 8, cpus_max: 8, gpus: 0, gpus_max: 0 }];
+	const teams = [{ name: "red", guaranteed: { cpus: 8, gpus: 0 }, limit: { cpus: 8, gpus: 0 } }];
 	const types = new Map([["small", type]]);
 	const clusterState = new ClusterState(epoch, teams, types, 12_000, (id) => known.get(id) ?? null);
 	const job = clusterState.addJob("j-1", spec, 0, 1);
@@ -157,13 +157,13 @@
 	assert.equal(clusterState.assignNextTask(job, machine), null, "whose cores they take is not known");
 	known.set("j-9", { team: "red", cpus: 4, gpus: 0 });
 	clusterState.resolveDemand("j-9");
-	assert.equal(clusterState.quotas.use("red").cpus, 8);
+	assert.equal(clusterState.quotas.usage("red").cpus, 8);
 	assert.equal(clusterState.assignNextTask(job, machine), null, "they fill the limit");
 	reconcileHeartbeat(clusterState, report(2, [gone(1)]), 500);
-	assert.equal(clusterState.quotas.use("red").cpus, 4);
+	assert.equal(clusterState.quotas.usage("red").cpus, 4);
 	assert.notEqual(clusterState.assignNextTask(job, machine), null);
 	clusterState.expireLease(machine);
-	assert.equal(clusterState.quotas.use("red").cpus, 0);
+	assert.equal(clusterState.quotas.usage("red").cpus, 0);
 	assert.ok(clusterState.reconciled);
 });
 
@@ -173,11 +173,11 @@
 	assert.ok(second);
 	const still = clusterState.removeJob(job);
 	assert.deepEqual(still, [attempt]);
-	assert.equal(clusterState.quotas.use("red").cpus, 1, "what was sent still counts");
+	assert.equal(clusterState.quotas.usage("red").cpus, 1, "what was sent still counts");
 	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
 	assert.equal(commandsFor(clusterState, machine)[0]?.kind, "stop");
 	reconcileHeartbeat(clusterState, report(3, [task(0, attempt.number, "exited", "stopped")]), 200);
-	assert.equal(clusterState.quotas.use("red").cpus, 0);
+	assert.equal(clusterState.quotas.usage("red").cpus, 0);
 });
 
 test("answers to a machine that never takes up the token renew nothing", () => {
@@ -207,7 +207,7 @@
 	const real = report(1, [task(0, 905, "running")], { machineId: "n-2", fencingToken: 7 });
 	reconcileHeartbeat(clusterState, real, 10);
 	assert.equal(job.attempts.get(0)?.number, 905, "it was decided when the one before was proved over");
-	assert.equal(clusterState.quotas.use("red").cpus, 1);
+	assert.equal(clusterState.quotas.usage("red").cpus, 1);
 	const n2 = clusterState.machines.get("n-2");
 	assert.ok(n2);
 	assert.deepEqual(commandsFor(clusterState, n2), []);
--- a/tests/protocol/settings/platform.test.ts
+++ b/tests/protocol/settings/platform.test.ts
@@ -5,11 +5,11 @@
 
 test("platform settings: unknown fields are ignored, faults are named with their file", () => {
 	// No limit was told, and 0 means none: neither keeps a team from using anything.
-	assert.equal(parsePlatform("s.toml", settings).cluster.teams[0]?.gpus_max, Number.POSITIVE_INFINITY);
+	assert.equal(parsePlatform("s.toml", settings).cluster.teams[0]?.limit.gpus, Number.POSITIVE_INFINITY);
 	const guest = settings.replace(/cpus = [\d.]+\ncpus_max = 8\.0/, "cpus = 0.0\ncpus_max = 0.0");
 	assert.notEqual(guest, settings);
 	const [team] = parsePlatform("s.toml", guest).cluster.teams;
-	assert.deepEqual([team?.cpus, team?.cpus_max], [0, Number.POSITIVE_INFINITY]);
+	assert.deepEqual([team?.guaranteed.cpus, team?.limit.cpus], [0, Number.POSITIVE_INFINITY]);
 	assert.throws(() => parsePlatform("s.toml", "node = "), /s\.toml: not TOML/);
 	assert.throws(
 		() => parsePlatform("s.toml", settings.replace("lease_s = 10.0", "")),
--- a/tests/service/large-fleets.test.ts
+++ b/tests/service/large-fleets.test.ts
@@ -34,7 +34,9 @@
 }
 
 function fleetOf(size: number): ClusterState {
-	const teams = [{ name: "red", cpus: 10 * size, cpus_max: 10 * size, gpus: 0, gpus_max: 0 }];
+	const teams = [
+		{ name: "red", guaranteed: { cpus: 10 * size, gpus: 0 }, limit: { cpus: 10 * size, gpus: 0 } },
+	];
 	const clusterState = new ClusterState(7, teams, new Map([[type.name, type]]));
 	for (let i = 0; i < size; i++) {
 		const machine = new Machine(
--- a/tests/support/reconciliation-setup.ts
+++ b/tests/support/reconciliation-setup.ts
@@ -24,7 +24,7 @@
 export function fresh() {
 	const clusterState = new ClusterState(
 		epoch,
-		[{ name: "red", cpus: 8, cpus_max: 8, gpus: 0, gpus_max: 0 }],
+		[{ name: "red", guaranteed: { cpus: 8, gpus: 0 }, limit: { cpus: 8, gpus: 0 } }],
 		new Map([["small", type]]),
 		12_000,
 	);
--- a/tests/support/small-cluster.ts
+++ b/tests/support/small-cluster.ts
@@ -19,7 +19,11 @@
 export function tablesWith(machines: number, cpusMax = 8): ClusterState {
 	const clusterState = new ClusterState(
 		7,
-		["red", "blue"].map((name) => ({ name, cpus: 4, cpus_max: cpusMax, gpus: 0, gpus_max: 0 })),
+		["red", "blue"].map((name) => ({
+			name,
+			guaranteed: { cpus: 4, gpus: 0 },
+			limit: { cpus: cpusMax, gpus: 0 },
+		})),
 		new Map([[small.name, small]]),
 	);
 	for (let i = 0; i < machines; i++) {
