--- a/src/bookkeeping/job.ts
+++ b/src/bookkeeping/job.ts
@@ -1,142 +1,244 @@
-import { isService, type JobSpec, priorityRank } from "../protocol/model/job.js";
-import type { Machine } from "./machine.js";
-import type { QuotaCharge } from "./quota-ledger.js";
-import { TaskSet } from "./task-set.js";
-
-export type AttemptPhase = "assigned" | "sent" | "fetching" | "running" | "checkpointing";
-
-/** One try at one task, from the decision to start it until it is proved over. */
-export interface Attempt {
-	job: Job;
-	taskIndex: number;
-	number: number;
-	machine: Machine;
-	phase: AttemptPhase;
-	/** A replica that is moved: room is kept for it there, and it starts there once this attempt is over. */
-	relocateTo: Machine | null;
-	/** When it was first reported running, by the steady clock of this process. */
-	runningAt: number | null;
-	/** A stop was decided; it is repeated until the attempt is over. */
-	stop: { graceS: number; reason: string } | null;
-	/** What it takes of its team's allotments; null: none are used. */
-	charge: QuotaCharge | null;
-	/** Steady time before which it is not stopped for other work: its job had to wait for too long to begin. */
-	preemptionProtectedUntil?: number;
-}
+/** A live job as its leader sees it: its tasks, its attempts and what is known of its run times and failures. */
 
-/** A job that failed on so many machines, and on none succeeded since, is taken to fail on all. */
-const failsEverywhereFrom = 3;
-/** The same with so many failures, where there are too few machines to tell. */
-const failsEverywhereFailures = 8;
+import type { JobId, Revision } from "../protocol/model/identifiers.js";
+import { isService, type JobSpec, priorityRank } from "../protocol/model/job.js";
+import type { Attempt } from "./attempt.js";
+import { FailureHistory } from "./failure-history.js";
+import { type ReadonlyTaskSet, TaskSet, tasksPerPage } from "./task-set.js";
 
-/** A job that failed on so many machines of a type, and never succeeded there, does not suit the type. */
-const unfitFrom = 2;
+/** Where a job is in its life with one leader. */
+type JobStage =
+	| { kind: "live" }
+	/** All tasks are done, and the record that says so is being written; it was last tried at this steady time. */
+	| { kind: "finalizing"; lastTriedAt: number }
+	/** The job has ended in the store. */
+	| { kind: "over" };
 
-/** A live job as its leader sees it. */
+/**
+ * Owns the state of one job. Each task is done, has one attempt or waits; a task that is done may still have an
+ * attempt that ends. The cluster state alone adds and removes attempts.
+ */
 export class Job {
-	readonly doneTasks: TaskSet;
-	/** The part of `done` that the store has confirmed. */
-	readonly durableDoneTasks: TaskSet;
-	readonly attempts = new Map<number, Attempt>();
-	readonly waitingTasks: number[] = [];
-	/** Set once the record that ends the job is being written. */
-	finalizing = false;
-	/** Steady time at which that was last tried. */
-	finalizingAt = 0;
-	over = false;
-	/** Pages of `done` that have changed since they were last handed to be written. */
-	readonly dirtyPages = new Set<number>();
-	finishedRuns = 0;
-	finishedSeconds = 0;
-	/** Machines on which tasks of this job failed since one last succeeded. */
-	readonly failedMachines = new Set<Machine>();
-	/** Tasks of this job that failed since one last succeeded. */
-	consecutiveFailures = 0;
-	/** Steady time of the last of these failures. */
-	lastFailureAt = -Infinity;
-	/** Machine types on which tasks of this job have succeeded. */
-	private readonly provenTypes = new Set<string>();
-	/** Machine types on which it fails though it succeeds on another: its own fault, not the machines'. */
-	readonly unfitTypes = new Set<string>();
-	retryNotBefore = 0;
-	/** A machine was reserved for its first task, which is done once for each job. */
-	hadReservation = false;
-	/** Steady time until which the leader places it, whoever its team's placer is. */
-	placedByLeaderUntil = 0;
-	/** Steady time at which this leader came to know it. */
-	loadedAt = 0;
+	/** What has failed, where and when. */
+	readonly failures: FailureHistory;
 
 	/** The same for jobs whose tasks make the same demands on machines. */
 	readonly demandKey: string;
 
+	readonly #doneTasks: TaskSet;
+	readonly #durableDoneTasks: TaskSet;
+	#changedPages = new Set<number>();
+	readonly #attempts = new Map<number, Attempt>();
+	readonly #waitingTasks: number[] = [];
+	#stage: JobStage = { kind: "live" };
+	#finishedRuns = 0;
+	#finishedSeconds = 0;
+	#loadedAt = 0;
+	#hadReservation = false;
+	#placedByLeaderUntil = 0;
+
+	/**
+	 * @param acceptedAt Time of day of the submission, in milliseconds.
+	 * @param revision Revision of the job's live record.
+	 */
 	constructor(
-		readonly id: string,
+		readonly id: JobId,
 		readonly spec: JobSpec,
 		readonly acceptedAt: number,
-		readonly revision: number,
+		readonly revision: Revision,
 	) {
-		const { machineTypes: types, zone, allowSpot: spot, cpus, gpus, memoryGb } = spec;
-		this.demandKey = JSON.stringify([types, zone, spot, cpus, gpus, memoryGb]);
-		this.doneTasks = new TaskSet(spec.taskCount);
-		this.durableDoneTasks = new TaskSet(spec.taskCount);
+		const { machineTypes, zone, allowSpot, cpus, gpus, memoryGb } = spec;
+		this.demandKey = JSON.stringify([machineTypes, zone, allowSpot, cpus, gpus, memoryGb]);
+		this.failures = new FailureHistory(isService(spec));
+		this.#doneTasks = new TaskSet(spec.taskCount);
+		this.#durableDoneTasks = new TaskSet(spec.taskCount);
 	}
 
-	/** Tasks neither done nor on a machine, lowest number first. */
+	/** Its tasks are replicas: they run until the job is cancelled, and none is ever done. */
+	get isService(): boolean {
+		return isService(this.spec);
+	}
+
+	/** The rank of its priority: smaller ranks come first. */
+	get rank(): number {
+		return priorityRank[this.spec.priority];
+	}
+
+	/** Steady time at which this leader came to know the job. */
+	get loadedAt(): number {
+		return this.#loadedAt;
+	}
+
+	/** Takes over the done tasks that the store holds, as pages of the bitmap. */
+	load(donePages: Iterable<[page: number, bits: string]>, now: number): void {
+		for (const [page, bits] of donePages) {
+			this.#doneTasks.addPage(page, bits);
+			this.#durableDoneTasks.addPage(page, bits);
+		}
+		this.#loadedAt = now;
+		this.resetWaitingTasks();
+	}
+
+	// --- done tasks ---
+
+	/** Tasks that have completed. */
+	get doneTasks(): ReadonlyTaskSet {
+		return this.#doneTasks;
+	}
+
+	/** The part of the done tasks that the store has confirmed. */
+	get durableDoneTasks(): ReadonlyTaskSet {
+		return this.#durableDoneTasks;
+	}
+
+	/** The task has completed; false: that was known. A replica is never done, whatever it reports. */
+	markTaskDone(taskIndex: number): boolean {
+		if (this.isService || !this.#doneTasks.add(taskIndex)) return false;
+		this.#changedPages.add(Math.floor(taskIndex / tasksPerPage));
+		return true;
+	}
+
+	/** Pages of the done tasks that have changed since the last call. */
+	takeChangedPages(): ReadonlySet<number> {
+		const pages = this.#changedPages;
+		if (pages.size > 0) this.#changedPages = new Set();
+		return pages;
+	}
+
+	/** The store has confirmed this page of the done tasks. */
+	markPageDurable(page: number, bits: string): void {
+		this.#durableDoneTasks.addPage(page, bits);
+	}
+
+	// --- waiting tasks and attempts ---
+
+	/** Tasks that are neither done nor have an attempt; the last one starts first. */
+	get waitingTasks(): readonly number[] {
+		return this.#waitingTasks;
+	}
+
+	/** Works out the waiting tasks anew, the lowest number to start first. */
 	resetWaitingTasks(): void {
-		this.waitingTasks.length = 0;
+		this.#waitingTasks.length = 0;
 		for (let i = this.spec.taskCount - 1; i >= 0; i--) {
-			if (!this.doneTasks.has(i) && !this.attempts.has(i)) this.waitingTasks.push(i);
+			if (!this.#doneTasks.has(i) && !this.#attempts.has(i)) this.#waitingTasks.push(i);
 		}
 	}
 
-	/** Its tasks are replicas: they run until the job is cancelled, and none is ever done. */
-	get isService(): boolean {
-		return isService(this.spec);
+	/** A task waits, and no pause after failures keeps it from being tried. */
+	hasReadyTask(now: number): boolean {
+		return this.#waitingTasks.length > 0 && this.failures.retryNotBefore <= now;
 	}
 
-	/** Estimated run time of a task: mean of those finished, else the stated one. Replicas have none: 0. */
-	get estimatedRunS(): number {
-		if (this.isService) return 0;
-		return this.finishedRuns > 0 ? this.finishedSeconds / this.finishedRuns : this.spec.estimatedRunS;
+	/** Takes the next waiting task that needs an attempt; undefined: there is none. */
+	takeWaitingTask(): number | undefined {
+		let taskIndex = this.#waitingTasks.pop();
+		while (taskIndex !== undefined && (this.#doneTasks.has(taskIndex) || this.#attempts.has(taskIndex)))
+			taskIndex = this.#waitingTasks.pop();
+		return taskIndex;
 	}
 
-	/** Failing wherever it goes: tried again now and then, and kept out of the load. A replica is tried all along. */
-	get failsEverywhere(): boolean {
-		if (this.isService || !this.failsOnSeveral) return false;
-		let machines = 0;
-		// What a faulty machine does to a job says nothing of the job.
-		for (const machine of this.failedMachines) if (!machine.health.quarantinedForFailures) machines += 1;
-		return machines >= failsEverywhereFrom || this.consecutiveFailures >= failsEverywhereFailures;
+	/** Attempts that run or may run, by task. */
+	get attempts(): ReadonlyMap<number, Attempt> {
+		return this.#attempts;
 	}
 
-	/** It has failed on more than one machine and succeeded on none since: perhaps the fault is its own. */
-	get failsOnSeveral(): boolean {
-		return this.failedMachines.size > 1;
+	/** The task has an attempt from now on. */
+	addAttempt(attempt: Attempt): void {
+		this.#attempts.set(attempt.taskIndex, attempt);
 	}
 
-	/**
-	 * A task has succeeded on the type. Types on which the job failed on several machines, and never
-	 * succeeded, do not suit it.
-	 */
-	noteSuccess(type: string): void {
-		this.provenTypes.add(type);
-		this.unfitTypes.delete(type);
-		const failures = new Map<string, number>();
-		for (const { type: failed } of this.failedMachines)
-			failures.set(failed.name, (failures.get(failed.name) ?? 0) + 1);
-		for (const [name, machines] of failures)
-			if (machines >= unfitFrom && !this.provenTypes.has(name)) this.unfitTypes.add(name);
+	/** The task does not wait any more: an attempt of it was found on a machine. */
+	removeWaitingTask(taskIndex: number): void {
+		const at = this.#waitingTasks.indexOf(taskIndex);
+		if (at >= 0) this.#waitingTasks.splice(at, 1);
+	}
+
+	/** The attempt is proved over; false: the task has another one, or none. */
+	removeAttempt(attempt: Attempt): boolean {
+		if (this.#attempts.get(attempt.taskIndex) !== attempt) return false;
+		return this.#attempts.delete(attempt.taskIndex);
+	}
+
+	/** The task waits again after its attempt, unless it is done or the job is over. */
+	requeueTask(taskIndex: number): void {
+		if (!this.over && !this.#doneTasks.has(taskIndex)) this.#waitingTasks.push(taskIndex);
 	}
 
 	/** Tasks that run, or save before they end. */
 	get runningCount(): number {
 		let count = 0;
-		for (const { phase } of this.attempts.values())
+		for (const { phase } of this.#attempts.values())
 			if (phase === "running" || phase === "checkpointing") count += 1;
 		return count;
 	}
 
-	get rank(): number {
-		return priorityRank[this.spec.priority];
+	// --- the end ---
+
+	/** All tasks are done, and the record that ends the job is being written. */
+	get finalizing(): boolean {
+		return this.#stage.kind === "finalizing";
+	}
+
+	/** Steady time at which writing that record was last tried; -Infinity: never. */
+	get finalizingAt(): number {
+		return this.#stage.kind === "finalizing" ? this.#stage.lastTriedAt : Number.NEGATIVE_INFINITY;
+	}
+
+	/** The job has ended in the store: nothing of it may start. */
+	get over(): boolean {
+		return this.#stage.kind === "over";
+	}
+
+	/** The record that ends the job is being written; repeated for every try. Nothing of the job starts any more. */
+	startFinalizing(now: number): void {
+		if (!this.over) this.#stage = { kind: "finalizing", lastTriedAt: now };
+	}
+
+	/** The job has ended in the store, by completion or by cancellation. */
+	end(): void {
+		this.#stage = { kind: "over" };
+		this.#waitingTasks.length = 0;
+	}
+
+	// --- run times ---
+
+	/** Estimated run time of a task: the mean of those finished, else the owner's estimate. Replicas have none: 0. */
+	get estimatedRunS(): number {
+		if (this.isService) return 0;
+		return this.#finishedRuns > 0 ? this.#finishedSeconds / this.#finishedRuns : this.spec.estimatedRunS;
+	}
+
+	/** Runs that have completed under this leader. */
+	get finishedRuns(): number {
+		return this.#finishedRuns;
+	}
+
+	/** A run has completed after so many seconds. */
+	noteRun(seconds: number): void {
+		this.#finishedRuns += 1;
+		this.#finishedSeconds += seconds;
+	}
+
+	// --- placement ---
+
+	/** A machine was reserved for the job's first task, which is done once for each job. */
+	get hadReservation(): boolean {
+		return this.#hadReservation;
+	}
+
+	/** The task that the machine was reserved for has started. */
+	markReservationUsed(): void {
+		this.#hadReservation = true;
+	}
+
+	/** Steady time until which the leader places the job, whoever its team's placer is. */
+	get placedByLeaderUntil(): number {
+		return this.#placedByLeaderUntil;
+	}
+
+	/** The leader places the job until this steady time: the team's placer does not know it. */
+	placeByLeaderUntil(until: number): void {
+		this.#placedByLeaderUntil = until;
 	}
 }
--- a/src/bookkeeping/machine.ts
+++ b/src/bookkeeping/machine.ts
@@ -1,11 +1,11 @@
 /** A rented machine as its leader sees it. Each part of its state has an owner, which alone changes it. */
 
-import type { MachineId } from "../protocol/model/identifiers.js";
+import type { MachineId, TaskId } from "../protocol/model/identifiers.js";
 import type { TaskDemand } from "../protocol/model/job.js";
 import type { MachineType } from "../protocol/model/machine.js";
 import type { AttemptRef } from "../protocol/model/worker.js";
+import type { Attempt } from "./attempt.js";
 import { CapacityLedger } from "./capacity-ledger.js";
-import type { Attempt } from "./job.js";
 import { MachineHealth } from "./machine-health.js";
 import { MachineLifecycle, type MachineOrigin } from "./machine-lifecycle.js";
 import type { QuotaCharge } from "./quota-ledger.js";
@@ -45,8 +45,7 @@
 	readonly health = new MachineHealth();
 	readonly lifecycle: MachineLifecycle;
 	readonly capacity: CapacityLedger;
-	/** Attempts that run here or may do so, by task. */
-	readonly attempts = new Map<string, Attempt>();
+	readonly #attempts = new Map<TaskId, Attempt>();
 	/** Exited attempts that the latest heartbeat lists. */
 	exitedTasks: ExitedTask[] = [];
 	/** Attempts that the latest heartbeat lists and that are not wanted. Owned by the cluster state. */
@@ -65,6 +64,11 @@
 		this.capacity = new CapacityLedger(type);
 	}
 
+	/** Attempts that run here or may do so, by task. */
+	get attempts(): ReadonlyMap<TaskId, Attempt> {
+		return this.#attempts;
+	}
+
 	/** New tasks may be placed here. */
 	get schedulable(): boolean {
 		return this.canStartTasks && this.countsAsCapacity;
@@ -117,16 +121,16 @@
 	}
 
 	/** An attempt was assigned to the machine, or found on it. */
-	hold(key: string, attempt: Attempt): void {
-		this.attempts.set(key, attempt);
+	hold(attempt: Attempt): void {
+		this.#attempts.set(attempt.taskId, attempt);
 		this.capacity.take(attempt.job.spec);
 	}
 
 	/** An attempt is proved gone. */
-	release(key: string, attempt: Attempt): void {
-		if (this.attempts.get(key) !== attempt) return;
-		this.attempts.delete(key);
-		if (this.attempts.size === 0) this.capacity.clear();
+	release(attempt: Attempt): void {
+		if (this.#attempts.get(attempt.taskId) !== attempt) return;
+		this.#attempts.delete(attempt.taskId);
+		if (this.#attempts.size === 0) this.capacity.clear();
 		else this.capacity.giveBack(attempt.job.spec);
 	}
 }
--- a/src/bookkeeping/remaining-work.ts
+++ b/src/bookkeeping/remaining-work.ts
@@ -1,4 +1,4 @@
-import type { Attempt } from "./job.js";
+import type { Attempt } from "./attempt.js";
 
 /** Remaining core seconds of a running task; its percentage is capped at 99. */
 export function remainingOfRunning(cpus: number, elapsedS: number, estimateS: number, capS: number): number {
@@ -12,11 +12,11 @@
 
 /** Core seconds that the attempt has left. */
 export function remainingOfAttempt(
-	attempt: Pick<Attempt, "runningAt" | "job">,
+	attempt: Pick<Attempt, "runningSince" | "job">,
 	now: number,
 	capS: number,
 ): number {
 	const { estimatedRunS: estimateS, spec } = attempt.job;
-	if (attempt.runningAt === null) return remainingOfWaiting(spec.cpus, estimateS, capS);
-	return remainingOfRunning(spec.cpus, (now - attempt.runningAt) / 1000, estimateS, capS);
+	if (attempt.runningSince === null) return remainingOfWaiting(spec.cpus, estimateS, capS);
+	return remainingOfRunning(spec.cpus, (now - attempt.runningSince) / 1000, estimateS, capS);
 }
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -111,7 +111,7 @@
 			if (loadOf(look.work, count) <= highPerCpu * (cpus / count)) break;
 		}
 		if (back.length === 0) return false;
-		this.clusterState.placementDue = true;
+		this.clusterState.requestPlacement();
 		this.log.info({ machines: back }, "draining cancelled");
 		return true;
 	}
@@ -122,7 +122,7 @@
 			if (!machine.lifecycle.draining || !machine.usable) continue;
 			if (!machineAllowed(job.spec, machine) || !machine.capacity.hasRoomFor(job.spec)) continue;
 			machine.lifecycle.cancelDraining();
-			this.clusterState.placementDue = true;
+			this.clusterState.requestPlacement();
 			this.log.info({ machines: [machine.id], job: job.id }, "draining cancelled");
 			return true;
 		}
@@ -136,7 +136,7 @@
 	cancelDrainingForWaiting(now: number): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0 || job.attempts.size > 0) continue;
-			if (now - Math.max(job.loadedAt, job.lastFailureAt) < waitsBesideMarkedMs) continue;
+			if (now - Math.max(job.loadedAt, job.failures.lastAt) < waitsBesideMarkedMs) continue;
 			if (this.clusterState.hasRunnableTask(job, now) && this.cancelDrainingFor(job)) return;
 		}
 	}
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -15,7 +15,7 @@
 	let cpus = 0;
 	let sum = 0;
 	for (const job of clusterState.jobs.values()) {
-		if (job.failsEverywhere || job.isService) continue;
+		if (job.failures.everywhere || job.isService) continue;
 		const share = (job.waitingTasks.length + job.attempts.size) * job.spec.cpus;
 		cpus += share;
 		sum += share * Math.min(job.estimatedRunS, capS);
@@ -37,7 +37,7 @@
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
 		// Work that fails wherever it goes must not rent machines.
-		if (job.failsEverywhere) continue;
+		if (job.failures.everywhere) continue;
 		const { team } = job.spec;
 		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingOfJob(job, now, secondsLeft, climb.cap_s));
 	}
@@ -64,7 +64,7 @@
 export function usableCpus(clusterState: ClusterState): number {
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
-		if (job.failsEverywhere) continue;
+		if (job.failures.everywhere) continue;
 		const tasks = job.waitingTasks.length + job.attempts.size;
 		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + tasks * job.spec.cpus);
 	}
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -202,7 +202,7 @@
 	private waitingByAge(now: number): Job[] {
 		const byDemand = new Map<string, Job>();
 		const before = (a: Job, b: Job) =>
-			a.failsEverywhere === b.failsEverywhere ? a.acceptedAt < b.acceptedAt : b.failsEverywhere;
+			a.failures.everywhere === b.failures.everywhere ? a.acceptedAt < b.acceptedAt : b.failures.everywhere;
 		for (const job of this.clusterState.jobs.values()) {
 			// Replicas have machines rented by themselves, and of no other kind than they need.
 			if (job.isService || !this.clusterState.hasRunnableTask(job, now)) continue;
@@ -219,7 +219,7 @@
 	 */
 	private serveUnheld(look: FleetSnapshot): boolean {
 		for (const job of this.clusterState.jobs.values()) {
-			if (job.waitingTasks.length === 0 || job.retryNotBefore > look.now) continue;
+			if (!job.hasReadyTask(look.now)) continue;
 			if (look.machines.some((m) => couldHold(m, job))) continue;
 			if (this.rentals.pending || this.drain.cancelDrainingFor(job)) return true;
 			if (this.rentFor(job, 0, look) === "asked") return true;
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -76,13 +76,15 @@
 
 	/** Replicas that wait, beyond the room that is up or on its way. */
 	private shortageOfWaiting(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
-		if (job.waitingTasks.length === 0 || job.retryNotBefore > look.now) return null;
+		if (!job.hasReadyTask(look.now)) return null;
 		return shortageOf(job, job.waitingTasks.length, look, room, this.clusterState.tasksByZone(job));
 	}
 
 	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
 	private shortageOfLeaving(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
-		const leaving = [...job.attempts.values()].filter((a) => a.machine.leaving && a.relocateTo === null);
+		const leaving = [...job.attempts.values()].filter(
+			(a) => a.machine.leaving && a.relocationTarget === null,
+		);
 		if (leaving.length === 0) return null;
 		return shortageOf(job, leaving.length, look, room, this.clusterState.tasksByZoneWithout(job, leaving));
 	}
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -1,4 +1,4 @@
-import type { Attempt } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
@@ -32,7 +32,7 @@
 		for (const machine of this.clusterState.machines.values())
 			if (machine.leaving && !machine.agent.leaseExpired) moved.push(...this.moveFrom(machine, now));
 		if (moved.length === 0) return;
-		const replicas = moved.map((a) => `${a.job.id}/${a.taskIndex}`);
+		const replicas = moved.map(({ taskId }) => taskId);
 		this.log.info({ replicas }, "replicas relocating");
 		this.orders.stop(moved);
 	}
@@ -43,10 +43,10 @@
 		for (const attempt of machine.attempts.values()) {
 			const { job } = attempt;
 			if (!job.isService || attempt.stop !== null || attempt.phase === "assigned") continue;
-			if (!takenSoon && [...job.attempts.values()].some((a) => a.relocateTo !== null)) continue;
+			if (!takenSoon && [...job.attempts.values()].some((a) => a.relocationTarget !== null)) continue;
 			const target = this.targetFor(attempt);
 			if (!target) continue;
-			this.clusterState.relocate(attempt, target);
+			attempt.relocateTo(target);
 			moved.push(attempt);
 		}
 		return moved;
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -56,9 +56,9 @@
 		if (now < this.nextProgress) return;
 		this.nextProgress = now + progressEveryMs;
 		for (const job of this.options.jobs()) {
-			if (job.dirtyPages.size === 0 || job.finalizing) continue;
-			for (const page of job.dirtyPages) this.progress.set(pageName(job.id, page), job.doneTasks.page(page));
-			job.dirtyPages.clear();
+			if (job.finalizing) continue;
+			for (const page of job.takeChangedPages())
+				this.progress.set(pageName(job.id, page), job.doneTasks.page(page));
 		}
 		this.progress.flush();
 	}
@@ -66,7 +66,7 @@
 	private confirmed(entries: Map<string, string>): void {
 		for (const [name, bits] of entries) {
 			const { jobId: job, page } = parsePageName(name);
-			this.options.jobOf(job)?.durableDoneTasks.addPage(page, bits);
+			this.options.jobOf(job)?.markPageDurable(page, bits);
 		}
 	}
 
@@ -78,7 +78,6 @@
 
 	finishIfDone(job: Job): void {
 		if (!job.doneTasks.full || job.finalizing || job.over) return;
-		job.finalizing = true;
 		this.writeFinal(job);
 	}
 
@@ -86,7 +85,7 @@
 	writeFinal(job: Job): void {
 		const { options } = this;
 		if (options.ended() || job.over) return;
-		job.finalizingAt = options.time.now();
+		job.startFinalizing(options.time.now());
 		const { spec } = job;
 		const final: FinalJobRecord = {
 			status: "done",
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -333,12 +333,7 @@
 
 	private loadJob(id: string, { value: { spec, acceptedAt: at }, revision }: Versioned<JobRecord>): void {
 		const job = this.clusterState.addJob(id, spec, at, revision);
-		for (const [page, bits] of this.storeCopy.pagesOf(id)) {
-			job.doneTasks.addPage(page, bits);
-			job.durableDoneTasks.addPage(page, bits);
-		}
-		job.loadedAt = this.ports.clock.now();
-		job.resetWaitingTasks();
+		job.load(this.storeCopy.pagesOf(id), this.ports.clock.now());
 		const { jobClass, team, taskCount: tasks, estimatedRunS, deadlineS } = spec;
 		this.ports.log.debug({ job: id, jobClass, team, tasks, estimatedRunS, dueS: deadlineS }, "job loaded");
 		this.completion.finishIfDone(job);
@@ -385,7 +380,7 @@
 			const machine = this.clusterState.machines.get(id);
 			machine?.lifecycle.markRecorded();
 		}
-		this.clusterState.placementDue = true;
+		this.clusterState.requestPlacement();
 	}
 
 	private machineGone(machine: Machine): void {
@@ -453,7 +448,7 @@
 		this.peerMonitor.tick(now, () => this.runningCounts());
 		this.audit(now);
 		this.teamAdmission?.tick(now);
-		if (this.reports.anyWaiting(now)) this.clusterState.placementDue = true;
+		if (this.reports.anyWaiting(now)) this.clusterState.requestPlacement();
 		this.preemption.tick(now);
 		this.relocation.tick(now);
 		this.maybePlace();
@@ -483,7 +478,7 @@
 		this.clusterState.relocationTargets.clear();
 		if (this.placement.settled) {
 			this.reports.sendAssigned(now);
-			if (!this.clusterState.placementDue) this.reports.releaseWaiting();
+			if (!this.clusterState.placementRequested) this.reports.releaseWaiting();
 		}
 		this.reports.endBatch();
 	}
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -1,4 +1,5 @@
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { couldHold } from "../../bookkeeping/machine-fit.js";
 import { remainingOfAttempt } from "../../bookkeeping/remaining-work.js";
@@ -66,8 +67,8 @@
 		for (const [job, { machine, until }] of this.reservations) {
 			const attempt = this.clusterState.assignNextTask(job, machine);
 			if (attempt) {
-				attempt.preemptionProtectedUntil = now + keptMs;
-				job.hadReservation = true;
+				attempt.protectFromPreemption(now + keptMs);
+				job.markReservationUsed();
 				started.push(attempt);
 				this.log.info({ job: job.id, machine: machine.id }, "reservation used");
 			}
@@ -93,7 +94,7 @@
 	private release(job: Job, machine: Machine): void {
 		this.reservations.delete(job);
 		machine.capacity.cancelJobReservation();
-		this.clusterState.placementDue = true;
+		this.clusterState.requestPlacement();
 	}
 
 	/** The widest first, and of those the oldest. */
@@ -174,6 +175,7 @@
 
 /** Nothing of the job has begun, and nothing but room is in the way. */
 function stillWaits(job: Job): boolean {
-	if (job.hadReservation || job.isService || job.over || job.finalizing || job.failsOnSeveral) return false;
+	if (job.hadReservation || job.isService || job.over || job.finalizing || job.failures.onSeveralMachines)
+		return false;
 	return job.attempts.size === 0 && job.doneTasks.count === 0 && job.waitingTasks.length > 0;
 }
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -1,5 +1,6 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { Grant, MachineCapacity, Placement, PlacementProposal } from "../../protocol/peer/messages.js";
 import type { FailureDetector } from "../leadership/failure-detector.js";
@@ -76,8 +77,8 @@
 
 	/** After each batch of commands. */
 	run(now: number): void {
-		if (!this.clusterState.placementDue || now < this.nextAt) return;
-		this.clusterState.placementDue = false;
+		if (!this.clusterState.placementRequested || now < this.nextAt) return;
+		this.clusterState.clearPlacementRequest();
 		this.nextAt = now + this.options.cycleMs;
 		if (this.clusterState.reconciled) this.place(now);
 	}
@@ -85,7 +86,7 @@
 	/** The process stood still: proposals for tables of before are not waited for, and nobody was silent. */
 	stalled(): void {
 		this.outstanding.clear();
-		this.clusterState.placementDue = true;
+		this.clusterState.requestPlacement();
 	}
 
 	inOrder(jobs: Job[]): Job[] {
@@ -157,7 +158,7 @@
 
 	private grants(views: MachineCapacity[], now: number): TeamGrant[] {
 		const waiting = [...this.clusterState.jobs.values()].filter(
-			(job) => job.waitingTasks.length > 0 && job.retryNotBefore <= now && !job.finalizing,
+			(job) => job.hasReadyTask(now) && !job.finalizing,
 		);
 		return grantsFor(this.clusterState, this.inOrder(waiting), views, {
 			now,
@@ -219,10 +220,10 @@
 		// A placer that lags behind, or has missed a job, must not keep it from starting.
 		for (const id of proposal.unknownJobs) {
 			const job = this.clusterState.jobs.get(id);
-			this.clusterState.placementDue = true;
+			this.clusterState.requestPlacement();
 			// What the placer may admit would have to come here first: a copy that only lags is given time.
 			const lags = job !== undefined && quota?.admission.on === true && now - job.loadedAt < copyLagMs;
-			if (job && !lags) job.placedByLeaderUntil = now + placedHereMs;
+			if (job && !lags) job.placeByLeaderUntil(now + placedHereMs);
 		}
 	}
 
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -1,4 +1,5 @@
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
 import type { FailureDetector } from "../leadership/failure-detector.js";
 import type { Log } from "../ports/log.js";
@@ -152,7 +153,7 @@
 			left.cpus -= cpus;
 			left.gpus -= gpus;
 			if (attempt.stop !== null) continue;
-			attempt.stop = { graceS: checkpointCostS, reason: "the team's limit was lowered" };
+			attempt.requestStop("team limit lowered", checkpointCostS);
 			stopped.push(attempt);
 		}
 		if (stopped.length === 0) return;
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -36,17 +36,14 @@
 		if (victims.length === 0) return;
 		for (const victim of victims) {
 			const { checkpointIntervalS, checkpointCostS } = victim.job.spec;
-			victim.stop = {
-				graceS: checkpointIntervalS > 0 ? graceFactor * checkpointCostS : 0,
-				reason: "preempted",
-			};
+			victim.requestStop("preempted", checkpointIntervalS > 0 ? graceFactor * checkpointCostS : 0);
 		}
-		this.log.debug({ tasks: victims.map((v) => `${v.job.id}/${v.taskIndex}`) }, "tasks preempted");
+		this.log.debug({ tasks: victims.map(({ taskId }) => taskId) }, "tasks preempted");
 		this.orders.stop(victims);
 	}
 }
 
 function mayPreempt(job: Job, now: number): boolean {
-	if (job.waitingTasks.length === 0 || job.finalizing || job.failsEverywhere) return false;
-	return job.retryNotBefore <= now && now - job.loadedAt > patienceMs;
+	if (!job.hasReadyTask(now) || job.finalizing || job.failures.everywhere) return false;
+	return now - job.loadedAt > patienceMs;
 }
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -1,4 +1,5 @@
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
 import { type JobSpec, priorityRank } from "../../protocol/model/job.js";
@@ -38,14 +39,14 @@
 /** Core seconds thrown away by stopping the attempt now. */
 export function costOfStopping(attempt: Attempt, now: number): number {
 	const { spec } = attempt.job;
-	if (attempt.runningAt === null) return 0;
-	const elapsedS = (now - attempt.runningAt) / 1000;
+	if (attempt.runningSince === null) return 0;
+	const elapsedS = (now - attempt.runningSince) / 1000;
 	const lost = spec.checkpointIntervalS > 0 ? Math.min(elapsedS, spec.checkpointCostS) : elapsedS;
 	return lost * spec.cpus;
 }
 
 function stoppable(attempt: Attempt, now: number): boolean {
-	if (attempt.preemptionProtectedUntil !== undefined && now < attempt.preemptionProtectedUntil) return false;
+	if (attempt.protectedFromPreemption(now)) return false;
 	// A replica that was stopped would only be started elsewhere.
 	return (
 		attempt.stop === null &&
@@ -57,8 +58,8 @@
 
 /** Work mostly done is not thrown away. */
 function cheapToStop(attempt: Attempt, now: number): boolean {
-	if (attempt.runningAt === null || attempt.job.spec.checkpointIntervalS > 0) return true;
-	return now - attempt.runningAt < 0.5 * attempt.job.estimatedRunS * 1000;
+	if (attempt.runningSince === null || attempt.job.spec.checkpointIntervalS > 0) return true;
+	return now - attempt.runningSince < 0.5 * attempt.job.estimatedRunS * 1000;
 }
 
 function beyondGuarantee(clusterState: ClusterState, team: string, freedCpus: number): boolean {
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -1,9 +1,8 @@
-import type { Attempt } from "../../bookkeeping/job.js";
+import { Attempt } from "../../bookkeeping/attempt.js";
 import { Job } from "../../bookkeeping/job.js";
 import type { Machine, OrphanedTask } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
 import { QuotaLedger } from "../../bookkeeping/quota-ledger.js";
-import { tasksPerPage } from "../../bookkeeping/task-set.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec, TaskDemand } from "../../protocol/model/job.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
@@ -14,10 +13,6 @@
 /** Attempts of one epoch; beyond them the leader must get itself a new epoch. */
 export const attemptsPerTerm = 2 ** 22;
 
-export function taskKey(job: string, index: number): string {
-	return `${job}/${index}`;
-}
-
 /**
  * What a leader knows of jobs, machines and attempts. Every start is decided
  * here, whoever proposed it, and nothing leaves the quotas before it is proved over.
@@ -27,8 +22,7 @@
 	readonly machines = new Map<string, Machine>();
 	readonly quotas: QuotaLedger;
 	private counter = 0;
-	/** Something has happened that may let a task start. */
-	placementDue = false;
+	#placementRequested = false;
 	/** Machines that may hold tasks of an earlier leader and have not been heard. */
 	private readonly unreconciled = new Set<Machine>();
 	/** Machines for which starts were decided apart from placing. */
@@ -50,6 +44,21 @@
 		this.quotas = new QuotaLedger(teams);
 	}
 
+	/** Something has happened since the last placement that may let a task start. */
+	get placementRequested(): boolean {
+		return this.#placementRequested;
+	}
+
+	/** Something has happened that may let a task start. */
+	requestPlacement(): void {
+		this.#placementRequested = true;
+	}
+
+	/** A placement begins, which goes by all that has happened until now. */
+	clearPlacementRequest(): void {
+		this.#placementRequested = false;
+	}
+
 	get attemptNumbersExhausted(): boolean {
 		return this.counter >= attemptsPerTerm - 1;
 	}
@@ -67,10 +76,10 @@
 		this.admission = admission;
 		for (const machine of this.machines.values()) {
 			for (const attempt of machine.attempts.values())
-				attempt.charge = admission.chargeFound(taskDemandOf(attempt.job.spec));
+				attempt.setCharge(admission.chargeFound(taskDemandOf(attempt.job.spec)));
 			for (const task of machine.orphans) if (task.demand) task.charge = admission.chargeFound(task.demand);
 		}
-		this.placementDue = true;
+		this.requestPlacement();
 	}
 
 	/**
@@ -94,7 +103,7 @@
 	}
 
 	private count(machine: Machine, demand: TaskDemand | null, sign: 1 | -1): void {
-		this.placementDue = true;
+		this.requestPlacement();
 		if (demand && sign > 0) this.quotas.take(demand);
 		else if (demand) this.quotas.giveBack(demand);
 		else {
@@ -145,7 +154,7 @@
 	addJob(id: string, spec: JobSpec, at: number, revision: number): Job {
 		const job = new Job(id, spec, at, revision);
 		this.jobs.set(id, job);
-		this.placementDue = true;
+		this.requestPlacement();
 		return job;
 	}
 
@@ -179,18 +188,19 @@
 
 	/** Its tasks wait, and one of them may run now as far as its team's limit goes. */
 	hasRunnableTask(job: Job, now: number): boolean {
-		return job.waitingTasks.length > 0 && job.retryNotBefore <= now && this.quotas.fitsLimit(job.spec);
+		return job.hasReadyTask(now) && this.quotas.fitsLimit(job.spec);
 	}
 
 	/** `admittedBy`: whose allotment it counts against; null: it was found, and nobody knows. */
 	private register(attempt: Attempt, admittedBy: string | null): void {
-		const { job, machine, taskIndex: index } = attempt;
+		const { job, machine } = attempt;
 		const demand = taskDemandOf(job.spec);
 		if (this.admission)
-			attempt.charge =
-				admittedBy === null ? this.admission.chargeFound(demand) : this.admission.charge(demand, admittedBy);
-		job.attempts.set(index, attempt);
-		machine.hold(taskKey(job.id, index), attempt);
+			attempt.setCharge(
+				admittedBy === null ? this.admission.chargeFound(demand) : this.admission.charge(demand, admittedBy),
+			);
+		job.addAttempt(attempt);
+		machine.hold(attempt);
 		this.quotas.take(job.spec);
 	}
 
@@ -221,96 +231,55 @@
 	assignNextTask(job: Job, machine: Machine, admittedBy = this.admission?.self ?? ""): Attempt | null {
 		if (job.waitingTasks.length === 0 || this.assignmentRefusal(job, machine, admittedBy) !== null)
 			return null;
-		let index = job.waitingTasks.pop() as number;
-		while (job.doneTasks.has(index) || job.attempts.has(index)) {
-			const next = job.waitingTasks.pop();
-			if (next === undefined) return null;
-			index = next;
-		}
-		const attempt: Attempt = {
-			job,
-			taskIndex: index,
-			number: this.nextAttempt(),
-			machine,
-			phase: "assigned",
-			relocateTo: null,
-			runningAt: null,
-			stop: null,
-			charge: null,
-		};
+		const taskIndex = job.takeWaitingTask();
+		if (taskIndex === undefined) return null;
+		const attempt = new Attempt({ job, taskIndex, number: this.nextAttempt(), machine, phase: "assigned" });
 		this.register(attempt, admittedBy);
 		return attempt;
 	}
 
 	/** Takes over an attempt of an earlier leader that a worker has listed. */
-	adoptAttempt(job: Job, index: number, number: number, machine: Machine): Attempt {
-		const attempt: Attempt = {
-			job,
-			taskIndex: index,
-			number,
-			machine,
-			phase: "sent",
-			relocateTo: null,
-			runningAt: null,
-			stop: null,
-			charge: null,
-		};
-		const at = job.waitingTasks.indexOf(index);
-		if (at >= 0) job.waitingTasks.splice(at, 1);
+	adoptAttempt(job: Job, taskIndex: number, number: number, machine: Machine): Attempt {
+		const attempt = new Attempt({ job, taskIndex, number, machine, phase: "sent" });
+		job.removeWaitingTask(taskIndex);
 		this.register(attempt, null);
 		return attempt;
 	}
 
 	/** The attempt is proved over: it frees its place, and the task waits again unless done. */
 	endAttempt(attempt: Attempt): void {
-		const { job, machine, taskIndex: index } = attempt;
-		if (job.attempts.get(index) !== attempt) return;
-		job.attempts.delete(index);
-		machine.release(taskKey(job.id, index), attempt);
+		const { job, machine } = attempt;
+		if (!job.removeAttempt(attempt)) return;
+		machine.release(attempt);
 		this.quotas.giveBack(job.spec);
 		const admittedBy = attempt.charge?.node;
 		if (attempt.charge) this.admission?.release(attempt.charge);
-		if (!job.over && !job.doneTasks.has(index)) job.waitingTasks.push(index);
-		this.placementDue = true;
-		const to = attempt.relocateTo;
+		job.requeueTask(attempt.taskIndex);
+		this.requestPlacement();
+		const to = attempt.endRelocation();
 		if (to === null) return;
-		to.capacity.releaseReplicaReservation(job.spec);
-		attempt.relocateTo = null;
 		// It goes where room was kept for it, before anything else is placed.
 		// Its holder has not been told of the end: the place in the allotment is still the replica's.
 		if (!job.over && this.assignNextTask(job, to, admittedBy)) this.relocationTargets.add(to);
 	}
 
-	/** The replica's next attempt is to be on the other machine; its end here is asked for first. */
-	relocate(attempt: Attempt, to: Machine): void {
-		attempt.relocateTo = to;
-		to.capacity.reserveForReplica(attempt.job.spec);
-		attempt.stop = { graceS: attempt.job.spec.checkpointCostS, reason: "moved" };
-	}
-
 	markTaskDone(job: Job, index: number): void {
-		// Whatever a replica reports, it runs again.
-		if (job.isService) return;
-		if (job.doneTasks.add(index)) {
-			job.dirtyPages.add(Math.floor(index / tasksPerPage));
-			this.placementDue = true;
-		}
+		if (job.markTaskDone(index)) this.requestPlacement();
 	}
 
 	/** The job has ended in the store: nothing of it may start, and what runs is not wanted. */
 	removeJob(job: Job): Attempt[] {
-		job.over = true;
-		job.waitingTasks.length = 0;
+		job.end();
 		this.jobs.delete(job.id);
 		const still: Attempt[] = [];
 		for (const attempt of [...job.attempts.values()]) {
 			if (attempt.phase === "assigned") this.endAttempt(attempt);
 			else {
-				attempt.stop = { graceS: 0, reason: "job is over" };
+				attempt.requestStop("job over", 0);
 				still.push(attempt);
 			}
 		}
-		this.placementDue = true;
+		this.requestPlacement();
 		return still;
 	}
 
@@ -333,7 +302,7 @@
 	removeMachine(machine: Machine): number {
 		const n = this.clearMachine(machine);
 		this.machines.delete(machine.id);
-		this.placementDue = true;
+		this.requestPlacement();
 		return n;
 	}
 }
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -1,4 +1,4 @@
-import type { Attempt } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { WorkerCommand } from "../../protocol/model/worker.js";
 import type { Log } from "../ports/log.js";
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -1,4 +1,5 @@
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { isMuchSlower } from "../../bookkeeping/machine-health.js";
 import type { Log } from "../ports/log.js";
@@ -25,8 +26,11 @@
 }
 
 /** With few machines in all the count of failures stands for that of machines, up to a few seconds. */
-function failureSteps({ failedMachines: failedOn, consecutiveFailures: failuresInRow }: Job): number {
-	return Math.max(failedOn.size, Math.min(mostStepsByFailures, Math.floor(Math.log2(failuresInRow))));
+function failureSteps({ failures }: Job): number {
+	return Math.max(
+		failures.machines.size,
+		Math.min(mostStepsByFailures, Math.floor(Math.log2(failures.consecutive))),
+	);
 }
 
 function pauseMs({ firstMs, mostDoublings, mostMs }: Pause, doublings: number): number {
@@ -47,18 +51,16 @@
 		else if (cause === "error" || cause === "unknown") this.failed(attempt, cause, now);
 	}
 
-	private succeeded({ job, machine, runningAt }: Attempt, now: number): void {
-		if (runningAt !== null) this.recordRun(job, machine, (now - runningAt) / 1000, now);
+	private succeeded({ job, machine, runningSince }: Attempt, now: number): void {
+		if (runningSince !== null) this.recordRun(job, machine, (now - runningSince) / 1000, now);
 		machine.health.clearProbation();
 		machine.health.failedJobs.clear();
-		job.noteSuccess(machine.type.name);
+		job.failures.noteSuccess(machine.type.name);
 		// The job is sound, so what failed before was the machines' fault, unless it does not suit their type.
-		const failedOn = [...job.failedMachines].filter(({ type }) => !job.unfitTypes.has(type.name));
-		for (const other of job.failedMachines)
-			if (job.unfitTypes.has(other.type.name)) other.health.failedJobs.delete(job);
-		job.failedMachines.clear();
-		job.consecutiveFailures = 0;
-		job.retryNotBefore = 0;
+		const failedOn = [...job.failures.machines].filter(({ type }) => !job.failures.unfitTypes.has(type.name));
+		for (const other of job.failures.machines)
+			if (job.failures.unfitTypes.has(other.type.name)) other.health.failedJobs.delete(job);
+		job.failures.clear();
 		for (const other of failedOn) this.judge(other, now);
 	}
 
@@ -69,26 +71,24 @@
 			machine.health.quarantine("slow", now);
 			this.log.info({ machine: machine.id, ratio: machine.health.slowdown }, "machine quarantined: slow");
 		}
-		job.finishedRuns += 1;
-		job.finishedSeconds += seconds;
+		job.noteRun(seconds);
 	}
 
 	private failed(attempt: Attempt, cause: "error" | "unknown", now: number): void {
 		const { job, machine, taskIndex: index } = attempt;
 		this.log.info({ machine: machine.id, job: job.id, task: index, cause }, "task failed");
 		// One that ran for long and failed says little of where it starts next.
-		const ranWell = attempt.runningAt !== null && now - attempt.runningAt > steadyMs;
-		if (job.isService && ranWell) job.failedMachines.clear();
-		job.failedMachines.add(machine);
-		job.consecutiveFailures += 1;
-		job.lastFailureAt = now;
-		if (job.isService) job.retryNotBefore = now + pauseMs(replicaPause, job.failedMachines.size);
+		const ranWell = attempt.runningSince !== null && now - attempt.runningSince > steadyMs;
+		if (job.isService && ranWell) job.failures.forgetMachines();
+		job.failures.noteFailure(machine, now);
+		if (job.isService) job.failures.pauseUntil(now + pauseMs(replicaPause, job.failures.machines.size));
 		// Perhaps it fails everywhere: tried again with growing pauses.
-		else if (job.failsOnSeveral) job.retryNotBefore = now + pauseMs(failsOnSeveralPause, failureSteps(job));
-		if (cause !== "error" || job.unfitTypes.has(machine.type.name)) return;
+		else if (job.failures.onSeveralMachines)
+			job.failures.pauseUntil(now + pauseMs(failsOnSeveralPause, failureSteps(job)));
+		if (cause !== "error" || job.failures.unfitTypes.has(machine.type.name)) return;
 		machine.health.failedJobs.add(job);
 		// Whatever was held against the others for this job may now be the job's fault.
-		if (job.failedMachines.size > 1) this.acquit(job);
+		if (job.failures.machines.size > 1) this.acquit(job);
 		else machine.health.startProbation(now);
 		this.judge(machine, now);
 	}
@@ -101,7 +101,7 @@
 	private evidenceAgainst(machine: Machine): number {
 		let evidence = 0;
 		for (const job of machine.health.failedJobs) {
-			const elsewhere = [...job.failedMachines].some((other) => other !== machine);
+			const elsewhere = [...job.failures.machines].some((other) => other !== machine);
 			if (!elsewhere) evidence += job.doneTasks.count > 0 ? 1 : unprovenJobWeight;
 		}
 		return evidence;
@@ -115,7 +115,7 @@
 
 	/** The job has failed on several machines: those against which nothing else stands are not to blame. */
 	private acquit(job: Job): void {
-		for (const machine of job.failedMachines) {
+		for (const machine of job.failures.machines) {
 			const evidence = this.evidenceAgainst(machine);
 			if (evidence === 0) machine.health.clearProbation();
 			if (
@@ -125,7 +125,7 @@
 			)
 				continue;
 			machine.health.release();
-			this.clusterState.placementDue = true;
+			this.clusterState.requestPlacement();
 			this.log.info({ machine: machine.id, job: job.id }, "machine released from quarantine");
 		}
 	}
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -1,7 +1,9 @@
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import { type ExitedTask, Machine } from "../../bookkeeping/machine.js";
+import { taskIdOf } from "../../protocol/model/identifiers.js";
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
-import { type ClusterState, taskKey } from "../state/cluster-state.js";
+import type { ClusterState } from "../state/cluster-state.js";
 
 /** What a report tells about jobs and machines, for those who log and decide on it. */
 export interface AttemptOutcome {
@@ -101,7 +103,7 @@
 	if (report.fencingToken !== clusterState.term || machine.agent.fenced) return;
 	machine.agent.fencingConfirmed();
 	clusterState.markReconciled(machine);
-	clusterState.placementDue = true;
+	clusterState.requestPlacement();
 }
 
 /** What the tasks that a report lists tell. */
@@ -131,7 +133,7 @@
 	machine.exitedTasks = [];
 	clusterState.clearOrphans(machine);
 	for (const task of tasks) {
-		const key = taskKey(task.jobId, task.taskIndex);
+		const key = taskIdOf(task.jobId, task.taskIndex);
 		const attempt = machine.attempts.get(key);
 		if (attempt?.number === task.attempt) {
 			listing.listed.add(key);
@@ -205,7 +207,7 @@
 		const startLost = attempt.phase === "sent" && !newSession && attempt.stop === null;
 		// The answer with the start was lost; it is sent again with the same number, or,
 		// where answers do not arrive at all, given up: it can no longer be carried out.
-		if (startLost && !unreachable) attempt.phase = "assigned";
+		if (startLost && !unreachable) attempt.markStartLost();
 		else clusterState.endAttempt(attempt);
 		if (!startLost) vanished.push(attempt);
 	}
@@ -228,15 +230,13 @@
 	const other = job.attempts.get(index);
 	if (!other) return;
 	if (other.phase === "assigned") clusterState.endAttempt(other);
-	else other.stop = { graceS: 0, reason: "task is done" };
+	else other.requestStop("task done", 0);
 }
 
 /** True if it is reported running for the first time. */
 function progress(attempt: Attempt, task: TaskStatus, now: number): boolean {
 	if (task.state === "exited") return false;
-	attempt.phase = task.state;
-	if (task.state !== "running" || attempt.runningAt !== null) return false;
-	attempt.runningAt = now;
+	if (!attempt.noteState(task.state, now)) return false;
 	attempt.machine.capacity.noteImage(attempt.job.spec.image);
 	return true;
 }
@@ -302,7 +302,7 @@
 			if (!machine.acceptsAssignedStarts || attempt.stop !== null || job.over)
 				clusterState.endAttempt(attempt);
 			else {
-				attempt.phase = "sent";
+				attempt.markSent();
 				starts.push({ kind: "start", jobId: job.id, taskIndex: index, attempt: number });
 			}
 		} else if (attempt.stop !== null) {
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -1,4 +1,5 @@
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { Clock } from "../ports/clock.js";
@@ -86,7 +87,7 @@
 		// Freed places are filled in the same answer: the next one is a report interval away.
 		// A machine without tasks has nothing to report meanwhile and is answered when work comes.
 		const holdMs = idle ? Math.min(idleHoldMs, reportS * 1000 * idleHoldPart) : answerHoldMs;
-		if (waiting) clusterState.placementDue = true;
+		if (waiting) clusterState.requestPlacement();
 		return this.held.hold(machine.id, now + holdMs, idle);
 	}
 
@@ -134,9 +135,7 @@
 
 	/** Looked up once a batch, however many reports it holds. */
 	anyWaiting(now: number): boolean {
-		this.waitingNow ??= [...this.options.clusterState.jobs.values()].some(
-			(job) => job.waitingTasks.length > 0 && job.retryNotBefore <= now,
-		);
+		this.waitingNow ??= [...this.options.clusterState.jobs.values()].some((job) => job.hasReadyTask(now));
 		return this.waitingNow;
 	}
 
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -1,11 +1,9 @@
-import type { Attempt } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 
 /** A task is given up on a machine about to be taken if it needs this many times what is left. */
 const needsTooLongFactor = 1.3;
 
-const why = "machine is taken";
-
 /**
  * On a machine that will be taken away, a task that can save is stopped in time for that. One
  * that cannot save and will hardly finish is stopped at once: its work is lost in any case, and
@@ -22,16 +20,16 @@
 		if (attempt.stop !== null || phase === "assigned" || job.isService) continue;
 		if (job.spec.checkpointIntervalS > 0 && phase === "running") {
 			// It goes out with the answer to a report, the next or the one after.
-			if (leftS <= job.spec.checkpointCostS + 2 * reportS) attempt.stop = { graceS: leftS, reason: why };
+			if (leftS <= job.spec.checkpointCostS + 2 * reportS) attempt.requestStop("spot reclaim", leftS);
 		} else if (secondsNeeded(attempt, now) > leftS * needsTooLongFactor) {
-			attempt.stop = { graceS: 0, reason: why };
+			attempt.requestStop("spot reclaim", 0);
 			atOnce.push(attempt);
 		}
 	}
 	return atOnce;
 }
 
-function secondsNeeded({ job, runningAt }: Attempt, now: number): number {
-	const elapsedS = runningAt === null ? 0 : (now - runningAt) / 1000;
+function secondsNeeded({ job, runningSince }: Attempt, now: number): number {
+	const elapsedS = runningSince === null ? 0 : (now - runningSince) / 1000;
 	return job.estimatedRunS - elapsedS;
 }
--- a/src/protocol/model/identifiers.ts
+++ b/src/protocol/model/identifiers.ts
@@ -12,6 +12,9 @@
 /** A job, as its user named it, such as `j-000412`. */
 export type JobId = Flavor<string, "JobId">;
 
+/** A task of a job, such as `j-000412/3`: what log lines and users call it. */
+export type TaskId = Flavor<string, "TaskId">;
+
 /** A rented machine, as the cloud named it, such as `n-000231`. */
 export type MachineId = Flavor<string, "MachineId">;
 
@@ -45,3 +48,8 @@
 export function termOf(revision: Revision): Term {
 	return Number(revision);
 }
+
+/** The id of a job's task, by its index in the job. */
+export function taskIdOf(jobId: JobId, taskIndex: number): TaskId {
+	return `${jobId}/${taskIndex}`;
+}
--- a/tests/coordination/fleet/drain.test.ts
+++ b/tests/coordination/fleet/drain.test.ts
@@ -1,5 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { Attempt } from "../../../src/bookkeeping/attempt.js";
 import type { Machine } from "../../../src/bookkeeping/machine.js";
 import { Fleet } from "../../../src/coordination/fleet/fleet.js";
 import { defaultOperator } from "../../../src/protocol/settings/operator.js";
@@ -17,7 +18,7 @@
 	// What runs is nearly done, so that the load lies between the marks and the counters do nothing.
 	for (const machine of [...clusterState.machines.values()].slice(1)) {
 		const attempt = clusterState.assignNextTask(busy, machine);
-		if (attempt) attempt.runningAt = -1e6;
+		if (attempt) attempt.noteState("running", -1e6);
 	}
 	first.lifecycle.startDraining();
 	const waits = clusterState.addJob(
@@ -45,17 +46,9 @@
 		log: silentLog,
 	});
 	// Held: its one task runs, so nothing returns it while it is marked.
-	first.hold("j-9/0", {
-		job: busy,
-		taskIndex: 99,
-		number: 1,
-		machine: first,
-		phase: "running",
-		relocateTo: null,
-		runningAt: 0,
-		stop: null,
-		charge: null,
-	});
+	const running = new Attempt({ job: busy, taskIndex: 99, number: 1, machine: first, phase: "sent" });
+	running.noteState("running", 0);
+	first.hold(running);
 	first.capacity.clear();
 	const run = async (ms: number) => {
 		for (let t = 0; t < ms; t += 500) {
--- a/tests/coordination/placement/starvation.test.ts
+++ b/tests/coordination/placement/starvation.test.ts
@@ -35,7 +35,7 @@
 				if (!entry) continue;
 				entry.left -= 1;
 				entry.began ??= s;
-				entry.job.doneTasks.add(entry.left);
+				entry.job.markTaskDone(entry.left);
 				free[slot] = s + 10;
 			}
 		}
@@ -93,7 +93,7 @@
 			if (n <= 0) return;
 			entry.left -= n;
 			entry.began ??= s;
-			for (let i = 0; i < n; i++) job.doneTasks.add(entry.left + i);
+			for (let i = 0; i < n; i++) job.markTaskDone(entry.left + i);
 			free -= n;
 			used.set(team, (used.get(team) ?? 0) + n);
 			const at = ends.get(s + 18) ?? new Map<string, number>();
--- a/tests/coordination/preemption/preemption-planner.test.ts
+++ b/tests/coordination/preemption/preemption-planner.test.ts
@@ -25,7 +25,7 @@
 	batch.resetWaitingTasks();
 	for (const machine of clusterState.machines.values()) {
 		const attempt = clusterState.assignNextTask(batch, machine);
-		if (attempt) Object.assign(attempt, { phase: "running", runningAt: 0 });
+		if (attempt) attempt.noteState("running", 0);
 	}
 	const live = clusterState.addJob(
 		"j-2",
@@ -56,8 +56,7 @@
 		for (;;) {
 			const attempt = clusterState.assignNextTask(job, machine);
 			if (!attempt) break;
-			attempt.phase = "running";
-			attempt.runningAt = since;
+			attempt.noteState("running", since);
 		}
 	}
 	return job;
@@ -75,7 +74,7 @@
 	urgent.resetWaitingTasks();
 	const victims = chooseVictims(clusterState, [urgent], 1000);
 	assert.equal(victims.length, 2);
-	for (const victim of victims) victim.stop = { graceS: 0, reason: "preempted" };
+	for (const victim of victims) victim.requestStop("preempted", 0);
 	assert.equal(chooseVictims(clusterState, [urgent], 1500).length, 0, "what was stopped already is counted");
 });
 
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -1,6 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Attempt, Job } from "../../../src/bookkeeping/job.js";
+import type { Attempt } from "../../../src/bookkeeping/attempt.js";
+import type { Job } from "../../../src/bookkeeping/job.js";
 import { Machine } from "../../../src/bookkeeping/machine.js";
 import { grantsFor } from "../../../src/coordination/placement/grants.js";
 import { capacityOf } from "../../../src/coordination/placement/placement-cycle.js";
@@ -40,7 +41,7 @@
 			`${job.id} starts on ${machine.id}: ${this.clusterState.assignmentRefusal(job, machine)}`,
 		);
 		this.now += 1000;
-		attempt.runningAt = this.now;
+		attempt.noteState("running", this.now);
 		return attempt;
 	}
 
@@ -53,7 +54,7 @@
 	/** Machines that the job would be kept off this long after its last failure. */
 	avoidedBy(job: Job, sinceMs: number): string[] {
 		const views = [...this.clusterState.machines.values()].map(capacityOf);
-		const moment = { now: job.lastFailureAt + sinceMs, date: 0 };
+		const moment = { now: job.failures.lastAt + sinceMs, date: 0 };
 		return grantsFor(this.clusterState, [job], views, moment)[0]?.grant.avoidedMachines ?? [];
 	}
 
@@ -74,10 +75,10 @@
 		assert.equal(machine.health.quarantined, false, machine.id);
 		assert.equal(machine.health.onProbation, false, machine.id);
 	}
-	for (const job of jobs) assert.equal(job.failsEverywhere, true, job.id);
+	for (const job of jobs) assert.equal(job.failures.everywhere, true, job.id);
 	setup.succeeds(jobs[0] as Job, machines[0] as Machine);
-	assert.equal(jobs[0]?.failsEverywhere, false, "one good run clears it");
-	assert.equal(jobs[0]?.retryNotBefore, 0);
+	assert.equal(jobs[0]?.failures.everywhere, false, "one good run clears it");
+	assert.equal(jobs[0]?.failures.retryNotBefore, 0);
 });
 
 test("machines that failed several jobs are set aside once these succeed elsewhere", () => {
@@ -92,7 +93,7 @@
 		[a.health.quarantined, b.health.quarantined, good.health.quarantined],
 		[true, true, false],
 	);
-	assert.equal(first.failsEverywhere, false);
+	assert.equal(first.failures.everywhere, false);
 });
 
 test("a machine that fails jobs which succeeded before is set aside at the second", () => {
@@ -124,7 +125,7 @@
 	const proven = ["j-1", "j-2"].map((id) => setup.job(id));
 	const unlucky = setup.job("j-3");
 	for (const machine of sick) setup.fails(unlucky, machine);
-	assert.equal(unlucky.failsEverywhere, true, "so far nothing speaks for it");
+	assert.equal(unlucky.failures.everywhere, true, "so far nothing speaks for it");
 	for (const job of proven) setup.succeeds(job, good);
 	for (const machine of sick) for (const job of proven) setup.fails(job, machine);
 	for (const job of proven) setup.succeeds(job, good);
@@ -132,7 +133,7 @@
 		sick.map((machine) => machine.health.quarantined),
 		[true, true, true],
 	);
-	assert.equal(unlucky.failsEverywhere, false);
+	assert.equal(unlucky.failures.everywhere, false);
 });
 
 test("jobs that fail on one machine type only cost no machine of it, and keep off it for a while", () => {
@@ -152,11 +153,11 @@
 			);
 	}
 	const [job] = jobs;
-	assert.deepEqual([...job.unfitTypes], ["narrow"]);
+	assert.deepEqual([...job.failures.unfitTypes], ["narrow"]);
 	assert.deepEqual(setup.avoidedBy(job, 1000), ["a", "b", "c"]);
 	assert.deepEqual(setup.avoidedBy(job, 70_000), [], "nothing else may be there, so it is tried again");
 	setup.succeeds(job, unsuited[0] as Machine);
-	assert.equal(job.unfitTypes.size, 0, "one good run there clears the type");
+	assert.equal(job.failures.unfitTypes.size, 0, "one good run there clears the type");
 	setup.fails(jobs[1], unsuited[0] as Machine);
 	assert.equal(unsuited[0]?.health.quarantined, false);
 });
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -101,7 +101,7 @@
 	machine.lifecycle.startDraining();
 	assert.deepEqual(commandsFor(clusterState, machine), [], "a takeover now would lose it");
 	machine.lifecycle.cancelDraining();
-	job.durableDoneTasks.add(0);
+	job.markPageDurable(0, job.doneTasks.page(0));
 	assert.deepEqual(commandsFor(clusterState, machine), [], "the last one is kept as a handle");
 	assert.equal(machine.reminder?.attempt, attempt.number);
 	machine.lifecycle.startDraining();
--- a/tests/service/large-fleets.test.ts
+++ b/tests/service/large-fleets.test.ts
@@ -198,7 +198,7 @@
 				.resetWaitingTasks();
 		}
 		for (let t = 0; t < 20_000 && started < size; t += 200) {
-			clusterState.placementDue = true;
+			clusterState.requestPlacement();
 			cycle.run(time.now());
 			await time.advance(200);
 		}
@@ -277,7 +277,7 @@
 		for (const machine of clusterState.machines.values()) {
 			const attempt = clusterState.assignNextTask(job, machine);
 			assert.ok(attempt);
-			attempt.phase = "running";
+			attempt.noteState("running", 0);
 		}
 		let inFlight = 0;
 		let most = 0;
