--- a/src/bookkeeping/attempt.ts
+++ b/src/bookkeeping/attempt.ts
@@ -138,8 +138,8 @@
 		return target;
 	}
 
-	/** The attempt is charged to an allotment. */
-	setCharge(charge: QuotaCharge): void {
+	/** The attempt is charged to an allotment; null: team quota is not in use. */
+	setCharge(charge: QuotaCharge | null): void {
 		this.#charge = charge;
 	}
 
--- a/src/bookkeeping/machine.ts
+++ b/src/bookkeeping/machine.ts
@@ -1,30 +1,15 @@
 /** A rented machine as its leader sees it. Each part of its state has an owner, which alone changes it. */
 
 import type { MachineId, TaskId } from "../protocol/model/identifiers.js";
-import type { TaskDemand } from "../protocol/model/job.js";
 import type { MachineType } from "../protocol/model/machine.js";
-import type { AttemptRef } from "../protocol/model/worker.js";
 import type { Attempt } from "./attempt.js";
 import { CapacityLedger } from "./capacity-ledger.js";
+import { ExitedTasks } from "./exited-tasks.js";
 import { MachineHealth } from "./machine-health.js";
 import { MachineLifecycle, type MachineOrigin } from "./machine-lifecycle.js";
-import type { QuotaCharge } from "./quota-ledger.js";
+import type { OrphanedTask } from "./orphaned-task.js";
 import { WorkerAgent } from "./worker-agent.js";
 
-/** An attempt that a machine lists though it is not wanted, such as one of a job that was cancelled meanwhile. */
-export interface OrphanedTask extends AttemptRef {
-	/** What it takes of its team's quota; null: not known yet. */
-	demand: TaskDemand | null;
-	/** What it takes of its team's allotments; null: not known, or no allotments are used. */
-	charge: QuotaCharge | null;
-}
-
-/** An exited attempt that a machine still lists. */
-export interface ExitedTask extends AttemptRef {
-	/** The task has completed, so its result must be recorded before the attempt is forgotten. */
-	done: boolean;
-}
-
 /** What is known of a machine from the beginning. */
 export interface MachineDescription {
 	id: MachineId;
@@ -47,11 +32,8 @@
 	readonly capacity: CapacityLedger;
 	readonly #attempts = new Map<TaskId, Attempt>();
 	/** Exited attempts that the latest heartbeat lists. */
-	exitedTasks: ExitedTask[] = [];
-	/** Attempts that the latest heartbeat lists and that are not wanted. Owned by the cluster state. */
-	orphans: OrphanedTask[] = [];
-	/** An exited attempt that was left on the machine: forgetting it makes the worker send a heartbeat. */
-	reminder: AttemptRef | null = null;
+	readonly exitedTasks = new ExitedTasks();
+	#orphans: OrphanedTask[] = [];
 
 	/** @param since Steady time of the request that created it, or since when this leader knows it. */
 	constructor({ id, type, zone, spot, origin }: MachineDescription, since: number) {
@@ -69,6 +51,11 @@
 		return this.#attempts;
 	}
 
+	/** Attempts that the latest heartbeat lists and that nobody wants; each heartbeat makes a new list. */
+	get orphans(): readonly OrphanedTask[] {
+		return this.#orphans;
+	}
+
 	/** New tasks may be placed here. */
 	get schedulable(): boolean {
 		return this.canStartTasks && this.countsAsCapacity;
@@ -120,6 +107,16 @@
 		return this.spot ? this.type.spotPrice : this.type.price;
 	}
 
+	/** The worker lists an attempt that nobody wants. Called by the cluster state, which counts what it uses. */
+	addOrphan(task: OrphanedTask): void {
+		this.#orphans.push(task);
+	}
+
+	/** The orphaned tasks are gone, or listed anew. Called by the cluster state, which counts what they use. */
+	clearOrphans(): void {
+		this.#orphans = [];
+	}
+
 	/** An attempt was assigned to the machine, or found on it. */
 	hold(attempt: Attempt): void {
 		this.#attempts.set(attempt.taskId, attempt);
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -121,7 +121,7 @@
 			{ id: listed.id, type, zone: listed.zone, spot: listed.spot, origin: "listed" },
 			now - listed.ageS * 1000,
 		);
-		this.clusterState.machines.set(machine.id, machine);
+		this.clusterState.addMachine(machine);
 		this.log.info({ machine: listed.id, status: listed.status }, "unknown machine listed");
 		return machine;
 	}
@@ -130,7 +130,7 @@
 	private dropUnlisted(names: Set<string>): void {
 		for (const machine of [...this.clusterState.machines.values()]) {
 			if (machine.lifecycle.onlyListed && !machine.agent.running && !names.has(machine.id))
-				this.clusterState.machines.delete(machine.id);
+				this.clusterState.dropMachine(machine);
 		}
 	}
 }
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -1,6 +1,6 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { tasksByZone, tasksByZoneWithout, zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { StartTimeObjective } from "../../protocol/settings/platform.js";
 import { FreeCapacity, freeBesideReplicas, freeOn } from "../placement/free-capacity.js";
@@ -77,7 +77,7 @@
 	/** Replicas that wait, beyond the room that is up or on its way. */
 	private shortageOfWaiting(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
 		if (!job.hasReadyTask(look.now)) return null;
-		return shortageOf(job, job.waitingTasks.length, look, room, this.clusterState.tasksByZone(job));
+		return shortageOf(job, job.waitingTasks.length, look, room, tasksByZone(job));
 	}
 
 	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
@@ -86,7 +86,7 @@
 			(a) => a.machine.leaving && a.relocationTarget === null,
 		);
 		if (leaving.length === 0) return null;
-		return shortageOf(job, leaving.length, look, room, this.clusterState.tasksByZoneWithout(job, leaving));
+		return shortageOf(job, leaving.length, look, room, tasksByZoneWithout(job, leaving));
 	}
 
 	/**
@@ -177,7 +177,7 @@
 		const room = new FreeCapacity(freeOn);
 		for (const attempt of machine.attempts.values()) {
 			if (!attempt.job.isService) continue;
-			const zones = this.clusterState.tasksByZoneWithout(attempt.job, [attempt]);
+			const zones = tasksByZoneWithout(attempt.job, [attempt]);
 			if (room.take(attempt.job.spec, 1, others, zones) > 0) return false;
 		}
 		return true;
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -1,7 +1,7 @@
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { tasksByZoneWithout, zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "../workers/direct-command-sender.js";
@@ -56,7 +56,7 @@
 	private targetFor(attempt: Attempt): Machine | null {
 		const { job } = attempt;
 		const { spec } = job;
-		const zones = this.clusterState.tasksByZoneWithout(job, [attempt]);
+		const zones = tasksByZoneWithout(job, [attempt]);
 		const beside = new Set([...job.attempts.values()].map((a) => a.machine));
 		let best: Machine | null = null;
 		let bestWorth = -1;
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -196,7 +196,7 @@
 	private expect(id: string, { type, request: { zone, spot } }: Rental, now: number): void {
 		if (this.clusterState.machines.has(id) || this.hooks.isDeleted(id)) return;
 		const machine = new Machine({ id, type, zone, spot, origin: "created" }, now);
-		this.clusterState.machines.set(id, machine);
+		this.clusterState.addMachine(machine);
 	}
 }
 
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -127,10 +127,13 @@
 		this.lateness = new TickDelay(tickMs, this.beganAt);
 		const leaseMs = cluster.workers.lease_s * 1000;
 		const certainMs = leaseMs * (1 + 2 * maxClockDrift) + expiryMarginMs;
-		const types = new Map(options.types.map((type) => [type.name, type]));
-		this.clusterState = new ClusterState(term, cluster.teams, types, certainMs, (job) =>
-			this.storeCopy.demandOf(job),
-		);
+		this.clusterState = new ClusterState({
+			term,
+			teams: cluster.teams,
+			machineTypes: options.types,
+			workerLeaseExpiryMs: certainMs,
+			demandOf: (jobId) => this.storeCopy.demandOf(jobId),
+		});
 		const { clusterState } = this;
 		const { clock: time, log, post } = ports;
 		const active = () => this.active;
@@ -326,7 +329,7 @@
 			{ id, type, zone: record.zone, spot: record.spot, origin: "record" },
 			this.beganAt,
 		);
-		this.clusterState.machines.set(id, machine);
+		this.clusterState.addMachine(machine);
 		machine.agent.endpointLearned(record.endpoint);
 		this.takeover.hide(machine, record.agentEpoch);
 	}
@@ -348,7 +351,7 @@
 
 	/** Prices move, and types may come and go. */
 	typesRefreshed(types: MachineType[]): void {
-		for (const type of types) this.clusterState.machineTypes.set(type.name, type);
+		this.clusterState.updateMachineTypes(types);
 	}
 
 	/** Who receives the machine's reports: another controller, or null for this one. */
@@ -474,8 +477,7 @@
 		if (!this.active) return;
 		const now = this.ports.clock.now();
 		this.placement.run(now);
-		for (const machine of this.clusterState.relocationTargets) this.reports.assign(machine);
-		this.clusterState.relocationTargets.clear();
+		for (const machine of this.clusterState.takeRelocationTargets()) this.reports.assign(machine);
 		if (this.placement.settled) {
 			this.reports.sendAssigned(now);
 			if (!this.clusterState.placementRequested) this.reports.releaseWaiting();
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -1,4 +1,5 @@
 import { Machine, unknownMachineType } from "../../bookkeeping/machine.js";
+import { fencingTokenOf } from "../../protocol/model/identifiers.js";
 import type { WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { Log } from "../ports/log.js";
 import type { WorkerGateway } from "../ports/workers.js";
@@ -99,20 +100,22 @@
 
 	private probe({ machine, session, tries }: Probe): void {
 		if (!this.hooks.active()) return;
-		this.workers.sendCommands(machine.agent.endpoint, this.clusterState.term, session, []).then(
-			({ executed, report }) =>
-				this.hooks.post(() => {
-					if (!this.clusterState.unreconciledMachines.has(machine) || this.hooks.ended()) return;
-					if (executed && report.machineId === machine.id) this.hooks.apply(report);
-					else if (report.fencingToken <= this.clusterState.term && tries > 1) {
-						this.probes.unshift({ machine, session: report.agentEpoch, tries: tries - 1 });
-					}
-				}),
-			() =>
-				this.hooks.post(() => {
-					if (tries > 1 && !this.hooks.ended()) this.probes.push({ machine, session, tries: tries - 1 });
-				}),
-		);
+		this.workers
+			.sendCommands(machine.agent.endpoint, fencingTokenOf(this.clusterState.term), session, [])
+			.then(
+				({ executed, report }) =>
+					this.hooks.post(() => {
+						if (!this.clusterState.unreconciledMachines.has(machine) || this.hooks.ended()) return;
+						if (executed && report.machineId === machine.id) this.hooks.apply(report);
+						else if (report.fencingToken <= this.clusterState.term && tries > 1) {
+							this.probes.unshift({ machine, session: report.agentEpoch, tries: tries - 1 });
+						}
+					}),
+				() =>
+					this.hooks.post(() => {
+						if (tries > 1 && !this.hooks.ended()) this.probes.push({ machine, session, tries: tries - 1 });
+					}),
+			);
 	}
 
 	/**
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -1,5 +1,6 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { QuotaBound } from "../../bookkeeping/quota-ledger.js";
+import { tasksByZone } from "../../bookkeeping/zone-rules.js";
 import type { Grant, MachineCapacity } from "../../protocol/peer/messages.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import { placeableTasks } from "./first-fit.js";
@@ -45,7 +46,7 @@
 	for (const pass of passes) allocation.run(pass);
 	return [...allocation.counts].map(([job, count]) => ({
 		team: job.spec.team,
-		grant: grantOf(clusterState, job, count, views, moment.now),
+		grant: grantOf(job, count, views, moment.now),
 	}));
 }
 
@@ -95,7 +96,7 @@
 		const key = zoneRule ? job.id : job.demandKey;
 		let count = this.usable.get(key);
 		if (count === undefined) {
-			count = placeableTasks(spec, zoneRule ? this.clusterState.tasksByZone(job) : {}, this.views);
+			count = placeableTasks(spec, zoneRule ? tasksByZone(job) : {}, this.views);
 			this.usable.set(key, count);
 		}
 		return count;
@@ -112,19 +113,13 @@
 	return [...new Set([...machines, ...unfit])];
 }
 
-function grantOf(
-	clusterState: ClusterState,
-	job: Job,
-	count: number,
-	views: MachineCapacity[],
-	now: number,
-): Grant {
+function grantOf(job: Job, count: number, views: MachineCapacity[], now: number): Grant {
 	const { spec } = job;
 	return {
 		jobId: job.id,
 		count,
 		avoidedMachines: machinesToAvoid(job, views, now),
-		tasksByZone: spec.singleZone || spec.spreadZones ? clusterState.tasksByZone(job) : {},
+		tasksByZone: spec.singleZone || spec.spreadZones ? tasksByZone(job) : {},
 		...(job.isService && { replicaMachines: [...job.attempts.values()].map((a) => a.machine.id) }),
 	};
 }
--- /dev/null
+++ b/src/coordination/state/attempt-numbers.ts
@@ -0,0 +1,28 @@
+/** Numbers of attempts, which never repeat in the cluster. */
+
+import type { Term } from "../../protocol/model/identifiers.js";
+
+/** Attempts of one term. Numbers stay exact integers for terms below 2^31. */
+export const attemptsPerTerm = 2 ** 22;
+
+/**
+ * Owns the attempt numbers of one term: the term times 2^22 plus a counter. Later terms thus have larger numbers, and
+ * of two attempts of a task that heartbeats list the larger number is the later one ("a late copy that lists an earlier
+ * attempt yields to the later one" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
+ */
+export class AttemptNumbers {
+	#count = 0;
+
+	constructor(private readonly term: Term) {}
+
+	/** The range is used up: the leader must resign, and the next term has a range of its own. */
+	get exhausted(): boolean {
+		return this.#count >= attemptsPerTerm - 1;
+	}
+
+	/** The next number. */
+	next(): number {
+		this.#count += 1;
+		return this.term * attemptsPerTerm + this.#count;
+	}
+}
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -1,49 +1,67 @@
+/** What the leader of a term knows of jobs, machines and attempts, and the only place where it changes. */
+
 import { Attempt } from "../../bookkeeping/attempt.js";
 import { Job } from "../../bookkeeping/job.js";
-import type { Machine, OrphanedTask } from "../../bookkeeping/machine.js";
-import { machineAllowed } from "../../bookkeeping/machine-fit.js";
+import type { Machine } from "../../bookkeeping/machine.js";
 import { QuotaLedger } from "../../bookkeeping/quota-ledger.js";
-import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import type { JobId, MachineId, NodeId, Revision, Term } from "../../protocol/model/identifiers.js";
 import type { JobSpec, TaskDemand } from "../../protocol/model/job.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
 import type { TeamQuota } from "../../protocol/model/team-quota.js";
+import type { AttemptRef } from "../../protocol/model/worker.js";
 import type { AdmissionControl } from "../ports/team-quota.js";
-
-/** Attempts of one epoch; beyond them the leader must get itself a new epoch. */
-export const attemptsPerTerm = 2 ** 22;
+import { type AssignmentReadiness, type AssignmentRefusal, AssignmentRules } from "./assignment-rules.js";
+import { AttemptNumbers } from "./attempt-numbers.js";
+import { OrphanRegistry } from "./orphan-registry.js";
+import { QuotaAccounting } from "./quota-accounting.js";
+
+/** What a cluster state begins with. */
+export interface ClusterStateOptions {
+	term: Term;
+	teams: readonly TeamQuota[];
+	machineTypes: Iterable<MachineType>;
+	/**
+	 * A worker's lease that was renewed longer ago than this, in milliseconds of the steady clock, has certainly
+	 * expired, drift and margin included.
+	 */
+	workerLeaseExpiryMs?: number;
+	/** What a task of a job that is over uses of its team's quota; null: not known. */
+	demandOf?(jobId: JobId): TaskDemand | null;
+}
 
 /**
- * What a leader knows of jobs, machines and attempts. Every start is decided
- * here, whoever proposed it, and nothing leaves the quotas before it is proved over.
+ * Owns the state of one term of leadership. Attempts begin and end here alone, whoever proposes them, so that each
+ * counts against its machine and its team's quota from the decision to start it until it is proved over.
  */
-export class ClusterState {
-	readonly jobs = new Map<string, Job>();
-	readonly machines = new Map<string, Machine>();
+export class ClusterState implements AssignmentReadiness {
+	readonly term: Term;
 	readonly quotas: QuotaLedger;
-	private counter = 0;
+	readonly workerLeaseExpiryMs: number;
+	readonly #accounting: QuotaAccounting;
+	readonly #rules: AssignmentRules;
+	readonly #orphans: OrphanRegistry;
+	readonly #attemptNumbers: AttemptNumbers;
+	readonly #jobs = new Map<JobId, Job>();
+	readonly #machines = new Map<MachineId, Machine>();
+	readonly #machineTypes = new Map<string, MachineType>();
+	readonly #unreconciled = new Set<Machine>();
+	#relocationTargets = new Set<Machine>();
 	#placementRequested = false;
-	/** Machines that may hold tasks of an earlier leader and have not been heard. */
-	private readonly unreconciled = new Set<Machine>();
-	/** Machines for which starts were decided apart from placing. */
-	readonly relocationTargets = new Set<Machine>();
-	/** Beside the leader's own check of limits; null: that alone. */
-	private admission: AdmissionControl | null = null;
-	/** Machines with tasks of jobs of which nothing is known, and how many. */
-	private readonly unknownDemands = new Map<Machine, number>();
-
-	constructor(
-		readonly term: number,
-		teams: TeamQuota[],
-		readonly machineTypes: Map<string, MachineType>,
-		/** A lease renewed this long ago, or earlier, has certainly run out. */
-		readonly workerLeaseExpiryMs = Number.POSITIVE_INFINITY,
-		/** What a task of a job that is over takes; null: not known. */
-		private readonly demandOf: (job: string) => TaskDemand | null = () => null,
-	) {
+
+	constructor({ term, teams, machineTypes, workerLeaseExpiryMs, demandOf }: ClusterStateOptions) {
+		this.term = term;
 		this.quotas = new QuotaLedger(teams);
+		this.#accounting = new QuotaAccounting(this.quotas);
+		this.workerLeaseExpiryMs = workerLeaseExpiryMs ?? Number.POSITIVE_INFINITY;
+		this.#rules = new AssignmentRules(this, this.#accounting);
+		this.#orphans = new OrphanRegistry(this.#accounting, demandOf ?? (() => null));
+		this.#attemptNumbers = new AttemptNumbers(term);
+		this.updateMachineTypes(machineTypes);
 	}
 
+	// --- placement requests ---
+
 	/** Something has happened since the last placement that may let a task start. */
 	get placementRequested(): boolean {
 		return this.#placementRequested;
@@ -59,250 +77,253 @@
 		this.#placementRequested = false;
 	}
 
-	get attemptNumbersExhausted(): boolean {
-		return this.counter >= attemptsPerTerm - 1;
+	// --- jobs ---
+
+	/** Jobs that have not ended in the store, as far as this leader knows, in the order in which it came to know them. */
+	get jobs(): ReadonlyMap<JobId, Job> {
+		return this.#jobs;
 	}
 
 	/**
-	 * Every machine that may hold tasks of an earlier leader has been heard or waited out, and
-	 * it is known whose cores all tasks take that were found.
+	 * A job has become known.
+	 *
+	 * @param acceptedAt Time of day of the submission, in milliseconds.
+	 * @param revision Revision of the job's live record.
 	 */
-	get reconciled(): boolean {
-		return this.unreconciled.size === 0 && this.unknownDemands.size === 0;
+	addJob(id: JobId, spec: JobSpec, acceptedAt: number, revision: Revision): Job {
+		const job = new Job(id, spec, acceptedAt, revision);
+		this.#jobs.set(id, job);
+		this.requestPlacement();
+		return job;
 	}
 
-	/** From now on a task needs an allotment to start; those that may run already are charged to some. */
-	enableAdmission(admission: AdmissionControl): void {
-		this.admission = admission;
-		for (const machine of this.machines.values()) {
-			for (const attempt of machine.attempts.values())
-				attempt.setCharge(admission.chargeFound(taskDemandOf(attempt.job.spec)));
-			for (const task of machine.orphans) if (task.demand) task.charge = admission.chargeFound(task.demand);
+	/**
+	 * The job has ended in the store: nothing of it may start, and what runs is to be stopped.
+	 *
+	 * @returns The attempts that may run. Those whose start was not sent yet are over.
+	 */
+	removeJob(job: Job): Attempt[] {
+		job.end();
+		this.#jobs.delete(job.id);
+		const remaining: Attempt[] = [];
+		for (const attempt of [...job.attempts.values()]) {
+			if (attempt.phase === "assigned") this.endAttempt(attempt);
+			else {
+				attempt.requestStop("job over", 0);
+				remaining.push(attempt);
+			}
 		}
 		this.requestPlacement();
+		return remaining;
 	}
 
-	/**
-	 * A task that nobody wants takes its team's cores until it is proved gone, such as one of a job
-	 * that was cancelled while nobody led. Of a job unknown here anything may be at its limit.
-	 */
-	addOrphan(machine: Machine, task: Omit<OrphanedTask, "demand" | "charge">): void {
-		const spec = this.jobs.get(task.jobId)?.spec;
-		const demand = spec ? taskDemandOf(spec) : this.demandOf(task.jobId);
-		const charge = demand && this.admission ? this.admission.chargeFound(demand) : null;
-		machine.orphans.push({ ...task, demand, charge });
-		this.count(machine, demand, 1);
+	/** A task of the job has completed, under whichever attempt. */
+	markTaskDone(job: Job, taskIndex: number): void {
+		if (job.markTaskDone(taskIndex)) this.requestPlacement();
 	}
 
-	clearOrphans(machine: Machine): void {
-		for (const { demand, charge } of machine.orphans) {
-			this.count(machine, demand, -1);
-			if (charge) this.admission?.release(charge);
-		}
-		machine.orphans = [];
+	/** A task of the job waits, and one of them may run now as far as its team's limit goes. */
+	hasRunnableTask(job: Job, now: number): boolean {
+		return job.hasReadyTask(now) && this.quotas.fitsLimit(job.spec);
+	}
+
+	// --- machine types ---
+
+	/** The types that the cloud offers, by name. */
+	get machineTypes(): ReadonlyMap<string, MachineType> {
+		return this.#machineTypes;
+	}
+
+	/** The cloud names these types now. Types that it no longer names stay known: machines may be of them. */
+	updateMachineTypes(machineTypes: Iterable<MachineType>): void {
+		for (const type of machineTypes) this.#machineTypes.set(type.name, type);
+	}
+
+	// --- machines ---
+
+	/** Machines that may run tasks or be rented, in the order in which this leader came to know them. */
+	get machines(): ReadonlyMap<MachineId, Machine> {
+		return this.#machines;
+	}
+
+	/** CPUs of the machines that take new tasks. */
+	get schedulableCpus(): number {
+		let cpus = 0;
+		for (const machine of this.#machines.values()) if (machine.schedulable) cpus += machine.type.cpus;
+		return cpus;
 	}
 
-	private count(machine: Machine, demand: TaskDemand | null, sign: 1 | -1): void {
+	/** A machine has become known. */
+	addMachine(machine: Machine): void {
+		this.#machines.set(machine.id, machine);
+	}
+
+	/** The machine's deletion is confirmed: it and everything on it is gone. Returns the attempts that were on it. */
+	removeMachine(machine: Machine): number {
+		const attempts = this.clearMachine(machine);
+		this.#machines.delete(machine.id);
 		this.requestPlacement();
-		if (demand && sign > 0) this.quotas.take(demand);
-		else if (demand) this.quotas.giveBack(demand);
-		else {
-			const n = (this.unknownDemands.get(machine) ?? 0) + sign;
-			if (n > 0) this.unknownDemands.set(machine, n);
-			else this.unknownDemands.delete(machine);
-		}
+		return attempts;
 	}
 
-	/** Jobs of tasks of which it is not known what they take. */
-	jobsWithUnknownDemand(): Set<string> {
-		const jobs = new Set<string>();
-		for (const machine of this.unknownDemands.keys())
-			for (const task of machine.orphans) if (task.demand === null) jobs.add(task.jobId);
-		return jobs;
-	}
-
-	/** It has become known what tasks of a job take. */
-	resolveDemand(job: string): void {
-		const demand = this.demandOf(job);
-		if (demand === null) return;
-		for (const machine of [...this.unknownDemands.keys()]) {
-			for (const task of machine.orphans) {
-				if (task.jobId !== job || task.demand !== null) continue;
-				this.count(machine, null, -1);
-				task.demand = demand;
-				task.charge = this.admission?.chargeFound(demand) ?? null;
-				this.count(machine, demand, 1);
-			}
-		}
+	/** A machine that was known from the cloud's list alone is not there: its worker was never heard. */
+	dropMachine(machine: Machine): void {
+		this.#machines.delete(machine.id);
+	}
+
+	/**
+	 * The lease of the machine's worker has certainly expired, so the worker has killed all its tasks. It may come back,
+	 * but only with a later agent epoch. Returns the attempts that were on the machine.
+	 */
+	expireLease(machine: Machine): number {
+		machine.agent.expireLease();
+		return this.clearMachine(machine);
 	}
 
-	/** Asked for every decision of a start, so it is kept and not searched for. */
+	/** Everything on the machine is certainly gone. Returns the attempts that were on it. */
+	private clearMachine(machine: Machine): number {
+		const attempts = [...machine.attempts.values()];
+		for (const attempt of attempts) this.endAttempt(attempt);
+		this.markReconciled(machine);
+		machine.exitedTasks.clear();
+		this.clearOrphans(machine);
+		return attempts.length;
+	}
+
+	// --- reconciliation with the tasks of earlier leaders ---
+
+	/**
+	 * Every machine that may hold tasks of an earlier leader has been heard or waited out, and it is known what all
+	 * orphaned tasks use. Nothing starts before.
+	 */
+	get reconciled(): boolean {
+		return this.#unreconciled.size === 0 && this.#orphans.demandsKnown;
+	}
+
+	/** Machines that may hold tasks of an earlier leader which nobody has listed yet. */
 	get unreconciledMachines(): ReadonlySet<Machine> {
-		return this.unreconciled;
+		return this.#unreconciled;
 	}
 
 	/** The machine may hold tasks that nobody has listed yet. */
 	markUnreconciled(machine: Machine): void {
-		this.unreconciled.add(machine);
+		this.#unreconciled.add(machine);
 	}
 
-	/** All its tasks are listed, or proved gone. */
+	/** All tasks of the machine are listed, or proved gone. */
 	markReconciled(machine: Machine): void {
-		this.unreconciled.delete(machine);
+		this.#unreconciled.delete(machine);
 	}
 
-	addJob(id: string, spec: JobSpec, at: number, revision: number): Job {
-		const job = new Job(id, spec, at, revision);
-		this.jobs.set(id, job);
+	// --- orphaned tasks ---
+
+	/** The machine lists an attempt that is not wanted. It uses its team's quota until it is proved gone. */
+	addOrphan(machine: Machine, ref: AttemptRef): void {
+		const spec = this.#jobs.get(ref.jobId)?.spec;
+		this.#orphans.add(machine, ref, spec ? taskDemandOf(spec) : null);
 		this.requestPlacement();
-		return job;
 	}
 
-	private nextAttempt(): number {
-		this.counter += 1;
-		return this.term * attemptsPerTerm + this.counter;
+	/** The machine's orphaned tasks are gone, or a new heartbeat lists them anew. */
+	clearOrphans(machine: Machine): void {
+		if (this.#orphans.clear(machine)) this.requestPlacement();
 	}
 
-	/** Cores of the machines that take new work. */
-	get schedulableCpus(): number {
-		let cpus = 0;
-		for (const machine of this.machines.values()) if (machine.schedulable) cpus += machine.type.cpus;
-		return cpus;
+	/** Jobs with orphaned tasks of which it is not known what they use. */
+	jobsWithUnknownDemand(): Set<JobId> {
+		return this.#orphans.jobsWithUnknownDemand();
 	}
 
-	/** Tasks of the job that may be anywhere, by zone. */
-	tasksByZone(job: Job): Record<string, number> {
-		const zones: Record<string, number> = {};
-		for (const attempt of job.attempts.values()) {
-			zones[attempt.machine.zone] = (zones[attempt.machine.zone] ?? 0) + 1;
-		}
-		return zones;
+	/** It may have become known what tasks of the job use. */
+	resolveDemand(jobId: JobId): void {
+		if (this.#orphans.resolveDemand(jobId)) this.requestPlacement();
 	}
 
-	/** The same, without attempts that are to leave their machines. */
-	tasksByZoneWithout(job: Job, leaving: readonly Attempt[]): Record<string, number> {
-		const zones = this.tasksByZone(job);
-		for (const { machine } of leaving) zones[machine.zone] = (zones[machine.zone] ?? 1) - 1;
-		return zones;
+	// --- quota ---
+
+	/** From now on a task needs an allotment to start. Those that may run already are charged to some. */
+	enableAdmission(admission: AdmissionControl): void {
+		this.#accounting.enableAdmission(admission);
+		for (const machine of this.#machines.values()) {
+			for (const attempt of machine.attempts.values())
+				attempt.setCharge(this.#accounting.chargeFound(taskDemandOf(attempt.job.spec)));
+			this.#orphans.chargeAll(machine);
+		}
+		this.requestPlacement();
 	}
 
-	/** Its tasks wait, and one of them may run now as far as its team's limit goes. */
-	hasRunnableTask(job: Job, now: number): boolean {
-		return job.hasReadyTask(now) && this.quotas.fitsLimit(job.spec);
+	// --- attempts ---
+
+	/** The attempt numbers of the term are used up: the leader must resign. */
+	get attemptNumbersExhausted(): boolean {
+		return this.#attemptNumbers.exhausted;
 	}
 
-	/** `admittedBy`: whose allotment it counts against; null: it was found, and nobody knows. */
-	private register(attempt: Attempt, admittedBy: string | null): void {
-		const { job, machine } = attempt;
-		const demand = taskDemandOf(job.spec);
-		if (this.admission)
-			attempt.setCharge(
-				admittedBy === null ? this.admission.chargeFound(demand) : this.admission.charge(demand, admittedBy),
-			);
-		job.addAttempt(attempt);
-		machine.hold(attempt);
-		this.quotas.take(job.spec);
-	}
-
-	/** Why one more task of the job may not start on the machine now, or null. */
-	assignmentRefusal(job: Job, machine: Machine, admittedBy = this.admission?.self ?? ""): string | null {
-		const { spec } = job;
-		if (!this.reconciled) return "not rebuilt";
-		if (job.over || job.finalizing) return "job is over";
-		if (!machine.schedulable) return "machine is not open";
-		if (this.attemptNumbersExhausted) return "attempt numbers used up";
-		if (machine.capacity.reservedFor !== null && machine.capacity.reservedFor !== job)
-			return "machine is reserved";
-		if (!machineAllowed(spec, machine)) return "machine not allowed";
-		if (!machine.capacity.hasRoomFor(spec)) return "no room";
-		if (machine.health.onProbation && machine.attempts.size > 0) return "machine is on trial";
-		if (!this.quotas.fitsLimit(spec)) return "team is at its limit";
-		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, this.tasksByZone(job), machine.zone) < 1) {
-			return "zone rule";
-		}
-		if (this.admission && !this.admission.mayStart(taskDemandOf(spec), admittedBy)) return "no allotment";
-		return null;
+	/** Why one more task of the job may not start on the machine now; null: it may. */
+	assignmentRefusal(
+		job: Job,
+		machine: Machine,
+		admittedBy: NodeId = this.#accounting.self,
+	): AssignmentRefusal | null {
+		return this.#rules.refusal(job, machine, admittedBy);
 	}
 
 	/**
-	 * Decides to start the job's next waiting task on the machine, if every rule allows it.
-	 * `admittedBy`: the controller that has admitted it, this one if not said.
+	 * Assigns the job's next waiting task to the machine, if every rule allows it.
+	 *
+	 * @param admittedBy The controller whose allotment the task is charged to, this one if not said; see
+	 *   QuotaAccounting.
+	 * @returns null: a rule forbids it, or no task waits.
 	 */
-	assignNextTask(job: Job, machine: Machine, admittedBy = this.admission?.self ?? ""): Attempt | null {
+	assignNextTask(job: Job, machine: Machine, admittedBy: NodeId = this.#accounting.self): Attempt | null {
 		if (job.waitingTasks.length === 0 || this.assignmentRefusal(job, machine, admittedBy) !== null)
 			return null;
 		const taskIndex = job.takeWaitingTask();
 		if (taskIndex === undefined) return null;
-		const attempt = new Attempt({ job, taskIndex, number: this.nextAttempt(), machine, phase: "assigned" });
-		this.register(attempt, admittedBy);
+		const number = this.#attemptNumbers.next();
+		const attempt = new Attempt({ job, taskIndex, number, machine, phase: "assigned" });
+		attempt.setCharge(this.#accounting.takeAdmitted(job.spec, admittedBy));
+		this.register(attempt);
 		return attempt;
 	}
 
-	/** Takes over an attempt of an earlier leader that a worker has listed. */
+	/** Takes over an attempt of an earlier leader that a worker has listed. It counts whatever the rules say. */
 	adoptAttempt(job: Job, taskIndex: number, number: number, machine: Machine): Attempt {
 		const attempt = new Attempt({ job, taskIndex, number, machine, phase: "sent" });
 		job.removeWaitingTask(taskIndex);
-		this.register(attempt, null);
+		attempt.setCharge(this.#accounting.takeFound(job.spec));
+		this.register(attempt);
 		return attempt;
 	}
 
-	/** The attempt is proved over: it frees its place, and the task waits again unless done. */
+	private register(attempt: Attempt): void {
+		attempt.job.addAttempt(attempt);
+		attempt.machine.hold(attempt);
+	}
+
+	/**
+	 * The attempt is proved over: it uses nothing any more, and its task waits again unless it is done. The next attempt
+	 * of a relocated replica is assigned at once to the machine that was reserved for it.
+	 */
 	endAttempt(attempt: Attempt): void {
-		const { job, machine } = attempt;
+		const { job, machine, charge } = attempt;
 		if (!job.removeAttempt(attempt)) return;
 		machine.release(attempt);
-		this.quotas.giveBack(job.spec);
-		const admittedBy = attempt.charge?.node;
-		if (attempt.charge) this.admission?.release(attempt.charge);
+		const admittedBy = charge?.node;
+		this.#accounting.giveBack(job.spec, charge);
 		job.requeueTask(attempt.taskIndex);
 		this.requestPlacement();
-		const to = attempt.endRelocation();
-		if (to === null) return;
-		// It goes where room was kept for it, before anything else is placed.
-		// Its holder has not been told of the end: the place in the allotment is still the replica's.
-		if (!job.over && this.assignNextTask(job, to, admittedBy)) this.relocationTargets.add(to);
+		const target = attempt.endRelocation();
+		if (target === null || job.over) return;
+		// Before anything else is placed. The controller that holds the allotment has not been told of the end, so the
+		// place in its allotment is still the replica's.
+		if (this.assignNextTask(job, target, admittedBy)) this.#relocationTargets.add(target);
 	}
 
-	markTaskDone(job: Job, index: number): void {
-		if (job.markTaskDone(index)) this.requestPlacement();
-	}
-
-	/** The job has ended in the store: nothing of it may start, and what runs is not wanted. */
-	removeJob(job: Job): Attempt[] {
-		job.end();
-		this.jobs.delete(job.id);
-		const still: Attempt[] = [];
-		for (const attempt of [...job.attempts.values()]) {
-			if (attempt.phase === "assigned") this.endAttempt(attempt);
-			else {
-				attempt.requestStop("job over", 0);
-				still.push(attempt);
-			}
-		}
-		this.requestPlacement();
-		return still;
-	}
-
-	/** Everything on the machine is certainly gone. */
-	clearMachine(machine: Machine): number {
-		const all = [...machine.attempts.values()];
-		for (const attempt of all) this.endAttempt(attempt);
-		this.markReconciled(machine);
-		machine.exitedTasks = [];
-		this.clearOrphans(machine);
-		return all.length;
-	}
-
-	/** Its lease has certainly expired; it may come back, but only with a later session. */
-	expireLease(machine: Machine): number {
-		machine.agent.expireLease();
-		return this.clearMachine(machine);
-	}
-
-	removeMachine(machine: Machine): number {
-		const n = this.clearMachine(machine);
-		this.machines.delete(machine.id);
-		this.requestPlacement();
-		return n;
+	/** Machines to which relocated replicas were assigned since the last call. */
+	takeRelocationTargets(): ReadonlySet<Machine> {
+		const targets = this.#relocationTargets;
+		if (targets.size > 0) this.#relocationTargets = new Set();
+		return targets;
 	}
 }
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -1,6 +1,7 @@
 import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { ExitedTask } from "../../bookkeeping/exited-tasks.js";
 import type { Job } from "../../bookkeeping/job.js";
-import { type ExitedTask, Machine } from "../../bookkeeping/machine.js";
+import { Machine } from "../../bookkeeping/machine.js";
 import { taskIdOf } from "../../protocol/model/identifiers.js";
 import type { TaskStatus, WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { ClusterState } from "../state/cluster-state.js";
@@ -72,7 +73,7 @@
 		{ id: report.machineId, type, zone: report.zone, spot: report.spot, origin: "heartbeat" },
 		now,
 	);
-	clusterState.machines.set(machine.id, machine);
+	clusterState.addMachine(machine);
 	return machine;
 }
 
@@ -130,7 +131,7 @@
 		listed: new Set(),
 		startSeen: false,
 	};
-	machine.exitedTasks = [];
+	machine.exitedTasks.clear();
 	clusterState.clearOrphans(machine);
 	for (const task of tasks) {
 		const key = taskIdOf(task.jobId, task.taskIndex);
@@ -215,7 +216,7 @@
 }
 
 function exited(clusterState: ClusterState, machine: Machine, task: TaskStatus): void {
-	machine.exitedTasks.push({
+	machine.exitedTasks.add({
 		jobId: task.jobId,
 		taskIndex: task.taskIndex,
 		attempt: task.attempt,
@@ -279,8 +280,10 @@
  */
 export function commandsFor(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
 	const orders: WorkerCommand[] = [];
-	const over = machine.exitedTasks.filter((task) => outcomeKept(clusterState, task));
-	machine.reminder = machine.schedulable ? (over.pop() ?? null) : null;
+	const over = machine.exitedTasks.chooseForgettable(
+		(task) => outcomeKept(clusterState, task),
+		machine.schedulable,
+	);
 	for (const task of over) {
 		orders.push({ kind: "forget", jobId: task.jobId, taskIndex: task.taskIndex, attempt: task.attempt });
 	}
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -1,3 +1,4 @@
+import { type FencingToken, fencingTokenOf, type NodeId } from "../../protocol/model/identifiers.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type {
 	ForwardedHeartbeats,
@@ -9,9 +10,12 @@
 import type { PeerMessenger } from "../ports/peers.js";
 import { ForwardedResponseBatches, HeartbeatForwarder } from "./heartbeat-forwarding.js";
 
+/** What a controller tells a worker that has sent a heartbeat. */
 export type HeartbeatResponse =
-	| { kind: "orders"; token: number; orders: WorkerCommand[] }
-	| { kind: "elsewhere"; node: string | null };
+	/** The leader's commands, under its fencing token. */
+	| { kind: "commands"; fencingToken: FencingToken; commands: WorkerCommand[] }
+	/** Another controller receives the worker's heartbeats; null: not known which. */
+	| { kind: "redirect"; node: NodeId | null };
 
 /**
  * A worker that cannot reach the leader tries another node about once in this time: it waits
@@ -79,14 +83,16 @@
 		const active = this.options.active();
 		if (active) {
 			const relay = active.leader.forwarderFor(report.machineId);
-			if (relay !== null) return { kind: "elsewhere", node: relay };
+			if (relay !== null) return { kind: "redirect", node: relay };
 			const orders = await this.answerTo(active, report);
-			return orders ? { kind: "orders", token: active.term, orders } : { kind: "elsewhere", node: null };
+			return orders
+				? { kind: "commands", fencingToken: fencingTokenOf(active.term), commands: orders }
+				: { kind: "redirect", node: null };
 		}
 		const passedOn = this.passOn(report);
 		if (passedOn) return passedOn;
 		this.noteUnexpected(report.machineId, this.options.time.now());
-		return { kind: "elsewhere", node: this.redirectTarget() };
+		return { kind: "redirect", node: this.redirectTarget() };
 	}
 
 	private noteUnexpected(machine: string, now: number): void {
@@ -114,9 +120,9 @@
 		const taken = this.relay.forward(report);
 		if (!taken) return null;
 		return taken.then((orders) => {
-			if (orders) return { kind: "orders", token: term, orders };
+			if (orders) return { kind: "commands", fencingToken: fencingTokenOf(term), commands: orders };
 			// The leader has changed while the worker waits: this is still its latest report.
-			return this.leaderHeard.term > term ? this.handle(report) : { kind: "elsewhere", node: null };
+			return this.leaderHeard.term > term ? this.handle(report) : { kind: "redirect", node: null };
 		});
 	}
 
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -169,10 +169,16 @@
 				this.held.release(machine.id);
 				continue;
 			}
-			const { reminder } = machine;
-			if (reminder === null || lateness.overloaded || now - machine.agent.heartbeatAt > latelyMs) continue;
-			machine.reminder = null;
-			const { jobId, taskIndex, attempt } = reminder;
+			const { exitedTasks } = machine;
+			if (
+				exitedTasks.heartbeatTrigger === null ||
+				lateness.overloaded ||
+				now - machine.agent.heartbeatAt > latelyMs
+			)
+				continue;
+			const trigger = exitedTasks.takeHeartbeatTrigger();
+			if (!trigger) continue;
+			const { jobId, taskIndex, attempt } = trigger;
 			orders.send(machine, [{ kind: "forget", jobId, taskIndex, attempt }]);
 		}
 		this.assigned.clear();
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -1,4 +1,5 @@
-import type { Machine, OrphanedTask } from "../../bookkeeping/machine.js";
+import type { Machine } from "../../bookkeeping/machine.js";
+import type { OrphanedTask } from "../../bookkeeping/orphaned-task.js";
 import type { WorkerCommand } from "../../protocol/model/worker.js";
 import { decodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import { keys } from "../../protocol/records/keys.js";
@@ -36,7 +37,7 @@
 	) {}
 
 	/** Told to stop at once, also where no answer goes: a machine may have been asked straight. */
-	stop(machine: Machine, toldBefore: OrphanedTask[]): void {
+	stop(machine: Machine, toldBefore: readonly OrphanedTask[]): void {
 		const told = new Set(toldBefore.map(nameOf));
 		const stops = machine.orphans
 			.filter((task) => !told.has(nameOf(task)))
--- a/src/transport/public-api.ts
+++ b/src/transport/public-api.ts
@@ -166,8 +166,8 @@
 			const body = chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks);
 			try {
 				service.handleHeartbeat(parseHeartbeat(body.toString("utf8"))).then((result) => {
-					if (result.kind === "elsewhere") answer(421, redirectBody(result.node));
-					else answer(200, heartbeatResponseBody(result.token, result.orders));
+					if (result.kind === "redirect") answer(421, redirectBody(result.node));
+					else answer(200, heartbeatResponseBody(result.fencingToken, result.commands));
 				}, failed);
 			} catch (error) {
 				failed(error);
--- a/tests/coordination/fleet/replica-capacity.test.ts
+++ b/tests/coordination/fleet/replica-capacity.test.ts
@@ -17,7 +17,7 @@
 /** A fleet between tables and a cloud that rents whatever is asked for. */
 class Setup {
 	readonly time = new FakeTime();
-	readonly clusterState = new ClusterState(1, teams, new Map([[type.name, type]]));
+	readonly clusterState = new ClusterState({ term: 1, teams, machineTypes: [type] });
 	readonly requests: ScaleOutRequest[] = [];
 	private readonly fleet: Fleet;
 	private jobs = 0;
@@ -48,7 +48,7 @@
 	machine(id: string, zone: string, spot: boolean): Machine {
 		const machine = new Machine({ id, type, zone, spot, origin: "heartbeat" }, 0);
 		makeSchedulable(machine);
-		this.clusterState.machines.set(id, machine);
+		this.clusterState.addMachine(machine);
 		return machine;
 	}
 
--- a/tests/coordination/placement/starvation.test.ts
+++ b/tests/coordination/placement/starvation.test.ts
@@ -48,11 +48,11 @@
 test("with 1000 machines, 16 teams and a backlog of hundreds of arrays the largest still begin within four minutes", () => {
 	const teams = Array.from({ length: 16 }, (_, i) => `team-${i}`);
 	const quota = { guaranteed: { cpus: 300, gpus: 0 }, limit: { cpus: 800, gpus: 0 } };
-	const clusterState = new ClusterState(
-		1,
-		teams.map((name) => ({ name, ...quota })),
-		new Map(),
-	);
+	const clusterState = new ClusterState({
+		term: 1,
+		teams: teams.map((name) => ({ name, ...quota })),
+		machineTypes: [],
+	});
 	const random = xoroshiro128plus(5);
 	const state = new Map<Job, { left: number; began: number | null }>();
 	const largest: Job[] = [];
--- a/tests/coordination/preemption/preemption-planner.test.ts
+++ b/tests/coordination/preemption/preemption-planner.test.ts
@@ -15,7 +15,7 @@
 		0,
 	);
 	makeSchedulable(ordinary);
-	clusterState.machines.set(ordinary.id, ordinary);
+	clusterState.addMachine(ordinary);
 	const batch = clusterState.addJob(
 		"j-1",
 		specOf("j-1", { taskCount: 40, cpus: 4, estimatedRunS: 100 }),
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -13,18 +13,18 @@
 
 /** Machines with room for everything, and the outcomes of what runs on them. */
 class Setup {
-	readonly clusterState = new ClusterState(
-		1,
-		[{ name: "red", guaranteed: { cpus: 1000, gpus: 0 }, limit: { cpus: 1000, gpus: 0 } }],
-		new Map([[mediumType.name, mediumType]]),
-	);
+	readonly clusterState = new ClusterState({
+		term: 1,
+		teams: [{ name: "red", guaranteed: { cpus: 1000, gpus: 0 }, limit: { cpus: 1000, gpus: 0 } }],
+		machineTypes: [mediumType],
+	});
 	private readonly outcomes = new FaultAttribution(this.clusterState, 2, silentLog);
 	private now = 0;
 
 	machine(id: string, type = mediumType): Machine {
 		const machine = new Machine({ id, type, zone: "a", spot: true, origin: "heartbeat" }, 0);
 		makeSchedulable(machine);
-		this.clusterState.machines.set(id, machine);
+		this.clusterState.addMachine(machine);
 		return machine;
 	}
 
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -103,7 +103,7 @@
 	machine.lifecycle.cancelDraining();
 	job.markPageDurable(0, job.doneTasks.page(0));
 	assert.deepEqual(commandsFor(clusterState, machine), [], "the last one is kept as a handle");
-	assert.equal(machine.reminder?.attempt, attempt.number);
+	assert.equal(machine.exitedTasks.heartbeatTrigger?.attempt, attempt.number);
 	machine.lifecycle.startDraining();
 	const forget = { kind: "forget", jobId: "j-1", taskIndex: 0, attempt: attempt.number };
 	assert.deepEqual(commandsFor(clusterState, machine), [forget]);
@@ -144,8 +144,13 @@
 test("tasks of a job that is over take their team's cores until gone; of one unknown, nothing starts meanwhile", () => {
 	const known = new Map<string, TaskDemand>();
 	const teams = [{ name: "red", guaranteed: { cpus: 8, gpus: 0 }, limit: { cpus: 8, gpus: 0 } }];
-	const types = new Map([["small", type]]);
-	const clusterState = new ClusterState(epoch, teams, types, 12_000, (id) => known.get(id) ?? null);
+	const clusterState = new ClusterState({
+		term: epoch,
+		teams,
+		machineTypes: [type],
+		workerLeaseExpiryMs: 12_000,
+		demandOf: (id) => known.get(id) ?? null,
+	});
 	const job = clusterState.addJob("j-1", spec, 0, 1);
 	job.resetWaitingTasks();
 	const gone = (index: number) => ({ ...task(index, 7, "running"), jobId: "j-9" });
--- a/tests/service/large-fleets.test.ts
+++ b/tests/service/large-fleets.test.ts
@@ -37,14 +37,14 @@
 	const teams = [
 		{ name: "red", guaranteed: { cpus: 10 * size, gpus: 0 }, limit: { cpus: 10 * size, gpus: 0 } },
 	];
-	const clusterState = new ClusterState(7, teams, new Map([[type.name, type]]));
+	const clusterState = new ClusterState({ term: 7, teams, machineTypes: [type] });
 	for (let i = 0; i < size; i++) {
 		const machine = new Machine(
 			{ id: nameOf(i), type, zone: type.zones[i % 3] as string, spot: i % 2 === 0, origin: "heartbeat" },
 			0,
 		);
 		makeSchedulable(machine);
-		clusterState.machines.set(machine.id, machine);
+		clusterState.addMachine(machine);
 	}
 	return clusterState;
 }
@@ -105,7 +105,7 @@
 
 	test(`${size} machines: the cloud's list is read to its end at a call a second`, async () => {
 		const time = new FakeTime();
-		const clusterState = new ClusterState(1, [], new Map([[type.name, type]]));
+		const clusterState = new ClusterState({ term: 1, teams: [], machineTypes: [type] });
 		let calls = 0;
 		let lastCallAt = -Infinity;
 		const list = async (after: string) => {
--- a/tests/support/public-service.ts
+++ b/tests/support/public-service.ts
@@ -59,7 +59,7 @@
 	status: async (id) =>
 		id === "j-1" ? { kind: "job", status: "running", done: 1, running: 2 } : { kind: "unknown" },
 	cancel: async () => ({ kind: "later", reason: "not now" }),
-	handleHeartbeat: async () => ({ kind: "elsewhere", node: "runner-2" }),
+	handleHeartbeat: async () => ({ kind: "redirect", node: "runner-2" }),
 	ready: () => true,
 };
 
--- a/tests/support/reconciliation-setup.ts
+++ b/tests/support/reconciliation-setup.ts
@@ -22,12 +22,12 @@
 export const epoch = 41;
 
 export function fresh() {
-	const clusterState = new ClusterState(
-		epoch,
-		[{ name: "red", guaranteed: { cpus: 8, gpus: 0 }, limit: { cpus: 8, gpus: 0 } }],
-		new Map([["small", type]]),
-		12_000,
-	);
+	const clusterState = new ClusterState({
+		term: epoch,
+		teams: [{ name: "red", guaranteed: { cpus: 8, gpus: 0 }, limit: { cpus: 8, gpus: 0 } }],
+		machineTypes: [type],
+		workerLeaseExpiryMs: 12_000,
+	});
 	const job = clusterState.addJob("j-1", spec, 0, 1);
 	job.resetWaitingTasks();
 	return { clusterState, job };
--- a/tests/support/running-fleet.ts
+++ b/tests/support/running-fleet.ts
@@ -3,14 +3,14 @@
 import { heartbeatOf } from "./machines.js";
 
 export function fleetOf(size: number): ClusterState {
-	const clusterState = new ClusterState(1, [], new Map());
+	const clusterState = new ClusterState({ term: 1, teams: [], machineTypes: [] });
 	for (let i = 0; i < size; i++) {
 		const machine = new Machine(
 			{ id: `n-${i}`, type: unknownMachineType("t"), zone: "a", spot: true, origin: "heartbeat" },
 			0,
 		);
 		machine.agent.heartbeatReceived(heartbeatOf(machine), Number.NEGATIVE_INFINITY);
-		clusterState.machines.set(machine.id, machine);
+		clusterState.addMachine(machine);
 	}
 	return clusterState;
 }
--- a/tests/support/small-cluster.ts
+++ b/tests/support/small-cluster.ts
@@ -17,22 +17,22 @@
 };
 
 export function tablesWith(machines: number, cpusMax = 8): ClusterState {
-	const clusterState = new ClusterState(
-		7,
-		["red", "blue"].map((name) => ({
+	const clusterState = new ClusterState({
+		term: 7,
+		teams: ["red", "blue"].map((name) => ({
 			name,
 			guaranteed: { cpus: 4, gpus: 0 },
 			limit: { cpus: cpusMax, gpus: 0 },
 		})),
-		new Map([[small.name, small]]),
-	);
+		machineTypes: [small],
+	});
 	for (let i = 0; i < machines; i++) {
 		const m = new Machine(
 			{ id: `n-${i}`, type: small, zone: i % 2 ? "b" : "a", spot: true, origin: "heartbeat" },
 			0,
 		);
 		makeSchedulable(m);
-		clusterState.machines.set(m.id, m);
+		clusterState.addMachine(m);
 	}
 	return clusterState;
 }
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -380,8 +380,8 @@
 					const result = await now.controller.handleHeartbeat(parseHeartbeat(sent));
 					if (fault.loseAnswer || this.network.isDown(now.id)) return;
 					const answer: HttpResponse =
-						result.kind === "orders"
-							? { status: 200, body: heartbeatResponseBody(result.token, result.orders) }
+						result.kind === "commands"
+							? { status: 200, body: heartbeatResponseBody(result.fencingToken, result.commands) }
 							: { status: 421, body: redirectBody(result.node) };
 					this.time.after(2, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpResponse));
 				});
