--- a/src/bookkeeping/machine-health.ts
+++ b/src/bookkeeping/machine-health.ts
@@ -38,8 +38,12 @@
 	#runs = 0;
 	#slowdown = 0;
 
-	/** Jobs of which tasks failed here since one last succeeded here. */
-	readonly failedJobs = new Set<Job>();
+	readonly #failedJobs = new Set<Job>();
+
+	/** Jobs of which tasks failed here since a task last succeeded here; each may be to blame for its failure. */
+	get failedJobs(): ReadonlySet<Job> {
+		return this.#failedJobs;
+	}
 
 	/** Takes nothing new. */
 	get quarantined(): boolean {
@@ -67,6 +71,21 @@
 		return this.#slowdown;
 	}
 
+	/** A task of the job has failed here, and the fault may be the machine's. */
+	noteFailure(job: Job): void {
+		this.#failedJobs.add(job);
+	}
+
+	/** The failure of the job here was its own fault. */
+	forgetFailure(job: Job): void {
+		this.#failedJobs.delete(job);
+	}
+
+	/** A task has succeeded here: the failures before it do not count any more. */
+	clearFailures(): void {
+		this.#failedJobs.clear();
+	}
+
 	/** A task has failed: one task at a time, until one has succeeded or the probation is over. */
 	startProbation(now: number): void {
 		this.#state =
@@ -101,7 +120,7 @@
 		if (state.kind === "healthy") return;
 		const elapsedMs = now - state.sinceAt;
 		if (state.kind === "quarantined" && elapsedMs > quarantineMs) {
-			this.failedJobs.clear();
+			this.clearFailures();
 			this.#runs = 0;
 			this.#state = { kind: "probation", sinceAt: now };
 		} else if (elapsedMs > probationMs) this.clearProbation();
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -142,10 +142,10 @@
 		this.heartbeatRouter = new HeartbeatRouter({
 			self: platform.node,
 			peers: this.peers,
-			time,
-			active: () => this.activeLeader(),
+			clock: time,
+			activeLeader: () => this.activeLeader(),
 			leaderInStore: () => this.replica.leader?.value.node ?? null,
-			tellUnexpected: (leader, term) => this.sendHeartbeatReply(leader, term),
+			reportMisdirectedWorkers: (leader, term) => this.sendHeartbeatReply(leader, term),
 		});
 		this.machineTypes = new MachineTypeCatalog({
 			cloud: ports.cloud,
@@ -204,7 +204,7 @@
 		this.ports.log.info({ stalledMs: Math.round(stalledMs) }, "process pause detected");
 		this.leadership.stalled();
 		this.replicaSync.stalled();
-		this.heartbeatRouter.stalled();
+		this.heartbeatRouter.onProcessPause();
 		this.leader?.stalled(stalledMs);
 	}
 
@@ -260,7 +260,7 @@
 						teamQuota: this.teamQuota,
 						requestPrefix: `${this.platform.node}-${this.incarnation}-${term}`,
 					});
-					this.heartbeatRouter.leads(term);
+					this.heartbeatRouter.startLeading(term);
 				}),
 			() => this.ports.clock.after(100, () => this.executor.post(() => this.beginTerm(term))),
 		);
@@ -294,7 +294,7 @@
 		const reply: LeaderHeartbeatReply = {
 			kind: "leader-heartbeat-reply",
 			term,
-			misdirectedWorkers: this.heartbeatRouter.countUnexpected(),
+			misdirectedWorkers: this.heartbeatRouter.countMisdirectedWorkers(),
 			supportsServiceJobs: true,
 			...(this.teamQuota && { teamQuota: this.teamQuota.reply() }),
 		};
@@ -318,10 +318,10 @@
 				this.heartbeat(from, message);
 				break;
 			case "forwarded-heartbeats":
-				this.heartbeatRouter.relayed(from, message);
+				this.heartbeatRouter.handleForwarded(from, message);
 				break;
 			case "forwarded-responses":
-				this.heartbeatRouter.answered(from, message);
+				this.heartbeatRouter.handleForwardedResponses(from, message);
 				break;
 			case "lease-extension-request":
 			case "lease-extension-vote":
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -139,12 +139,24 @@
 		const active = () => this.active;
 		const ordersInFlight = Math.max(leastOrdersInFlight, cluster.resources.fd_limit * orderSocketsPart);
 		this.watch = new LeaseMonitor(clusterState, this.beganAt, log);
-		this.orders = new DirectCommandSender(term, Math.floor(ordersInFlight), ports.workers, active, post, log);
+		this.orders = new DirectCommandSender({
+			term,
+			maxInFlight: Math.floor(ordersInFlight),
+			workers: ports.workers,
+			active,
+			post,
+			log,
+		});
 		const outcomes = new FaultAttribution(clusterState, settings.machines.faulty_after, log);
-		const unwanted = new OrphanCleanup(clusterState, ports.store, time, this.orders, {
+		const orphanCleanup = new OrphanCleanup({
+			clusterState,
+			store: ports.store,
+			clock: time,
+			commandSender: this.orders,
+			log,
 			post,
 			active,
-			learned: (job, final, revision) => this.storeCopy.recordFinal(job, final, revision),
+			onFinalRecord: (jobId, record, revision) => this.storeCopy.recordFinal(jobId, record, revision),
 		});
 		this.relocation = new ReplicaRelocation(clusterState, this.orders, log);
 		this.leaderQuota = options.teamQuota?.lead(term) ?? null;
@@ -177,7 +189,7 @@
 				this.teamAdmission && this.leaderQuota
 					? { admission: this.teamAdmission, leaderQuota: this.leaderQuota }
 					: null,
-			decided: (attempt) => this.reports.decided(attempt),
+			decided: (attempt) => this.reports.onAssigned(attempt),
 		});
 		const inOrder = (jobs: Job[]) => this.placement.inOrder(jobs);
 		this.preemption = new PreemptionCycle(clusterState, this.orders, inOrder, ports.random, log);
@@ -201,7 +213,7 @@
 				post,
 				active,
 				ended: () => this.ended,
-				apply: (heartbeat) => this.reports.apply(heartbeat),
+				apply: (heartbeat) => this.reports.reconcile(heartbeat),
 				unlisted: (id) => this.fleet.unlisted(id),
 			},
 			log,
@@ -232,19 +244,19 @@
 		});
 		this.reports = new HeartbeatService({
 			term,
-			reportS: cluster.workers.report_s,
+			heartbeatIntervalS: cluster.workers.report_s,
 			clusterState,
 			fleet: this.fleet,
-			orders: this.orders,
-			outcomes,
-			unwanted,
+			commandSender: this.orders,
+			faultAttribution: outcomes,
+			orphanCleanup,
 			finishIfDone: (job) => this.completion.finishIfDone(job),
-			lateness: this.lateness,
-			time,
+			tickDelay: this.lateness,
+			clock: time,
 			log,
 			post,
 			active,
-			record: (machine) => this.record(machine),
+			recordMachine: (machine) => this.record(machine),
 		});
 		this.rebuild();
 	}
@@ -389,7 +401,7 @@
 	private machineGone(machine: Machine): void {
 		const held = this.clusterState.removeMachine(machine);
 		this.ports.log.info({ machine: machine.id, held }, "machine deleted");
-		this.reports.machineGone(machine);
+		this.reports.onMachineDeleted(machine);
 		// A record left behind only makes a later leader wait for a machine that is gone.
 		this.machineRecords.delete(machine.id);
 	}
@@ -451,7 +463,7 @@
 		this.peerMonitor.tick(now, () => this.runningCounts());
 		this.audit(now);
 		this.teamAdmission?.tick(now);
-		if (this.reports.anyWaiting(now)) this.clusterState.requestPlacement();
+		if (this.reports.anyTaskReady(now)) this.clusterState.requestPlacement();
 		this.preemption.tick(now);
 		this.relocation.tick(now);
 		this.maybePlace();
@@ -477,12 +489,12 @@
 		if (!this.active) return;
 		const now = this.ports.clock.now();
 		this.placement.run(now);
-		for (const machine of this.clusterState.takeRelocationTargets()) this.reports.assign(machine);
+		for (const machine of this.clusterState.takeRelocationTargets()) this.reports.onRelocatedTo(machine);
 		if (this.placement.settled) {
 			this.reports.sendAssigned(now);
-			if (!this.clusterState.placementRequested) this.reports.releaseWaiting();
+			if (!this.clusterState.placementRequested) this.reports.releaseForPlacement();
 		}
-		this.reports.endBatch();
+		this.reports.onBatchEnd();
 	}
 
 	// --- other controllers ---
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -1,132 +1,147 @@
+/**
+ * Whether jobs or machines are to blame for tasks that fail. A job with a mistake fails wherever it runs; a faulty
+ * machine fails whatever runs there. The evidence is kept by FailureHistory for a job and by MachineHealth for a
+ * machine; the conclusions are drawn here.
+ */
+
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { isMuchSlower } from "../../bookkeeping/machine-health.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import type { AttemptOutcome } from "./heartbeat-reconciliation.js";
+import type { AttemptOutcome } from "./task-reconciliation.js";
 
 /** Runs of a job after which their mean says something of its other tasks. */
 const runsForMean = 4;
-/** A replica that has run for so long has started well. */
-const steadyMs = 30_000;
-/** Pauses before a task that failed is tried again. */
-const replicaPause = { firstMs: 250, mostDoublings: 6, mostMs: 10_000 };
-const failsOnSeveralPause = { firstMs: 250, mostDoublings: 8, mostMs: 60_000 };
 
-/** What the failure of a job of which no task has ever succeeded says of the machine. */
-const unprovenJobWeight = 0.5;
-
-const mostStepsByFailures = 4;
+/** A replica that has run for so long has started well. */
+const steadyRunMs = 30_000;
 
-interface Pause {
+/** A growing pause before a failed task is tried again. */
+interface Backoff {
 	firstMs: number;
-	mostDoublings: number;
-	mostMs: number;
+	maxDoublings: number;
+	maxMs: number;
 }
 
-/** With few machines in all the count of failures stands for that of machines, up to a few seconds. */
-function failureSteps({ failures }: Job): number {
-	return Math.max(
-		failures.machines.size,
-		Math.min(mostStepsByFailures, Math.floor(Math.log2(failures.consecutive))),
-	);
-}
+const replicaBackoff: Backoff = { firstMs: 250, maxDoublings: 6, maxMs: 10_000 };
 
-function pauseMs({ firstMs, mostDoublings, mostMs }: Pause, doublings: number): number {
-	return Math.min(mostMs, firstMs * 2 ** Math.min(mostDoublings, doublings));
-}
+/** For jobs that have failed on several machines, and perhaps fail everywhere. */
+const severalMachinesBackoff: Backoff = { firstMs: 250, maxDoublings: 8, maxMs: 60_000 };
+
+/** Doublings of the pause by the number of failures, where there are too few machines to go by theirs. */
+const maxDoublingsByFailures = 4;
+
+/** Weight of a failure against its machine if no task of the job has ever succeeded; otherwise it is 1. */
+const unprovenJobWeight = 0.5;
 
 /** Draws conclusions about jobs and machines from attempts that have ended. */
 export class FaultAttribution {
+	/** @param quarantineEvidence Failures of different jobs after which a machine is quarantined. */
 	constructor(
 		private readonly clusterState: ClusterState,
-		/** Failures of different jobs after which a machine is set aside. */
-		private readonly faultyAfter: number,
+		private readonly quarantineEvidence: number,
 		private readonly log: Log,
 	) {}
 
+	/** Takes note of how an attempt has ended. Stops and starts that were refused for lack of room tell nothing. */
 	record({ attempt, cause }: AttemptOutcome, now: number): void {
-		if (cause === "done") this.succeeded(attempt, now);
-		else if (cause === "error" || cause === "unknown") this.failed(attempt, cause, now);
+		if (cause === "done") this.recordSuccess(attempt, now);
+		else if (cause === "error" || cause === "unknown") this.recordFailure(attempt, cause, now);
 	}
 
-	private succeeded({ job, machine, runningSince }: Attempt, now: number): void {
+	private recordSuccess({ job, machine, runningSince }: Attempt, now: number): void {
 		if (runningSince !== null) this.recordRun(job, machine, (now - runningSince) / 1000, now);
 		machine.health.clearProbation();
-		machine.health.failedJobs.clear();
-		job.failures.noteSuccess(machine.type.name);
+		machine.health.clearFailures();
+		const { failures } = job;
+		failures.noteSuccess(machine.type.name);
 		// The job is sound, so what failed before was the machines' fault, unless it does not suit their type.
-		const failedOn = [...job.failures.machines].filter(({ type }) => !job.failures.unfitTypes.has(type.name));
-		for (const other of job.failures.machines)
-			if (job.failures.unfitTypes.has(other.type.name)) other.health.failedJobs.delete(job);
-		job.failures.clear();
-		for (const other of failedOn) this.judge(other, now);
+		const suspects: Machine[] = [];
+		for (const other of failures.machines) {
+			if (failures.unfitTypes.has(other.type.name)) other.health.forgetFailure(job);
+			else suspects.push(other);
+		}
+		failures.clear();
+		for (const suspect of suspects) this.quarantineIfFaulty(suspect, now);
 	}
 
 	private recordRun(job: Job, machine: Machine, seconds: number, now: number): void {
+		const { health } = machine;
 		// Enough runs for a mean, mostly on other machines.
-		if (job.finishedRuns >= runsForMean) machine.health.noteRun(seconds, job.estimatedRunS);
-		if (!machine.health.quarantined && isMuchSlower(machine, this.clusterState.machines.values())) {
-			machine.health.quarantine("slow", now);
-			this.log.info({ machine: machine.id, ratio: machine.health.slowdown }, "machine quarantined: slow");
+		if (job.finishedRuns >= runsForMean) health.noteRun(seconds, job.estimatedRunS);
+		if (!health.quarantined && isMuchSlower(machine, this.clusterState.machines.values())) {
+			health.quarantine("slow", now);
+			this.log.info({ machineId: machine.id, slowdown: health.slowdown }, "machine quarantined: slow");
 		}
 		job.noteRun(seconds);
 	}
 
-	private failed(attempt: Attempt, cause: "error" | "unknown", now: number): void {
-		const { job, machine, taskIndex: index } = attempt;
-		this.log.info({ machine: machine.id, job: job.id, task: index, cause }, "task failed");
-		// One that ran for long and failed says little of where it starts next.
-		const ranWell = attempt.runningSince !== null && now - attempt.runningSince > steadyMs;
+	private recordFailure(attempt: Attempt, cause: "error" | "unknown", now: number): void {
+		const { job, machine, taskId, runningSince } = attempt;
+		this.log.info({ machineId: machine.id, taskId, cause }, "task failed");
+		// A replica that ran for long and failed says little of where it starts next.
+		const ranWell = runningSince !== null && now - runningSince > steadyRunMs;
 		if (job.isService && ranWell) job.failures.forgetMachines();
 		job.failures.noteFailure(machine, now);
-		if (job.isService) job.failures.pauseUntil(now + pauseMs(replicaPause, job.failures.machines.size));
-		// Perhaps it fails everywhere: tried again with growing pauses.
+		if (job.isService) job.failures.pauseUntil(now + pauseMs(replicaBackoff, job.failures.machines.size));
 		else if (job.failures.onSeveralMachines)
-			job.failures.pauseUntil(now + pauseMs(failsOnSeveralPause, failureSteps(job)));
-		if (cause !== "error" || job.failures.unfitTypes.has(machine.type.name)) return;
-		machine.health.failedJobs.add(job);
-		// Whatever was held against the others for this job may now be the job's fault.
-		if (job.failures.machines.size > 1) this.acquit(job);
+			job.failures.pauseUntil(now + pauseMs(severalMachinesBackoff, backoffDoublings(job)));
+		// An unknown job or task, or a machine type that does not suit the job, says nothing of the machine.
+		if (cause === "error" && !job.failures.unfitTypes.has(machine.type.name))
+			this.recordEvidence(job, machine, now);
+	}
+
+	private recordEvidence(job: Job, machine: Machine, now: number): void {
+		machine.health.noteFailure(job);
+		// What was held against other machines for this job may now be the job's fault.
+		if (job.failures.onSeveralMachines) this.releaseOthers(job);
 		else machine.health.startProbation(now);
-		this.judge(machine, now);
+		this.quarantineIfFaulty(machine, now);
 	}
 
 	/**
-	 * A job with a mistake fails wherever it runs, and a faulty machine fails whatever runs there. A
-	 * failure counts against its machine only as long as the job has failed nowhere else since it last
-	 * succeeded, and for less if it never did: faulty jobs that come together must not cost a machine.
+	 * Weighs the failures on a machine. Each counts only as long as its job has failed nowhere else since it last
+	 * succeeded, and for less if it never did: faulty jobs that come together must not cost a machine ("jobs that fail
+	 * wherever they run cost no machine" in tests/coordination/workers/fault-attribution.test.ts; trace 55).
 	 */
 	private evidenceAgainst(machine: Machine): number {
 		let evidence = 0;
-		for (const job of machine.health.failedJobs) {
-			const elsewhere = [...job.failures.machines].some((other) => other !== machine);
-			if (!elsewhere) evidence += job.doneTasks.count > 0 ? 1 : unprovenJobWeight;
+		for (const { failures, doneTasks } of machine.health.failedJobs) {
+			const failedElsewhere = [...failures.machines].some((other) => other !== machine);
+			if (!failedElsewhere) evidence += doneTasks.count > 0 ? 1 : unprovenJobWeight;
 		}
 		return evidence;
 	}
 
-	private judge(machine: Machine, now: number): void {
-		if (machine.health.quarantined || this.evidenceAgainst(machine) < this.faultyAfter) return;
+	private quarantineIfFaulty(machine: Machine, now: number): void {
+		if (machine.health.quarantined || this.evidenceAgainst(machine) < this.quarantineEvidence) return;
 		machine.health.quarantine("failures", now);
-		this.log.info({ machine: machine.id }, "machine quarantined: faulty");
+		this.log.info({ machineId: machine.id }, "machine quarantined: faulty");
 	}
 
 	/** The job has failed on several machines: those against which nothing else stands are not to blame. */
-	private acquit(job: Job): void {
+	private releaseOthers(job: Job): void {
 		for (const machine of job.failures.machines) {
+			const { health, lifecycle } = machine;
 			const evidence = this.evidenceAgainst(machine);
-			if (evidence === 0) machine.health.clearProbation();
-			if (
-				evidence >= this.faultyAfter ||
-				!machine.health.quarantinedForFailures ||
-				machine.lifecycle.deleting
-			)
+			if (evidence === 0) health.clearProbation();
+			if (evidence >= this.quarantineEvidence || !health.quarantinedForFailures || lifecycle.deleting)
 				continue;
-			machine.health.release();
+			health.release();
 			this.clusterState.requestPlacement();
-			this.log.info({ machine: machine.id, job: job.id }, "machine released from quarantine");
+			this.log.info({ machineId: machine.id, jobId: job.id }, "machine released from quarantine");
 		}
 	}
 }
+
+/** With few machines in all, the count of failures stands for that of machines, up to a few seconds. */
+function backoffDoublings({ failures }: Job): number {
+	const byFailures = Math.min(maxDoublingsByFailures, Math.floor(Math.log2(failures.consecutive)));
+	return Math.max(failures.machines.size, byFailures);
+}
+
+function pauseMs({ firstMs, maxDoublings, maxMs }: Backoff, doublings: number): number {
+	return Math.min(maxMs, firstMs * 2 ** Math.min(maxDoublings, doublings));
+}
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -1,6 +1,10 @@
+/** The leader's side of heartbeats: takes them over, acts on what they tell and answers them. */
+
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
+import type { OrphanedTask } from "../../bookkeeping/orphaned-task.js";
+import { fencingTokenOf, type MachineId, type Term } from "../../protocol/model/identifiers.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
@@ -8,193 +12,220 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "./direct-command-sender.js";
 import type { FaultAttribution } from "./fault-attribution.js";
-import { commandsFor, type ReconciliationResult, reconcileHeartbeat } from "./heartbeat-reconciliation.js";
+import {
+	type ReconciledHeartbeat,
+	type ReconciliationResult,
+	reconcileHeartbeat,
+} from "./heartbeat-reconciliation.js";
 import type { OrphanCleanup } from "./orphan-cleanup.js";
 import { PendingHeartbeats } from "./pending-heartbeats.js";
 import { stopBeforeReclaim } from "./spot-reclaim.js";
+import type { AttemptOutcome } from "./task-reconciliation.js";
+import { takeCommands } from "./worker-commands.js";
+
+/** How long a response waits for a placement, so that freed capacity is filled by the same response. */
+const placementHoldMs = 150;
 
-const answerHoldMs = 150;
-/** A machine without tasks is answered after this, or this part of a report interval, if nothing comes. */
+/** How long the response to a machine without tasks waits for work: at most so long, and at most this part of the interval. */
 const idleHoldMs = 1500;
-const idleHoldPart = 0.6;
-/** A machine that reported within this part of an interval is worth being asked for its next report. */
-const reportedLatelyPart = 0.6;
+const idleHoldIntervals = 0.6;
+
+/** A machine heard within this part of a heartbeat interval is worth being asked for its next heartbeat. */
+const recentlyHeardIntervals = 0.6;
 
 /** What heartbeats tell the fleet, and what the fleet knows of machines. */
 export interface MachineLifecycleListener {
 	/** The cloud has confirmed that the machine is deleted: a late heartbeat of it must not be answered. */
-	isDeleted(machine: string): boolean;
+	isDeleted(machineId: MachineId): boolean;
 	/** The machine has sent its first heartbeat to this leader. */
 	onMachineRunning(machine: Machine): void;
 }
 
+/** What the heartbeat service of a term works with. */
 export interface HeartbeatServiceOptions {
-	term: number;
-	/** Seconds between a worker's reports. */
-	reportS: number;
+	term: Term;
+	/** Seconds between a worker's heartbeats. */
+	heartbeatIntervalS: number;
 	clusterState: ClusterState;
 	fleet: MachineLifecycleListener;
-	orders: DirectCommandSender;
-	outcomes: FaultAttribution;
-	unwanted: OrphanCleanup;
+	commandSender: DirectCommandSender;
+	faultAttribution: FaultAttribution;
+	orphanCleanup: OrphanCleanup;
 	/** Ends the job in the store if all its tasks are done. */
 	finishIfDone(job: Job): void;
-	lateness: TickDelay;
-	time: Clock;
+	tickDelay: TickDelay;
+	clock: Clock;
 	log: Log;
-	post(command: () => void): void;
+	/** Runs an action in the process's serial executor. */
+	post(action: () => void): void;
 	/** The leader may act. */
 	active(): boolean;
 	/** The machine's record is to be written before anything starts there. */
-	record(machine: Machine): void;
+	recordMachine(machine: Machine): void;
 }
 
 /**
- * Takes workers' reports and answers them. What a report says is applied at once; its answer is held back
- * for a moment where something may be placed, since a start goes only in an answer.
+ * Owns the responses of one term to workers. What a heartbeat tells is taken over at once; the response is held back
+ * for a moment where something may be placed, since a start goes only in a response.
  */
 export class HeartbeatService {
-	private readonly held: PendingHeartbeats;
-	/** Machines with starts decided and not yet sent. */
-	private readonly assigned = new Set<Machine>();
-	/** Whether a task waits that may start, as found out in this batch; null: not looked yet. */
-	private waitingNow: boolean | null = null;
+	private readonly pending: PendingHeartbeats;
+	/** Machines with assigned attempts that have not been sent. */
+	private readonly machinesWithAssignments = new Set<Machine>();
+	/** Whether a task is ready to start, worked out once a batch; null: not yet in this batch. */
+	private taskReady: boolean | null = null;
 
 	constructor(private readonly options: HeartbeatServiceOptions) {
-		const { time, post } = options;
-		this.held = new PendingHeartbeats(time, post, (machine) => this.answerById(machine));
-	}
-
-	/** null: this process may not answer for the controllers. */
-	handle(report: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
-		const { clusterState, fleet, time, reportS } = this.options;
-		// A worker that has seen a later token drops our answer, and would wait here while its lease runs out.
-		if (!this.options.active() || report.fencingToken > this.options.term) return Promise.resolve(null);
-		if (fleet.isDeleted(report.machineId)) return Promise.resolve(null);
-		const now = time.now();
-		const applied = this.apply(report);
-		// Of a type that nobody knows no task can be told from another: it gets no answer that keeps them.
-		if (applied === "expired" || applied === "unknown type") return Promise.resolve(null);
-		if (applied === "old") return Promise.resolve([]);
-		const machine = clusterState.machines.get(report.machineId) as Machine;
+		const { clock, post } = options;
+		this.pending = new PendingHeartbeats({ clock, post, commandsFor: (id) => this.commandsById(id) });
+	}
+
+	/** Takes over a heartbeat and answers it; null: this process may not answer for the controllers. */
+	handle(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
+		const { term, fleet, clock } = this.options;
+		// A worker that has seen a later token drops our response, and would wait here while its lease expires.
+		if (!this.options.active() || heartbeat.fencingToken > fencingTokenOf(term)) return refused;
+		if (fleet.isDeleted(heartbeat.machineId)) return refused;
+		const now = clock.now();
+		const result = this.reconcile(heartbeat);
+		switch (result.kind) {
+			// A response would renew a lease that counts as expired, or keep tasks alive of which nothing is known.
+			case "lease expired":
+			case "unknown machine type":
+				return refused;
+			case "outdated":
+				return Promise.resolve([]);
+			case "reconciled":
+				return this.respond(result.machine, now);
+		}
+	}
+
+	/** Answers the machine's heartbeat, at once or as soon as there is something to start. */
+	private respond(machine: Machine, now: number): Promise<WorkerCommand[] | null> {
+		const { clusterState, heartbeatIntervalS } = this.options;
 		machine.agent.responded(now);
-		if (!machine.lifecycle.recorded) this.options.record(machine);
-		this.held.supersede(machine.id);
-		const waiting = this.anyWaiting(now);
-		const idle = machine.attempts.size === 0 && !waiting;
-		if (!machine.schedulable || machine.capacity.freeCpus <= 0 || !(waiting || idle))
-			return Promise.resolve(this.answer(machine));
-		// Freed places are filled in the same answer: the next one is a report interval away.
-		// A machine without tasks has nothing to report meanwhile and is answered when work comes.
-		const holdMs = idle ? Math.min(idleHoldMs, reportS * 1000 * idleHoldPart) : answerHoldMs;
-		if (waiting) clusterState.requestPlacement();
-		return this.held.hold(machine.id, now + holdMs, idle);
-	}
-
-	private answer(machine: Machine): WorkerCommand[] | null {
+		if (!machine.lifecycle.recorded) this.options.recordMachine(machine);
+		this.pending.supersede(machine.id);
+		const taskReady = this.anyTaskReady(now);
+		const idle = machine.attempts.size === 0 && !taskReady;
+		if (!machine.schedulable || machine.capacity.freeCpus <= 0 || !(taskReady || idle))
+			return Promise.resolve(this.commandsFor(machine));
+		if (taskReady) clusterState.requestPlacement();
+		// Freed capacity is filled by the same response: the next one is a heartbeat interval away. A machine without tasks
+		// has nothing to tell meanwhile, and is answered when work comes.
+		if (!idle) return this.pending.hold(machine.id, now + placementHoldMs, "placement");
+		const holdMs = Math.min(idleHoldMs, heartbeatIntervalS * 1000 * idleHoldIntervals);
+		return this.pending.hold(machine.id, now + holdMs, "idle");
+	}
+
+	/** null: this process may not answer. The response may renew the worker's lease. */
+	private commandsFor(machine: Machine): WorkerCommand[] | null {
 		if (!this.options.active()) return null;
-		machine.agent.responded(this.options.time.now());
-		this.assigned.delete(machine);
-		return commandsFor(this.options.clusterState, machine);
-	}
-
-	private answerById(id: string): WorkerCommand[] | null {
-		const machine = this.options.clusterState.machines.get(id);
-		return machine ? this.answer(machine) : null;
-	}
-
-	/** Without an answer: also for what a machine says when it is asked. */
-	apply(report: WorkerHeartbeat): ReconciliationResult["kind"] {
-		const { clusterState, time, log, unwanted, fleet, outcomes, orders } = this.options;
-		const now = time.now();
-		const toldBefore = clusterState.machines.get(report.machineId)?.orphans ?? [];
-		const applied = reconcileHeartbeat(clusterState, report, now);
-		if (applied.kind !== "applied") return applied.kind;
-		const { machine } = applied;
-		if (machine.orphans.length > 0) unwanted.stop(machine, toldBefore);
-		if (applied.cameUp) fleet.onMachineRunning(machine);
-		if (applied.isNew) log.info({ machine: machine.id, type: machine.type.name }, "machine running");
-		for (const outcome of applied.outcomes) {
-			const { attempt, cause } = outcome;
-			if (attempt.job.isService) this.logReplica(attempt, `replica ended: ${cause}`);
-			outcomes.record(outcome, now);
-		}
-		// Not only by outcomes: a job's last tasks may have ended while nobody led.
-		for (const job of applied.progressed) this.options.finishIfDone(job);
-		for (const attempt of applied.begun) this.logReplica(attempt, "replica running");
-		for (const { job, taskIndex: index } of applied.vanished)
-			log.info({ machine: machine.id, job: job.id, task: index }, "task lost");
-		orders.stop(stopBeforeReclaim(machine, now, this.options.reportS));
-		return "applied";
+		machine.agent.responded(this.options.clock.now());
+		this.machinesWithAssignments.delete(machine);
+		return takeCommands(this.options.clusterState, machine);
 	}
 
-	private logReplica({ job, taskIndex: index, machine }: Attempt, message: string): void {
-		const { log } = this.options;
-		log.debug({ job: job.id, task: index, machine: machine.id, zone: machine.zone }, message);
+	private commandsById(machineId: MachineId): WorkerCommand[] | null {
+		const machine = this.options.clusterState.machines.get(machineId);
+		return machine ? this.commandsFor(machine) : null;
 	}
 
-	/** Looked up once a batch, however many reports it holds. */
-	anyWaiting(now: number): boolean {
-		this.waitingNow ??= [...this.options.clusterState.jobs.values()].some((job) => job.hasReadyTask(now));
-		return this.waitingNow;
+	/** Takes over what a worker tells, without a response: also where it was asked directly. */
+	reconcile(heartbeat: WorkerHeartbeat): ReconciliationResult {
+		const { clusterState, clock } = this.options;
+		const now = clock.now();
+		const orphansBefore = clusterState.machines.get(heartbeat.machineId)?.orphans ?? [];
+		const result = reconcileHeartbeat(clusterState, heartbeat, now);
+		if (result.kind === "reconciled") this.actOn(result, orphansBefore, now);
+		return result;
 	}
 
-	/** A batch of commands has ended. */
-	endBatch(): void {
-		this.waitingNow = null;
+	private actOn(result: ReconciledHeartbeat, orphansBefore: readonly OrphanedTask[], now: number): void {
+		const { log, orphanCleanup, fleet, commandSender, heartbeatIntervalS } = this.options;
+		const { machine } = result;
+		if (machine.orphans.length > 0) orphanCleanup.stop(machine, orphansBefore);
+		if (result.firstHeartbeat) fleet.onMachineRunning(machine);
+		if (result.newMachine)
+			log.info({ machineId: machine.id, machineType: machine.type.name }, "machine running");
+		for (const outcome of result.outcomes) this.noteOutcome(outcome, now);
+		// Not only by outcomes: a job's last tasks may have ended while nobody led (trace 33).
+		for (const job of result.jobsWithDoneTasks) this.options.finishIfDone(job);
+		for (const replica of result.startedReplicas) log.debug(replicaFields(replica), "replica running");
+		for (const { taskId } of result.lostAttempts) log.info({ machineId: machine.id, taskId }, "task lost");
+		commandSender.stop(stopBeforeReclaim(machine, now, heartbeatIntervalS));
 	}
 
-	/** A start was decided; it goes out with the answer to the machine's report. */
-	decided(attempt: Attempt): void {
-		this.assigned.add(attempt.machine);
-		if (attempt.job.isService) this.logReplica(attempt, "replica assigned");
+	private noteOutcome(outcome: AttemptOutcome, now: number): void {
+		const { attempt, cause } = outcome;
+		if (attempt.job.isService) this.options.log.debug({ ...replicaFields(attempt), cause }, "replica ended");
+		this.options.faultAttribution.record(outcome, now);
 	}
 
-	/** Starts were decided for the machine apart from placing. */
-	assign(machine: Machine): void {
-		this.assigned.add(machine);
+	/** Whether a task of any job is ready to start, worked out once a batch, however many heartbeats it holds. */
+	anyTaskReady(now: number): boolean {
+		this.taskReady ??= [...this.options.clusterState.jobs.values()].some((job) => job.hasReadyTask(now));
+		return this.taskReady;
+	}
+
+	/** A batch of actions has ended. */
+	onBatchEnd(): void {
+		this.taskReady = null;
+	}
+
+	/** An attempt was assigned; its start goes out with the response to the machine's heartbeat. */
+	onAssigned(attempt: Attempt): void {
+		this.machinesWithAssignments.add(attempt.machine);
+		if (attempt.job.isService) this.options.log.debug(replicaFields(attempt), "replica assigned");
+	}
+
+	/** An attempt was assigned to the machine apart from placement. */
+	onRelocatedTo(machine: Machine): void {
+		this.machinesWithAssignments.add(machine);
 	}
 
 	/**
-	 * Starts go to machines whose report waits for its answer. The others get theirs with
-	 * the next report, which a change of its tasks brings on: so one exited task is left
-	 * with each machine, to be forgotten by direct order when there is something to start.
-	 * A connection a start is too much when the processor is short.
+	 * Sends the starts of assigned attempts, to machines whose heartbeat waits for its response. The others get theirs
+	 * with the next heartbeat, which is brought on where that costs little: one exited attempt is left with each machine,
+	 * and forgetting it by direct command makes the worker send a heartbeat. When the process is short of processor time,
+	 * a connection for each start is too much.
 	 */
 	sendAssigned(now: number): void {
-		const { reportS, lateness, orders } = this.options;
-		const latelyMs = reportS * 1000 * reportedLatelyPart;
-		for (const machine of this.assigned) {
-			if (this.held.has(machine.id)) {
-				this.held.release(machine.id);
+		const { heartbeatIntervalS, tickDelay, commandSender } = this.options;
+		const recentlyMs = heartbeatIntervalS * 1000 * recentlyHeardIntervals;
+		for (const machine of this.machinesWithAssignments) {
+			if (this.pending.has(machine.id)) {
+				this.pending.release(machine.id);
 				continue;
 			}
-			const { exitedTasks } = machine;
-			if (
-				exitedTasks.heartbeatTrigger === null ||
-				lateness.overloaded ||
-				now - machine.agent.heartbeatAt > latelyMs
-			)
-				continue;
-			const trigger = exitedTasks.takeHeartbeatTrigger();
-			if (!trigger) continue;
+			if (tickDelay.overloaded || now - machine.agent.heartbeatAt > recentlyMs) continue;
+			const trigger = machine.exitedTasks.takeHeartbeatTrigger();
+			if (trigger === null) continue;
 			const { jobId, taskIndex, attempt } = trigger;
-			orders.send(machine, [{ kind: "forget", jobId, taskIndex, attempt }]);
+			commandSender.send(machine, [{ kind: "forget", jobId, taskIndex, attempt }]);
 		}
-		this.assigned.clear();
+		this.machinesWithAssignments.clear();
 	}
 
-	/** Nothing more will be placed for now: whoever was held for that is answered. */
-	releaseWaiting(): void {
-		this.held.releaseWaiting();
+	/** No placement is under way any more: answers all machines that waited for one. */
+	releaseForPlacement(): void {
+		this.pending.releaseForPlacement();
 	}
 
 	/** Nobody is answered any more by this leader, or not by what was known before. */
 	refuseAll(): void {
-		this.held.refuseAll();
+		this.pending.refuseAll();
 	}
 
-	machineGone(machine: Machine): void {
-		this.assigned.delete(machine);
+	/** The machine is deleted. */
+	onMachineDeleted(machine: Machine): void {
+		this.machinesWithAssignments.delete(machine);
 	}
 }
+
+/** This process may not answer for the controllers. */
+const refused: Promise<null> = Promise.resolve(null);
+
+function replicaFields({ taskId, machine }: Attempt): object {
+	return { taskId, machineId: machine.id, zone: machine.zone };
+}
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -1,74 +1,92 @@
+/** Stops tasks that nobody wants, and finds out what they use of their teams' quotas. */
+
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { OrphanedTask } from "../../bookkeeping/orphaned-task.js";
-import type { WorkerCommand } from "../../protocol/model/worker.js";
+import type { StoreRow } from "../../protocol/http/store-api.js";
+import type { JobId, Revision } from "../../protocol/model/identifiers.js";
+import type { StopCommand } from "../../protocol/model/worker.js";
 import { decodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { Clock } from "../ports/clock.js";
+import type { Log } from "../ports/log.js";
 import type { KeyValueStore } from "../ports/store.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "./direct-command-sender.js";
 
+/** Pause before a job's final record is read again. */
 const retryMs = 500;
 
-export interface OrphanCleanupHooks {
-	post(command: () => void): void;
+/** What the cleanup needs of a term of leadership. */
+export interface OrphanCleanupOptions {
+	clusterState: ClusterState;
+	store: KeyValueStore;
+	clock: Clock;
+	commandSender: DirectCommandSender;
+	log: Log;
+	/** Runs an action in the process's serial executor. */
+	post(action: () => void): void;
+	/** The leader may act. */
 	active(): boolean;
 	/** The end of a job was read from the store. */
-	learned(job: string, final: FinalJobRecord, revision: number): void;
+	onFinalRecord(jobId: JobId, record: FinalJobRecord, revision: Revision): void;
 }
 
-const nameOf = ({ jobId: job, taskIndex: index, attempt }: OrphanedTask) => `${job}/${index}/${attempt}`;
-
 /**
- * Stops tasks that nobody wants, such as those of a job that was cancelled while nobody led.
- * Until one is gone its team's cores are taken, or, where the job was over before this process
- * knew of it, nothing starts until its end has been read.
+ * Cleans up after jobs that ended while nobody led. Until an orphaned task is gone it uses its team's quota. Where the
+ * job was over before this process knew of it, its final record says what it uses, and nothing starts until that is
+ * read (trace 49).
  */
 export class OrphanCleanup {
-	/** Jobs whose end is being read, or was. */
-	private readonly lookedUp = new Set<string>();
+	/** Jobs whose final record is being read, or was. */
+	private readonly requested = new Set<JobId>();
+
+	constructor(private readonly options: OrphanCleanupOptions) {}
 
-	constructor(
-		private readonly clusterState: ClusterState,
-		private readonly store: KeyValueStore,
-		private readonly time: Clock,
-		private readonly orders: DirectCommandSender,
-		private readonly hooks: OrphanCleanupHooks,
-	) {}
+	/**
+	 * Stops the machine's orphaned tasks by direct command: no response may go to it, for example where it was asked
+	 * directly during a failover.
+	 *
+	 * @param stoppedBefore The orphaned tasks as of the heartbeat before, which have been stopped already.
+	 */
+	stop(machine: Machine, stoppedBefore: readonly OrphanedTask[]): void {
+		const stops: StopCommand[] = [];
+		for (const orphan of machine.orphans) {
+			if (stoppedBefore.some((before) => before.is(orphan))) continue;
+			const { jobId, taskIndex, attempt } = orphan;
+			stops.push({ kind: "stop", jobId, taskIndex, attempt, graceS: 0 });
+		}
+		if (stops.length > 0) this.options.commandSender.send(machine, stops);
+		for (const jobId of this.options.clusterState.jobsWithUnknownDemand()) this.requestFinalRecord(jobId);
+	}
+
+	private requestFinalRecord(jobId: JobId): void {
+		if (this.requested.has(jobId)) return;
+		this.requested.add(jobId);
+		void this.readFinalRecord(jobId);
+	}
 
-	/** Told to stop at once, also where no answer goes: a machine may have been asked straight. */
-	stop(machine: Machine, toldBefore: readonly OrphanedTask[]): void {
-		const told = new Set(toldBefore.map(nameOf));
-		const stops = machine.orphans
-			.filter((task) => !told.has(nameOf(task)))
-			.map(
-				({ jobId: job, taskIndex: index, attempt }): WorkerCommand => ({
-					kind: "stop",
-					jobId: job,
-					taskIndex: index,
-					attempt,
-					graceS: 0,
-				}),
-			);
-		if (stops.length > 0) this.orders.send(machine, stops);
-		for (const job of this.clusterState.jobsWithUnknownDemand()) this.lookUp(job);
+	private async readFinalRecord(jobId: JobId): Promise<void> {
+		const { store, clock, log, post } = this.options;
+		let row: StoreRow | null;
+		try {
+			({ row } = await store.read(keys.final(jobId)));
+		} catch (error) {
+			// Whatever went wrong, nothing starts before the record has been read: it is tried again.
+			log.debug({ jobId, err: error }, "final record not read");
+			clock.after(retryMs, () => post(() => this.retry(jobId)));
+			return;
+		}
+		post(() => this.finalRecordRead(jobId, row));
 	}
 
-	private lookUp(job: string): void {
-		if (this.lookedUp.has(job)) return;
-		this.lookedUp.add(job);
-		this.store.read(keys.final(job)).then(
-			({ row }) =>
-				this.hooks.post(() => {
-					if (row) this.hooks.learned(job, decodeFinalRecord(row.value), row.revision);
-					this.clusterState.resolveDemand(job);
-				}),
-			() => this.time.after(retryMs, () => this.hooks.post(() => this.lookUpAgain(job))),
-		);
+	private finalRecordRead(jobId: JobId, row: StoreRow | null): void {
+		if (row) this.options.onFinalRecord(jobId, decodeFinalRecord(row.value), row.revision);
+		this.options.clusterState.resolveDemand(jobId);
 	}
 
-	private lookUpAgain(job: string): void {
-		this.lookedUp.delete(job);
-		if (this.hooks.active() && this.clusterState.jobsWithUnknownDemand().has(job)) this.lookUp(job);
+	private retry(jobId: JobId): void {
+		this.requested.delete(jobId);
+		const { active, clusterState } = this.options;
+		if (active() && clusterState.jobsWithUnknownDemand().has(jobId)) this.requestFinalRecord(jobId);
 	}
 }
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -1,35 +1,43 @@
+/** What happens to the tasks on a spot machine that the cloud is about to reclaim. */
+
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 
-/** A task is given up on a machine about to be taken if it needs this many times what is left. */
-const needsTooLongFactor = 1.3;
+/** A task is given up on a machine about to be reclaimed if it needs this many times what is left. */
+const hopelessFactor = 1.3;
+
+/** A stop command may go out with the response to the next heartbeat or the one after. */
+const heartbeatsUntilStopped = 2;
 
 /**
- * On a machine that will be taken away, a task that can save is stopped in time for that. One
- * that cannot save and will hardly finish is stopped at once: its work is lost in any case, and
- * elsewhere it begins so much earlier. Replicas are moved, and run until then.
+ * Asks for the end of attempts on a machine that will be reclaimed. A task that can save a checkpoint is stopped in
+ * time for that. One that cannot, and will hardly finish, is stopped at once: its work is lost in any case, and
+ * elsewhere it begins so much earlier. Replicas are relocated, and run until then.
  *
- * Sets the stop of every such attempt, and returns those to be stopped at once.
+ * @returns The attempts to be stopped by direct command; the others are stopped by the next response.
  */
-export function stopBeforeReclaim(machine: Machine, now: number, reportS: number): Attempt[] {
-	if (machine.lifecycle.reclaimAt === null) return [];
-	const leftS = (machine.lifecycle.reclaimAt - now) / 1000;
-	const atOnce: Attempt[] = [];
+export function stopBeforeReclaim(machine: Machine, now: number, heartbeatIntervalS: number): Attempt[] {
+	const { reclaimAt } = machine.lifecycle;
+	if (reclaimAt === null) return [];
+	const leftS = (reclaimAt - now) / 1000;
+	const stoppedAtOnce: Attempt[] = [];
 	for (const attempt of machine.attempts.values()) {
 		const { job, phase } = attempt;
 		if (attempt.stop !== null || phase === "assigned" || job.isService) continue;
-		if (job.spec.checkpointIntervalS > 0 && phase === "running") {
-			// It goes out with the answer to a report, the next or the one after.
-			if (leftS <= job.spec.checkpointCostS + 2 * reportS) attempt.requestStop("spot reclaim", leftS);
-		} else if (secondsNeeded(attempt, now) > leftS * needsTooLongFactor) {
+		const { checkpointIntervalS, checkpointCostS } = job.spec;
+		if (checkpointIntervalS > 0 && phase === "running") {
+			if (leftS <= checkpointCostS + heartbeatsUntilStopped * heartbeatIntervalS)
+				attempt.requestStop("spot reclaim", leftS);
+		} else if (remainingS(attempt, now) > leftS * hopelessFactor) {
 			attempt.requestStop("spot reclaim", 0);
-			atOnce.push(attempt);
+			stoppedAtOnce.push(attempt);
 		}
 	}
-	return atOnce;
+	return stoppedAtOnce;
 }
 
-function secondsNeeded({ job, runningSince }: Attempt, now: number): number {
+/** Seconds that the attempt still needs, by the estimated run time of its job's tasks. */
+function remainingS({ job, runningSince }: Attempt, now: number): number {
 	const elapsedS = runningSince === null ? 0 : (now - runningSince) / 1000;
 	return job.estimatedRunS - elapsedS;
 }
--- /dev/null
+++ b/tests/coordination/workers/heartbeat-forwarder.test.ts
@@ -0,0 +1,76 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { HeartbeatForwarder } from "../../../src/coordination/workers/heartbeat-forwarder.js";
+import type { WorkerCommand } from "../../../src/protocol/model/worker.js";
+import type { PeerMessage } from "../../../src/protocol/peer/messages.js";
+import { FakeTime } from "../../support/fake-time.js";
+import { forwardedHeartbeat } from "../../support/forwarded-heartbeat.js";
+
+/** A forwarder that follows a leader, with the messages that it has sent. */
+function forwarderTo(leader: string, term: number) {
+	const time = new FakeTime();
+	const sent: { to: string; message: PeerMessage }[] = [];
+	const peers = { send: (to: string, message: PeerMessage) => sent.push({ to, message }) };
+	const forwarder = new HeartbeatForwarder(peers, time);
+	forwarder.followLeader(leader, term);
+	/** Forwards a heartbeat. The commands are undefined while it waits for its response. */
+	const forward = () => {
+		const result: { commands?: WorkerCommand[] | null } = {};
+		const response = forwarder.forward(forwardedHeartbeat);
+		response?.then((commands) => {
+			result.commands = commands;
+		});
+		return response && result;
+	};
+	return { time, sent, forwarder, forward };
+}
+
+describe("the forwarding of heartbeats to the leader", () => {
+	test("heartbeats of one moment go as one message, and each gets its own response", async () => {
+		const { time, sent, forwarder, forward } = forwarderTo("runner-1", 3);
+		const [first, second] = [forward(), forward()];
+		await time.advance(100);
+		assert.equal(sent.length, 1);
+		assert.ok(sent[0]);
+		const { to, message } = sent[0];
+		assert.ok(to === "runner-1" && message.kind === "forwarded-heartbeats" && message.term === 3);
+		const [firstId, secondId] = message.heartbeats.map(({ requestId }) => requestId);
+		assert.ok(firstId !== undefined && secondId !== undefined && message.heartbeats.length === 2);
+		const stop: WorkerCommand = { kind: "stop", jobId: "j-1", taskIndex: 4, attempt: 1, graceS: 0 };
+		forwarder.handleResponses("runner-1", 3, [
+			{ requestId: secondId, commands: [stop] },
+			{ requestId: firstId, commands: null },
+		]);
+		await time.advance(1);
+		assert.deepEqual([first?.commands, second?.commands], [null, [stop]]);
+	});
+
+	test("responses of a leader that was replaced are dropped, and what waits for one is given up", async () => {
+		const { time, forwarder, forward } = forwarderTo("runner-1", 3);
+		const before = forward();
+		forwarder.followLeader("runner-2", 9);
+		await time.advance(1);
+		assert.equal(before?.commands, null);
+		const after = forward();
+		forwarder.handleResponses("runner-1", 3, [{ requestId: 2, commands: [] }]);
+		forwarder.handleResponses("runner-1", 9, [{ requestId: 2, commands: [] }]);
+		await time.advance(1);
+		assert.equal(after?.commands, undefined, "only the leader asked may answer");
+		forwarder.handleResponses("runner-2", 9, [{ requestId: 2, commands: [] }]);
+		await time.advance(1);
+		assert.deepEqual(after?.commands, []);
+	});
+
+	test("a heartbeat without a response is given up before its worker does, and nothing is forwarded for a while", async () => {
+		const { time, forwarder, forward } = forwarderTo("runner-1", 3);
+		const lost = forward();
+		for (let at = 0; at <= 3900; at += 100) {
+			await time.advance(100);
+			forwarder.tick();
+		}
+		assert.equal(lost?.commands, null);
+		assert.equal(forward(), null);
+		await time.advance(3000);
+		assert.notEqual(forward(), null);
+	});
+});
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -1,221 +1,190 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { ClusterState } from "../../../src/coordination/state/cluster-state.js";
-import {
-	commandsFor,
-	reconcileHeartbeat,
-} from "../../../src/coordination/workers/heartbeat-reconciliation.js";
+import { reconcileHeartbeat } from "../../../src/coordination/workers/heartbeat-reconciliation.js";
+import { takeCommands } from "../../../src/coordination/workers/worker-commands.js";
 import type { TaskDemand } from "../../../src/protocol/model/job.js";
-import { epoch, fresh, report, spec, task, type, withOneSent } from "../../support/reconciliation-setup.js";
-
-test("no start goes to a machine before its record is durable and it has seen the token", () => {
-	const { clusterState, job } = fresh();
-	reconcileHeartbeat(clusterState, report(1, [], { fencingToken: epoch - 1 }), 0);
-	const machine = clusterState.machines.get("n-1");
-	assert.ok(machine);
-	machine.lifecycle.markRecorded();
-	assert.equal(
-		clusterState.assignNextTask(job, machine),
-		null,
-		"its answers of an earlier leader may still be on the way",
-	);
-	reconcileHeartbeat(clusterState, report(2), 0);
-	assert.notEqual(clusterState.assignNextTask(job, machine), null);
-});
-
-test("no start goes to a machine that has seen the token before its record is durable", () => {
-	const { clusterState, job } = fresh();
-	reconcileHeartbeat(clusterState, report(1), 0);
-	const machine = clusterState.machines.get("n-1");
-	assert.ok(machine?.agent.fenced);
-	assert.equal(clusterState.assignNextTask(job, machine), null, "a later leader would not know of it");
-	machine.lifecycle.markRecorded();
-	assert.notEqual(clusterState.assignNextTask(job, machine), null);
-});
-
-test("a machine marked to drain between a decision and its report still gets the start", () => {
-	const { clusterState, job } = fresh();
-	reconcileHeartbeat(clusterState, report(1), 0);
-	const machine = clusterState.machines.get("n-1");
-	assert.ok(machine);
-	machine.lifecycle.markRecorded();
-	clusterState.assignNextTask(job, machine);
-	machine.lifecycle.startDraining();
-	assert.equal(commandsFor(clusterState, machine).length, 1);
-	assert.equal(clusterState.assignNextTask(job, machine), null, "nothing new is decided for it");
-	machine.lifecycle.cancelDraining();
-	clusterState.assignNextTask(job, machine);
-	machine.health.quarantine("failures", 0);
-	assert.deepEqual(commandsFor(clusterState, machine), [], "on one set aside for failing nothing starts");
-});
-
-test("a start whose answer was lost is sent again with the same number", () => {
-	const { clusterState, machine, attempt } = withOneSent();
-	reconcileHeartbeat(clusterState, report(2), 100);
-	const orders = commandsFor(clusterState, machine);
-	assert.deepEqual(orders, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
-});
+import {
+	heartbeat,
+	machineType,
+	spec,
+	stateWithJob,
+	stateWithSentStart,
+	taskStatus,
+	teamRed,
+	term,
+	workerLeaseExpiryMs,
+} from "../../support/reconciliation-setup.js";
 
-test("an old report changes nothing", () => {
-	const { clusterState, machine, attempt } = withOneSent();
-	reconcileHeartbeat(clusterState, report(5, [task(0, attempt.number, "running")]), 100);
-	assert.equal(reconcileHeartbeat(clusterState, report(4), 200).kind, "old");
-	assert.equal(machine.attempts.size, 1);
-	assert.equal(attempt.phase, "running");
-});
+describe("the conditions for the first start on a machine", () => {
+	test("no start goes to a machine before it has shown the leader's fencing token", () => {
+		const { clusterState, job } = stateWithJob();
+		reconcileHeartbeat(clusterState, heartbeat(1, [], { fencingToken: term - 1 }), 0);
+		const machine = clusterState.machines.get("n-1");
+		assert.ok(machine);
+		machine.lifecycle.markRecorded();
+		assert.equal(
+			clusterState.assignNextTask(job, machine),
+			null,
+			"responses of an earlier leader may still be on the way",
+		);
+		reconcileHeartbeat(clusterState, heartbeat(2), 0);
+		assert.notEqual(clusterState.assignNextTask(job, machine), null);
+	});
 
-test("a task that a newer report lacks is over and waits again", () => {
-	const { clusterState, job, attempt } = withOneSent();
-	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
-	const applied = reconcileHeartbeat(clusterState, report(3), 200);
-	assert.equal(applied.kind === "applied" && applied.vanished.length, 1);
-	assert.ok(job.waitingTasks.includes(0));
-	assert.equal(clusterState.quotas.usage("red").cpus, 0);
+	test("no start goes to a machine before its record is stored", () => {
+		const { clusterState, job } = stateWithJob();
+		reconcileHeartbeat(clusterState, heartbeat(1), 0);
+		const machine = clusterState.machines.get("n-1");
+		assert.ok(machine?.agent.fenced);
+		assert.equal(clusterState.assignNextTask(job, machine), null, "a later leader would not know of it");
+		machine.lifecycle.markRecorded();
+		assert.notEqual(clusterState.assignNextTask(job, machine), null);
+	});
 });
 
-test("a report with an earlier token adds tasks but proves no absence", () => {
-	const { clusterState, job } = fresh();
-	reconcileHeartbeat(clusterState, report(3, [task(2, 900, "running")], { fencingToken: 7 }), 0);
-	assert.equal(job.attempts.get(2)?.number, 900);
-	reconcileHeartbeat(clusterState, report(4, [], { fencingToken: 7 }), 10);
-	assert.equal(job.attempts.get(2)?.number, 900, "an answer of the leader before may come after this report");
-	assert.equal(clusterState.quotas.usage("red").cpus, 1);
-	reconcileHeartbeat(clusterState, report(5), 20);
-	assert.equal(job.attempts.has(2), false);
-});
+describe("tasks that a heartbeat lists or does not list", () => {
+	test("an older heartbeat changes nothing", () => {
+		const { clusterState, machine, attempt } = stateWithSentStart();
+		reconcileHeartbeat(clusterState, heartbeat(5, [taskStatus(0, attempt.number, "running")]), 100);
+		assert.equal(reconcileHeartbeat(clusterState, heartbeat(4), 200).kind, "outdated");
+		assert.equal(machine.attempts.size, 1);
+		assert.equal(attempt.phase, "running");
+	});
 
-test("a later session ends all tasks of the one before; a report of an expired lease is refused", () => {
-	const { clusterState, job, machine, attempt } = withOneSent();
-	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
-	reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 2 }), 200);
-	assert.equal(job.attempts.size, 0);
-	clusterState.expireLease(machine);
-	assert.equal(reconcileHeartbeat(clusterState, report(9, [], { agentEpoch: 2 }), 300).kind, "expired");
-	assert.equal(reconcileHeartbeat(clusterState, report(1, [], { agentEpoch: 3 }), 300).kind, "applied");
-});
+	test("a task that a newer heartbeat does not list is over and waits again", () => {
+		const { clusterState, job, attempt } = stateWithSentStart();
+		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 100);
+		const result = reconcileHeartbeat(clusterState, heartbeat(3), 200);
+		assert.equal(result.kind === "reconciled" && result.lostAttempts.length, 1);
+		assert.ok(job.waitingTasks.includes(0));
+		assert.equal(clusterState.quotas.usage("red").cpus, 0);
+	});
 
-test("a completed task is forgotten only when its completion is durable", () => {
-	const { clusterState, job, machine, attempt } = withOneSent();
-	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "exited", "done")]), 100);
-	assert.ok(job.doneTasks.has(0));
-	machine.lifecycle.startDraining();
-	assert.deepEqual(commandsFor(clusterState, machine), [], "a takeover now would lose it");
-	machine.lifecycle.cancelDraining();
-	job.markPageDurable(0, job.doneTasks.page(0));
-	assert.deepEqual(commandsFor(clusterState, machine), [], "the last one is kept as a handle");
-	assert.equal(machine.exitedTasks.heartbeatTrigger?.attempt, attempt.number);
-	machine.lifecycle.startDraining();
-	const forget = { kind: "forget", jobId: "j-1", taskIndex: 0, attempt: attempt.number };
-	assert.deepEqual(commandsFor(clusterState, machine), [forget]);
-});
+	test("a heartbeat with an earlier fencing token adds tasks but proves no absence", () => {
+		const { clusterState, job } = stateWithJob();
+		const earlier = { fencingToken: 7 };
+		reconcileHeartbeat(clusterState, heartbeat(3, [taskStatus(2, 900, "running")], earlier), 0);
+		assert.equal(job.attempts.get(2)?.number, 900);
+		reconcileHeartbeat(clusterState, heartbeat(4, [], earlier), 10);
+		assert.equal(
+			job.attempts.get(2)?.number,
+			900,
+			"a response of the leader before may come after this heartbeat",
+		);
+		assert.equal(clusterState.quotas.usage("red").cpus, 1);
+		reconcileHeartbeat(clusterState, heartbeat(5), 20);
+		assert.equal(job.attempts.has(2), false);
+	});
 
-test("tasks that ended under an earlier leader are counted, and their job is named so that it can end", () => {
-	const { clusterState, job } = fresh();
-	const ended = Array.from({ length: job.spec.taskCount }, (_, i) => task(i, 7, "exited", "done"));
-	const applied = reconcileHeartbeat(clusterState, report(1, ended), 0);
-	assert.ok(applied.kind === "applied");
-	assert.ok(job.doneTasks.full);
-	assert.deepEqual([...applied.progressed], [job]);
-});
+	test("a late copy that lists an earlier attempt yields to the later one", () => {
+		const { clusterState, job } = stateWithJob();
+		const earlier = { fencingToken: 7 };
+		reconcileHeartbeat(clusterState, heartbeat(7, [taskStatus(0, 900, "running")], earlier), 0);
+		const later = heartbeat(1, [taskStatus(0, 905, "running")], { ...earlier, machineId: "n-2" });
+		reconcileHeartbeat(clusterState, later, 10);
+		assert.equal(job.attempts.get(0)?.number, 905, "it was assigned when the one before was proved over");
+		assert.equal(clusterState.quotas.usage("red").cpus, 1);
+		const second = clusterState.machines.get("n-2");
+		assert.ok(second);
+		assert.deepEqual(takeCommands(clusterState, second), []);
+		reconcileHeartbeat(clusterState, heartbeat(9, [taskStatus(0, 900, "running")], earlier), 20);
+		assert.equal(job.attempts.get(0)?.number, 905);
+	});
 
-test("tasks nobody wants are stopped: of unknown jobs, done already, or on another machine", () => {
-	const { clusterState, job } = withOneSent();
-	clusterState.markTaskDone(job, 1);
-	const other = report(
-		1,
-		[task(0, 900, "running"), task(1, 901, "running"), { ...task(0, 902, "running"), jobId: "j-9" }],
-		{
-			machineId: "n-2",
-		},
-	);
-	reconcileHeartbeat(clusterState, other, 0);
-	const machine = clusterState.machines.get("n-2");
-	assert.ok(machine);
-	assert.deepEqual(
-		commandsFor(clusterState, machine).map((o) => [o.kind, o.attempt]),
-		[
-			["stop", 900],
-			["stop", 901],
-			["stop", 902],
-		],
-	);
+	test("tasks that completed under an earlier leader count, and their job is named so that it can end", () => {
+		const { clusterState, job } = stateWithJob();
+		const done = Array.from({ length: job.spec.taskCount }, (_, i) => taskStatus(i, 7, "exited", "done"));
+		const result = reconcileHeartbeat(clusterState, heartbeat(1, done), 0);
+		assert.ok(result.kind === "reconciled");
+		assert.ok(job.doneTasks.full);
+		assert.deepEqual([...result.jobsWithDoneTasks], [job]);
+	});
 });
 
-test("tasks of a job that is over take their team's cores until gone; of one unknown, nothing starts meanwhile", () => {
-	const known = new Map<string, TaskDemand>();
-	const teams = [{ name: "red", guaranteed: { cpus: 8, gpus: 0 }, limit: { cpus: 8, gpus: 0 } }];
-	const clusterState = new ClusterState({
-		term: epoch,
-		teams,
-		machineTypes: [type],
-		workerLeaseExpiryMs: 12_000,
-		demandOf: (id) => known.get(id) ?? null,
+describe("agent epochs and leases", () => {
+	test("a later agent epoch ends all tasks of the one before; a heartbeat of an expired lease is refused", () => {
+		const { clusterState, job, machine, attempt } = stateWithSentStart();
+		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 100);
+		reconcileHeartbeat(clusterState, heartbeat(1, [], { agentEpoch: 2 }), 200);
+		assert.equal(job.attempts.size, 0);
+		clusterState.expireLease(machine);
+		const outcomeOf = (sequence: number, agentEpoch: number) =>
+			reconcileHeartbeat(clusterState, heartbeat(sequence, [], { agentEpoch }), 300).kind;
+		assert.equal(outcomeOf(9, 2), "lease expired");
+		assert.equal(outcomeOf(1, 3), "reconciled");
 	});
-	const job = clusterState.addJob("j-1", spec, 0, 1);
-	job.resetWaitingTasks();
-	const gone = (index: number) => ({ ...task(index, 7, "running"), jobId: "j-9" });
-	reconcileHeartbeat(clusterState, report(1, [gone(0), gone(1)]), 0);
-	const machine = clusterState.machines.get("n-1");
-	assert.ok(machine);
-	machine.lifecycle.markRecorded();
-	assert.deepEqual([...clusterState.jobsWithUnknownDemand()], ["j-9"]);
-	assert.equal(clusterState.assignNextTask(job, machine), null, "whose cores they take is not known");
-	known.set("j-9", { team: "red", cpus: 4, gpus: 0 });
-	clusterState.resolveDemand("j-9");
-	assert.equal(clusterState.quotas.usage("red").cpus, 8);
-	assert.equal(clusterState.assignNextTask(job, machine), null, "they fill the limit");
-	reconcileHeartbeat(clusterState, report(2, [gone(1)]), 500);
-	assert.equal(clusterState.quotas.usage("red").cpus, 4);
-	assert.notEqual(clusterState.assignNextTask(job, machine), null);
-	clusterState.expireLease(machine);
-	assert.equal(clusterState.quotas.usage("red").cpus, 0);
-	assert.ok(clusterState.reconciled);
-});
 
-test("the end of a job withdraws what is not sent and stops the rest until it is over", () => {
-	const { clusterState, job, machine, attempt } = withOneSent();
-	const second = clusterState.assignNextTask(job, machine);
-	assert.ok(second);
-	const still = clusterState.removeJob(job);
-	assert.deepEqual(still, [attempt]);
-	assert.equal(clusterState.quotas.usage("red").cpus, 1, "what was sent still counts");
-	reconcileHeartbeat(clusterState, report(2, [task(0, attempt.number, "running")]), 100);
-	assert.equal(commandsFor(clusterState, machine)[0]?.kind, "stop");
-	reconcileHeartbeat(clusterState, report(3, [task(0, attempt.number, "exited", "stopped")]), 200);
-	assert.equal(clusterState.quotas.usage("red").cpus, 0);
+	test("responses to a worker that never shows the leader's token renew nothing", () => {
+		const { clusterState, job } = stateWithJob();
+		const earlier = { fencingToken: term - 1 };
+		reconcileHeartbeat(clusterState, heartbeat(1, [taskStatus(0, 900, "running")], earlier), 0);
+		const machine = clusterState.machines.get("n-1");
+		assert.ok(machine);
+		clusterState.markUnreconciled(machine);
+		for (let at = 3000; at < workerLeaseExpiryMs; at += 3000) {
+			machine.agent.responded(at);
+			const { kind } = reconcileHeartbeat(clusterState, heartbeat(1 + at, [], earlier), at);
+			assert.equal(kind, "reconciled");
+			assert.equal(job.attempts.size, 1);
+			assert.equal(clusterState.reconciled, false);
+		}
+		const late = reconcileHeartbeat(clusterState, heartbeat(99_999, [], earlier), workerLeaseExpiryMs + 1);
+		assert.equal(late.kind, "lease expired");
+		assert.equal(job.attempts.size, 0);
+		assert.equal(clusterState.reconciled, true);
+	});
 });
 
-test("answers to a machine that never takes up the token renew nothing", () => {
-	const { clusterState, job } = fresh();
-	const old = { fencingToken: epoch - 1 };
-	reconcileHeartbeat(clusterState, report(1, [task(0, 900, "running")], old), 0);
-	const machine = clusterState.machines.get("n-1");
-	assert.ok(machine);
-	clusterState.markUnreconciled(machine);
-	for (let at = 3000; at < clusterState.workerLeaseExpiryMs; at += 3000) {
-		machine.agent.responded(at);
-		assert.equal(reconcileHeartbeat(clusterState, report(1 + at, [], old), at).kind, "applied");
-		assert.equal(job.attempts.size, 1);
-		assert.equal(clusterState.reconciled, false);
-	}
-	assert.equal(
-		reconcileHeartbeat(clusterState, report(99_999, [], old), clusterState.workerLeaseExpiryMs + 1).kind,
-		"expired",
-	);
-	assert.equal(job.attempts.size, 0);
-	assert.equal(clusterState.reconciled, true);
-});
+describe("tasks that nobody wants", () => {
+	test("are stopped: of unknown jobs, done already, or on another machine", () => {
+		const { clusterState, job } = stateWithSentStart();
+		clusterState.markTaskDone(job, 1);
+		const tasks = [
+			taskStatus(0, 900, "running"),
+			taskStatus(1, 901, "running"),
+			{ ...taskStatus(0, 902, "running"), jobId: "j-9" },
+		];
+		reconcileHeartbeat(clusterState, heartbeat(1, tasks, { machineId: "n-2" }), 0);
+		const machine = clusterState.machines.get("n-2");
+		assert.ok(machine);
+		assert.deepEqual(
+			takeCommands(clusterState, machine).map(({ kind, attempt }) => [kind, attempt]),
+			[
+				["stop", 900],
+				["stop", 901],
+				["stop", 902],
+			],
+		);
+	});
 
-test("a late copy that lists an earlier attempt yields to the later one", () => {
-	const { clusterState, job } = fresh();
-	reconcileHeartbeat(clusterState, report(7, [task(0, 900, "running")], { fencingToken: 7 }), 0);
-	const real = report(1, [task(0, 905, "running")], { machineId: "n-2", fencingToken: 7 });
-	reconcileHeartbeat(clusterState, real, 10);
-	assert.equal(job.attempts.get(0)?.number, 905, "it was decided when the one before was proved over");
-	assert.equal(clusterState.quotas.usage("red").cpus, 1);
-	const n2 = clusterState.machines.get("n-2");
-	assert.ok(n2);
-	assert.deepEqual(commandsFor(clusterState, n2), []);
-	reconcileHeartbeat(clusterState, report(9, [task(0, 900, "running")], { fencingToken: 7 }), 20);
-	assert.equal(job.attempts.get(0)?.number, 905);
+	test("of a job that is over use their team's quota until they are gone; of an unknown job, nothing starts meanwhile", () => {
+		const known = new Map<string, TaskDemand>();
+		const clusterState = new ClusterState({
+			term,
+			teams: [teamRed],
+			machineTypes: [machineType],
+			workerLeaseExpiryMs,
+			demandOf: (jobId) => known.get(jobId) ?? null,
+		});
+		const job = clusterState.addJob("j-1", spec, 0, 1);
+		job.resetWaitingTasks();
+		const orphan = (taskIndex: number) => ({ ...taskStatus(taskIndex, 7, "running"), jobId: "j-9" });
+		reconcileHeartbeat(clusterState, heartbeat(1, [orphan(0), orphan(1)]), 0);
+		const machine = clusterState.machines.get("n-1");
+		assert.ok(machine);
+		machine.lifecycle.markRecorded();
+		assert.deepEqual([...clusterState.jobsWithUnknownDemand()], ["j-9"]);
+		assert.equal(clusterState.assignNextTask(job, machine), null, "whose quota they use is not known");
+		known.set("j-9", { team: "red", cpus: 4, gpus: 0 });
+		clusterState.resolveDemand("j-9");
+		assert.equal(clusterState.quotas.usage("red").cpus, 8);
+		assert.equal(clusterState.assignNextTask(job, machine), null, "they fill the limit");
+		reconcileHeartbeat(clusterState, heartbeat(2, [orphan(1)]), 500);
+		assert.equal(clusterState.quotas.usage("red").cpus, 4);
+		assert.notEqual(clusterState.assignNextTask(job, machine), null);
+		clusterState.expireLease(machine);
+		assert.equal(clusterState.quotas.usage("red").cpus, 0);
+		assert.ok(clusterState.reconciled);
+	});
 });
--- /dev/null
+++ b/tests/coordination/workers/lease-monitor.test.ts
@@ -0,0 +1,76 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { Machine } from "../../../src/bookkeeping/machine.js";
+import { reconcileHeartbeat } from "../../../src/coordination/workers/heartbeat-reconciliation.js";
+import { LeaseMonitor } from "../../../src/coordination/workers/lease-monitor.js";
+import {
+	heartbeat,
+	machineType,
+	stateWithJob,
+	stateWithSentStart,
+	taskStatus,
+	workerLeaseExpiryMs,
+} from "../../support/reconciliation-setup.js";
+import { silentLog } from "../../support/silent-log.js";
+
+describe("the leases of silent workers", () => {
+	test("the tasks of a machine start elsewhere only once its lease has certainly expired since the last response", () => {
+		const { clusterState, job, machine, attempt } = stateWithSentStart();
+		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 1000);
+		machine.agent.responded(1000);
+		const monitor = new LeaseMonitor(clusterState, 0, silentLog);
+		monitor.tick(1000 + workerLeaseExpiryMs, false);
+		assert.equal(machine.agent.leaseExpired, false);
+		assert.equal(job.attempts.size, 1);
+		monitor.tick(1001 + workerLeaseExpiryMs, false);
+		assert.equal(machine.agent.leaseExpired, true);
+		assert.equal(job.attempts.size, 0);
+		assert.ok(job.waitingTasks.includes(0));
+	});
+
+	test("a machine that has sent no heartbeat expires only if it may hold tasks of an earlier leader", () => {
+		const { clusterState } = stateWithJob();
+		const [created, recorded] = (["created", "record"] as const).map((origin) => {
+			const machine = new Machine({ id: origin, type: machineType, zone: "a", spot: true, origin }, 0);
+			clusterState.addMachine(machine);
+			return machine;
+		}) as [Machine, Machine];
+		clusterState.markUnreconciled(recorded);
+		new LeaseMonitor(clusterState, 0, silentLog).tick(workerLeaseExpiryMs + 1, false);
+		assert.equal(created.agent.leaseExpired, false);
+		assert.equal(recorded.agent.leaseExpired, true);
+		assert.ok(clusterState.reconciled);
+	});
+});
+
+describe("many unreachable machines", () => {
+	/** A leader with machines that all count as unreachable. */
+	function unreachableMachines(count: number) {
+		const { clusterState } = stateWithJob();
+		for (let i = 0; i < count; i++) {
+			const machineId = `n-${i}`;
+			reconcileHeartbeat(clusterState, heartbeat(1, [], { machineId }), 0);
+			const machine = clusterState.machines.get(machineId);
+			const ineffective = { leaseExpired: false, startMissing: true, startListed: false };
+			for (let n = 0; n < 2; n++) machine?.agent.noteResponseEffects(ineffective, workerLeaseExpiryMs, 0);
+		}
+		const monitor = new LeaseMonitor(clusterState, 0, silentLog);
+		const stillUnreachable = () =>
+			[...clusterState.machines.values()].filter(({ agent }) => agent.unreachableSince !== null).length;
+		return { monitor, stillUnreachable };
+	}
+
+	test("are disregarded while the process is overloaded, since its responses come too late", () => {
+		const { monitor, stillUnreachable } = unreachableMachines(3);
+		monitor.tick(1, false);
+		assert.equal(stillUnreachable(), 3);
+		monitor.tick(2, true);
+		assert.equal(stillUnreachable(), 0);
+	});
+
+	test("are taken for what they seem if they are few", () => {
+		const { monitor, stillUnreachable } = unreachableMachines(2);
+		monitor.tick(1, true);
+		assert.equal(stillUnreachable(), 2);
+	});
+});
--- /dev/null
+++ b/tests/coordination/workers/spot-reclaim.test.ts
@@ -0,0 +1,53 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { Attempt } from "../../../src/bookkeeping/attempt.js";
+import { Job } from "../../../src/bookkeeping/job.js";
+import { Machine } from "../../../src/bookkeeping/machine.js";
+import { stopBeforeReclaim } from "../../../src/coordination/workers/spot-reclaim.js";
+import type { JobSpec } from "../../../src/protocol/model/job.js";
+import { mediumType, specOf } from "../../support/specs.js";
+
+const heartbeatIntervalS = 1;
+
+/** A spot machine that is reclaimed after so many seconds, with a running attempt of a job that takes 20 s. */
+function machineWithTask(more: Partial<JobSpec>, reclaimInS: number | null) {
+	const machine = new Machine({ id: "n-1", type: mediumType, zone: "a", spot: true, origin: "created" }, 0);
+	machine.lifecycle.heartbeatReceived(reclaimInS === null ? null : reclaimInS * 1000);
+	const job = new Job("j-1", specOf("j-1", { estimatedRunS: 20, ...more }), 0, 1);
+	const attempt = new Attempt({ job, taskIndex: 0, number: 1, machine, phase: "sent" });
+	attempt.noteState("running", 0);
+	machine.hold(attempt);
+	return { machine, attempt };
+}
+
+describe("attempts on a spot machine that is about to be reclaimed", () => {
+	test("run on where no notice was given", () => {
+		const { machine, attempt } = machineWithTask({}, null);
+		assert.deepEqual(stopBeforeReclaim(machine, 0, heartbeatIntervalS), []);
+		assert.equal(attempt.stop, null);
+	});
+
+	test("of a job without checkpoints are stopped at once if they will hardly finish, and run on otherwise", () => {
+		const hopeless = machineWithTask({}, 10);
+		assert.deepEqual(stopBeforeReclaim(hopeless.machine, 0, heartbeatIntervalS), [hopeless.attempt]);
+		assert.deepEqual(hopeless.attempt.stop, { reason: "spot reclaim", graceS: 0 });
+		const hopeful = machineWithTask({}, 16);
+		assert.deepEqual(stopBeforeReclaim(hopeful.machine, 0, heartbeatIntervalS), []);
+		assert.equal(hopeful.attempt.stop, null);
+	});
+
+	test("of a job with checkpoints are stopped in time to save one, with what is left as grace", () => {
+		const checkpoints = { checkpointIntervalS: 5, checkpointCostS: 4 };
+		const { machine, attempt } = machineWithTask(checkpoints, 10);
+		assert.deepEqual(stopBeforeReclaim(machine, 3999, heartbeatIntervalS), []);
+		assert.equal(attempt.stop, null);
+		assert.deepEqual(stopBeforeReclaim(machine, 4000, heartbeatIntervalS), [], "by the next response");
+		assert.deepEqual(attempt.stop, { reason: "spot reclaim", graceS: 6 });
+	});
+
+	test("that are replicas run on: they are relocated", () => {
+		const { machine, attempt } = machineWithTask({ form: "service", estimatedRunS: 0 }, 1);
+		assert.deepEqual(stopBeforeReclaim(machine, 0, heartbeatIntervalS), []);
+		assert.equal(attempt.stop, null);
+	});
+});
--- /dev/null
+++ b/tests/coordination/workers/worker-commands.test.ts
@@ -0,0 +1,62 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { reconcileHeartbeat } from "../../../src/coordination/workers/heartbeat-reconciliation.js";
+import { takeCommands } from "../../../src/coordination/workers/worker-commands.js";
+import {
+	heartbeat,
+	stateWithMachine,
+	stateWithSentStart,
+	taskStatus,
+} from "../../support/reconciliation-setup.js";
+
+describe("starts", () => {
+	test("a machine that starts draining after an assignment still gets the start; a quarantined one does not", () => {
+		const { clusterState, job, machine } = stateWithMachine();
+		clusterState.assignNextTask(job, machine);
+		machine.lifecycle.startDraining();
+		assert.equal(takeCommands(clusterState, machine).length, 1);
+		assert.equal(clusterState.assignNextTask(job, machine), null, "nothing new is assigned to it");
+		machine.lifecycle.cancelDraining();
+		clusterState.assignNextTask(job, machine);
+		machine.health.quarantine("failures", 0);
+		assert.deepEqual(takeCommands(clusterState, machine), [], "nothing starts on a quarantined machine");
+	});
+
+	test("a start whose response was lost is sent again with the same number", () => {
+		const { clusterState, machine, attempt } = stateWithSentStart();
+		reconcileHeartbeat(clusterState, heartbeat(2), 100);
+		const commands = takeCommands(clusterState, machine);
+		assert.deepEqual(commands, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
+	});
+});
+
+describe("stops and forgets", () => {
+	test("a completed task is forgotten only when its completion is stored", () => {
+		const { clusterState, job, machine, attempt } = stateWithSentStart();
+		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "exited", "done")]), 100);
+		assert.ok(job.doneTasks.has(0));
+		machine.lifecycle.startDraining();
+		assert.deepEqual(takeCommands(clusterState, machine), [], "a failover now would lose it");
+		machine.lifecycle.cancelDraining();
+		job.markPageDurable(0, job.doneTasks.page(0));
+		assert.deepEqual(takeCommands(clusterState, machine), [], "the last one is kept as heartbeat trigger");
+		assert.equal(machine.exitedTasks.heartbeatTrigger?.attempt, attempt.number);
+		machine.lifecycle.startDraining();
+		const forget = { kind: "forget", jobId: "j-1", taskIndex: 0, attempt: attempt.number };
+		assert.deepEqual(takeCommands(clusterState, machine), [forget]);
+	});
+
+	test("the end of a job withdraws assigned attempts and stops the others until they are over", () => {
+		const { clusterState, job, machine, attempt } = stateWithSentStart();
+		const second = clusterState.assignNextTask(job, machine);
+		assert.ok(second);
+		const remaining = clusterState.removeJob(job);
+		assert.deepEqual(remaining, [attempt]);
+		assert.equal(clusterState.quotas.usage("red").cpus, 1, "what was sent still counts");
+		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 100);
+		assert.equal(takeCommands(clusterState, machine)[0]?.kind, "stop");
+		const stopped = taskStatus(0, attempt.number, "exited", "stopped");
+		reconcileHeartbeat(clusterState, heartbeat(3, [stopped]), 200);
+		assert.equal(clusterState.quotas.usage("red").cpus, 0);
+	});
+});
--- a/tests/protocol/peer/forwarding-wire.test.ts
+++ b/tests/protocol/peer/forwarding-wire.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { decodeHeartbeat, encodeHeartbeat } from "../../../src/protocol/peer/forwarding-wire.js";
-import { report } from "../../support/forwarded-heartbeat.js";
+import { forwardedHeartbeat } from "../../support/forwarded-heartbeat.js";
 
 test("a report keeps every field on its way between controllers", () => {
-	assert.deepEqual(decodeHeartbeat(encodeHeartbeat(report)), report);
+	assert.deepEqual(decodeHeartbeat(encodeHeartbeat(forwardedHeartbeat)), forwardedHeartbeat);
 });
--- a/tests/service/large-fleets.test.ts
+++ b/tests/service/large-fleets.test.ts
@@ -290,14 +290,14 @@
 			inFlight -= 1;
 			return {} as never;
 		};
-		const orders = new DirectCommandSender(
-			7,
-			100,
-			{ sendCommands: command },
-			() => true,
-			(run) => run(),
-			silentLog,
-		);
+		const orders = new DirectCommandSender({
+			term: 7,
+			maxInFlight: 100,
+			workers: { sendCommands: command },
+			active: () => true,
+			post: (run) => run(),
+			log: silentLog,
+		});
 		orders.stop(clusterState.removeJob(job));
 		await time.advance((size / 100) * 10);
 		assert.equal(told.size, size);
--- a/tests/support/forwarded-heartbeat.ts
+++ b/tests/support/forwarded-heartbeat.ts
@@ -1,6 +1,9 @@
+/** A worker's heartbeat as one controller forwards it to another. */
+
 import type { WorkerHeartbeat } from "../../src/protocol/model/worker.js";
 
-export const report: WorkerHeartbeat = {
+/** A heartbeat with a task in each state that messages between controllers tell apart. */
+export const forwardedHeartbeat: WorkerHeartbeat = {
 	machineId: "n-1",
 	endpoint: "10.1.0.1:9000",
 	machineType: "small",
--- a/tests/support/reconciliation-setup.ts
+++ b/tests/support/reconciliation-setup.ts
@@ -1,10 +1,16 @@
+/** A cluster state with one job and one machine, and heartbeats of that machine's worker. */
+
 import assert from "node:assert/strict";
 import { ClusterState } from "../../src/coordination/state/cluster-state.js";
-import { commandsFor, reconcileHeartbeat } from "../../src/coordination/workers/heartbeat-reconciliation.js";
+import { reconcileHeartbeat } from "../../src/coordination/workers/heartbeat-reconciliation.js";
+import { takeCommands } from "../../src/coordination/workers/worker-commands.js";
+import type { MachineType } from "../../src/protocol/model/machine.js";
+import type { TeamQuota } from "../../src/protocol/model/team-quota.js";
 import type { TaskStatus, WorkerHeartbeat } from "../../src/protocol/model/worker.js";
 import { specOf } from "./specs.js";
 
-export const type = {
+/** The type of the machine. */
+export const machineType: MachineType = {
 	name: "small",
 	cpus: 8,
 	gpus: 0,
@@ -17,24 +23,38 @@
 	zones: ["a"],
 };
 
+/** The quota of the job's team. */
+export const teamRed: TeamQuota = {
+	name: "red",
+	guaranteed: { cpus: 8, gpus: 0 },
+	limit: { cpus: 8, gpus: 0 },
+};
+
+/** The job `j-1`, with four tasks of one CPU each. */
 export const spec = specOf("j-1", { cpus: 1 });
 
-export const epoch = 41;
+/** The term of the leader, and its fencing token. */
+export const term = 41;
 
-export function fresh() {
+/** A worker's lease that was renewed longer ago than this has certainly expired. */
+export const workerLeaseExpiryMs = 12_000;
+
+/** A leader that knows the job and no machine. */
+export function stateWithJob() {
 	const clusterState = new ClusterState({
-		term: epoch,
-		teams: [{ name: "red", guaranteed: { cpus: 8, gpus: 0 }, limit: { cpus: 8, gpus: 0 } }],
-		machineTypes: [type],
-		workerLeaseExpiryMs: 12_000,
+		term,
+		teams: [teamRed],
+		machineTypes: [machineType],
+		workerLeaseExpiryMs,
 	});
 	const job = clusterState.addJob("j-1", spec, 0, 1);
 	job.resetWaitingTasks();
 	return { clusterState, job };
 }
 
-export function report(
-	seq: number,
+/** A heartbeat of `n-1` that shows the leader's fencing token, with what a test wants otherwise. */
+export function heartbeat(
+	sequence: number,
 	tasks: TaskStatus[] = [],
 	more: Partial<WorkerHeartbeat> = {},
 ): WorkerHeartbeat {
@@ -45,15 +65,16 @@
 		zone: "a",
 		spot: true,
 		agentEpoch: 1,
-		sequence: seq,
-		fencingToken: epoch,
+		sequence,
+		fencingToken: term,
 		reclaimInS: null,
 		tasks,
 		...more,
 	};
 }
 
-export function task(
+/** An attempt at a task of `j-1`, as a heartbeat lists it. */
+export function taskStatus(
 	taskIndex: number,
 	attempt: number,
 	state: TaskStatus["state"],
@@ -62,16 +83,22 @@
 	return { jobId: "j-1", taskIndex, attempt, state, exitCause, checkpointed: false };
 }
 
-/** A machine that has reported, with one start sent to it. */
-export function withOneSent() {
-	const { clusterState, job } = fresh();
-	reconcileHeartbeat(clusterState, report(1), 0);
+/** The machine after its first heartbeat and the write of its record: new tasks may be assigned to it. */
+export function stateWithMachine() {
+	const { clusterState, job } = stateWithJob();
+	reconcileHeartbeat(clusterState, heartbeat(1), 0);
 	const machine = clusterState.machines.get("n-1");
 	assert.ok(machine);
 	machine.lifecycle.markRecorded();
+	return { clusterState, job, machine };
+}
+
+/** The same, with one start sent to the machine. */
+export function stateWithSentStart() {
+	const { clusterState, job, machine } = stateWithMachine();
 	const attempt = clusterState.assignNextTask(job, machine);
 	assert.ok(attempt);
-	const orders = commandsFor(clusterState, machine);
-	assert.deepEqual(orders, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
+	const commands = takeCommands(clusterState, machine);
+	assert.deepEqual(commands, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
 	return { clusterState, job, machine, attempt };
 }
