--- a/src/bookkeeping/machine-fit.ts
+++ b/src/bookkeeping/machine-fit.ts
@@ -1,26 +1,25 @@
+/** Which machines and machine types the tasks of a job may run on, and how many of them at once. */
+
 import type { JobSpec } from "../protocol/model/job.js";
 import type { MachineType } from "../protocol/model/machine.js";
 import type { Job } from "./job.js";
 import type { Machine } from "./machine.js";
 
-/** Tasks of the job that a machine of the type holds at once. */
+/** Tasks of the job that an empty machine of the type holds at once. */
 export function tasksHeld(spec: JobSpec, type: MachineType): number {
-	let n = Math.floor(type.cpus / spec.cpus);
-	if (spec.gpus > 0) n = Math.min(n, Math.floor(type.gpus / spec.gpus));
-	if (spec.memoryGb > 0) n = Math.min(n, Math.floor(type.memoryGb / spec.memoryGb));
-	return n;
+	let tasks = Math.floor(type.cpus / spec.cpus);
+	if (spec.gpus > 0) tasks = Math.min(tasks, Math.floor(type.gpus / spec.gpus));
+	if (spec.memoryGb > 0) tasks = Math.min(tasks, Math.floor(type.memoryGb / spec.memoryGb));
+	return tasks;
 }
 
-/** Whether the machine, empty, could hold a task of the job. */
+/** Whether the machine, were it empty, could hold a task of the job. */
 export function couldHold(machine: Machine, job: Job): boolean {
 	return machineAllowed(job.spec, machine) && tasksHeld(job.spec, machine.type) > 0;
 }
 
-/** Whether the job allows this machine at all. */
-export function machineAllowed(
-	spec: JobSpec,
-	machine: { type: MachineType; zone: string; spot: boolean },
-): boolean {
+/** Whether the job allows a machine of this type, zone and kind at all, whatever room it has. */
+export function machineAllowed(spec: JobSpec, machine: Pick<Machine, "type" | "zone" | "spot">): boolean {
 	return (
 		(spec.machineTypes === null || spec.machineTypes.includes(machine.type.name)) &&
 		(spec.zone === null || spec.zone === machine.zone) &&
@@ -28,7 +27,10 @@
 	);
 }
 
-/** Whether a task of the job could ever run on this type, going by the job's own demands. */
+/**
+ * Whether a task of the job could ever run on this type, by all of the job's own demands together. A type that is
+ * offered in no zone can't be rented.
+ */
 export function typeFits(spec: JobSpec, type: MachineType): boolean {
 	return (
 		(spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
--- a/src/bookkeeping/remaining-work.ts
+++ b/src/bookkeeping/remaining-work.ts
@@ -1,22 +1,31 @@
+/**
+ * How much work tasks still are, in CPU seconds: what the hill climb weighs against the machines. The estimates behind
+ * it are often wrong, so no task counts for more than a bound (`capS`, in seconds).
+ */
+
 import type { Attempt } from "./attempt.js";
 
-/** Remaining core seconds of a running task; its percentage is capped at 99. */
+/** A running task counts as at most this much done, however long it has run beyond its estimate. */
+const maxPercentDone = 99;
+
+/** CPU seconds that a running task has left. */
 export function remainingOfRunning(cpus: number, elapsedS: number, estimateS: number, capS: number): number {
-	const percent = estimateS > 0 ? Math.min(99, (100 * elapsedS) / estimateS) : 99;
+	const percent = estimateS > 0 ? Math.min(maxPercentDone, (100 * elapsedS) / estimateS) : maxPercentDone;
 	return cpus * Math.min(capS, (estimateS * (100 - percent)) / 100);
 }
 
+/** CPU seconds of a task that has not begun. */
 export function remainingOfWaiting(cpus: number, estimateS: number, capS: number): number {
 	return cpus * Math.min(capS, estimateS);
 }
 
-/** Core seconds that the attempt has left. */
+/** CPU seconds that the attempt has left, by the estimated run time of its job's tasks. */
 export function remainingOfAttempt(
 	attempt: Pick<Attempt, "runningSince" | "job">,
 	now: number,
 	capS: number,
 ): number {
-	const { estimatedRunS: estimateS, spec } = attempt.job;
-	if (attempt.runningSince === null) return remainingOfWaiting(spec.cpus, estimateS, capS);
-	return remainingOfRunning(spec.cpus, (now - attempt.runningSince) / 1000, estimateS, capS);
+	const { estimatedRunS, spec } = attempt.job;
+	if (attempt.runningSince === null) return remainingOfWaiting(spec.cpus, estimatedRunS, capS);
+	return remainingOfRunning(spec.cpus, (now - attempt.runningSince) / 1000, estimatedRunS, capS);
 }
--- /dev/null
+++ b/tests/bookkeeping/attempt.test.ts
@@ -0,0 +1,123 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { attemptOf, jobOf, machineOf } from "../support/machines.js";
+
+describe("the phases of an attempt", () => {
+	test("are assigned, sent, and then what heartbeats report", () => {
+		const attempt = attemptOf(jobOf("j-1"), machineOf());
+		assert.equal(attempt.phase, "assigned");
+		assert.equal(attempt.taskId, "j-1/0");
+		attempt.markSent();
+		assert.equal(attempt.phase, "sent");
+		assert.equal(attempt.noteState("fetching", 100), false);
+		assert.equal(attempt.phase, "fetching");
+		assert.equal(attempt.noteState("running", 200), true);
+		assert.equal(attempt.phase, "running");
+		assert.equal(attempt.noteState("checkpointing", 300), false);
+		assert.equal(attempt.phase, "checkpointing");
+	});
+
+	test("a start is sent once, unless it was lost", () => {
+		const attempt = attemptOf(jobOf("j-1"), machineOf());
+		assert.throws(() => attempt.markStartLost(), /j-1\/0\/1 was lost in phase assigned/);
+		attempt.markSent();
+		assert.throws(() => attempt.markSent(), /j-1\/0\/1 was sent in phase sent/);
+		attempt.markStartLost();
+		assert.equal(attempt.phase, "assigned");
+		attempt.markSent();
+		attempt.noteState("running", 1);
+		assert.throws(() => attempt.markStartLost(), /phase running/);
+		assert.throws(() => attempt.markSent(), /phase running/);
+		assert.equal(attempt.phase, "running");
+	});
+
+	test("the run counts from the first heartbeat that reports it running", () => {
+		const attempt = attemptOf(jobOf("j-1"), machineOf());
+		assert.equal(attempt.runningSince, null);
+		assert.equal(attempt.noteState("running", 200), true);
+		assert.equal(attempt.noteState("running", 300), false, "it is not the first time");
+		assert.equal(attempt.runningSince, 200);
+		attempt.noteState("checkpointing", 400);
+		assert.equal(attempt.runningSince, 200);
+	});
+});
+
+describe("the stop of an attempt", () => {
+	test("may be wanted in any phase and stays wanted, a later request in place of an earlier one", () => {
+		const attempt = attemptOf(jobOf("j-1"), machineOf());
+		assert.equal(attempt.stop, null);
+		attempt.requestStop("preempted", 8);
+		assert.deepEqual(attempt.stop, { reason: "preempted", graceS: 8 });
+		attempt.noteState("running", 1);
+		attempt.requestStop("job over", 0);
+		assert.deepEqual(attempt.stop, { reason: "job over", graceS: 0 }, "nobody needs what it would save");
+		attempt.noteState("checkpointing", 2);
+		assert.deepEqual(attempt.stop, { reason: "job over", graceS: 0 });
+	});
+});
+
+describe("the relocation of a replica", () => {
+	const demand = { form: "service", cpus: 2, memoryGb: 4, checkpointCostS: 3 } as const;
+
+	test("reserves resources on the target and asks for the end here", () => {
+		const target = machineOf({ id: "n-2" });
+		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
+		attempt.relocateTo(target);
+		assert.equal(attempt.relocationTarget, target);
+		assert.deepEqual(attempt.stop, { reason: "relocation", graceS: 3 });
+		assert.equal(target.capacity.freeCpus, target.type.cpus - 2);
+	});
+
+	test("ends once, which gives back the reservation", () => {
+		const target = machineOf({ id: "n-2" });
+		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
+		assert.equal(attempt.endRelocation(), null, "there is none");
+		attempt.relocateTo(target);
+		assert.equal(attempt.endRelocation(), target);
+		assert.equal(attempt.endRelocation(), null);
+		assert.equal(attempt.relocationTarget, null);
+		assert.equal(target.capacity.freeCpus, target.type.cpus);
+		assert.equal(target.capacity.freeMemoryGb, target.type.memoryGb);
+	});
+
+	test("to another target gives back the reservation on the one before", () => {
+		const [first, second] = [machineOf({ id: "n-2" }), machineOf({ id: "n-3" })];
+		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
+		attempt.relocateTo(first);
+		attempt.relocateTo(second);
+		assert.equal(first.capacity.freeCpus, first.type.cpus);
+		assert.equal(second.capacity.freeCpus, second.type.cpus - 2);
+		assert.equal(attempt.relocationTarget, second);
+	});
+
+	test("keeps its reservation when another stop takes the place of its own", () => {
+		const target = machineOf({ id: "n-2" });
+		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
+		attempt.relocateTo(target);
+		attempt.requestStop("job over", 0);
+		assert.equal(attempt.relocationTarget, target);
+		assert.equal(target.capacity.freeCpus, target.type.cpus - 2);
+	});
+});
+
+describe("the protection from preemption", () => {
+	test("holds until its time, and there is none at first", () => {
+		const attempt = attemptOf(jobOf("j-1"), machineOf());
+		assert.equal(attempt.protectedFromPreemption(0), false);
+		attempt.protectFromPreemption(100);
+		assert.equal(attempt.protectedFromPreemption(99), true);
+		assert.equal(attempt.protectedFromPreemption(100), false);
+	});
+});
+
+describe("the charge of an attempt", () => {
+	test("is none until it is charged to an allotment", () => {
+		const attempt = attemptOf(jobOf("j-1"), machineOf());
+		assert.equal(attempt.charge, null);
+		const charge = { team: "red", node: "runner-0", amount: { cpus: 2000, gpus: 0 } };
+		attempt.setCharge(charge);
+		assert.equal(attempt.charge, charge);
+		attempt.setCharge(null);
+		assert.equal(attempt.charge, null);
+	});
+});
--- /dev/null
+++ b/tests/bookkeeping/job.test.ts
@@ -0,0 +1,177 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import type { Attempt } from "../../src/bookkeeping/attempt.js";
+import { Job } from "../../src/bookkeeping/job.js";
+import { TaskSet } from "../../src/bookkeeping/task-set.js";
+import { attemptOf, jobOf, machineOf } from "../support/machines.js";
+import { specOf } from "../support/specs.js";
+
+describe("the waiting tasks of a job", () => {
+	test("are taken lowest number first, and each once", () => {
+		const job = jobOf("j-1", { taskCount: 3 });
+		assert.deepEqual(
+			[0, 1, 2, 3].map(() => job.takeWaitingTask()),
+			[0, 1, 2, undefined],
+		);
+	});
+
+	test("are not those that are done or have an attempt", () => {
+		const job = jobOf("j-1", { taskCount: 3 });
+		job.markTaskDone(1);
+		job.addAttempt(attemptOf(job, machineOf()));
+		assert.equal(job.takeWaitingTask(), 2, "although all three were waiting before");
+		job.resetWaitingTasks();
+		assert.deepEqual(job.waitingTasks, [2]);
+	});
+
+	test("hold a task again after its attempt, unless it is done or the job is over", () => {
+		const job = jobOf("j-1", { taskCount: 3 });
+		for (let i = 0; i < 3; i++) job.takeWaitingTask();
+		job.requeueTask(1);
+		assert.deepEqual(job.waitingTasks, [1]);
+		job.markTaskDone(2);
+		job.requeueTask(2);
+		assert.deepEqual(job.waitingTasks, [1], "it is done");
+		job.end();
+		job.requeueTask(0);
+		assert.deepEqual(job.waitingTasks, [], "the job is over");
+	});
+
+	test("do not hold a task of which an attempt was found on a machine", () => {
+		const job = jobOf("j-1", { taskCount: 3 });
+		job.removeWaitingTask(1);
+		job.removeWaitingTask(1);
+		assert.deepEqual(job.waitingTasks, [2, 0]);
+	});
+
+	test("are ready to start unless failures make the job pause", () => {
+		const job = jobOf("j-1", { taskCount: 1 });
+		assert.equal(job.hasReadyTask(0), true);
+		job.failures.pauseUntil(100);
+		assert.equal(job.hasReadyTask(99), false);
+		assert.equal(job.hasReadyTask(100), true);
+		job.takeWaitingTask();
+		assert.equal(job.hasReadyTask(100), false);
+	});
+});
+
+describe("the attempts of a job", () => {
+	test("are removed once, and never in place of a later attempt at the task", () => {
+		const job = jobOf("j-1");
+		const [first, second] = [1, 2].map((number) => attemptOf(job, machineOf(), { number })) as [
+			Attempt,
+			Attempt,
+		];
+		job.addAttempt(first);
+		assert.equal(job.removeAttempt(first), true);
+		assert.equal(job.removeAttempt(first), false);
+		job.addAttempt(second);
+		assert.equal(job.removeAttempt(first), false);
+		assert.equal(job.attempts.get(0), second);
+	});
+
+	test("count as running while they run or save a checkpoint", () => {
+		const job = jobOf("j-1");
+		const attempt = attemptOf(job, machineOf());
+		job.addAttempt(attempt);
+		const counts = [job.runningCount];
+		for (const state of ["fetching", "running", "checkpointing"] as const) {
+			attempt.noteState(state, 1);
+			counts.push(job.runningCount);
+		}
+		assert.deepEqual(counts, [0, 0, 1, 1]);
+	});
+});
+
+describe("the done tasks of a job", () => {
+	test("are marked once, and their page is to be written until it is taken", () => {
+		const job = jobOf("j-1", { taskCount: 5000 });
+		assert.equal(job.markTaskDone(1), true);
+		assert.equal(job.markTaskDone(1), false);
+		assert.equal(job.markTaskDone(4999), true);
+		assert.equal(job.markTaskDone(5000), false, "the job has no such task");
+		assert.deepEqual([...job.takeChangedPages()], [0, 1]);
+		assert.deepEqual([...job.takeChangedPages()], []);
+		job.markTaskDone(2);
+		assert.deepEqual([...job.takeChangedPages()], [0]);
+	});
+
+	test("are durable once the store has confirmed their page", () => {
+		const job = jobOf("j-1");
+		job.markTaskDone(1);
+		assert.equal(job.durableDoneTasks.has(1), false);
+		job.markPageDurable(0, job.doneTasks.page(0));
+		assert.equal(job.durableDoneTasks.has(1), true);
+		assert.equal(job.durableDoneTasks.has(0), false);
+	});
+
+	test("do not exist for a service job, whatever a replica reports", () => {
+		const job = jobOf("j-1", { form: "service", taskCount: 1 });
+		assert.equal(job.markTaskDone(0), false);
+		assert.equal(job.doneTasks.full, false);
+		assert.deepEqual([...job.takeChangedPages()], []);
+	});
+
+	test("of the store are taken over when a leader loads the job", () => {
+		const stored = new TaskSet(3);
+		stored.add(1);
+		const job = new Job("j-1", specOf("j-1", { taskCount: 3 }), 0, 1);
+		job.load([[0, stored.page(0)]], 700);
+		assert.equal(job.loadedAt, 700);
+		assert.ok(job.doneTasks.has(1) && job.durableDoneTasks.has(1));
+		assert.deepEqual(job.waitingTasks, [2, 0]);
+		assert.deepEqual([...job.takeChangedPages()], [], "the store has them");
+	});
+});
+
+describe("the end of a job", () => {
+	test("comes after its record is being written, which may be tried again", () => {
+		const job = jobOf("j-1");
+		assert.deepEqual([job.finalizing, job.over, job.finalizingAt], [false, false, Number.NEGATIVE_INFINITY]);
+		job.startFinalizing(100);
+		job.startFinalizing(200);
+		assert.deepEqual([job.finalizing, job.over, job.finalizingAt], [true, false, 200]);
+		job.end();
+		assert.deepEqual([job.finalizing, job.over], [false, true]);
+	});
+
+	test("is final: nothing waits any more, and its record is not written again", () => {
+		const job = jobOf("j-1");
+		job.end();
+		assert.deepEqual(job.waitingTasks, []);
+		job.startFinalizing(300);
+		assert.deepEqual([job.finalizing, job.over], [false, true]);
+	});
+});
+
+describe("the estimated run time of a job's tasks", () => {
+	test("is the owner's estimate until a run has finished, and then the mean", () => {
+		const job = jobOf("j-1", { estimatedRunS: 10 });
+		assert.equal(job.estimatedRunS, 10);
+		job.noteRun(20);
+		job.noteRun(40);
+		assert.equal(job.finishedRuns, 2);
+		assert.equal(job.estimatedRunS, 30);
+	});
+
+	test("is 0 for a service job, whose replicas do not finish", () => {
+		const job = jobOf("j-1", { form: "service", estimatedRunS: 10 });
+		job.noteRun(20);
+		assert.equal(job.estimatedRunS, 0);
+	});
+});
+
+describe("what placement notes on a job", () => {
+	test("is whether a reservation was used, and until when the leader places the job", () => {
+		const job = jobOf("j-1");
+		assert.deepEqual([job.hadReservation, job.placedByLeaderUntil], [false, 0]);
+		job.markReservationUsed();
+		job.placeByLeaderUntil(5000);
+		assert.deepEqual([job.hadReservation, job.placedByLeaderUntil], [true, 5000]);
+	});
+
+	test("is its demand, which is the same for jobs that make the same demands on machines", () => {
+		assert.equal(jobOf("j-1", { team: "red" }).demandKey, jobOf("j-2", { team: "blue" }).demandKey);
+		assert.notEqual(jobOf("j-1").demandKey, jobOf("j-2", { zone: "a" }).demandKey);
+	});
+});
--- /dev/null
+++ b/tests/bookkeeping/orphaned-task.test.ts
@@ -0,0 +1,26 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { OrphanedTask } from "../../src/bookkeeping/orphaned-task.js";
+
+const ref = { jobId: "j-1", taskIndex: 3, attempt: 7 };
+
+describe("an orphaned task", () => {
+	test("uses what is known of it, and is charged only where its demand is known", () => {
+		const task = new OrphanedTask(ref);
+		assert.deepEqual([task.demand, task.charge], [null, null]);
+		const demand = { team: "red", cpus: 2, gpus: 0 };
+		task.setDemand(demand, null);
+		assert.deepEqual([task.demand, task.charge], [demand, null], "team quota is not in use");
+		const charge = { team: "red", node: "runner-0", amount: { cpus: 2000, gpus: 0 } };
+		task.setDemand(demand, charge);
+		assert.deepEqual([task.demand, task.charge], [demand, charge]);
+	});
+
+	test("is the same as another with the same job, task and attempt", () => {
+		const task = new OrphanedTask(ref);
+		assert.equal(task.is({ ...ref }), true);
+		assert.equal(task.is({ ...ref, jobId: "j-2" }), false);
+		assert.equal(task.is({ ...ref, taskIndex: 4 }), false);
+		assert.equal(task.is({ ...ref, attempt: 8 }), false);
+	});
+});
--- a/tests/bookkeeping/quota-ledger.test.ts
+++ b/tests/bookkeeping/quota-ledger.test.ts
@@ -1,16 +1,56 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { QuotaLedger } from "../../src/bookkeeping/quota-ledger.js";
 
-test("quotas count room by the tighter of cores and accelerators", () => {
-	const quotas = new QuotaLedger([
-		{ name: "t", guaranteed: { cpus: 8, gpus: 1 }, limit: { cpus: 16, gpus: 2 } },
-	]);
-	assert.equal(quotas.room({ team: "t", cpus: 2, gpus: 0 }, "guaranteed"), 4);
-	assert.equal(quotas.room({ team: "t", cpus: 2, gpus: 1 }, "limit"), 2);
-	quotas.take({ team: "t", cpus: 15, gpus: 0 });
-	assert.equal(quotas.room({ team: "t", cpus: 2, gpus: 0 }, "limit"), 0);
-	assert.equal(quotas.fitsLimit({ team: "t", cpus: 1, gpus: 0 }), true);
-	assert.equal(quotas.fitsLimit({ team: "t", cpus: 1.5, gpus: 0 }), false);
-	assert.equal(quotas.fitsLimit({ team: "nobody", cpus: 0, gpus: 0 }), false);
+const quota = { name: "t", guaranteed: { cpus: 8, gpus: 1 }, limit: { cpus: 16, gpus: 2 } };
+const demand = (cpus: number, gpus: number, team = "t") => ({ team, cpus, gpus });
+
+describe("the quota of a team", () => {
+	test("has room by the scarcer of CPUs and accelerators", () => {
+		const quotas = new QuotaLedger([quota]);
+		assert.equal(quotas.room(demand(2, 0), "guaranteed"), 4);
+		assert.equal(quotas.room(demand(2, 1), "limit"), 2);
+		quotas.take(demand(15, 0));
+		assert.equal(quotas.room(demand(2, 0), "limit"), 0);
+		assert.equal(quotas.fitsLimit(demand(1, 0)), true);
+		assert.equal(quotas.fitsLimit(demand(1.5, 0)), false);
+		assert.equal(quotas.fitsLimit(demand(0, 0, "nobody")), false);
+	});
+
+	test("has less room by what is promised", () => {
+		const quotas = new QuotaLedger([quota]);
+		assert.equal(quotas.room(demand(2, 0), "limit", { cpus: 4, gpus: 0 }), 6);
+		assert.equal(quotas.room(demand(2, 0), "guaranteed", { cpus: 9, gpus: 0 }), 0);
+	});
+
+	test("without a limit has room without a bound, but not beyond the guarantee within it", () => {
+		const unlimited = { cpus: Number.POSITIVE_INFINITY, gpus: Number.POSITIVE_INFINITY };
+		const quotas = new QuotaLedger([{ ...quota, limit: unlimited }]);
+		quotas.take(demand(1000, 0));
+		assert.equal(quotas.fitsLimit(demand(1000, 0)), true);
+		assert.equal(quotas.room(demand(1, 0), "limit"), Number.POSITIVE_INFINITY);
+		assert.equal(quotas.room(demand(1, 0), "guaranteed"), 0);
+	});
+
+	test("counts a task until it is given back, and never less than nothing", () => {
+		const quotas = new QuotaLedger([quota]);
+		quotas.take(demand(3, 1));
+		quotas.take(demand(4, 0));
+		assert.deepEqual(quotas.usage("t"), { cpus: 7, gpus: 1 });
+		quotas.giveBack(demand(3, 1));
+		assert.deepEqual(quotas.usage("t"), { cpus: 4, gpus: 0 });
+		quotas.giveBack(demand(4.0000001, 0));
+		assert.deepEqual(quotas.usage("t"), { cpus: 0, gpus: 0 });
+	});
+
+	test("changes for teams that the platform names, and for no others", () => {
+		const quotas = new QuotaLedger([quota]);
+		const lower = { ...quota, limit: { cpus: 8, gpus: 2 } };
+		quotas.setQuota(lower);
+		quotas.setQuota({ ...quota, name: "other" });
+		assert.equal(quotas.quotaOf("t"), lower);
+		assert.equal(quotas.quotaOf("other"), undefined);
+		assert.deepEqual([...quotas.teams], ["t"]);
+		assert.equal(quotas.fitsLimit(demand(9, 0)), false);
+	});
 });
--- a/tests/bookkeeping/remaining-work.test.ts
+++ b/tests/bookkeeping/remaining-work.test.ts
@@ -1,12 +1,26 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
-import { remainingOfRunning, remainingOfWaiting } from "../../src/bookkeeping/remaining-work.js";
+import { describe, test } from "node:test";
+import {
+	remainingOfAttempt,
+	remainingOfRunning,
+	remainingOfWaiting,
+} from "../../src/bookkeeping/remaining-work.js";
 import { loadOf } from "../../src/coordination/fleet/hill-climb.js";
+import { attemptOf, jobOf, machineOf } from "../support/machines.js";
 
-test("remaining work: percentage is capped at 99, work at the cap, waiting counts in full", () => {
-	assert.equal(remainingOfRunning(2, 5, 10, 600), 10);
-	assert.ok(Math.abs(remainingOfRunning(2, 50, 10, 600) - 0.2) < 1e-9);
-	assert.equal(remainingOfRunning(1, 0, 5000, 600), 600);
-	assert.equal(remainingOfWaiting(4, 10, 600), 40);
-	assert.equal(loadOf(30, 2), 20);
+describe("the remaining work of tasks", () => {
+	test("is never less than a hundredth of the estimate, at most the bound, and all of it while a task waits", () => {
+		assert.equal(remainingOfRunning(2, 5, 10, 600), 10);
+		assert.ok(Math.abs(remainingOfRunning(2, 50, 10, 600) - 0.2) < 1e-9);
+		assert.equal(remainingOfRunning(1, 0, 5000, 600), 600);
+		assert.equal(remainingOfWaiting(4, 10, 600), 40);
+		assert.equal(loadOf(30, 2), 20);
+	});
+
+	test("of an attempt counts from its first report as running", () => {
+		const attempt = attemptOf(jobOf("j-1", { cpus: 2, estimatedRunS: 10 }), machineOf());
+		assert.equal(remainingOfAttempt(attempt, 5000, 600), 20);
+		attempt.noteState("running", 5000);
+		assert.equal(remainingOfAttempt(attempt, 10_000, 600), 10);
+	});
 });
--- a/tests/bookkeeping/task-set.test.ts
+++ b/tests/bookkeeping/task-set.test.ts
@@ -1,23 +1,37 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { countInPage, TaskSet, tasksPerPage } from "../../src/bookkeeping/task-set.js";
 
-test("a done-set survives its pages, also one of 100,000 tasks in a store of small values", () => {
-	const set = new TaskSet(100_000);
-	const random = xoroshiro128plus(9);
-	for (let i = 0; i < 60_000; i++) set.add(uniformInt(random, 0, 99_999));
-	const copy = new TaskSet(100_000);
-	let counted = 0;
-	for (let page = 0; page * tasksPerPage < 100_000; page++) {
-		const text = set.page(page);
-		assert.ok(text.length < 1024, "several pages share a value");
-		counted += countInPage(text);
-		copy.addPage(page, text);
-	}
-	assert.equal(copy.count, set.count);
-	assert.equal(counted, set.count);
-	for (let i = 0; i < 100_000; i += 97) assert.equal(copy.has(i), set.has(i));
-	assert.equal(set.add(100_000), false);
+describe("a set of tasks", () => {
+	test("survives its pages, also one of 100,000 tasks in a store of small values", () => {
+		const set = new TaskSet(100_000);
+		const random = xoroshiro128plus(9);
+		for (let i = 0; i < 60_000; i++) set.add(uniformInt(random, 0, 99_999));
+		const copy = new TaskSet(100_000);
+		let counted = 0;
+		for (let page = 0; page * tasksPerPage < 100_000; page++) {
+			const text = set.page(page);
+			assert.ok(text.length < 1024, "several pages share a value");
+			counted += countInPage(text);
+			copy.addPage(page, text);
+		}
+		assert.equal(copy.count, set.count);
+		assert.equal(counted, set.count);
+		for (let i = 0; i < 100_000; i += 97) assert.equal(copy.has(i), set.has(i));
+		assert.equal(set.add(100_000), false);
+	});
+
+	test("holds each task once, and none that the job does not have", () => {
+		const set = new TaskSet(3);
+		assert.deepEqual([set.add(2), set.add(2), set.add(3), set.add(-1)], [true, false, false, false]);
+		assert.deepEqual(
+			[set.count, set.full, set.has(2), set.has(3), set.has(-1)],
+			[1, false, true, false, false],
+		);
+		set.add(0);
+		set.add(1);
+		assert.equal(set.full, true);
+	});
 });
--- /dev/null
+++ b/tests/bookkeeping/worker-agent.test.ts
@@ -0,0 +1,139 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { type ResponseEffects, WorkerAgent } from "../../src/bookkeeping/worker-agent.js";
+import { heartbeatOf, machineOf } from "../support/machines.js";
+
+const leaseMs = 10_000;
+
+const noEffect: ResponseEffects = { leaseExpired: false, startMissing: false, startListed: false };
+const startMissing: ResponseEffects = { ...noEffect, startMissing: true };
+const startListed: ResponseEffects = { ...noEffect, startListed: true };
+
+/** An agent that has sent its first heartbeat. */
+function runningAgent(agentEpoch = 1): WorkerAgent {
+	const agent = new WorkerAgent(0);
+	agent.heartbeatReceived(heartbeatOf(machineOf(), { agentEpoch, sequence: 7, endpoint: "n-1:9000" }), 100);
+	return agent;
+}
+
+describe("a worker agent and its heartbeats", () => {
+	test("has no epoch, sequence or address before its first heartbeat", () => {
+		const agent = new WorkerAgent(50);
+		assert.deepEqual([agent.epoch, agent.sequence, agent.endpoint], [0, -1, ""]);
+		assert.deepEqual([agent.running, agent.fenced, agent.leaseExpired], [false, false, false]);
+		assert.equal(agent.heartbeatAt, Number.NEGATIVE_INFINITY);
+		assert.equal(agent.respondedAt, 50, "a lease may have been renewed until then");
+	});
+
+	test("runs from its first heartbeat on", () => {
+		const agent = runningAgent();
+		assert.deepEqual([agent.epoch, agent.sequence, agent.endpoint], [1, 7, "n-1:9000"]);
+		assert.deepEqual([agent.running, agent.heartbeatAt], [true, 100]);
+	});
+
+	test("learns its address from the cloud or a record only as long as no other is known", () => {
+		const agent = new WorkerAgent(0);
+		agent.endpointLearned("listed:9000");
+		agent.endpointLearned("other:9000");
+		assert.equal(agent.endpoint, "listed:9000");
+		agent.heartbeatReceived(heartbeatOf(machineOf(), { endpoint: "n-1:9000" }), 1);
+		agent.endpointLearned("listed:9000");
+		assert.equal(agent.endpoint, "n-1:9000");
+	});
+
+	test("is fenced once it has shown the leader's token, until its lease expires", () => {
+		const agent = runningAgent();
+		assert.equal(agent.fenced, false);
+		agent.fencingConfirmed();
+		agent.fencingConfirmed();
+		assert.equal(agent.fenced, true);
+		agent.expireLease();
+		assert.equal(agent.fenced, false, "it comes back with a later epoch and must show the token again");
+	});
+
+	test("notes when it was answered and when it was redirected", () => {
+		const agent = runningAgent();
+		agent.responded(300);
+		agent.redirected(400);
+		assert.deepEqual([agent.respondedAt, agent.redirectedAt], [300, 400]);
+	});
+});
+
+describe("the expiry of a worker's lease", () => {
+	test("refuses heartbeats of the epoch that has expired", () => {
+		const agent = runningAgent(3);
+		assert.equal(agent.leastEpoch, 0);
+		agent.expireLease();
+		assert.deepEqual([agent.leaseExpired, agent.leastEpoch], [true, 4]);
+		agent.expireLease();
+		assert.equal(agent.leastEpoch, 4, "to expire again changes nothing");
+	});
+
+	test("refuses no heartbeat of a worker that has sent none", () => {
+		const agent = new WorkerAgent(0);
+		agent.expireLease();
+		assert.deepEqual([agent.leaseExpired, agent.leastEpoch], [true, 0]);
+	});
+
+	test("is over with the first heartbeat of a later epoch", () => {
+		const agent = runningAgent(3);
+		agent.expireLease();
+		agent.heartbeatReceived(heartbeatOf(machineOf(), { agentEpoch: 4, sequence: 1 }), 20_000);
+		assert.deepEqual([agent.leaseExpired, agent.epoch, agent.leastEpoch], [false, 4, 4]);
+	});
+});
+
+describe("a worker that responses do not reach", () => {
+	test("is one after two responses in a row without effect", () => {
+		const agent = runningAgent();
+		agent.noteResponseEffects(startMissing, leaseMs, 1000);
+		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [1, null]);
+		agent.noteResponseEffects({ ...noEffect, leaseExpired: true }, leaseMs, 2000);
+		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [2, 2000]);
+		agent.noteResponseEffects(startMissing, leaseMs, 3000);
+		assert.equal(agent.unreachableSince, 2000, "since the second one");
+	});
+
+	test("is not one if a start is listed between the two", () => {
+		const agent = runningAgent();
+		agent.noteResponseEffects(startMissing, leaseMs, 1000);
+		agent.noteResponseEffects(startListed, leaseMs, 2000);
+		agent.noteResponseEffects(startMissing, leaseMs, 3000);
+		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [1, null]);
+	});
+
+	test("is not one by heartbeats that show nothing, and two apart count as in a row", () => {
+		const agent = runningAgent();
+		agent.noteResponseEffects(startMissing, leaseMs, 1000);
+		agent.noteResponseEffects(noEffect, leaseMs, 2000);
+		assert.equal(agent.unreachableSince, null);
+		agent.noteResponseEffects(startMissing, leaseMs, 3000);
+		assert.equal(agent.unreachableSince, 3000);
+	});
+
+	test("hears again when a start is listed", () => {
+		const agent = runningAgent();
+		for (const at of [1000, 2000]) agent.noteResponseEffects(startMissing, leaseMs, at);
+		agent.noteResponseEffects(startListed, leaseMs, 2500);
+		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
+	});
+
+	test("hears again when it has kept its lease for half as long again as it lasts", () => {
+		const agent = runningAgent();
+		for (const at of [1000, 2000]) agent.noteResponseEffects(startMissing, leaseMs, at);
+		agent.noteResponseEffects(noEffect, leaseMs, 2000 + 1.5 * leaseMs);
+		assert.equal(agent.unreachableSince, 2000);
+		agent.noteResponseEffects(noEffect, leaseMs, 2001 + 1.5 * leaseMs);
+		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
+	});
+
+	test("is assumed to hear where the fault is more likely on the leader's side", () => {
+		const agent = runningAgent();
+		for (const at of [1000, 2000]) agent.noteResponseEffects(startMissing, leaseMs, at);
+		agent.assumeReachable();
+		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
+		agent.assumeReachable();
+		agent.noteResponseEffects(startMissing, leaseMs, 3000);
+		assert.equal(agent.unreachableSince, null, "one response without effect may be lost");
+	});
+});
--- /dev/null
+++ b/tests/bookkeeping/zone-rules.test.ts
@@ -0,0 +1,42 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { tasksByZone, tasksByZoneWithout, zoneRoom } from "../../src/bookkeeping/zone-rules.js";
+import { attemptOf, jobOf, machineOf } from "../support/machines.js";
+import { specOf } from "../support/specs.js";
+
+describe("the room that zone rules leave", () => {
+	test("has no bound without a rule", () => {
+		assert.equal(zoneRoom(specOf("j-1"), { a: 100 }, "a"), Number.POSITIVE_INFINITY);
+	});
+
+	test("is in one zone only where all tasks must be in the same", () => {
+		const spec = specOf("j-1", { singleZone: true });
+		assert.equal(zoneRoom(spec, {}, "a"), Number.POSITIVE_INFINITY);
+		assert.equal(zoneRoom(spec, { a: 1, b: 0 }, "a"), Number.POSITIVE_INFINITY);
+		assert.equal(zoneRoom(spec, { a: 1, b: 0 }, "b"), 0);
+	});
+
+	test("is half of the tasks, rounded up, in each zone where they are spread", () => {
+		const spec = specOf("j-1", { spreadZones: true, taskCount: 9 });
+		assert.equal(zoneRoom(spec, {}, "a"), 5);
+		assert.equal(zoneRoom(spec, { a: 3 }, "a"), 2);
+		assert.equal(zoneRoom(spec, { a: 6 }, "a"), 0, "never less than none");
+	});
+
+	test("is what both rules leave together", () => {
+		const spec = specOf("j-1", { singleZone: true, spreadZones: true, taskCount: 4 });
+		assert.equal(zoneRoom(spec, { a: 1 }, "a"), 1);
+		assert.equal(zoneRoom(spec, { a: 1 }, "b"), 0);
+	});
+});
+
+describe("the tasks of a job by zone", () => {
+	test("count every attempt, or all but those that leave", () => {
+		const job = jobOf("j-1");
+		const zones = ["a", "b", "b"];
+		const attempts = zones.map((zone, taskIndex) => attemptOf(job, machineOf({ zone }), { taskIndex }));
+		for (const attempt of attempts) job.addAttempt(attempt);
+		assert.deepEqual(tasksByZone(job), { a: 1, b: 2 });
+		assert.deepEqual(tasksByZoneWithout(job, attempts.slice(0, 2)), { a: 0, b: 1 });
+	});
+});
--- /dev/null
+++ b/tests/coordination/state/attempt-numbers.test.ts
@@ -0,0 +1,15 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { AttemptNumbers, attemptsPerTerm } from "../../../src/coordination/state/attempt-numbers.js";
+
+test("attempt numbers grow within their term, whose range ends before that of the next", () => {
+	const numbers = new AttemptNumbers(3);
+	let last = 3 * attemptsPerTerm;
+	while (!numbers.exhausted) {
+		const number = numbers.next();
+		assert.equal(number, last + 1);
+		last = number;
+	}
+	assert.equal(last, 4 * attemptsPerTerm - 1);
+	assert.ok(last < new AttemptNumbers(4).next());
+});
--- a/tests/coordination/state/cluster-state.test.ts
+++ b/tests/coordination/state/cluster-state.test.ts
@@ -1,61 +1,170 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
+import type { Attempt } from "../../../src/bookkeeping/attempt.js";
+import type { Job } from "../../../src/bookkeeping/job.js";
 import type { Machine } from "../../../src/bookkeeping/machine.js";
+import type { ClusterState } from "../../../src/coordination/state/cluster-state.js";
 import { tablesWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
-test("decisions never pass a team's limit or a machine's cores, in any order of starts and ends", () => {
-	const random = xoroshiro128plus(5);
-	for (let round = 0; round < 50; round++) {
-		const clusterState = tablesWith(4);
-		const jobs = ["j-1", "j-2", "j-3"].map((id, i) => {
-			const job = clusterState.addJob(
-				id,
-				specOf(id, { taskCount: 10, cpus: uniformInt(random, 1, 3), team: i % 2 ? "red" : "blue" }),
-				0,
-				1,
+/** The machines of the cluster, of which a test needs so many. */
+const machinesOf = (clusterState: ClusterState) => [...clusterState.machines.values()] as [Machine, Machine];
+
+function addJob(clusterState: ClusterState, id: string, more: Parameters<typeof specOf>[1] = {}) {
+	const job = clusterState.addJob(id, specOf(id, more), 0, 1);
+	job.resetWaitingTasks();
+	return job;
+}
+
+/** No team uses more than its 8 CPUs, by the attempts themselves and by the ledger, and no machine is overfull. */
+function assertWithinLimits(clusterState: ClusterState, jobs: readonly Job[]): void {
+	for (const team of ["red", "blue"]) {
+		let used = 0;
+		for (const job of jobs) if (job.spec.team === team) used += job.attempts.size * job.spec.cpus;
+		assert.ok(used <= 8);
+		assert.ok(Math.abs(clusterState.quotas.usage(team).cpus - used) < 1e-6);
+	}
+	for (const machine of clusterState.machines.values()) assert.ok(machine.capacity.freeCpus >= -1e-9);
+}
+
+function assertNewNumber({ number }: Attempt, seen: Set<number>): void {
+	assert.ok(!seen.has(number), "attempt numbers never repeat");
+	assert.ok(Number.isSafeInteger(number));
+	seen.add(number);
+}
+
+describe("the assignment of tasks", () => {
+	test("never exceeds a team's limit or a machine's capacity, in any order of starts and ends", () => {
+		const random = xoroshiro128plus(5);
+		for (let round = 0; round < 50; round++) {
+			const clusterState = tablesWith(4);
+			const jobs = ["j-1", "j-2", "j-3"].map((id, i) =>
+				addJob(clusterState, id, {
+					taskCount: 10,
+					cpus: uniformInt(random, 1, 3),
+					team: i % 2 ? "red" : "blue",
+				}),
 			);
-			job.resetWaitingTasks();
-			return job;
-		});
-		const seen = new Set<number>();
-		for (let step = 0; step < 80; step++) {
-			const job = jobs[uniformInt(random, 0, 2)] as (typeof jobs)[number];
-			const machine = clusterState.machines.get(`n-${uniformInt(random, 0, 3)}`) as Machine;
-			if (uniformInt(random, 0, 2) > 0) {
-				const attempt = clusterState.assignNextTask(job, machine);
-				if (attempt) {
-					assert.ok(!seen.has(attempt.number), "attempt numbers never repeat");
-					assert.ok(Number.isSafeInteger(attempt.number));
-					seen.add(attempt.number);
-				}
-			} else {
-				const attempt = [...machine.attempts.values()][0];
-				if (attempt) {
-					if (uniformInt(random, 0, 1)) clusterState.markTaskDone(attempt.job, attempt.taskIndex);
-					clusterState.endAttempt(attempt);
+			const seen = new Set<number>();
+			const endAttempt = (attempt: Attempt, done: boolean) => {
+				if (done) clusterState.markTaskDone(attempt.job, attempt.taskIndex);
+				clusterState.endAttempt(attempt);
+			};
+			for (let step = 0; step < 80; step++) {
+				const job = jobs[uniformInt(random, 0, 2)] as Job;
+				const machine = clusterState.machines.get(`n-${uniformInt(random, 0, 3)}`) as Machine;
+				if (uniformInt(random, 0, 2) > 0) {
+					const attempt = clusterState.assignNextTask(job, machine);
+					if (attempt) assertNewNumber(attempt, seen);
+				} else {
+					const attempt = [...machine.attempts.values()][0];
+					if (attempt) endAttempt(attempt, uniformInt(random, 0, 1) === 1);
 				}
+				assertWithinLimits(clusterState, jobs);
 			}
-			for (const team of ["red", "blue"]) {
-				let used = 0;
-				for (const j of jobs) if (j.spec.team === team) used += j.attempts.size * j.spec.cpus;
-				assert.ok(used <= 8);
-				assert.ok(Math.abs(clusterState.quotas.usage(team).cpus - used) < 1e-6);
-			}
-			for (const m of clusterState.machines.values()) assert.ok(m.capacity.freeCpus >= -1e-9);
 		}
-	}
+	});
+
+	test("is refused while a machine of an earlier leader is unreconciled", () => {
+		const clusterState = tablesWith(2);
+		const job = addJob(clusterState, "j-1");
+		const [first, second] = machinesOf(clusterState);
+		clusterState.markUnreconciled(second);
+		assert.equal(clusterState.assignNextTask(job, first), null);
+		clusterState.markReconciled(second);
+		assert.notEqual(clusterState.assignNextTask(job, first), null);
+	});
+
+	test("numbers attempts in the range of the term", () => {
+		const clusterState = tablesWith(1);
+		const attempt = clusterState.assignNextTask(addJob(clusterState, "j-1"), machinesOf(clusterState)[0]);
+		assert.equal(clusterState.term, 7);
+		assert.equal(attempt?.number, 7 * 2 ** 22 + 1);
+	});
 });
 
-test("nothing is decided while a machine of an earlier leader is unheard", () => {
-	const clusterState = tablesWith(2);
-	const job = clusterState.addJob("j-1", specOf("j-1"), 0, 1);
-	job.resetWaitingTasks();
-	const [first, second] = [...clusterState.machines.values()] as [Machine, Machine];
-	clusterState.markUnreconciled(second);
-	assert.equal(clusterState.assignNextTask(job, first), null);
-	clusterState.markReconciled(second);
-	assert.notEqual(clusterState.assignNextTask(job, first), null);
+describe("the end of an attempt", () => {
+	test("frees what it used and lets its task wait again, once", () => {
+		const clusterState = tablesWith(1);
+		const job = addJob(clusterState, "j-1", { taskCount: 1 });
+		const [machine] = machinesOf(clusterState);
+		const attempt = clusterState.assignNextTask(job, machine);
+		assert.ok(attempt);
+		clusterState.clearPlacementRequest();
+		clusterState.endAttempt(attempt);
+		clusterState.endAttempt(attempt);
+		assert.deepEqual(job.waitingTasks, [0]);
+		assert.equal(clusterState.quotas.usage("red").cpus, 0);
+		assert.equal(machine.capacity.usedCpus, 0);
+		assert.equal(clusterState.placementRequested, true);
+	});
+
+	test("of a relocated replica assigns the next one to the machine reserved for it", () => {
+		const clusterState = tablesWith(2);
+		const job = addJob(clusterState, "j-1", { form: "service", taskCount: 1 });
+		const [from, to] = machinesOf(clusterState);
+		const attempt = clusterState.assignNextTask(job, from);
+		assert.ok(attempt);
+		attempt.markSent();
+		attempt.relocateTo(to);
+		clusterState.endAttempt(attempt);
+		assert.equal(job.attempts.get(0)?.machine, to);
+		assert.deepEqual([...clusterState.takeRelocationTargets()], [to]);
+		assert.deepEqual([...clusterState.takeRelocationTargets()], []);
+		assert.equal(to.capacity.freeCpus, to.type.cpus - job.spec.cpus, "the reservation became the attempt's");
+	});
+
+	test("of a relocated replica whose job is over gives the reservation back", () => {
+		const clusterState = tablesWith(2);
+		const job = addJob(clusterState, "j-1", { form: "service", taskCount: 1 });
+		const [from, to] = machinesOf(clusterState);
+		const attempt = clusterState.assignNextTask(job, from);
+		assert.ok(attempt);
+		attempt.markSent();
+		attempt.relocateTo(to);
+		assert.deepEqual(clusterState.removeJob(job), [attempt]);
+		assert.deepEqual(attempt.stop, { reason: "job over", graceS: 0 });
+		clusterState.endAttempt(attempt);
+		assert.equal(job.attempts.size, 0);
+		assert.equal(to.capacity.freeCpus, to.type.cpus);
+		assert.equal(clusterState.takeRelocationTargets().size, 0);
+	});
+});
+
+describe("the machines of the cluster", () => {
+	test("leave with everything that was on them", () => {
+		const clusterState = tablesWith(1);
+		const job = addJob(clusterState, "j-1");
+		const [machine] = machinesOf(clusterState);
+		clusterState.assignNextTask(job, machine);
+		clusterState.addOrphan(machine, { jobId: "j-9", taskIndex: 0, attempt: 1 });
+		clusterState.markUnreconciled(machine);
+		machine.exitedTasks.add({ jobId: "j-8", taskIndex: 0, attempt: 1, done: false });
+		assert.equal(clusterState.removeMachine(machine), 1);
+		assert.equal(clusterState.machines.size, 0);
+		assert.equal(job.attempts.size, 0);
+		assert.equal(machine.orphans.length, 0);
+		assert.deepEqual(
+			machine.exitedTasks.chooseForgettable(() => true, false),
+			[],
+		);
+		assert.equal(clusterState.reconciled, true);
+	});
+
+	test("count as schedulable CPUs while they take new tasks", () => {
+		const clusterState = tablesWith(2);
+		assert.equal(clusterState.schedulableCpus, 8);
+		machinesOf(clusterState)[0].lifecycle.startDraining();
+		assert.equal(clusterState.schedulableCpus, 4);
+	});
+
+	test("known only from an out-of-date list are dropped, and nothing is placed for that", () => {
+		const clusterState = tablesWith(1);
+		clusterState.clearPlacementRequest();
+		clusterState.dropMachine(machinesOf(clusterState)[0]);
+		assert.equal(clusterState.machines.size, 0);
+		assert.equal(clusterState.placementRequested, false);
+	});
 });
--- a/tests/support/machines.ts
+++ b/tests/support/machines.ts
@@ -1,7 +1,28 @@
-/** Machines and heartbeats for tests that need no simulated worker. */
+/** Machines, attempts and heartbeats for tests that need no simulated worker. */
 
-import type { Machine } from "../../src/bookkeeping/machine.js";
+import { Attempt, type AttemptDescription } from "../../src/bookkeeping/attempt.js";
+import { Job } from "../../src/bookkeeping/job.js";
+import { Machine, type MachineDescription } from "../../src/bookkeeping/machine.js";
+import type { JobSpec } from "../../src/protocol/model/job.js";
 import type { WorkerHeartbeat } from "../../src/protocol/model/worker.js";
+import { mediumType, specOf } from "./specs.js";
+
+/** A spot machine of the medium type, known since steady time 0, with what a test wants otherwise. */
+export function machineOf(more: Partial<MachineDescription> = {}): Machine {
+	return new Machine({ id: "n-1", type: mediumType, zone: "a", spot: true, origin: "created", ...more }, 0);
+}
+
+/** A job whose tasks all wait, accepted at the beginning of 1970. */
+export function jobOf(id: string, more: Partial<JobSpec> = {}): Job {
+	const job = new Job(id, specOf(id, more), 0, 1);
+	job.resetWaitingTasks();
+	return job;
+}
+
+/** An attempt at the job's first task that has been assigned to the machine; neither of them knows of it. */
+export function attemptOf(job: Job, machine: Machine, more: Partial<AttemptDescription> = {}): Attempt {
+	return new Attempt({ job, taskIndex: 0, number: 1, machine, phase: "assigned", ...more });
+}
 
 /** A heartbeat of the machine's worker without tasks, with what a test wants otherwise. */
 export function heartbeatOf(machine: Machine, more: Partial<WorkerHeartbeat> = {}): WorkerHeartbeat {
