--- /dev/null
+++ b/src/coordination/controller-composition.ts
@@ -0,0 +1,212 @@
+/** Builds a controller and its parts. */
+
+import { uniformInt } from "pure-rand/distribution/uniformInt";
+import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
+import type { TeamLimits } from "../bookkeeping/quota-ledger.js";
+import { StoreReplica } from "../bookkeeping/store-replica.js";
+import type { Incarnation, Revision } from "../protocol/model/identifiers.js";
+import type { Cancellation, LeadershipMessage } from "../protocol/peer/messages.js";
+import { encodeFinalRecord } from "../protocol/records/final-record.js";
+import { keys } from "../protocol/records/keys.js";
+import type { OperatorSettings } from "../protocol/settings/operator.js";
+import type { PlatformSettings } from "../protocol/settings/platform.js";
+import { Controller } from "./controller.js";
+import { MachineTypeCatalog } from "./fleet/machine-type-catalog.js";
+import { JobService } from "./jobs/job-service.js";
+import { maxCancellationStalenessMs } from "./leadership/cancellation-staleness.js";
+import { Leadership } from "./leadership/leadership.js";
+import { PeerChannel } from "./leadership/peer-channel.js";
+import { Placer } from "./placement/placer.js";
+import type { Clock } from "./ports/clock.js";
+import type { CloudProvider } from "./ports/cloud.js";
+import type { Log } from "./ports/log.js";
+import type { PeerTransport } from "./ports/peers.js";
+import type { KeyValueStore } from "./ports/store.js";
+import type { TeamQuotaPort } from "./ports/team-quota.js";
+import type { WorkerGateway } from "./ports/workers.js";
+import { Readiness } from "./readiness.js";
+import { ReplicaSync } from "./replication/replica-sync.js";
+import { RunningTaskCounts } from "./running-task-counts.js";
+import { PauseDetector } from "./runtime/pause-detector.js";
+import { SerialExecutor } from "./runtime/serial-executor.js";
+import { TermSupervisor } from "./term-supervisor.js";
+import { HeartbeatRouter } from "./workers/heartbeat-router.js";
+
+/** What a controller needs of the world outside. */
+export interface ControllerPorts {
+	store: KeyValueStore;
+	cloud: CloudProvider;
+	workers: WorkerGateway;
+	peers: PeerTransport;
+	clock: Clock;
+	log: Log;
+	random: RandomGenerator;
+	/** Runs a batch of actions soon, after the events that are being handled. */
+	schedule(run: () => void): void;
+	/** Makes team quota for this process; null or left out: it is off. */
+	teamQuota?(post: (action: () => void) => void): TeamQuotaPort | null;
+}
+
+/** What a controller is built from. */
+export interface ControllerOptions {
+	platform: PlatformSettings;
+	operator: OperatorSettings;
+	/** Names this process; no other process of any controller has the same. */
+	incarnation: Incarnation;
+	ports: ControllerPorts;
+}
+
+/** Builds a controller. Nothing happens before it is started. */
+export function createController(options: ControllerOptions): Controller {
+	const { platform, operator, incarnation, ports } = options;
+	const { store, clock, log } = ports;
+	const executor = new SerialExecutor(ports.schedule, (error) =>
+		log.error({ err: error }, "state action failed"),
+	);
+	const post = (action: () => void) => executor.post(action);
+	const peers = new PeerChannel(ports.peers, log);
+	const replica = new StoreReplica(
+		(key, error) => log.error({ key, err: error }, "malformed value in the store"),
+		platform.cluster.state.write_rps,
+	);
+	const teamQuota = ports.teamQuota?.(post) ?? null;
+	const replicaSync = new ReplicaSync(replica, store, clock, post, log);
+	const runningTasks = new RunningTaskCounts();
+
+	const leadership: Leadership = createLeadership(
+		options,
+		{ replica, replicaSync, peers, post },
+		() => terms,
+	);
+	const machineTypes: MachineTypeCatalog = new MachineTypeCatalog({
+		cloud: ports.cloud,
+		store,
+		time: clock,
+		log,
+		post,
+		authority: () => leadership.authority(),
+		stored: () => replica.machineTypes?.value ?? null,
+		refreshed: (types) => terms.leader?.machineTypesRefreshed(types),
+	});
+	const terms: TermSupervisor = new TermSupervisor({
+		platform,
+		operator,
+		incarnation,
+		leadership,
+		replica,
+		replicaSync,
+		machineTypes,
+		teamQuota,
+		ports: { ...ports, peers, post },
+		onTermBegun: (term) => heartbeatRouter.leads(term),
+	});
+	const heartbeatRouter = new HeartbeatRouter({
+		self: platform.node,
+		peers,
+		time: clock,
+		active: () => terms.activeLeader,
+		leaderInStore: () => replica.leader?.value.node ?? null,
+		tellUnexpected: (leader, term) => controller.replyToLeader(leader, term),
+	});
+	const jobs = new JobService(
+		replica,
+		replicaSync,
+		store,
+		clock,
+		(team) => limitsOf(platform, teamQuota, team),
+		platform.cluster.zones,
+		platform.cluster.state.value_kb,
+		(action) => executor.call(action),
+		(jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
+	);
+	const controller = new Controller({
+		executor,
+		replica,
+		replicaSync,
+		leadership,
+		terms,
+		jobs,
+		heartbeatRouter,
+		placer: new Placer(replica, teamQuota),
+		peers,
+		machineTypes,
+		readiness: new Readiness({ replica, replicaSync, hasPeers: platform.others.length > 0, clock }),
+		runningTasks,
+		pauseDetector: new PauseDetector(clock),
+		teamQuota,
+		clock,
+		log,
+	});
+	return controller;
+}
+
+interface LeadershipParts {
+	replica: StoreReplica;
+	replicaSync: ReplicaSync;
+	peers: PeerChannel;
+	post(action: () => void): void;
+}
+
+/** `terms` is asked for when a term begins or ends, which is after all parts are built. */
+function createLeadership(
+	{ platform, operator, incarnation, ports }: ControllerOptions,
+	{ replica, replicaSync, peers, post }: LeadershipParts,
+	terms: () => TermSupervisor,
+): Leadership {
+	const others = platform.others.map(({ node }) => node);
+	const broadcast = (message: LeadershipMessage) => {
+		for (const node of others) peers.send(node, message);
+	};
+	return new Leadership(
+		platform.node,
+		incarnation,
+		{
+			ttlMs: operator.leadership.ttl_s * 1000,
+			marginMs: operator.leadership.margin_s * 1000,
+			longestUnknowingMs: maxCancellationStalenessMs(platform.cluster.workers),
+		},
+		ports.store,
+		ports.clock,
+		post,
+		{
+			won: (term) => terms().onElected(term),
+			lost: (term, reason) => terms().onLeadershipLost(term, reason),
+			tell: broadcast,
+			knownAt: () => replicaSync.syncedAt,
+			knownRevision: () => replica.revision,
+			cancelledSince: (revision) => cancellationsSince(replica, revision),
+			learn: (cancellations) => applyCancellations(replica, cancellations),
+		},
+		others,
+		ports.log,
+		() => uniformInt(ports.random, 0, 999) / 1000,
+	);
+}
+
+function cancellationsSince(replica: StoreReplica, revision: Revision): Cancellation[] | null {
+	const jobs = replica.cancelledSince(revision);
+	if (jobs === null) return null;
+	return jobs.map(({ id, record, revision: cancelledAt }) => ({
+		jobId: id,
+		revision: cancelledAt,
+		taskCount: record.taskCount,
+		doneCount: record.doneCount,
+	}));
+}
+
+function applyCancellations(replica: StoreReplica, cancellations: Cancellation[]): void {
+	for (const { jobId, revision, taskCount, doneCount } of cancellations) {
+		const record = encodeFinalRecord({ status: "cancelled", taskCount, doneCount });
+		replica.applyOwnWrite(keys.final(jobId), record, revision);
+	}
+}
+
+/** The limits of a team that the platform names: what its record says, else the platform's settings. */
+function limitsOf(
+	platform: PlatformSettings,
+	teamQuota: TeamQuotaPort | null,
+	team: string,
+): TeamLimits | undefined {
+	const settings = platform.cluster.teams.find(({ name }) => name === team);
+	return settings && (teamQuota?.limits(team) ?? settings);
+}
--- /dev/null
+++ b/src/serve.ts
@@ -0,0 +1,135 @@
+/** Runs a controller in this process: wires it to the network, the clocks and the log, until it is told to stop. */
+
+import { randomBytes } from "node:crypto";
+import { type Logger, pino } from "pino";
+import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
+import type { Controller } from "./coordination/controller.js";
+import { createController } from "./coordination/controller-composition.js";
+import type { OperatorSettings } from "./protocol/settings/operator.js";
+import type { PlatformSettings } from "./protocol/settings/platform.js";
+import { systemClock } from "./system-clock.js";
+import { makeTeamQuota } from "./team-quota.js";
+import { CloudClient } from "./transport/cloud-client.js";
+import { HttpClient } from "./transport/http-client.js";
+import { PeerLinks } from "./transport/peer-link.js";
+import { listenPublicApi, type PublicService } from "./transport/public-api.js";
+import { StoreClient } from "./transport/store-client.js";
+import { WorkerClient } from "./transport/worker-client.js";
+import { version } from "./version.js";
+
+const logLevels = ["fatal", "error", "warn", "info", "debug", "trace", "silent"];
+const defaultLogLevel = "info";
+const standardErrorFd = 2;
+
+/** Most connections to the store and to the cloud. */
+const storeConnections = 40;
+const cloudConnections = 8;
+
+/** Of the sockets that the process may have, this part is for users and workers, less those kept back. */
+const publicSocketsPart = 0.8;
+/** Sockets kept back for the store, the cloud, direct commands and the other controllers. */
+const socketsKeptBack = 60;
+const leastPublicSockets = 16;
+
+/** After this the process ends, whatever is still open. */
+const exitDelayMs = 200;
+
+/** Starts a controller and returns once it listens. The process then runs until SIGTERM or SIGINT. */
+export async function serve(platform: PlatformSettings, operator: OperatorSettings): Promise<void> {
+	const log = createLog(platform.node);
+	logUncaughtErrors(log);
+	const peers = new PeerLinks(
+		platform.node,
+		platform.others,
+		(from, message) => controller.peerMessage(from, message),
+		log,
+	);
+	const controller = buildController(platform, operator, peers, log);
+	const front = parseAddress(platform.front);
+	const back = parseAddress(platform.back);
+	const server = await listenPublicApi(
+		publicService(controller),
+		front.host,
+		front.port,
+		publicSockets(platform),
+		log,
+	);
+	await peers.listen(back.host, back.port);
+	controller.start();
+	log.info({ front: platform.front, back: platform.back, version }, "controller started");
+
+	const stop = () => {
+		log.info({}, "controller stopping");
+		controller.stop();
+		server.close();
+		peers.close();
+		setTimeout(() => process.exit(0), exitDelayMs);
+	};
+	process.once("SIGTERM", stop);
+	process.once("SIGINT", stop);
+}
+
+function createLog(node: string): Logger {
+	const level = process.env.LOG_LEVEL ?? defaultLogLevel;
+	return pino(
+		{ level: logLevels.includes(level) ? level : defaultLogLevel, base: { node } },
+		pino.destination({ fd: standardErrorFd, sync: true }),
+	);
+}
+
+/** A fault in one request or answer must not end the process. */
+function logUncaughtErrors(log: Logger): void {
+	process.on("uncaughtException", (error) => log.error({ err: error }, "uncaught exception"));
+	process.on("unhandledRejection", (reason) => log.error({ err: reason }, "unhandled promise rejection"));
+}
+
+function buildController(
+	platform: PlatformSettings,
+	operator: OperatorSettings,
+	peers: PeerLinks,
+	log: Logger,
+): Controller {
+	const { cluster, endpoints } = platform;
+	const incarnation = randomBytes(6).toString("hex");
+	const seed = randomBytes(4).readInt32LE(0);
+	const store = new StoreClient(
+		new HttpClient(endpoints.state, storeConnections),
+		systemClock,
+		cluster.state.rps,
+		cluster.state.write_rps,
+		platform.others.length + 1,
+	);
+	const ports = {
+		store,
+		cloud: new CloudClient(new HttpClient(endpoints.cloud, cloudConnections), systemClock, cluster.cloud.rps),
+		workers: new WorkerClient(),
+		peers,
+		clock: systemClock,
+		log,
+		random: xoroshiro128plus(seed),
+		schedule: setImmediate,
+		teamQuota: (post: (action: () => void) => void) =>
+			makeTeamQuota({ platform, operator, incarnation, store, time: systemClock, log, post }),
+	};
+	return createController({ platform, operator, incarnation, ports });
+}
+
+function publicService(controller: Controller): PublicService {
+	return {
+		submit: (spec) => controller.jobs.submit(spec),
+		status: (id) => controller.jobs.status(id),
+		cancel: (id) => controller.jobs.cancel(id),
+		handleHeartbeat: (heartbeat) => controller.handleHeartbeat(heartbeat),
+		ready: () => controller.ready(),
+	};
+}
+
+function publicSockets({ cluster }: PlatformSettings): number {
+	const sockets = Math.floor(cluster.resources.fd_limit * publicSocketsPart) - socketsKeptBack;
+	return Math.max(leastPublicSockets, sockets);
+}
+
+function parseAddress(address: string): { host: string; port: number } {
+	const colon = address.lastIndexOf(":");
+	return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+}
