--- /dev/null
+++ b/tests/coordination/fleet/cloud-inventory.test.ts
@@ -0,0 +1,62 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { CloudInventory } from "../../../src/coordination/fleet/cloud-inventory.js";
+import { CallError } from "../../../src/coordination/ports/call-error.js";
+import { ClusterState } from "../../../src/coordination/state/cluster-state.js";
+import { FakeTime } from "../../support/fake-time.js";
+import { largeFleetMachineId, largeFleetSizes } from "../../support/large-fleets.js";
+import { silentLog } from "../../support/silent-log.js";
+import { mediumType } from "../../support/specs.js";
+
+const pageSize = 500;
+/** The cloud refuses calls that come faster than this. */
+const callIntervalMs = 1000;
+
+describe("reading the machine list of a large fleet", () => {
+	for (const size of largeFleetSizes)
+		test(`${size} machines: the list is read to its end at a call a second, then the cloud has a rest`, async () => {
+			const clock = new FakeTime();
+			const clusterState = new ClusterState(1, [], new Map([[mediumType.name, mediumType]]));
+			let calls = 0;
+			let lastCallAt = -Infinity;
+			const listMachines = async (after: string) => {
+				if (clock.now() - lastCallAt < callIntervalMs) throw new CallError("not executed", 429, "too many");
+				lastCallAt = clock.now();
+				calls += 1;
+				const from = after === "" ? 0 : Number(after.slice(2)) + 1;
+				const count = Math.min(pageSize, size - from);
+				const machines = Array.from({ length: count }, (_, i) => ({
+					id: largeFleetMachineId(from + i),
+					endpoint: "10.1.0.1:9000",
+					machineType: mediumType.name,
+					zone: "a",
+					spot: true,
+					status: "running" as const,
+					ageS: 100,
+				}));
+				return { machines, more: from + count < size };
+			};
+			const hooks = { post: (run: () => void) => run(), isDeleted: () => false };
+			const inventory = new CloudInventory(
+				clusterState,
+				{ listMachines } as never,
+				clock,
+				4000,
+				hooks,
+				silentLog,
+			);
+
+			let elapsedMs = 0;
+			for (; !inventory.looked && elapsedMs < 60_000; elapsedMs += 100) {
+				inventory.tick(clock.now());
+				await clock.advance(100);
+			}
+			assert.equal(clusterState.machines.size, size);
+			assert.ok(elapsedMs <= (size / pageSize) * 1600, `${elapsedMs} ms`);
+
+			const callsToRead = calls;
+			await clock.advance(elapsedMs);
+			inventory.tick(clock.now());
+			assert.equal(calls, callsToRead, "most of the rate is left to scale-out and scale-in");
+		});
+});
--- a/tests/coordination/fleet/hill-climb.test.ts
+++ b/tests/coordination/fleet/hill-climb.test.ts
@@ -1,5 +1,5 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import {
 	loadOf,
 	machinesToCut,
@@ -8,8 +8,9 @@
 	rankOffers,
 } from "../../../src/coordination/fleet/hill-climb.js";
 import type { MachineType } from "../../../src/protocol/model/machine.js";
+import { largeFleetSizes } from "../../support/large-fleets.js";
 import { small } from "../../support/small-cluster.js";
-import { specOf } from "../../support/specs.js";
+import { mediumType, specOf } from "../../support/specs.js";
 
 test("the counters act after load over the high mark adds up, and clear between the marks", () => {
 	const settings = { high: 1.2, low: 0.6, up_past: 3, down_at: 3, cap_s: 600 };
@@ -67,3 +68,14 @@
 	assert.deepEqual(ranked(64), ["big", "small"]);
 	assert.deepEqual(ranked(4), ["small", "big"]);
 });
+
+describe("decisions for a large fleet", () => {
+	for (const size of largeFleetSizes)
+		test(`${size} machines: one decision grows the fleet by a full call, or shrinks it by an eighth`, () => {
+			const cpus = size * mediumType.cpus;
+			const typeCpus = mediumType.cpus;
+			assert.equal(machinesToCut(cpus * 12, size, cpus, typeCpus, 10, 50), 50, "one call's worth at a time");
+			const leaving = Array.from({ length: size }, () => typeCpus);
+			assert.equal(machinesToSpare(cpus, size, cpus, leaving, 10), size / 8);
+		});
+});
--- /dev/null
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -0,0 +1,77 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
+import { FailureDetector } from "../../../src/coordination/leadership/failure-detector.js";
+import { PlacementCycle } from "../../../src/coordination/placement/placement-cycle.js";
+import { encodePeerMessage } from "../../../src/protocol/peer/codec.js";
+import type { PeerMessage } from "../../../src/protocol/peer/messages.js";
+import { defaultOperator } from "../../../src/protocol/settings/operator.js";
+import type { PlatformSettings } from "../../../src/protocol/settings/platform.js";
+import { frame } from "../../../src/transport/peer-link.js";
+import { FakeTime } from "../../support/fake-time.js";
+import { largeFleet, largeFleetSizes, maxLinkBytes } from "../../support/large-fleets.js";
+import { silentLog } from "../../support/silent-log.js";
+import { specOf } from "../../support/specs.js";
+
+describe("placement cycles of a large fleet", () => {
+	for (const size of largeFleetSizes)
+		test(`${size} machines: requests are messages that links take, and the tasks start`, async () => {
+			const clock = new FakeTime();
+			const clusterState = largeFleet(size);
+			const settings = defaultOperator();
+			const others = ["b", "c"].map((node) => ({ node, domain: "z", addr: "127.0.0.1:1" }));
+			const platform = { node: "a", others, cluster: { workers: { report_s: 3 }, resources: {} } };
+			let largestMessageBytes = 0;
+			const peers = {
+				send: (_node: string, message: PeerMessage) => {
+					largestMessageBytes = Math.max(largestMessageBytes, frame(encodePeerMessage(message)).length);
+				},
+			};
+			const peerMonitor = new FailureDetector({
+				term: 7,
+				beganAt: 0,
+				platform: platform as unknown as PlatformSettings,
+				settings,
+				clusterState,
+				peers,
+				quotaTerms: () => undefined,
+				served: () => true,
+				resign: () => assert.fail("resigned"),
+				log: silentLog,
+			});
+			peerMonitor.heard("b", 0);
+			peerMonitor.heard("c", 0);
+			let started = 0;
+			const cycle = new PlacementCycle({
+				self: "a",
+				clusterState,
+				peerMonitor,
+				peers,
+				quota: null,
+				time: clock,
+				random: xoroshiro128plus(1),
+				log: silentLog,
+				cycleMs: 200,
+				silentMs: 1000,
+				sample: settings.placing.sample,
+				capS: 600,
+				decided: () => {
+					started += 1;
+				},
+			});
+			for (let i = 0; i < size; i++) {
+				const id = `j-${i}`;
+				clusterState
+					.addJob(id, specOf(id, { taskCount: 4, image: `image-${i % 40}` }), 0, 1)
+					.resetWaitingTasks();
+			}
+
+			for (let t = 0; t < 20_000 && started < size; t += 200) {
+				clusterState.placementDue = true;
+				cycle.run(clock.now());
+				await clock.advance(200);
+			}
+			assert.ok(started >= size, `${started} tasks started`);
+			assert.ok(largestMessageBytes < maxLinkBytes / 4, `a message of ${largestMessageBytes} bytes`);
+		});
+});
--- /dev/null
+++ b/tests/support/large-fleets.ts
@@ -0,0 +1,38 @@
+/** Fleets of the sizes that the operators run, for tests that count the work which a size costs. */
+
+import { Machine } from "../../src/bookkeeping/machine.js";
+import { ClusterState } from "../../src/coordination/state/cluster-state.js";
+import { makeSchedulable } from "./machines.js";
+import { mediumType } from "./specs.js";
+
+/** Machines of the largest fleet in operation, and twice as many. */
+export const largeFleetSizes = [4000, 8000] as const;
+
+/** A link between controllers is closed when more than this waits to be sent on it. */
+export const maxLinkBytes = 2 * 1024 * 1024;
+
+/** The ids of a fleet's machines, in the order of the cloud's list. */
+export function largeFleetMachineId(index: number): string {
+	return `n-${String(index).padStart(6, "0")}`;
+}
+
+/** The cluster state of a leader with that many schedulable machines in three zones, every other one spot. */
+export function largeFleet(size: number): ClusterState {
+	const teams = [{ name: "red", cpus: 10 * size, cpus_max: 10 * size, gpus: 0, gpus_max: 0 }];
+	const clusterState = new ClusterState(7, teams, new Map([[mediumType.name, mediumType]]));
+	for (let i = 0; i < size; i++) {
+		const machine = new Machine(
+			{
+				id: largeFleetMachineId(i),
+				type: mediumType,
+				zone: mediumType.zones[i % 3] as string,
+				spot: i % 2 === 0,
+				origin: "heartbeat",
+			},
+			0,
+		);
+		makeSchedulable(machine);
+		clusterState.machines.set(machine.id, machine);
+	}
+	return clusterState;
+}
