--- a/src/bookkeeping/attempt.ts
+++ b/src/bookkeeping/attempt.ts
@@ -1,5 +1,6 @@
 /** One try at one task, from the decision to start it until it is proved over. */
 
+import { RamphubError } from "../protocol/errors.js";
 import { type TaskId, taskIdOf } from "../protocol/model/identifiers.js";
 import type { TaskState } from "../protocol/model/worker.js";
 import type { Job } from "./job.js";
@@ -28,6 +29,9 @@
 	readonly graceS: number;
 }
 
+/** A command was taken for sent or lost that cannot have been: a fault of this program. */
+export class IllegalTransitionError extends RamphubError {}
+
 /** What an attempt is from its beginning. */
 export interface AttemptDescription {
 	job: Job;
@@ -90,15 +94,23 @@
 		return this.#charge;
 	}
 
-	/** A start command leaves for the worker. */
+	/**
+	 * A start command leaves for the worker.
+	 *
+	 * @throws IllegalTransitionError unless the attempt is assigned.
+	 */
 	markSent(): void {
-		if (this.#phase !== "assigned") throw new Error(`attempt ${this.#name} was sent in phase ${this.#phase}`);
+		this.#expectPhase("assigned", "was sent");
 		this.#phase = "sent";
 	}
 
-	/** The start command was lost and can no longer be carried out: it is to be sent again. */
+	/**
+	 * The start command was lost and can no longer be carried out: it is to be sent again.
+	 *
+	 * @throws IllegalTransitionError unless the attempt is sent.
+	 */
 	markStartLost(): void {
-		if (this.#phase !== "sent") throw new Error(`start of ${this.#name} was lost in phase ${this.#phase}`);
+		this.#expectPhase("sent", "was lost");
 		this.#phase = "assigned";
 	}
 
@@ -153,7 +165,9 @@
 		return now < this.#protectedUntil;
 	}
 
-	get #name(): string {
-		return `${this.taskId}/${this.number}`;
+	#expectPhase(expected: AttemptPhase, event: string): void {
+		if (this.#phase === expected) return;
+		const attempt = `${this.taskId}/${this.number}`;
+		throw new IllegalTransitionError(`the start of ${attempt} ${event} in phase ${this.#phase}`);
 	}
 }
--- a/src/bookkeeping/capacity-ledger.ts
+++ b/src/bookkeeping/capacity-ledger.ts
@@ -65,21 +65,21 @@
 	}
 
 	/** A task has been assigned to the machine. */
-	take({ cpus, gpus, memoryGb }: TaskResources): void {
+	allocate({ cpus, gpus, memoryGb }: TaskResources): void {
 		this.#used.cpus += cpus;
 		this.#used.gpus += gpus;
 		this.#used.memoryGb += memoryGb;
 	}
 
 	/** A task on the machine is gone. */
-	giveBack({ cpus, gpus, memoryGb }: TaskResources): void {
+	release({ cpus, gpus, memoryGb }: TaskResources): void {
 		this.#used.cpus -= cpus;
 		this.#used.gpus -= gpus;
 		this.#used.memoryGb -= memoryGb;
 	}
 
 	/** The last task on the machine is gone. Sums of decimals drift; an empty machine uses nothing. */
-	clear(): void {
+	releaseAll(): void {
 		this.#used = { cpus: 0, gpus: 0, memoryGb: 0 };
 	}
 
--- a/src/bookkeeping/exited-tasks.ts
+++ b/src/bookkeeping/exited-tasks.ts
@@ -11,9 +11,9 @@
 /**
  * Owns the exited attempts of one machine. Each heartbeat lists them anew.
  *
- * Starts go only in responses to heartbeats, and a machine without news sends its next heartbeat only after the whole
- * heartbeat interval. A change of its tasks makes a worker send one at once. So one exited attempt is left on a machine
- * that may get work, the heartbeat trigger: forgetting it by direct command brings on a heartbeat.
+ * Starts go only in responses to heartbeats, and a machine without news sends its next heartbeat only after the
+ * whole heartbeat interval. A change of its tasks makes a worker send one at once. So one exited attempt is left
+ * on a machine that may get work, the heartbeat trigger: forgetting it by direct command brings on a heartbeat.
  */
 export class ExitedTasks {
 	#listed: ExitedTask[] = [];
--- a/src/bookkeeping/machine.ts
+++ b/src/bookkeeping/machine.ts
@@ -120,15 +120,15 @@
 	/** An attempt was assigned to the machine, or found on it. */
 	hold(attempt: Attempt): void {
 		this.#attempts.set(attempt.taskId, attempt);
-		this.capacity.take(attempt.job.spec);
+		this.capacity.allocate(attempt.job.spec);
 	}
 
 	/** An attempt is proved gone. */
 	release(attempt: Attempt): void {
 		if (this.#attempts.get(attempt.taskId) !== attempt) return;
 		this.#attempts.delete(attempt.taskId);
-		if (this.#attempts.size === 0) this.capacity.clear();
-		else this.capacity.giveBack(attempt.job.spec);
+		if (this.#attempts.size === 0) this.capacity.releaseAll();
+		else this.capacity.release(attempt.job.spec);
 	}
 }
 
--- a/src/bookkeeping/orphaned-task.ts
+++ b/src/bookkeeping/orphaned-task.ts
@@ -13,8 +13,8 @@
 }
 
 /**
- * An attempt that is to be stopped and belongs to no live job or to none that wants it. It uses its team's quota until
- * it is proved gone, and what it uses may have to be read from the store first.
+ * An attempt that is to be stopped and belongs to no live job or to none that wants it. It uses its team's quota
+ * until it is proved gone, and what it uses may have to be read from the store first.
  */
 export class OrphanedTask implements AttemptRef {
 	readonly jobId: JobId;
--- a/src/bookkeeping/quota-ledger.ts
+++ b/src/bookkeeping/quota-ledger.ts
@@ -22,7 +22,7 @@
 
 /**
  * Counts what teams' tasks take. A task counts from the moment its start is decided until it is proved gone, so
- * that a lost response can never hide one ("decisions never pass a team's limit…" in
+ * that a lost response can never hide one ("the assignment of tasks never exceeds a team's limit…" in
  * tests/coordination/state/cluster-state.test.ts).
  */
 export class QuotaLedger {
@@ -64,14 +64,14 @@
 	}
 
 	/** Counts a task of the demand's team. */
-	take({ team, cpus, gpus }: TaskDemand): void {
+	allocate({ team, cpus, gpus }: TaskDemand): void {
 		const usage = this.mutableUsage(team);
 		usage.cpus += cpus;
 		usage.gpus += gpus;
 	}
 
 	/** A task that was counted is proved gone. */
-	giveBack({ team, cpus, gpus }: TaskDemand): void {
+	release({ team, cpus, gpus }: TaskDemand): void {
 		const usage = this.mutableUsage(team);
 		usage.cpus = Math.max(0, usage.cpus - cpus);
 		usage.gpus = Math.max(0, usage.gpus - gpus);
--- a/src/bookkeeping/remaining-work.ts
+++ b/src/bookkeeping/remaining-work.ts
@@ -1,6 +1,6 @@
 /**
- * How much work tasks still are, in CPU seconds: what the hill climb weighs against the machines. The estimates behind
- * it are often wrong, so no task counts for more than a bound (`capS`, in seconds).
+ * How much work tasks still are, in CPU seconds: what the hill climb weighs against the machines. The estimates
+ * behind it are often wrong, so no task counts for more than a bound (`capS`, in seconds).
  */
 
 import type { Attempt } from "./attempt.js";
--- a/src/bookkeeping/worker-agent.ts
+++ b/src/bookkeeping/worker-agent.ts
@@ -52,12 +52,12 @@
 	}
 
 	/** The worker's epoch as of its latest heartbeat; 0: it has sent none to this leader. */
-	get epoch(): AgentEpoch {
+	get agentEpoch(): AgentEpoch {
 		return this.#epoch;
 	}
 
 	/** Heartbeats of earlier epochs belong to a lease that has certainly expired. */
-	get leastEpoch(): AgentEpoch {
+	get minAgentEpoch(): AgentEpoch {
 		return this.#leastEpoch;
 	}
 
--- a/src/coordination/state/assignment-rules.ts
+++ b/src/coordination/state/assignment-rules.ts
@@ -49,12 +49,12 @@
 
 	/** What keeps every task of the job from starting anywhere. */
 	private leaderRefusal(job: Job): AssignmentRefusal | null {
-		// A task may still run on a machine of an earlier leader that has not been heard: it would run twice, or its team
-		// would pass its limit ("nothing is assigned while a machine of an earlier leader is unreconciled" in
-		// tests/coordination/state/cluster-state.test.ts; traces 18, 21, 47, 49).
+		// A task may still run on a machine of an earlier leader that has not been heard: it would run twice, or its
+		// team would pass its limit ("the assignment of tasks is refused while a machine of an earlier leader is
+		// unreconciled" in tests/coordination/state/cluster-state.test.ts; traces 18, 21, 47, 49).
 		if (!this.readiness.reconciled) return "cluster not reconciled";
 		// A cancelled job's task would run on beyond `cancel_s` ("the end of a job withdraws assigned attempts…" in
-		// tests/coordination/workers/heartbeat-reconciliation.test.ts; traces 07, 08).
+		// tests/coordination/workers/worker-commands.test.ts; traces 07, 08).
 		if (job.over || job.finalizing) return "job over";
 		// A number that was given out twice would let a late heartbeat be taken for another attempt. The leader resigns.
 		if (this.readiness.attemptNumbersExhausted) return "attempt numbers exhausted";
@@ -64,7 +64,7 @@
 	/** What keeps the job's team from running more, or the job from running more in the machine's zone. */
 	private quotaRefusal(job: Job, machine: Machine, admittedBy: NodeId): AssignmentRefusal | null {
 		const { spec } = job;
-		// A team would pass its limit ("assignments never exceed a team's limit…"; traces 15, 47, 49, 56).
+		// A team would pass its limit ("the assignment of tasks never exceeds a team's limit…"; traces 15, 47, 49, 56).
 		if (!this.accounting.fitsLimit(spec)) return "team at limit";
 		// The job's tasks would be in several zones, or too many of them in one (trace 16).
 		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, tasksByZone(job), machine.zone) < 1)
@@ -82,12 +82,13 @@
 	// A machine that a later leader would not know of, or that still takes commands of an earlier one, could run a task
 	// twice ("no start goes to a machine before…" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
 	if (!machine.schedulable) return "machine not schedulable";
-	// Wide tasks never started beside small ones: each place that came free was taken by the next small task (trace 57).
+	// Wide tasks never started beside small ones: each place that came free was taken by the next small task (trace
+	// 57).
 	if (capacity.reservedFor !== null && capacity.reservedFor !== job) return "machine reserved";
 	// A task started on a type, in a zone or on a kind of machine that its job does not allow (trace 16).
 	if (!machineAllowed(spec, machine)) return "machine not allowed";
-	// The worker would refuse the start ("assignments never exceed a team's limit or a machine's capacity…" in
-	// tests/coordination/state/cluster-state.test.ts).
+	// The worker would refuse the start ("the assignment of tasks never exceeds a team's limit or a machine's
+	// capacity…" in tests/coordination/state/cluster-state.test.ts).
 	if (!capacity.hasRoomFor(spec)) return "no room on machine";
 	// A faulty machine would fail all the tasks that it has room for (traces 40, 55).
 	if (health.onProbation && machine.attempts.size > 0) return "machine on probation";
--- a/src/coordination/state/attempt-numbers.ts
+++ b/src/coordination/state/attempt-numbers.ts
@@ -6,9 +6,9 @@
 export const attemptsPerTerm = 2 ** 22;
 
 /**
- * Owns the attempt numbers of one term: the term times 2^22 plus a counter. Later terms thus have larger numbers, and
- * of two attempts of a task that heartbeats list the larger number is the later one ("a late copy that lists an earlier
- * attempt yields to the later one" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
+ * Owns the attempt numbers of one term: the term times 2^22 plus a counter. Later terms thus have larger numbers,
+ * and of two attempts of a task that heartbeats list the larger number is the later one ("a late copy that lists
+ * an earlier attempt yields to the later one" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
 export class AttemptNumbers {
 	#count = 0;
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -172,8 +172,8 @@
 	}
 
 	/**
-	 * The lease of the machine's worker has certainly expired, so the worker has killed all its tasks. It may come back,
-	 * but only with a later agent epoch. Returns the attempts that were on the machine.
+	 * The lease of the machine's worker has certainly expired, so the worker has killed all its tasks. It may come
+	 * back, but only with a later agent epoch. Returns the attempts that were on the machine.
 	 */
 	expireLease(machine: Machine): number {
 		machine.agent.expireLease();
@@ -282,7 +282,7 @@
 		if (taskIndex === undefined) return null;
 		const number = this.#attemptNumbers.next();
 		const attempt = new Attempt({ job, taskIndex, number, machine, phase: "assigned" });
-		attempt.setCharge(this.#accounting.takeAdmitted(job.spec, admittedBy));
+		attempt.setCharge(this.#accounting.allocateAdmitted(job.spec, admittedBy));
 		this.register(attempt);
 		return attempt;
 	}
@@ -291,7 +291,7 @@
 	adoptAttempt(job: Job, taskIndex: number, number: number, machine: Machine): Attempt {
 		const attempt = new Attempt({ job, taskIndex, number, machine, phase: "sent" });
 		job.removeWaitingTask(taskIndex);
-		attempt.setCharge(this.#accounting.takeFound(job.spec));
+		attempt.setCharge(this.#accounting.allocateFound(job.spec));
 		this.register(attempt);
 		return attempt;
 	}
@@ -302,15 +302,15 @@
 	}
 
 	/**
-	 * The attempt is proved over: it uses nothing any more, and its task waits again unless it is done. The next attempt
-	 * of a relocated replica is assigned at once to the machine that was reserved for it.
+	 * The attempt is proved over: it uses nothing any more, and its task waits again unless it is done. The next
+	 * attempt of a relocated replica is assigned at once to the machine that was reserved for it.
 	 */
 	endAttempt(attempt: Attempt): void {
 		const { job, machine, charge } = attempt;
 		if (!job.removeAttempt(attempt)) return;
 		machine.release(attempt);
 		const admittedBy = charge?.node;
-		this.#accounting.giveBack(job.spec, charge);
+		this.#accounting.release(job.spec, charge);
 		job.requeueTask(attempt.taskIndex);
 		this.requestPlacement();
 		const target = attempt.endRelocation();
--- a/src/coordination/state/orphan-registry.ts
+++ b/src/coordination/state/orphan-registry.ts
@@ -8,10 +8,11 @@
 import type { QuotaAccounting } from "./quota-accounting.js";
 
 /**
- * Owns the orphaned tasks of all machines. Such a task, for example of a job that was cancelled while nobody led, uses
- * its team's quota until it is proved gone. Of a job that nobody here knows any more the demand is read from the store;
- * until it is known, any team may be at its limit, and nothing may start (trace 49; "tasks of a job that is over use
- * their team's quota until they are gone" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
+ * Owns the orphaned tasks of all machines. Such a task, for example of a job that was cancelled while nobody led,
+ * uses its team's quota until it is proved gone. Of a job that nobody here knows any more the demand is read from
+ * the store; until it is known, any team may be at its limit, and nothing may start (trace 49; "tasks of a job
+ * that is over use their team's quota until they are gone" in
+ * tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
 export class OrphanRegistry {
 	/** Machines with orphaned tasks of unknown demand, and how many. */
@@ -40,7 +41,7 @@
 	add(machine: Machine, ref: AttemptRef, demand: TaskDemand | null): void {
 		const task = new OrphanedTask(ref);
 		const known = demand ?? this.demandOf(ref.jobId);
-		if (known) task.setDemand(known, this.accounting.takeFound(known));
+		if (known) task.setDemand(known, this.accounting.allocateFound(known));
 		else this.countUnknown(machine, 1);
 		machine.addOrphan(task);
 	}
@@ -49,7 +50,7 @@
 	clear(machine: Machine): boolean {
 		if (machine.orphans.length === 0) return false;
 		for (const { demand, charge } of machine.orphans) {
-			if (demand) this.accounting.giveBack(demand, charge);
+			if (demand) this.accounting.release(demand, charge);
 			else this.countUnknown(machine, -1);
 		}
 		machine.clearOrphans();
@@ -65,7 +66,7 @@
 			for (const task of machine.orphans) {
 				if (task.jobId !== jobId || task.demand !== null) continue;
 				this.countUnknown(machine, -1);
-				task.setDemand(demand, this.accounting.takeFound(demand));
+				task.setDemand(demand, this.accounting.allocateFound(demand));
 				resolved = true;
 			}
 		}
--- a/src/coordination/state/quota-accounting.ts
+++ b/src/coordination/state/quota-accounting.ts
@@ -6,11 +6,11 @@
 import type { AdmissionControl } from "../ports/team-quota.js";
 
 /**
- * Owns the two counts that keep teams within their limits. The leader's own ledger counts every task from the decision
- * to start it until it is proved gone. Where team quota is in use, each task is charged to an allotment as well:
- * limits are divided into allotments that controllers hold, and a start counts against the allotment of the controller
- * that has admitted it (`admittedBy`). That is the placer that proposed the start, or this leader for starts that it
- * decides by itself. The two counts are kept apart so that each shows a fault of the other.
+ * Owns the two counts that keep teams within their limits. The leader's own ledger counts every task from the
+ * decision to start it until it is proved gone. Where team quota is in use, each task is charged to an allotment
+ * as well: limits are divided into allotments that controllers hold, and a start counts against the allotment of
+ * the controller that has admitted it (`admittedBy`). That is the placer that proposed the start, or this leader
+ * for starts that it decides by itself. The two counts are kept apart so that each shows a fault of the other.
  */
 export class QuotaAccounting {
 	#admission: AdmissionControl | null = null;
@@ -38,16 +38,16 @@
 	}
 
 	/** Counts a task that is to start, and charges it to the controller that has admitted it. */
-	takeAdmitted(demand: TaskDemand, admittedBy: NodeId): QuotaCharge | null {
+	allocateAdmitted(demand: TaskDemand, admittedBy: NodeId): QuotaCharge | null {
 		const charge = this.#admission?.charge(demand, admittedBy) ?? null;
-		this.ledger.take(demand);
+		this.ledger.allocate(demand);
 		return charge;
 	}
 
 	/** Counts a task that was found on a machine. Nobody knows who had admitted it, so team quota chooses. */
-	takeFound(demand: TaskDemand): QuotaCharge | null {
+	allocateFound(demand: TaskDemand): QuotaCharge | null {
 		const charge = this.chargeFound(demand);
-		this.ledger.take(demand);
+		this.ledger.allocate(demand);
 		return charge;
 	}
 
@@ -57,8 +57,8 @@
 	}
 
 	/** A task that was counted is proved gone. */
-	giveBack(demand: TaskDemand, charge: QuotaCharge | null): void {
-		this.ledger.giveBack(demand);
+	release(demand: TaskDemand, charge: QuotaCharge | null): void {
+		this.ledger.release(demand);
 		if (charge) this.#admission?.release(charge);
 	}
 }
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -75,10 +75,10 @@
 
 	private async call({ machine, commands }: QueuedCommands): Promise<void> {
 		const { workers, post, log } = this.options;
-		const { endpoint, epoch } = machine.agent;
+		const { endpoint, agentEpoch } = machine.agent;
 		this.inFlight += 1;
 		try {
-			await workers.sendCommands(endpoint, this.fencingToken, epoch, commands);
+			await workers.sendCommands(endpoint, this.fencingToken, agentEpoch, commands);
 		} catch (error) {
 			// The next response to the worker's heartbeat carries the commands as well.
 			log.debug({ machineId: machine.id, err: error }, "direct command failed");
--- a/src/coordination/workers/heartbeat-forwarder.ts
+++ b/src/coordination/workers/heartbeat-forwarder.ts
@@ -26,7 +26,7 @@
 /**
  * Owns the heartbeats that are on their way to the leader. A forwarder decides nothing and keeps nothing else: the
  * leader answers each heartbeat, and its response goes to the worker under the leader's fencing token. To the worker
- * and to the leader it is a slower network (docs/safety.md, "Who receives heartbeats"; traces 33 to 38).
+ * and to the leader it is a slower network (docs/safety.md; traces 33 to 38).
  */
 export class HeartbeatForwarder {
 	private leader: NodeId = "";
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -56,7 +56,7 @@
 	const refusal = refusalOf(clusterState, machine, heartbeat, now);
 	if (refusal) return { kind: refusal };
 	const { agent } = machine;
-	const newAgentEpoch = agent.epoch !== 0 && heartbeat.agentEpoch > agent.epoch;
+	const newAgentEpoch = agent.agentEpoch !== 0 && heartbeat.agentEpoch > agent.agentEpoch;
 	// Although it was renewed. Once, the response may just have come too late.
 	const leaseExpired = newAgentEpoch && now - agent.respondedAt < clusterState.workerLeaseExpiryMs / 2;
 	const firstHeartbeat = !agent.running;
@@ -101,9 +101,9 @@
 	now: number,
 ): HeartbeatRefusal | null {
 	const { agent, lifecycle } = machine;
-	if (agentEpoch < agent.leastEpoch) return "lease expired";
-	if (agentEpoch < agent.epoch) return "outdated";
-	if (agentEpoch > agent.epoch) return null;
+	if (agentEpoch < agent.minAgentEpoch) return "lease expired";
+	if (agentEpoch < agent.agentEpoch) return "outdated";
+	if (agentEpoch > agent.agentEpoch) return null;
 	if (sequence <= agent.sequence) return "outdated";
 	// A heartbeat that shows an earlier token was sent without the responses before it, and these can no longer arrive:
 	// they have renewed nothing. Its lease rests on what is older than this term, however often we have responded
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -180,9 +180,9 @@
 	}
 
 	/**
-	 * The leader, if a worker can be sent there. The leader key outlives a leader that crashed, and a worker sent to that
-	 * one would hang there while the next leader waits to hear of every machine. So a silent leader is not named, nor one
-	 * that says itself that workers do not reach it (traces 30, 31).
+	 * The leader, if a worker can be sent there. The leader key outlives a leader that crashed, and a worker sent
+	 * to that one would hang there while the next leader waits to hear of every machine. So a silent leader is not
+	 * named, nor one that says itself that workers do not reach it (trace 31).
 	 */
 	private redirectTarget(): NodeId | null {
 		const leader = this.options.leaderInStore();
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -26,8 +26,10 @@
 /** How long a response waits for a placement, so that freed capacity is filled by the same response. */
 const placementHoldMs = 150;
 
-/** How long the response to a machine without tasks waits for work: at most so long, and at most this part of the interval. */
+/** How long the response to a machine without tasks waits for work at most. */
 const idleHoldMs = 1500;
+
+/** The same, as a part of a heartbeat interval; the shorter one holds. */
 const idleHoldIntervals = 0.6;
 
 /** A machine heard within this part of a heartbeat interval is worth being asked for its next heartbeat. */
@@ -111,8 +113,8 @@
 		if (!machine.schedulable || machine.capacity.freeCpus <= 0 || !(taskReady || idle))
 			return Promise.resolve(this.commandsFor(machine));
 		if (taskReady) clusterState.requestPlacement();
-		// Freed capacity is filled by the same response: the next one is a heartbeat interval away. A machine without tasks
-		// has nothing to tell meanwhile, and is answered when work comes.
+		// Freed capacity is filled by the same response: the next one is a heartbeat interval away. A machine without
+		// tasks has nothing to tell meanwhile, and is answered when work comes.
 		if (!idle) return this.pending.hold(machine.id, now + placementHoldMs, "placement");
 		const holdMs = Math.min(idleHoldMs, heartbeatIntervalS * 1000 * idleHoldIntervals);
 		return this.pending.hold(machine.id, now + holdMs, "idle");
@@ -185,10 +187,10 @@
 	}
 
 	/**
-	 * Sends the starts of assigned attempts, to machines whose heartbeat waits for its response. The others get theirs
-	 * with the next heartbeat, which is brought on where that costs little: one exited attempt is left with each machine,
-	 * and forgetting it by direct command makes the worker send a heartbeat. When the process is short of processor time,
-	 * a connection for each start is too much.
+	 * Sends the starts of assigned attempts, to machines whose heartbeat waits for its response. The others get
+	 * theirs with the next heartbeat, which is brought on where that costs little: one exited attempt is left with
+	 * each machine, and forgetting it by direct command makes the worker send a heartbeat. When the process is
+	 * short of processor time, a connection for each start is too much.
 	 */
 	sendAssigned(now: number): void {
 		const { heartbeatIntervalS, tickDelay, commandSender } = this.options;
--- a/src/coordination/workers/machine-records.ts
+++ b/src/coordination/workers/machine-records.ts
@@ -42,7 +42,8 @@
 	record(machine: Machine): void {
 		if (this.records.has(machine.id)) return;
 		const { agent, type, zone, spot } = machine;
-		const record = { endpoint: agent.endpoint, machineType: type.name, zone, spot, agentEpoch: agent.epoch };
+		const { endpoint, agentEpoch } = agent;
+		const record = { endpoint, machineType: type.name, zone, spot, agentEpoch };
 		this.records.set(machine.id, encodeMachineRecord(record));
 		this.records.flush();
 	}
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -32,9 +32,9 @@
 }
 
 /**
- * Cleans up after jobs that ended while nobody led. Until an orphaned task is gone it uses its team's quota. Where the
- * job was over before this process knew of it, its final record says what it uses, and nothing starts until that is
- * read (trace 49).
+ * Cleans up after jobs that ended while nobody led. Until an orphaned task is gone it uses its team's quota.
+ * Where the job was over before this process knew of it, its final record says what it uses, and nothing starts
+ * until that is read (trace 49).
  */
 export class OrphanCleanup {
 	/** Jobs whose final record is being read, or was. */
--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -87,8 +87,8 @@
 	}
 
 	/**
-	 * The response with the start was lost and can no longer be carried out, since the worker has sent a heartbeat after
-	 * it. The start is sent again with the same number or, where responses do not arrive at all, given up.
+	 * The response with the start was lost and can no longer be carried out, since the worker has sent a heartbeat
+	 * after it. The start is sent again with the same number or, where responses do not arrive at all, given up.
 	 */
 	private retryStart(attempt: Attempt): void {
 		if (this.machine.agent.unreachableSince === null) attempt.markStartLost();
--- a/src/coordination/workers/worker-commands.ts
+++ b/src/coordination/workers/worker-commands.ts
@@ -49,9 +49,9 @@
 }
 
 /**
- * Decides whether an assigned attempt is still to start. Since the assignment its job may have ended or the machine may
- * have become unusable. A machine that began to drain meanwhile runs the attempt first: work that fits nowhere else
- * would be put off again and again (trace 41).
+ * Decides whether an assigned attempt is still to start. Since the assignment its job may have ended or the
+ * machine may have become unusable. A machine that began to drain meanwhile runs the attempt first: work that
+ * fits nowhere else would be put off again and again (trace 41).
  */
 function startOrEnd(clusterState: ClusterState, attempt: Attempt): boolean {
 	if (!attempt.machine.acceptsAssignedStarts || attempt.stop !== null || attempt.job.over) {
--- a/tests/bookkeeping/attempt.test.ts
+++ b/tests/bookkeeping/attempt.test.ts
@@ -19,9 +19,9 @@
 
 	test("a start is sent once, unless it was lost", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
-		assert.throws(() => attempt.markStartLost(), /j-1\/0\/1 was lost in phase assigned/);
+		assert.throws(() => attempt.markStartLost(), /start of j-1\/0\/1 was lost in phase assigned/);
 		attempt.markSent();
-		assert.throws(() => attempt.markSent(), /j-1\/0\/1 was sent in phase sent/);
+		assert.throws(() => attempt.markSent(), /start of j-1\/0\/1 was sent in phase sent/);
 		attempt.markStartLost();
 		assert.equal(attempt.phase, "assigned");
 		attempt.markSent();
--- a/tests/bookkeeping/capacity-ledger.test.ts
+++ b/tests/bookkeeping/capacity-ledger.test.ts
@@ -11,10 +11,10 @@
 	test("is taken by tasks and given back by them", () => {
 		const capacity = new CapacityLedger(type);
 		assert.deepEqual([...freeOf(capacity), capacity.usedCpus], [8, 2, 64, 0]);
-		capacity.take({ cpus: 3, gpus: 1, memoryGb: 10 });
-		capacity.take({ cpus: 3, gpus: 0, memoryGb: 10 });
+		capacity.allocate({ cpus: 3, gpus: 1, memoryGb: 10 });
+		capacity.allocate({ cpus: 3, gpus: 0, memoryGb: 10 });
 		assert.deepEqual([...freeOf(capacity), capacity.usedCpus], [2, 1, 44, 6]);
-		capacity.giveBack({ cpus: 3, gpus: 1, memoryGb: 10 });
+		capacity.release({ cpus: 3, gpus: 1, memoryGb: 10 });
 		assert.deepEqual([...freeOf(capacity), capacity.usedCpus], [5, 2, 54, 3]);
 	});
 
@@ -29,12 +29,12 @@
 	test("bears the drift of sums of decimals, and an empty machine has none", () => {
 		const capacity = new CapacityLedger(type);
 		const small = { cpus: 0.1, gpus: 0, memoryGb: 0.1 };
-		for (let i = 0; i < 79; i++) capacity.take(small);
+		for (let i = 0; i < 79; i++) capacity.allocate(small);
 		assert.equal(capacity.hasRoomFor(small), true);
-		capacity.take(small);
+		capacity.allocate(small);
 		assert.equal(capacity.hasRoomFor(small), false);
-		for (let i = 0; i < 80; i++) capacity.giveBack(small);
-		capacity.clear();
+		for (let i = 0; i < 80; i++) capacity.release(small);
+		capacity.releaseAll();
 		assert.deepEqual(freeOf(capacity), [8, 2, 64]);
 	});
 });
@@ -45,7 +45,7 @@
 		const demand = { cpus: 3, gpus: 1, memoryGb: 10 };
 		capacity.reserveForReplica(demand);
 		assert.deepEqual([...freeOf(capacity), capacity.usedCpus], [5, 1, 54, 0]);
-		capacity.clear();
+		capacity.releaseAll();
 		assert.deepEqual(freeOf(capacity), [5, 1, 54], "the end of the last task leaves the reservation");
 		capacity.releaseReplicaReservation(demand);
 		assert.deepEqual(freeOf(capacity), [8, 2, 64]);
--- a/tests/bookkeeping/quota-ledger.test.ts
+++ b/tests/bookkeeping/quota-ledger.test.ts
@@ -10,7 +10,7 @@
 		const quotas = new QuotaLedger([quota]);
 		assert.equal(quotas.room(demand(2, 0), "guaranteed"), 4);
 		assert.equal(quotas.room(demand(2, 1), "limit"), 2);
-		quotas.take(demand(15, 0));
+		quotas.allocate(demand(15, 0));
 		assert.equal(quotas.room(demand(2, 0), "limit"), 0);
 		assert.equal(quotas.fitsLimit(demand(1, 0)), true);
 		assert.equal(quotas.fitsLimit(demand(1.5, 0)), false);
@@ -26,7 +26,7 @@
 	test("without a limit has room without a bound, but not beyond the guarantee within it", () => {
 		const unlimited = { cpus: Number.POSITIVE_INFINITY, gpus: Number.POSITIVE_INFINITY };
 		const quotas = new QuotaLedger([{ ...quota, limit: unlimited }]);
-		quotas.take(demand(1000, 0));
+		quotas.allocate(demand(1000, 0));
 		assert.equal(quotas.fitsLimit(demand(1000, 0)), true);
 		assert.equal(quotas.room(demand(1, 0), "limit"), Number.POSITIVE_INFINITY);
 		assert.equal(quotas.room(demand(1, 0), "guaranteed"), 0);
@@ -34,12 +34,12 @@
 
 	test("counts a task until it is given back, and never less than nothing", () => {
 		const quotas = new QuotaLedger([quota]);
-		quotas.take(demand(3, 1));
-		quotas.take(demand(4, 0));
+		quotas.allocate(demand(3, 1));
+		quotas.allocate(demand(4, 0));
 		assert.deepEqual(quotas.usage("t"), { cpus: 7, gpus: 1 });
-		quotas.giveBack(demand(3, 1));
+		quotas.release(demand(3, 1));
 		assert.deepEqual(quotas.usage("t"), { cpus: 4, gpus: 0 });
-		quotas.giveBack(demand(4.0000001, 0));
+		quotas.release(demand(4.0000001, 0));
 		assert.deepEqual(quotas.usage("t"), { cpus: 0, gpus: 0 });
 	});
 
--- a/tests/bookkeeping/worker-agent.test.ts
+++ b/tests/bookkeeping/worker-agent.test.ts
@@ -19,7 +19,7 @@
 describe("a worker agent and its heartbeats", () => {
 	test("has no epoch, sequence or address before its first heartbeat", () => {
 		const agent = new WorkerAgent(50);
-		assert.deepEqual([agent.epoch, agent.sequence, agent.endpoint], [0, -1, ""]);
+		assert.deepEqual([agent.agentEpoch, agent.sequence, agent.endpoint], [0, -1, ""]);
 		assert.deepEqual([agent.running, agent.fenced, agent.leaseExpired], [false, false, false]);
 		assert.equal(agent.heartbeatAt, Number.NEGATIVE_INFINITY);
 		assert.equal(agent.respondedAt, 50, "a lease may have been renewed until then");
@@ -27,7 +27,7 @@
 
 	test("runs from its first heartbeat on", () => {
 		const agent = runningAgent();
-		assert.deepEqual([agent.epoch, agent.sequence, agent.endpoint], [1, 7, "n-1:9000"]);
+		assert.deepEqual([agent.agentEpoch, agent.sequence, agent.endpoint], [1, 7, "n-1:9000"]);
 		assert.deepEqual([agent.running, agent.heartbeatAt], [true, 100]);
 	});
 
@@ -62,24 +62,24 @@
 describe("the expiry of a worker's lease", () => {
 	test("refuses heartbeats of the epoch that has expired", () => {
 		const agent = runningAgent(3);
-		assert.equal(agent.leastEpoch, 0);
+		assert.equal(agent.minAgentEpoch, 0);
 		agent.expireLease();
-		assert.deepEqual([agent.leaseExpired, agent.leastEpoch], [true, 4]);
+		assert.deepEqual([agent.leaseExpired, agent.minAgentEpoch], [true, 4]);
 		agent.expireLease();
-		assert.equal(agent.leastEpoch, 4, "to expire again changes nothing");
+		assert.equal(agent.minAgentEpoch, 4, "to expire again changes nothing");
 	});
 
 	test("refuses no heartbeat of a worker that has sent none", () => {
 		const agent = new WorkerAgent(0);
 		agent.expireLease();
-		assert.deepEqual([agent.leaseExpired, agent.leastEpoch], [true, 0]);
+		assert.deepEqual([agent.leaseExpired, agent.minAgentEpoch], [true, 0]);
 	});
 
 	test("is over with the first heartbeat of a later epoch", () => {
 		const agent = runningAgent(3);
 		agent.expireLease();
 		agent.heartbeatReceived(heartbeatOf(machineOf(), { agentEpoch: 4, sequence: 1 }), 20_000);
-		assert.deepEqual([agent.leaseExpired, agent.epoch, agent.leastEpoch], [false, 4, 4]);
+		assert.deepEqual([agent.leaseExpired, agent.agentEpoch, agent.minAgentEpoch], [false, 4, 4]);
 	});
 });
 
--- a/tests/coordination/fleet/drain.test.ts
+++ b/tests/coordination/fleet/drain.test.ts
@@ -49,7 +49,7 @@
 	const running = new Attempt({ job: busy, taskIndex: 99, number: 1, machine: first, phase: "sent" });
 	running.noteState("running", 0);
 	first.hold(running);
-	first.capacity.clear();
+	first.capacity.releaseAll();
 	const run = async (ms: number) => {
 		for (let t = 0; t < ms; t += 500) {
 			fleet.tick();
--- a/tests/coordination/state/assignment-rules.test.ts
+++ b/tests/coordination/state/assignment-rules.test.ts
@@ -114,7 +114,7 @@
 	{
 		refusal: "team at limit",
 		when: "the team's tasks leave too little of its limit",
-		happens: ({ clusterState }) => clusterState.quotas.take({ team: "red", cpus: 7, gpus: 0 }),
+		happens: ({ clusterState }) => clusterState.quotas.allocate({ team: "red", cpus: 7, gpus: 0 }),
 	},
 	{ refusal: "team at limit", when: "the platform does not name the team", spec: { team: "unknown" } },
 	{
--- a/tests/coordination/state/quota-accounting.test.ts
+++ b/tests/coordination/state/quota-accounting.test.ts
@@ -46,10 +46,10 @@
 		const accounting = new QuotaAccounting(ledger);
 		assert.equal(accounting.self, "");
 		assert.equal(accounting.mayStart(demand, "runner-1"), true);
-		assert.equal(accounting.takeAdmitted(demand, "runner-1"), null);
-		assert.equal(accounting.takeFound(demand), null);
+		assert.equal(accounting.allocateAdmitted(demand, "runner-1"), null);
+		assert.equal(accounting.allocateFound(demand), null);
 		assert.equal(ledger.usage("red").cpus, 4);
-		accounting.giveBack(demand, null);
+		accounting.release(demand, null);
 		assert.equal(ledger.usage("red").cpus, 2);
 	});
 
@@ -60,12 +60,12 @@
 		accounting.enableAdmission(allotments);
 		assert.equal(accounting.self, "runner-0");
 		assert.equal(accounting.mayStart(demand, "runner-1"), false);
-		const admitted = accounting.takeAdmitted(demand, "runner-2");
-		const found = accounting.takeFound(demand);
+		const admitted = accounting.allocateAdmitted(demand, "runner-2");
+		const found = accounting.allocateFound(demand);
 		assert.deepEqual(allotments.nodes, ["runner-2", "nobody"]);
 		assert.equal(ledger.usage("red").cpus, 4);
-		accounting.giveBack(demand, admitted);
-		accounting.giveBack(demand, found);
+		accounting.release(demand, admitted);
+		accounting.release(demand, found);
 		assert.deepEqual(allotments.nodes, []);
 		assert.equal(ledger.usage("red").cpus, 0);
 	});
