--- a/tests/coordination/state/quota-accounting.test.ts
+++ b/tests/coordination/state/quota-accounting.test.ts
@@ -124,6 +124,28 @@
 		assert.equal(clusterState.quotas.usage("red").cpus, 2);
 	});
 
+	test("counts an orphaned task once, also when the demand of another one becomes known", () => {
+		const demands = new Map([["j-9", demand]]);
+		const clusterState = new ClusterState({
+			term: 1,
+			teams: [teamRed],
+			machineTypes: [mediumType],
+			demandOf: (jobId) => demands.get(jobId) ?? null,
+		});
+		const machine = machineOf();
+		clusterState.addMachine(machine);
+		clusterState.addOrphan(machine, { jobId: "j-9", taskIndex: 0, attempt: 1 });
+		demands.clear();
+		clusterState.addOrphan(machine, { jobId: "j-9", taskIndex: 1, attempt: 2 });
+		assert.deepEqual([...clusterState.jobsWithUnknownDemand()], ["j-9"]);
+		demands.set("j-9", demand);
+		clusterState.resolveDemand("j-9");
+		assert.equal(clusterState.quotas.usage("red").cpus, 4);
+		assert.equal(clusterState.reconciled, true);
+		clusterState.clearOrphans(machine);
+		assert.equal(clusterState.quotas.usage("red").cpus, 0);
+	});
+
 	test("assigns tasks as admitted by this leader, unless another controller has admitted them", () => {
 		const { clusterState, machine } = setUp();
 		const job = clusterState.addJob("j-1", specOf("j-1"), 0, 1);
--- /dev/null
+++ b/tests/coordination/workers/heartbeat-router.test.ts
@@ -0,0 +1,227 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import {
+	type ActiveLeader,
+	type HeartbeatResponse,
+	HeartbeatRouter,
+} from "../../../src/coordination/workers/heartbeat-router.js";
+import type { WorkerCommand } from "../../../src/protocol/model/worker.js";
+import type { LeaderHeartbeat, PeerMessage } from "../../../src/protocol/peer/messages.js";
+import { FakeTime } from "../../support/fake-time.js";
+import { heartbeat } from "../../support/reconciliation-setup.js";
+
+const stop: WorkerCommand = { kind: "stop", jobId: "j-1", taskIndex: 0, attempt: 1, graceS: 0 };
+const tryAnother: HeartbeatResponse = { kind: "redirect", node: null };
+
+/** The router of `runner-0`. What it leads and what the leader key says are set by the test. */
+class Setup {
+	readonly clock = new FakeTime();
+	readonly sent: PeerMessage[] = [];
+	readonly reports: [leader: string, term: number][] = [];
+	active: ActiveLeader | null = null;
+	leaderInStore: string | null = null;
+	readonly router = new HeartbeatRouter({
+		self: "runner-0",
+		peers: { send: (_to, message) => this.sent.push(message) },
+		clock: this.clock,
+		activeLeader: () => this.active,
+		leaderInStore: () => this.leaderInStore,
+		reportMisdirectedWorkers: (leader, term) => this.reports.push([leader, term]),
+	});
+
+	/** This process leads and answers each heartbeat with these commands. */
+	lead(term: number, commands: WorkerCommand[] | null, forwarder: string | null = null): void {
+		const leader = { handleHeartbeat: async () => commands, forwarderFor: () => forwarder };
+		this.active = { term, leader };
+		this.router.startLeading(term);
+	}
+
+	/** A leader is heard now, and the leader key names it. */
+	hear(node: string, term: number, more: Partial<LeaderHeartbeat> = {}): void {
+		this.leaderInStore = node;
+		const message: LeaderHeartbeat = {
+			kind: "leader-heartbeat",
+			term,
+			runningTasks: [],
+			storeReachable: true,
+			workersReachable: true,
+			forwardHeartbeats: false,
+			...more,
+		};
+		this.router.noteLeader(node, message, this.clock.now());
+	}
+
+	handle(fencingToken = 0): Promise<HeartbeatResponse> {
+		return this.router.handle(heartbeat(1, [], { fencingToken }));
+	}
+
+	/** Ids of the heartbeats that were forwarded, in their order. */
+	get forwarded(): number[] {
+		return this.sent.flatMap((message) =>
+			message.kind === "forwarded-heartbeats" ? message.heartbeats.map(({ requestId }) => requestId) : [],
+		);
+	}
+}
+
+describe("a heartbeat that comes to the leader", () => {
+	test("is answered with its commands under its fencing token", async () => {
+		const setup = new Setup();
+		setup.lead(7, [stop]);
+		assert.deepEqual(await setup.handle(), { kind: "commands", fencingToken: 7, commands: [stop] });
+	});
+
+	test("is redirected where another controller receives the machine's heartbeats", async () => {
+		const setup = new Setup();
+		setup.lead(7, [stop], "runner-2");
+		assert.deepEqual(await setup.handle(), { kind: "redirect", node: "runner-2" });
+	});
+
+	test("is refused where the leader may not answer, or its authority ends while the response is held", async () => {
+		const setup = new Setup();
+		setup.lead(7, null);
+		assert.deepEqual(await setup.handle(), tryAnother);
+		setup.lead(7, [stop]);
+		const response = setup.handle();
+		setup.active = null;
+		assert.deepEqual(await response, tryAnother);
+	});
+});
+
+describe("a heartbeat that comes to another controller", () => {
+	test("is redirected to the leader in the store if that was heard lately", async () => {
+		const setup = new Setup();
+		assert.deepEqual(await setup.handle(), tryAnother, "nobody leads");
+		setup.hear("runner-1", 7);
+		await setup.clock.advance(1200);
+		assert.deepEqual(await setup.handle(), { kind: "redirect", node: "runner-1" });
+		await setup.clock.advance(1);
+		assert.deepEqual(await setup.handle(), tryAnother, "a worker would hang at a leader that crashed");
+	});
+
+	test("is not redirected to a leader that was not heard, or that says that workers do not reach it", async () => {
+		const setup = new Setup();
+		setup.hear("runner-1", 7);
+		setup.leaderInStore = "runner-2";
+		assert.deepEqual(await setup.handle(), tryAnother);
+		setup.hear("runner-1", 7, { workersReachable: false });
+		assert.deepEqual(await setup.handle(), tryAnother);
+	});
+
+	test("is not redirected to this node itself, whose leadership has ended", async () => {
+		const setup = new Setup();
+		setup.hear("runner-0", 7);
+		assert.deepEqual(await setup.handle(), tryAnother);
+	});
+
+	test("counts as misdirected for 6 s, and a leader that workers do not reach is told at once", async () => {
+		const setup = new Setup();
+		setup.hear("runner-1", 7);
+		await setup.handle();
+		assert.deepEqual([setup.router.countMisdirectedWorkers(), setup.reports], [1, []]);
+		setup.hear("runner-1", 7, { workersReachable: false });
+		await setup.handle();
+		await setup.handle();
+		assert.deepEqual(setup.reports, [["runner-1", 7]], "at most ten times a second");
+		await setup.clock.advance(100);
+		await setup.handle();
+		assert.equal(setup.reports.length, 2);
+		await setup.clock.advance(6000);
+		assert.equal(setup.router.countMisdirectedWorkers(), 1);
+		await setup.clock.advance(1);
+		assert.equal(setup.router.countMisdirectedWorkers(), 0);
+	});
+});
+
+describe("a heartbeat where the leader wants them forwarded", () => {
+	test("is forwarded, and answered as the leader says", async () => {
+		const setup = new Setup();
+		setup.hear("runner-1", 7, { forwardHeartbeats: true });
+		const [first, second] = [setup.handle(), setup.handle()];
+		await setup.clock.advance(100);
+		const [firstId, secondId] = setup.forwarded as [number, number];
+		setup.router.handleForwardedResponses("runner-1", {
+			kind: "forwarded-responses",
+			term: 7,
+			responses: [
+				{ requestId: firstId, commands: [stop] },
+				{ requestId: secondId, commands: null },
+			],
+		});
+		assert.deepEqual(await first, { kind: "commands", fencingToken: 7, commands: [stop] });
+		assert.deepEqual(await second, tryAnother);
+		assert.equal(setup.router.countMisdirectedWorkers(), 0, "it came to where it should");
+	});
+
+	test("is forwarded anew to the next leader if the leader changes meanwhile", async () => {
+		const setup = new Setup();
+		setup.hear("runner-1", 7, { forwardHeartbeats: true });
+		const response = setup.handle();
+		await setup.clock.advance(100);
+		setup.hear("runner-2", 9, { forwardHeartbeats: true });
+		await setup.clock.advance(100);
+		const again = setup.forwarded[1] as number;
+		setup.router.handleForwardedResponses("runner-2", {
+			kind: "forwarded-responses",
+			term: 9,
+			responses: [{ requestId: again, commands: [] }],
+		});
+		assert.deepEqual(await response, { kind: "commands", fencingToken: 9, commands: [] });
+	});
+
+	test("is not forwarded to a silent leader, nor to an earlier one than the worker has seen", async () => {
+		const setup = new Setup();
+		setup.hear("runner-1", 7, { forwardHeartbeats: true });
+		assert.deepEqual(await setup.handle(8), { kind: "redirect", node: "runner-1" });
+		await setup.clock.advance(1201);
+		assert.deepEqual(await setup.handle(), tryAnother);
+		assert.deepEqual(setup.forwarded, []);
+	});
+
+	test("is given up when the process stood still", async () => {
+		const setup = new Setup();
+		setup.hear("runner-1", 7, { forwardHeartbeats: true });
+		const response = setup.handle();
+		setup.router.onProcessPause();
+		assert.deepEqual(await response, tryAnother);
+	});
+});
+
+describe("what a late copy of an earlier leader's message says", () => {
+	test("changes nothing", async () => {
+		const setup = new Setup();
+		setup.hear("runner-1", 7);
+		setup.hear("runner-2", 5);
+		setup.leaderInStore = "runner-1";
+		assert.deepEqual(await setup.handle(), { kind: "redirect", node: "runner-1" });
+	});
+});
+
+describe("heartbeats that another controller forwards to the leader", () => {
+	test("are answered in one message under the leader's term", async () => {
+		const setup = new Setup();
+		setup.lead(7, [stop]);
+		const forwarded = [1, 2].map((requestId) => ({ requestId, heartbeat: heartbeat(requestId) }));
+		setup.router.handleForwarded("runner-1", {
+			kind: "forwarded-heartbeats",
+			term: 7,
+			heartbeats: forwarded,
+		});
+		await setup.clock.advance(100);
+		const responses = [1, 2].map((requestId) => ({ requestId, commands: [stop] }));
+		assert.deepEqual(setup.sent, [{ kind: "forwarded-responses", term: 7, responses }]);
+	});
+
+	test("of another term are refused: this process does not lead in it", async () => {
+		const setup = new Setup();
+		setup.lead(7, [stop]);
+		const forwarded = [{ requestId: 1, heartbeat: heartbeat(1) }];
+		setup.router.handleForwarded("runner-1", {
+			kind: "forwarded-heartbeats",
+			term: 6,
+			heartbeats: forwarded,
+		});
+		await setup.clock.advance(100);
+		const responses = [{ requestId: 1, commands: null }];
+		assert.deepEqual(setup.sent, [{ kind: "forwarded-responses", term: 6, responses }]);
+	});
+});
--- /dev/null
+++ b/tests/coordination/workers/heartbeat-service.test.ts
@@ -0,0 +1,223 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import type { Machine } from "../../../src/bookkeeping/machine.js";
+import { TickDelay } from "../../../src/coordination/runtime/tick-delay.js";
+import { DirectCommandSender } from "../../../src/coordination/workers/direct-command-sender.js";
+import { FaultAttribution } from "../../../src/coordination/workers/fault-attribution.js";
+import { HeartbeatService } from "../../../src/coordination/workers/heartbeat-service.js";
+import { OrphanCleanup } from "../../../src/coordination/workers/orphan-cleanup.js";
+import type { WorkerCommand, WorkerHeartbeat } from "../../../src/protocol/model/worker.js";
+import { FakeTime } from "../../support/fake-time.js";
+import { heartbeat, stateWithJob, taskStatus, term } from "../../support/reconciliation-setup.js";
+import { silentLog } from "../../support/silent-log.js";
+
+/** The heartbeat service of a leader that knows a job of four tasks; what it records and sends directly is kept. */
+class Setup {
+	readonly clock = new FakeTime();
+	readonly clusterState;
+	readonly job;
+	readonly service: HeartbeatService;
+	readonly recorded: Machine[] = [];
+	readonly directCommands: WorkerCommand[] = [];
+	readonly deleted = new Set<string>();
+	active = true;
+
+	constructor() {
+		({ clusterState: this.clusterState, job: this.job } = stateWithJob());
+		const { clusterState, clock } = this;
+		const common = { clusterState, clock, log: silentLog, post: (action: () => void) => action() };
+		const active = () => this.active;
+		const commandSender = new DirectCommandSender({
+			...common,
+			term,
+			maxInFlight: 10,
+			active,
+			workers: {
+				sendCommands: async (_endpoint, _token, _epoch, commands) => {
+					this.directCommands.push(...commands);
+					return { executed: true, report: heartbeat(1) };
+				},
+			},
+		});
+		this.service = new HeartbeatService({
+			...common,
+			term,
+			heartbeatIntervalS: 1,
+			fleet: { isDeleted: (id) => this.deleted.has(id), onMachineRunning() {} },
+			commandSender,
+			faultAttribution: new FaultAttribution(clusterState, 2, silentLog),
+			orphanCleanup: new OrphanCleanup({
+				...common,
+				active,
+				commandSender,
+				store: { read: async () => ({ row: null }) } as never,
+				onFinalRecord() {},
+			}),
+			finishIfDone() {},
+			tickDelay: new TickDelay(100, 0),
+			active,
+			recordMachine: (machine) => this.recorded.push(machine),
+		});
+	}
+
+	/** Handles a heartbeat. The commands are undefined while the response is held. */
+	handle(message: WorkerHeartbeat): { commands?: WorkerCommand[] | null } {
+		const result: { commands?: WorkerCommand[] | null } = {};
+		this.service.handle(message).then((commands) => {
+			result.commands = commands;
+		});
+		this.service.onBatchEnd();
+		return result;
+	}
+
+	/** The machine, which has sent its first heartbeat and been recorded. */
+	async addMachine(): Promise<Machine> {
+		this.handle(heartbeat(1));
+		await this.clock.advance(1);
+		const machine = this.clusterState.machines.get("n-1");
+		assert.ok(machine);
+		machine.lifecycle.markRecorded();
+		return machine;
+	}
+
+	/** Assigns the job's next task to the machine. */
+	assign(machine: Machine): number {
+		const attempt = this.clusterState.assignNextTask(this.job, machine);
+		assert.ok(attempt);
+		this.service.onAssigned(attempt);
+		return attempt.number;
+	}
+}
+
+describe("a heartbeat that the leader may not answer", () => {
+	test("is refused where the leader may not act, has been superseded, or the machine is deleted", async () => {
+		const setup = new Setup();
+		setup.active = false;
+		const inactive = setup.handle(heartbeat(1));
+		setup.active = true;
+		const superseded = setup.handle(heartbeat(1, [], { fencingToken: term + 1 }));
+		setup.deleted.add("n-1");
+		const deleted = setup.handle(heartbeat(1));
+		await setup.clock.advance(1);
+		assert.deepEqual([inactive.commands, superseded.commands, deleted.commands], [null, null, null]);
+		assert.equal(setup.clusterState.machines.size, 0, "nothing was taken over");
+	});
+
+	test("is refused where it would renew an expired lease, or nothing is known of the machine's type", async () => {
+		const setup = new Setup();
+		const machine = await setup.addMachine();
+		setup.clusterState.expireLease(machine);
+		const expired = setup.handle(heartbeat(2));
+		const unknownType = setup.handle(heartbeat(1, [], { machineId: "n-2", machineType: "unheard of" }));
+		await setup.clock.advance(1);
+		assert.deepEqual([expired.commands, unknownType.commands], [null, null]);
+	});
+});
+
+describe("the response to a heartbeat", () => {
+	test("goes at once, without commands, to an outdated heartbeat", async () => {
+		const setup = new Setup();
+		await setup.addMachine();
+		const outdated = setup.handle(heartbeat(1));
+		await setup.clock.advance(1);
+		assert.deepEqual(outdated.commands, []);
+	});
+
+	test("goes at once to a machine that nothing can be placed on, which is recorded first", async () => {
+		const setup = new Setup();
+		const first = setup.handle(heartbeat(1));
+		await setup.clock.advance(1);
+		assert.deepEqual(first.commands, []);
+		assert.deepEqual(
+			setup.recorded.map(({ id }) => id),
+			["n-1"],
+		);
+	});
+
+	test("is held for a placement while a task is ready, and carries the start", async () => {
+		const setup = new Setup();
+		const machine = await setup.addMachine();
+		setup.clusterState.clearPlacementRequest();
+		const held = setup.handle(heartbeat(2));
+		await setup.clock.advance(100);
+		assert.equal(held.commands, undefined);
+		assert.equal(setup.clusterState.placementRequested, true);
+		const attempt = setup.assign(machine);
+		setup.service.sendAssigned(setup.clock.now());
+		await setup.clock.advance(1);
+		assert.deepEqual(held.commands, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt }]);
+	});
+
+	test("is held for at most 150 ms for a placement", async () => {
+		const setup = new Setup();
+		await setup.addMachine();
+		const held = setup.handle(heartbeat(2));
+		await setup.clock.advance(149);
+		assert.equal(held.commands, undefined);
+		await setup.clock.advance(31);
+		assert.deepEqual(held.commands, []);
+	});
+
+	test("is held for longer where no task is ready and the machine has none", async () => {
+		const setup = new Setup();
+		await setup.addMachine();
+		for (let i = 0; i < 4; i++) setup.clusterState.markTaskDone(setup.job, i);
+		setup.job.resetWaitingTasks();
+		const idle = setup.handle(heartbeat(2));
+		setup.service.releaseForPlacement();
+		await setup.clock.advance(599);
+		assert.equal(idle.commands, undefined, "it waits for work, not for a placement that is under way");
+		await setup.clock.advance(31);
+		assert.deepEqual(idle.commands, []);
+	});
+
+	test("is refused when the leader's authority ends while it is held", async () => {
+		const setup = new Setup();
+		await setup.addMachine();
+		const held = setup.handle(heartbeat(2));
+		setup.active = false;
+		await setup.clock.advance(200);
+		assert.equal(held.commands, null);
+	});
+});
+
+describe("the start of an attempt on a machine whose heartbeat is not waiting", () => {
+	/** A machine without a pending heartbeat that lists an exited attempt which can be forgotten. */
+	async function machineWithTrigger(setup: Setup): Promise<Machine> {
+		const machine = await setup.addMachine();
+		const attempt = setup.assign(machine);
+		setup.service.sendAssigned(setup.clock.now());
+		setup.handle(heartbeat(2));
+		await setup.clock.advance(200);
+		setup.handle(heartbeat(3, [taskStatus(0, attempt, "exited", "stopped")]));
+		await setup.clock.advance(200);
+		assert.deepEqual(machine.exitedTasks.heartbeatTrigger?.attempt, attempt);
+		return machine;
+	}
+
+	test("is brought on by forgetting the heartbeat trigger, once", async () => {
+		const setup = new Setup();
+		const machine = await machineWithTrigger(setup);
+		const trigger = machine.exitedTasks.heartbeatTrigger;
+		setup.assign(machine);
+		setup.service.sendAssigned(setup.clock.now());
+		setup.assign(machine);
+		setup.service.sendAssigned(setup.clock.now());
+		await setup.clock.advance(1);
+		assert.deepEqual(
+			setup.directCommands.map(({ kind, attempt }) => [kind, attempt]),
+			[["forget", trigger?.attempt]],
+		);
+	});
+
+	test("waits for the next heartbeat where the machine has not been heard lately", async () => {
+		const setup = new Setup();
+		const machine = await machineWithTrigger(setup);
+		await setup.clock.advance(600);
+		setup.assign(machine);
+		setup.service.sendAssigned(setup.clock.now());
+		await setup.clock.advance(1);
+		assert.deepEqual(setup.directCommands, []);
+		assert.notEqual(machine.exitedTasks.heartbeatTrigger, null);
+	});
+});
--- /dev/null
+++ b/tests/coordination/workers/orphan-cleanup.test.ts
@@ -0,0 +1,120 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { OrphanedTask } from "../../../src/bookkeeping/orphaned-task.js";
+import { CallError } from "../../../src/coordination/ports/call-error.js";
+import type { KeyValueStore } from "../../../src/coordination/ports/store.js";
+import { ClusterState } from "../../../src/coordination/state/cluster-state.js";
+import { DirectCommandSender } from "../../../src/coordination/workers/direct-command-sender.js";
+import { OrphanCleanup } from "../../../src/coordination/workers/orphan-cleanup.js";
+import type { TaskDemand } from "../../../src/protocol/model/job.js";
+import type { WorkerCommand } from "../../../src/protocol/model/worker.js";
+import { encodeFinalRecord } from "../../../src/protocol/records/final-record.js";
+import { FakeTime } from "../../support/fake-time.js";
+import { heartbeatOf, machineOf } from "../../support/machines.js";
+import { machineType, teamRed } from "../../support/reconciliation-setup.js";
+import { silentLog } from "../../support/silent-log.js";
+
+const demand: TaskDemand = { team: "red", cpus: 2, gpus: 0 };
+const orphan = (taskIndex: number) => ({ jobId: "j-9", taskIndex, attempt: 7 });
+const stopOf = (taskIndex: number): WorkerCommand => ({ kind: "stop", ...orphan(taskIndex), graceS: 0 });
+
+/** A machine with orphaned tasks of job `j-9`, whose final record is read from a store that may fail. */
+function setUp({ failedReads = 0, stored = true } = {}) {
+	const clock = new FakeTime();
+	const demands = new Map<string, TaskDemand>();
+	const clusterState = new ClusterState({
+		term: 1,
+		teams: [teamRed],
+		machineTypes: [machineType],
+		demandOf: (jobId) => demands.get(jobId) ?? null,
+	});
+	const machine = machineOf({ type: machineType });
+	machine.agent.heartbeatReceived(heartbeatOf(machine), 0);
+	clusterState.addMachine(machine);
+	const commands: WorkerCommand[] = [];
+	const reads: string[] = [];
+	const store: Pick<KeyValueStore, "read"> = {
+		read: async (key) => {
+			reads.push(key);
+			if (reads.length <= failedReads) throw new CallError("not executed", 503, "the store is down");
+			const value = encodeFinalRecord({ status: "cancelled", taskCount: 4, doneCount: 0, demand });
+			return { row: stored ? { key, value, revision: 9, lease: null } : null };
+		},
+	};
+	const ports = { post: (action: () => void) => action(), active: () => true, log: silentLog };
+	const cleanup = new OrphanCleanup({
+		...ports,
+		clusterState,
+		store: store as KeyValueStore,
+		clock,
+		commandSender: new DirectCommandSender({
+			...ports,
+			term: 1,
+			maxInFlight: 10,
+			workers: {
+				sendCommands: async (_endpoint, _token, _epoch, sent) => {
+					commands.push(...sent);
+					return { executed: true, report: heartbeatOf(machine) };
+				},
+			},
+		}),
+		onFinalRecord: (jobId, record) => {
+			if (record.demand) demands.set(jobId, record.demand);
+		},
+	});
+	return { clock, clusterState, machine, cleanup, commands, reads };
+}
+
+describe("orphaned tasks", () => {
+	test("are stopped by direct command, but not again those that were stopped before", async () => {
+		const { clock, clusterState, machine, cleanup, commands } = setUp();
+		for (const taskIndex of [0, 1]) clusterState.addOrphan(machine, orphan(taskIndex));
+		cleanup.stop(machine, [new OrphanedTask(orphan(0))]);
+		await clock.advance(1);
+		assert.deepEqual(commands, [stopOf(1)]);
+		cleanup.stop(machine, machine.orphans);
+		await clock.advance(1);
+		assert.deepEqual(commands, [stopOf(1)]);
+	});
+
+	test("of an unknown job use what its final record says, which is read once", async () => {
+		const { clock, clusterState, machine, cleanup, reads } = setUp();
+		for (const taskIndex of [0, 1]) clusterState.addOrphan(machine, orphan(taskIndex));
+		assert.equal(clusterState.reconciled, false);
+		cleanup.stop(machine, []);
+		cleanup.stop(machine, machine.orphans);
+		await clock.advance(1);
+		assert.deepEqual(reads, ["r/fin/j-9"]);
+		assert.equal(clusterState.reconciled, true);
+		assert.equal(clusterState.quotas.usage("red").cpus, 4);
+	});
+
+	test("keep anything from starting until the record has been read, which is tried again and again", async () => {
+		const { clock, clusterState, machine, cleanup, reads } = setUp({ failedReads: 2 });
+		clusterState.addOrphan(machine, orphan(0));
+		cleanup.stop(machine, []);
+		await clock.advance(999);
+		assert.deepEqual([reads.length, clusterState.reconciled], [2, false]);
+		await clock.advance(2);
+		assert.deepEqual([reads.length, clusterState.reconciled], [3, true]);
+	});
+
+	test("that are gone by then are not asked for again", async () => {
+		const { clock, clusterState, machine, cleanup, reads } = setUp({ failedReads: 1 });
+		clusterState.addOrphan(machine, orphan(0));
+		cleanup.stop(machine, []);
+		clusterState.clearOrphans(machine);
+		await clock.advance(5000);
+		assert.equal(reads.length, 1);
+	});
+
+	test("of a job that the store does not know keep anything from starting until they are gone", async () => {
+		const { clock, clusterState, machine, cleanup } = setUp({ stored: false });
+		clusterState.addOrphan(machine, orphan(0));
+		cleanup.stop(machine, []);
+		await clock.advance(5000);
+		assert.equal(clusterState.reconciled, false);
+		clusterState.clearOrphans(machine);
+		assert.equal(clusterState.reconciled, true);
+	});
+});
--- a/tests/coordination/workers/worker-commands.test.ts
+++ b/tests/coordination/workers/worker-commands.test.ts
@@ -22,6 +22,18 @@
 		assert.deepEqual(takeCommands(clusterState, machine), [], "nothing starts on a quarantined machine");
 	});
 
+	test("an assigned attempt does not start if a stop is wanted, or if its job is over", () => {
+		const { clusterState, job, machine } = stateWithMachine();
+		const attempt = clusterState.assignNextTask(job, machine);
+		attempt?.requestStop("team limit lowered", 0);
+		assert.deepEqual(takeCommands(clusterState, machine), []);
+		assert.equal(job.attempts.size, 0, "it is over");
+		assert.notEqual(clusterState.assignNextTask(job, machine), null);
+		job.end();
+		assert.deepEqual(takeCommands(clusterState, machine), []);
+		assert.equal(job.attempts.size, 0);
+	});
+
 	test("a start whose response was lost is sent again with the same number", () => {
 		const { clusterState, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2), 100);
--- a/tests/support/specs.ts
+++ b/tests/support/specs.ts
@@ -1,3 +1,5 @@
+/** Job descriptions and machine types for tests. */
+
 import type { JobSpec } from "../../src/protocol/model/job.js";
 import type { MachineType } from "../../src/protocol/model/machine.js";
 
