--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -2,9 +2,9 @@
 
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import type { TeamLimits } from "../bookkeeping/quota-ledger.js";
 import { StoreReplica } from "../bookkeeping/store-replica.js";
 import type { Incarnation, Revision } from "../protocol/model/identifiers.js";
+import type { TeamQuota } from "../protocol/model/team-quota.js";
 import type { Cancellation, LeadershipMessage } from "../protocol/peer/messages.js";
 import { encodeFinalRecord } from "../protocol/records/final-record.js";
 import { keys } from "../protocol/records/keys.js";
@@ -98,15 +98,15 @@
 		machineTypes,
 		teamQuota,
 		ports: { ...ports, peers, post },
-		onTermBegun: (term) => heartbeatRouter.leads(term),
+		onTermBegun: (term) => heartbeatRouter.startLeading(term),
 	});
 	const heartbeatRouter = new HeartbeatRouter({
 		self: platform.node,
 		peers,
-		time: clock,
-		active: () => terms.activeLeader,
+		clock,
+		activeLeader: () => terms.activeLeader,
 		leaderInStore: () => replica.leader?.value.node ?? null,
-		tellUnexpected: (leader, term) => controller.replyToLeader(leader, term),
+		reportMisdirectedWorkers: (leader, term) => controller.replyToLeader(leader, term),
 	});
 	const jobs = new JobService(
 		replica,
@@ -206,7 +206,7 @@
 	platform: PlatformSettings,
 	teamQuota: TeamQuotaPort | null,
 	team: string,
-): TeamLimits | undefined {
+): TeamQuota | undefined {
 	const settings = platform.cluster.teams.find(({ name }) => name === team);
 	return settings && (teamQuota?.limits(team) ?? settings);
 }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -132,7 +132,7 @@
 		log.info({ pausedMs: Math.round(pausedMs) }, "process pause detected");
 		leadership.stalled();
 		replicaSync.stalled();
-		heartbeatRouter.stalled();
+		heartbeatRouter.onProcessPause();
 		terms.leader?.onProcessPause(pausedMs);
 	}
 
@@ -161,10 +161,10 @@
 				this.handleLeaderHeartbeat(from, message, now);
 				break;
 			case "forwarded-heartbeats":
-				heartbeatRouter.relayed(from, message);
+				heartbeatRouter.handleForwarded(from, message);
 				break;
 			case "forwarded-responses":
-				heartbeatRouter.answered(from, message);
+				heartbeatRouter.handleForwardedResponses(from, message);
 				break;
 			case "lease-extension-request":
 			case "lease-extension-vote":
@@ -195,7 +195,7 @@
 		const reply: LeaderHeartbeatReply = {
 			kind: "leader-heartbeat-reply",
 			term,
-			misdirectedWorkers: heartbeatRouter.countUnexpected(),
+			misdirectedWorkers: heartbeatRouter.countMisdirectedWorkers(),
 			supportsServiceJobs: true,
 			...(teamQuota && { teamQuota: teamQuota.reply() }),
 		};
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -1,7 +1,7 @@
-import type { Attempt } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { tasksByZoneWithout, zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "../workers/direct-command-sender.js";
@@ -32,7 +32,7 @@
 		for (const machine of this.clusterState.machines.values())
 			if (machine.leaving && !machine.agent.leaseExpired) moved.push(...this.moveFrom(machine, now));
 		if (moved.length === 0) return;
-		const replicas = moved.map((a) => `${a.job.id}/${a.taskIndex}`);
+		const replicas = moved.map(({ taskId }) => taskId);
 		this.log.info({ replicas }, "replicas relocating");
 		this.orders.stop(moved);
 	}
@@ -43,10 +43,10 @@
 		for (const attempt of machine.attempts.values()) {
 			const { job } = attempt;
 			if (!job.isService || attempt.stop !== null || attempt.phase === "assigned") continue;
-			if (!takenSoon && [...job.attempts.values()].some((a) => a.relocateTo !== null)) continue;
+			if (!takenSoon && [...job.attempts.values()].some((a) => a.relocationTarget !== null)) continue;
 			const target = this.targetFor(attempt);
 			if (!target) continue;
-			this.clusterState.relocate(attempt, target);
+			attempt.relocateTo(target);
 			moved.push(attempt);
 		}
 		return moved;
@@ -56,7 +56,7 @@
 	private targetFor(attempt: Attempt): Machine | null {
 		const { job } = attempt;
 		const { spec } = job;
-		const zones = this.clusterState.tasksByZoneWithout(job, [attempt]);
+		const zones = tasksByZoneWithout(job, [attempt]);
 		const beside = new Set([...job.attempts.values()].map((a) => a.machine));
 		let best: Machine | null = null;
 		let bestWorth = -1;
--- a/src/coordination/jobs/live-jobs.ts
+++ b/src/coordination/jobs/live-jobs.ts
@@ -1,6 +1,7 @@
 /** Keeps the jobs that a leader works on in step with the jobs in its replica of the store. */
 
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import type { StoreReplica, Versioned } from "../../bookkeeping/store-replica.js";
 import type { JobId, Revision } from "../../protocol/model/identifiers.js";
 import { encodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
@@ -66,12 +67,7 @@
 	private load(id: JobId, { value: { spec, acceptedAt }, revision }: Versioned<JobRecord>): void {
 		const { clusterState, replica, clock, log } = this.options;
 		const job = clusterState.addJob(id, spec, acceptedAt, revision);
-		for (const [page, bits] of replica.pagesOf(id)) {
-			job.doneTasks.addPage(page, bits);
-			job.durableDoneTasks.addPage(page, bits);
-		}
-		job.loadedAt = clock.now();
-		job.resetWaitingTasks();
+		job.load(replica.pagesOf(id), clock.now());
 		const { jobClass, team, taskCount, estimatedRunS, deadlineS } = spec;
 		log.debug({ jobId: id, jobClass, team, tasks: taskCount, estimatedRunS, deadlineS }, "job loaded");
 		this.completion.finishIfDone(job);
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -98,10 +98,15 @@
 	const leaseMonitor = new LeaseMonitor(clusterState, beganAt, log);
 	const commands = createCommandSender(options, active);
 	const faults = new FaultAttribution(clusterState, operator.machines.faulty_after, log);
-	const orphans = new OrphanCleanup(clusterState, store, clock, commands, {
+	const orphanCleanup = new OrphanCleanup({
+		clusterState,
+		store,
+		clock,
+		commandSender: commands,
+		log,
 		post,
 		active,
-		learned: (jobId, final, revision) => replica.recordFinal(jobId, final, revision),
+		onFinalRecord: (jobId, record, revision) => replica.recordFinal(jobId, record, revision),
 	});
 	const relocation = new ReplicaRelocation(clusterState, commands, log);
 
@@ -143,23 +148,23 @@
 
 	const heartbeats: HeartbeatService = new HeartbeatService({
 		term,
-		reportS: cluster.workers.report_s,
+		heartbeatIntervalS: cluster.workers.report_s,
 		clusterState,
 		// Only heartbeats that come later are told to the fleet, which in turn tells of deleted machines.
 		fleet: {
 			isDeleted: (machine) => fleet.isDeleted(machine),
 			onMachineRunning: (machine) => fleet.onMachineRunning(machine),
 		},
-		orders: commands,
-		outcomes: faults,
-		unwanted: orphans,
+		commandSender: commands,
+		faultAttribution: faults,
+		orphanCleanup,
 		finishIfDone: (job) => liveJobs.finishIfDone(job),
-		lateness: tickDelay,
-		time: clock,
+		tickDelay,
+		clock,
 		log,
 		post,
 		active,
-		record: (machine) => machineRecords.record(machine),
+		recordMachine: (machine) => machineRecords.record(machine),
 	});
 
 	const placement = new PlacementCycle({
@@ -175,7 +180,7 @@
 		sample: operator.placing.sample,
 		capS: operator.climb.cap_s,
 		quota: quotaAdmission && leaderQuota ? { admission: quotaAdmission, leaderQuota } : null,
-		decided: (attempt) => heartbeats.decided(attempt),
+		decided: (attempt) => heartbeats.onAssigned(attempt),
 	});
 	const inOrder = (jobs: Parameters<typeof placement.inOrder>[0]) => placement.inOrder(jobs);
 	const preemption = new PreemptionCycle(clusterState, commands, inOrder, random, log);
@@ -183,7 +188,7 @@
 	const machineDeleted = (machine: Machine) => {
 		const tasks = clusterState.removeMachine(machine);
 		log.info({ machineId: machine.id, tasks }, "machine deleted");
-		heartbeats.machineGone(machine);
+		heartbeats.onMachineDeleted(machine);
 		machineRecords.delete(machine);
 	};
 	const fleet = new Fleet({
@@ -206,7 +211,7 @@
 			post,
 			active,
 			ended: () => authority.ended,
-			apply: (heartbeat) => heartbeats.apply(heartbeat),
+			apply: (heartbeat) => heartbeats.reconcile(heartbeat),
 			unlisted: (machine) => fleet.unlisted(machine),
 		},
 		log,
@@ -239,8 +244,13 @@
 function createClusterState({ term, platform, replica, machineTypes }: LeaderOptions): ClusterState {
 	const { teams, workers } = platform.cluster;
 	const leaseExpiryMs = workers.lease_s * 1000 * (1 + 2 * maxClockDrift) + leaseExpiryMarginMs;
-	const types = new Map(machineTypes.map((type) => [type.name, type]));
-	return new ClusterState(term, teams, types, leaseExpiryMs, (jobId) => replica.demandOf(jobId));
+	return new ClusterState({
+		term,
+		teams,
+		machineTypes,
+		workerLeaseExpiryMs: leaseExpiryMs,
+		demandOf: (jobId) => replica.demandOf(jobId),
+	});
 }
 
 function createCommandSender(
@@ -248,8 +258,9 @@
 	active: () => boolean,
 ): DirectCommandSender {
 	const sockets = platform.cluster.resources.fd_limit * directCommandSocketsPart;
-	const mostInFlight = Math.floor(Math.max(leastDirectCommandsInFlight, sockets));
-	return new DirectCommandSender(term, mostInFlight, ports.workers, active, ports.post, ports.log);
+	const maxInFlight = Math.floor(Math.max(leastDirectCommandsInFlight, sockets));
+	const { workers, post, log } = ports;
+	return new DirectCommandSender({ term, maxInFlight, workers, active, post, log });
 }
 
 function createQuotaAdmission(
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -89,7 +89,7 @@
 		const { machineType, zone, spot, endpoint, agentEpoch } = record;
 		const type = clusterState.machineTypes.get(machineType) ?? unknownMachineType(machineType);
 		const machine = new Machine({ id, type, zone, spot, origin: "record" }, beganAt);
-		clusterState.machines.set(id, machine);
+		clusterState.addMachine(machine);
 		machine.agent.endpointLearned(endpoint);
 		failover.hide(machine, agentEpoch);
 	}
@@ -115,7 +115,7 @@
 		parts.failureDetector.tick(now, () => this.runningTaskCounts());
 		parts.liveJobs.audit(now);
 		parts.quotaAdmission?.tick(now);
-		if (parts.heartbeats.anyWaiting(now)) parts.clusterState.placementDue = true;
+		if (parts.heartbeats.anyTaskReady(now)) parts.clusterState.requestPlacement();
 		parts.preemption.tick(now);
 		parts.relocation.tick(now);
 		this.place();
@@ -128,13 +128,12 @@
 		if (!authority.active) return;
 		const now = clock.now();
 		placement.run(now);
-		for (const machine of clusterState.relocationTargets) heartbeats.assign(machine);
-		clusterState.relocationTargets.clear();
+		for (const machine of clusterState.takeRelocationTargets()) heartbeats.onRelocatedTo(machine);
 		if (placement.settled) {
 			heartbeats.sendAssigned(now);
-			if (!clusterState.placementDue) heartbeats.releaseWaiting();
+			if (!clusterState.placementRequested) heartbeats.releaseForPlacement();
 		}
-		heartbeats.endBatch();
+		heartbeats.onBatchEnd();
 	}
 
 	/**
@@ -164,7 +163,7 @@
 
 	/** The cloud has named its machine types: prices change, and types come and go. */
 	machineTypesRefreshed(types: MachineType[]): void {
-		for (const type of types) this.parts.clusterState.machineTypes.set(type.name, type);
+		this.parts.clusterState.updateMachineTypes(types);
 	}
 
 	// --- jobs ---
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -1,4 +1,6 @@
 import type { Job } from "../../bookkeeping/job.js";
+import type { QuotaBound } from "../../bookkeeping/quota-ledger.js";
+import { tasksByZone } from "../../bookkeeping/zone-rules.js";
 import type { Grant, MachineCapacity } from "../../protocol/peer/messages.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import { placeableTasks } from "./first-fit.js";
@@ -24,8 +26,8 @@
 	jobs: Job[];
 	/** Most tasks of a job that this pass grants. */
 	most: number;
-	/** Only within teams' guarantees. */
-	guarantee: boolean;
+	/** Up to which part of teams' quotas. */
+	bound: QuotaBound;
 }
 
 /** Who may start how much now: guarantees first, then borrowing; urgent before the rest. */
@@ -37,14 +39,14 @@
 ): TeamGrant[] {
 	const allocation = new Allocation(clusterState, views);
 	const passes: GrantPass[] = [
-		{ jobs: jobs.filter((job) => starved(job, moment.date)), most: 1, guarantee: false },
-		{ jobs, most: Number.POSITIVE_INFINITY, guarantee: true },
-		{ jobs, most: Number.POSITIVE_INFINITY, guarantee: false },
+		{ jobs: jobs.filter((job) => starved(job, moment.date)), most: 1, bound: "limit" },
+		{ jobs, most: Number.POSITIVE_INFINITY, bound: "guaranteed" },
+		{ jobs, most: Number.POSITIVE_INFINITY, bound: "limit" },
 	];
 	for (const pass of passes) allocation.run(pass);
 	return [...allocation.counts].map(([job, count]) => ({
 		team: job.spec.team,
-		grant: grantOf(clusterState, job, count, views, moment.now),
+		grant: grantOf(job, count, views, moment.now),
 	}));
 }
 
@@ -63,16 +65,16 @@
 		for (const view of views) this.freeCpus += view.cpus;
 	}
 
-	run({ jobs, most, guarantee }: GrantPass): void {
+	run({ jobs, most, bound }: GrantPass): void {
 		for (const job of jobs) {
 			if (this.freeCpus <= 0) return;
 			const { spec } = job;
 			const team = this.byTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
 			const already = this.counts.get(job) ?? 0;
-			const waiting = Math.min(job.waitingTasks.length, job.failsEverywhere ? 1 : most) - already;
+			const waiting = Math.min(job.waitingTasks.length, job.failures.everywhere ? 1 : most) - already;
 			let count = Math.min(
 				waiting,
-				this.clusterState.quotas.room(spec.team, spec.cpus, spec.gpus, guarantee, team),
+				this.clusterState.quotas.room(spec, bound, team),
 				Math.ceil(this.freeCpus / spec.cpus),
 			);
 			// Room promised to work that cannot use it would be kept from work that can.
@@ -94,7 +96,7 @@
 		const key = zoneRule ? job.id : job.demandKey;
 		let count = this.usable.get(key);
 		if (count === undefined) {
-			count = placeableTasks(spec, zoneRule ? this.clusterState.tasksByZone(job) : {}, this.views);
+			count = placeableTasks(spec, zoneRule ? tasksByZone(job) : {}, this.views);
 			this.usable.set(key, count);
 		}
 		return count;
@@ -103,27 +105,21 @@
 
 /** For a while only: there may be no others, and what was wrong there may be over. */
 function machinesToAvoid(job: Job, views: MachineCapacity[], now: number): string[] {
-	if (job.failsEverywhere) return [];
-	const sinceMs = now - job.lastFailureAt;
-	const machines = sinceMs <= avoidMs ? [...job.failedMachines].map((machine) => machine.id) : [];
-	if (job.unfitTypes.size === 0 || sinceMs > avoidTypeMs) return machines;
-	const unfit = views.filter((view) => job.unfitTypes.has(view.type)).map((view) => view.id);
+	if (job.failures.everywhere) return [];
+	const sinceMs = now - job.failures.lastAt;
+	const machines = sinceMs <= avoidMs ? [...job.failures.machines].map((machine) => machine.id) : [];
+	if (job.failures.unfitTypes.size === 0 || sinceMs > avoidTypeMs) return machines;
+	const unfit = views.filter((view) => job.failures.unfitTypes.has(view.type)).map((view) => view.id);
 	return [...new Set([...machines, ...unfit])];
 }
 
-function grantOf(
-	clusterState: ClusterState,
-	job: Job,
-	count: number,
-	views: MachineCapacity[],
-	now: number,
-): Grant {
+function grantOf(job: Job, count: number, views: MachineCapacity[], now: number): Grant {
 	const { spec } = job;
 	return {
 		jobId: job.id,
 		count,
 		avoidedMachines: machinesToAvoid(job, views, now),
-		tasksByZone: spec.singleZone || spec.spreadZones ? clusterState.tasksByZone(job) : {},
+		tasksByZone: spec.singleZone || spec.spreadZones ? tasksByZone(job) : {},
 		...(job.isService && { replicaMachines: [...job.attempts.values()].map((a) => a.machine.id) }),
 	};
 }
--- a/src/coordination/workers/machine-records.ts
+++ b/src/coordination/workers/machine-records.ts
@@ -59,6 +59,6 @@
 
 	private confirmed(ids: Iterable<MachineId>): void {
 		for (const id of ids) this.clusterState.machines.get(id)?.lifecycle.markRecorded();
-		this.clusterState.placementDue = true;
+		this.clusterState.requestPlacement();
 	}
 }
--- a/tests/coordination/fleet/cloud-inventory.test.ts
+++ b/tests/coordination/fleet/cloud-inventory.test.ts
@@ -16,7 +16,7 @@
 	for (const size of largeFleetSizes)
 		test(`${size} machines: the list is read to its end at a call a second, then the cloud has a rest`, async () => {
 			const clock = new FakeTime();
-			const clusterState = new ClusterState(1, [], new Map([[mediumType.name, mediumType]]));
+			const clusterState = new ClusterState({ term: 1, teams: [], machineTypes: [mediumType] });
 			let calls = 0;
 			let lastCallAt = -Infinity;
 			const listMachines = async (after: string) => {
--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -67,7 +67,7 @@
 			}
 
 			for (let t = 0; t < 20_000 && started < size; t += 200) {
-				clusterState.placementDue = true;
+				clusterState.requestPlacement();
 				cycle.run(clock.now());
 				await clock.advance(200);
 			}
--- a/tests/coordination/placement/starvation.test.ts
+++ b/tests/coordination/placement/starvation.test.ts
@@ -30,12 +30,12 @@
 				const waiting = [...jobs.values()].filter((j) => j.left > 0).map((j) => j.job);
 				const next =
 					waiting.find((job) => starved(job, date)) ??
-					servingOrder(waiting, (team) => clusterState.quotas.team(team), date)[0];
+					servingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date)[0];
 				const entry = next && jobs.get(next.id);
 				if (!entry) continue;
 				entry.left -= 1;
 				entry.began ??= s;
-				entry.job.doneTasks.add(entry.left);
+				entry.job.markTaskDone(entry.left);
 				free[slot] = s + 10;
 			}
 		}
@@ -47,12 +47,12 @@
 
 test("with 1000 machines, 16 teams and a backlog of hundreds of arrays the largest still begin within four minutes", () => {
 	const teams = Array.from({ length: 16 }, (_, i) => `team-${i}`);
-	const limit = { cpus: 300, cpus_max: 800, gpus: 0, gpus_max: 0 };
-	const clusterState = new ClusterState(
-		1,
-		teams.map((name) => ({ name, ...limit })),
-		new Map(),
-	);
+	const quota = { guaranteed: { cpus: 300, gpus: 0 }, limit: { cpus: 800, gpus: 0 } };
+	const clusterState = new ClusterState({
+		term: 1,
+		teams: teams.map((name) => ({ name, ...quota })),
+		machineTypes: [],
+	});
 	const random = xoroshiro128plus(5);
 	const state = new Map<Job, { left: number; began: number | null }>();
 	const largest: Job[] = [];
@@ -89,18 +89,18 @@
 		const serve = (job: Job, most: number) => {
 			const entry = state.get(job) as { left: number; began: number | null };
 			const { team } = job.spec;
-			const n = Math.min(entry.left, most, free, limit.cpus_max - (used.get(team) ?? 0));
+			const n = Math.min(entry.left, most, free, quota.limit.cpus - (used.get(team) ?? 0));
 			if (n <= 0) return;
 			entry.left -= n;
 			entry.began ??= s;
-			for (let i = 0; i < n; i++) job.doneTasks.add(entry.left + i);
+			for (let i = 0; i < n; i++) job.markTaskDone(entry.left + i);
 			free -= n;
 			used.set(team, (used.get(team) ?? 0) + n);
 			const at = ends.get(s + 18) ?? new Map<string, number>();
 			ends.set(s + 18, at.set(team, (at.get(team) ?? 0) + n));
 		};
 		for (const job of waiting) if (starved(job, date)) serve(job, 1);
-		for (const job of servingOrder(waiting, (team) => clusterState.quotas.team(team), date, 250)) {
+		for (const job of servingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date, 250)) {
 			if (free <= 0) break;
 			serve(job, Number.POSITIVE_INFINITY);
 		}
--- a/tests/coordination/workers/direct-command-sender.test.ts
+++ b/tests/coordination/workers/direct-command-sender.test.ts
@@ -18,7 +18,7 @@
 			for (const machine of clusterState.machines.values()) {
 				const attempt = clusterState.assignNextTask(job, machine);
 				assert.ok(attempt);
-				attempt.phase = "running";
+				attempt.noteState("running", 0);
 			}
 			let inFlight = 0;
 			let mostInFlight = 0;
@@ -31,14 +31,14 @@
 				inFlight -= 1;
 				return {} as never;
 			};
-			const sender = new DirectCommandSender(
-				7,
+			const sender = new DirectCommandSender({
+				term: 7,
 				maxInFlight,
-				{ sendCommands },
-				() => true,
-				(run) => run(),
-				silentLog,
-			);
+				workers: { sendCommands },
+				active: () => true,
+				post: (run) => run(),
+				log: silentLog,
+			});
 
 			sender.stop(clusterState.removeJob(job));
 			await clock.advance((size / maxInFlight) * 10);
--- a/tests/support/large-fleets.ts
+++ b/tests/support/large-fleets.ts
@@ -18,8 +18,10 @@
 
 /** The cluster state of a leader with that many schedulable machines in three zones, every other one spot. */
 export function largeFleet(size: number): ClusterState {
-	const teams = [{ name: "red", cpus: 10 * size, cpus_max: 10 * size, gpus: 0, gpus_max: 0 }];
-	const clusterState = new ClusterState(7, teams, new Map([[mediumType.name, mediumType]]));
+	const teams = [
+		{ name: "red", guaranteed: { cpus: 10 * size, gpus: 0 }, limit: { cpus: 10 * size, gpus: 0 } },
+	];
+	const clusterState = new ClusterState({ term: 7, teams, machineTypes: [mediumType] });
 	for (let i = 0; i < size; i++) {
 		const machine = new Machine(
 			{
@@ -32,7 +34,7 @@
 			0,
 		);
 		makeSchedulable(machine);
-		clusterState.machines.set(machine.id, machine);
+		clusterState.addMachine(machine);
 	}
 	return clusterState;
 }
