--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -98,7 +98,7 @@
 	const leaseMonitor = new LeaseMonitor(clusterState, beganAt, log);
 	const commands = createCommandSender(options, active);
 	const faults = new FaultAttribution(clusterState, operator.machines.faulty_after, log);
-	const orphans = new OrphanCleanup({
+	const orphanCleanup = new OrphanCleanup({
 		clusterState,
 		store,
 		clock,
@@ -157,7 +157,7 @@
 		},
 		commandSender: commands,
 		faultAttribution: faults,
-		orphanCleanup: orphans,
+		orphanCleanup,
 		finishIfDone: (job) => liveJobs.finishIfDone(job),
 		tickDelay,
 		clock,
--- a/src/coordination/state/orphan-registry.ts
+++ b/src/coordination/state/orphan-registry.ts
@@ -8,11 +8,10 @@
 import type { QuotaAccounting } from "./quota-accounting.js";
 
 /**
- * Owns the orphaned tasks of all machines. Such a task, for example of a job that was cancelled while nobody led,
- * uses its team's quota until it is proved gone. Of a job that nobody here knows any more the demand is read from
- * the store; until it is known, any team may be at its limit, and nothing may start (trace 49; "tasks of a job
- * that is over use their team's quota until they are gone" in
- * tests/coordination/workers/heartbeat-reconciliation.test.ts).
+ * Owns the orphaned tasks of all machines. Such a task, for example of a job that was cancelled while nobody led, uses
+ * its team's quota until it is proved gone. Of a job that nobody here knows any more the demand is read from the store;
+ * until it is known, any team may be at its limit, and nothing may start (trace 49; "tasks of a job that is over use
+ * their team's quota until they are gone" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
 export class OrphanRegistry {
 	/** Machines with orphaned tasks of unknown demand, and how many. */
@@ -46,15 +45,18 @@
 		machine.addOrphan(task);
 	}
 
-	/** The machine's orphaned tasks are gone, or a new heartbeat lists them anew; false: it had none. */
+	/**
+	 * The machine's orphaned tasks are gone, or a new heartbeat lists them anew; false: it had none. The machine gets
+	 * a new list in any case: who holds the list of the heartbeat before compares it with the next one.
+	 */
 	clear(machine: Machine): boolean {
-		if (machine.orphans.length === 0) return false;
-		for (const { demand, charge } of machine.orphans) {
+		const { orphans } = machine;
+		machine.clearOrphans();
+		for (const { demand, charge } of orphans) {
 			if (demand) this.accounting.release(demand, charge);
 			else this.countUnknown(machine, -1);
 		}
-		machine.clearOrphans();
-		return true;
+		return orphans.length > 0;
 	}
 
 	/** It may have become known what tasks of the job use; false: nothing has changed. */
