--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -128,17 +128,17 @@
 			log,
 			() => uniformInt(ports.random, 0, 999) / 1000,
 		);
-		this.jobs = new JobService(
-			this.replica,
-			this.replicaSync,
+		this.jobs = new JobService({
+			replica: this.replica,
+			replicaSync: this.replicaSync,
 			store,
-			time,
-			(team) => this.limitsOf(team),
-			platform.cluster.zones,
-			platform.cluster.state.value_kb,
-			(command) => this.executor.call(command),
-			(id) => (this.leader ? this.leader.runningCount(id) : (this.running.get(id) ?? 0)),
-		);
+			clock: time,
+			limitsOf: (team) => this.limitsOf(team),
+			zones: platform.cluster.zones,
+			maxValueBytes: platform.cluster.state.value_kb * 1024,
+			call: (action) => this.executor.call(action),
+			runningTasks: (id) => (this.leader ? this.leader.runningCount(id) : (this.running.get(id) ?? 0)),
+		});
 		this.heartbeatRouter = new HeartbeatRouter({
 			self: platform.node,
 			peers: this.peers,
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -1,92 +1,86 @@
+/** The progress and the end of jobs in the store, as the leader writes them. */
+
 import type { Job } from "../../bookkeeping/job.js";
 import type { Versioned } from "../../bookkeeping/store-replica.js";
-import { tasksPerPage } from "../../bookkeeping/task-set.js";
 import type { StoreChange, StoreCondition } from "../../protocol/http/store-api.js";
+import type { JobId, Revision } from "../../protocol/model/identifiers.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
-import { pageName, parsePageName, type StoredChunk } from "../../protocol/records/chunk.js";
+import type { StoredChunk } from "../../protocol/records/chunk.js";
 import { encodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import { keys } from "../../protocol/records/keys.js";
 import { CallError } from "../ports/call-error.js";
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
-import type { KeyValueStore } from "../ports/store.js";
-import { ChunkedRecords, type ChunkedRecordsEnvironment } from "../replication/chunked-records.js";
+import type { CompareAndSwapResult, KeyValueStore } from "../ports/store.js";
+import type { ChunkedRecordsEnvironment } from "../replication/chunked-records.js";
+import { DoneTaskRecords } from "./done-task-records.js";
 
-const progressEveryMs = 1000;
-const shrinkMs = 5000;
 const retryMs = 300;
 
+/** What completion needs. All functions are called in the serial executor. */
 export interface JobCompletionOptions {
+	/** The leader key is that of the term: nothing is written after it has changed. */
 	leaderCondition: StoreCondition;
 	store: KeyValueStore;
-	time: Clock;
+	clock: Clock;
 	log: Log;
-	records: ChunkedRecordsEnvironment;
-	post(command: () => void): void;
-	ended(): boolean;
+	chunkedRecords: ChunkedRecordsEnvironment;
+	/** Runs an action in the serial executor. */
+	post(action: () => void): void;
+	/** Whether the term is over, so that nothing more is written. */
+	termEnded(): boolean;
+	/** All live jobs. */
 	jobs(): Iterable<Job>;
-	jobOf(id: string): Job | undefined;
-	/** The end of the job is in the store, as of this revision. */
-	finished(job: Job, final: FinalJobRecord, revision: number): void;
-	/** The leader's key has changed hands. */
-	lostKey(): void;
+	/** A live job. */
+	jobById(id: JobId): Job | undefined;
+	/** The final record is in the store since this revision. */
+	onJobDone(job: Job, final: FinalJobRecord, revision: Revision): void;
+	/** A write was refused because the leader key has changed. */
+	onLeaderKeyChanged(): void;
 }
 
-/** Writes which tasks are done, and the end of jobs of which all are. */
+/**
+ * Writes which tasks of live jobs are done, and replaces the record of a job all of whose tasks are done by a
+ * final one. The latter is conditional on the job's live record, so that a job which its user cancels at the
+ * same time ends once; tests of that are in `tests/service/cancellation-races.test.ts`.
+ */
 export class JobCompletion {
-	private readonly progress: ChunkedRecords<string>;
-	private nextProgress = 0;
+	private readonly doneTasks: DoneTaskRecords;
 
 	constructor(private readonly options: JobCompletionOptions) {
-		this.progress = new ChunkedRecords({
-			...options.records,
-			prefix: keys.progress,
-			confirmed: (entries) => this.confirmed(entries),
-			pace: { rateClass: "background", everyMs: progressEveryMs, shrinkMs },
-		});
+		const { chunkedRecords, jobs, jobById } = options;
+		this.doneTasks = new DoneTaskRecords({ chunkedRecords, jobs, jobById });
 	}
 
-	/** What the store held when the term began. */
+	/** Takes over what the store held when the term began. */
 	load(values: Iterable<[string, Versioned<StoredChunk<string>>]>): void {
-		this.progress.load(values);
+		this.doneTasks.load(values);
 	}
 
-	/** Called often, with authority. */
+	/** Writes what has changed, once it is time. Called often, while this process may act. */
 	tick(now: number): void {
-		if (now < this.nextProgress) return;
-		this.nextProgress = now + progressEveryMs;
-		for (const job of this.options.jobs()) {
-			if (job.dirtyPages.size === 0 || job.finalizing) continue;
-			for (const page of job.dirtyPages) this.progress.set(pageName(job.id, page), job.doneTasks.page(page));
-			job.dirtyPages.clear();
-		}
-		this.progress.flush();
-	}
-
-	private confirmed(entries: Map<string, string>): void {
-		for (const [name, bits] of entries) {
-			const { jobId: job, page } = parsePageName(name);
-			this.options.jobOf(job)?.durableDoneTasks.addPage(page, bits);
-		}
+		this.doneTasks.tick(now);
 	}
 
-	/** The job is over: its done-set is of no use any more. */
-	forget(job: Job): void {
-		for (let page = 0; page * tasksPerPage < job.spec.taskCount; page++)
-			this.progress.delete(pageName(job.id, page));
+	/** Deletes the record of which tasks were done of a job that is over. */
+	deleteProgress(job: Job): void {
+		this.doneTasks.delete(job);
 	}
 
+	/** Begins to write the final record if all tasks of the job are done. */
 	finishIfDone(job: Job): void {
 		if (!job.doneTasks.full || job.finalizing || job.over) return;
 		job.finalizing = true;
-		this.writeFinal(job);
+		this.writeFinalRecord(job);
 	}
 
-	/** Tries again all along while the store is away, so the audit leaves it alone. */
-	writeFinal(job: Job): void {
-		const { options } = this;
-		if (options.ended() || job.over) return;
-		job.finalizingAt = options.time.now();
+	/**
+	 * Writes the final record, and tries again for as long as the store does not answer. A record that the store
+	 * rejects is logged, and tried again by the leader's audit of its jobs, which calls this.
+	 */
+	writeFinalRecord(job: Job): void {
+		if (this.options.termEnded() || job.over) return;
+		job.finalizingAt = this.options.clock.now();
 		const { spec } = job;
 		const final: FinalJobRecord = {
 			status: "done",
@@ -94,34 +88,47 @@
 			doneCount: spec.taskCount,
 			demand: taskDemandOf(spec),
 		};
+		void this.send(job, final);
+	}
+
+	private async send(job: Job, final: FinalJobRecord): Promise<void> {
+		const { leaderCondition, store, post } = this.options;
+		const conditions = [leaderCondition, { key: keys.job(job.id), revision: job.revision }];
 		const changes: StoreChange[] = [
 			{ delete: keys.job(job.id) },
 			{ put: keys.final(job.id), value: encodeFinalRecord(final) },
 		];
-		const conditions = [options.leaderCondition, { key: keys.job(job.id), revision: job.revision }];
-		options.store.compareAndSwap(conditions, changes, "user").then(
-			(result) =>
-				options.post(() => {
-					if (result.swapped) this.written(job, final, result.revision);
-					// Else the job was cancelled first; the watch says so.
-					else if (result.conflicts.includes(keys.leader)) options.lostKey();
-				}),
-			(error) => this.notWritten(job, error),
-		);
+		try {
+			const result = await store.compareAndSwap(conditions, changes, "user");
+			post(() => this.onAnswered(job, final, result));
+		} catch (error) {
+			this.onFailed(job, error);
+		}
+	}
+
+	private onAnswered(job: Job, final: FinalJobRecord, result: CompareAndSwapResult): void {
+		if (result.swapped) {
+			this.logDone(job);
+			this.options.onJobDone(job, final, result.revision);
+		} else if (result.conflicts.includes(keys.leader)) {
+			this.options.onLeaderKeyChanged();
+		}
+		// Otherwise the job was cancelled first. The store's watch tells the leader of that.
 	}
 
-	private written(job: Job, final: FinalJobRecord, revision: number): void {
-		const tookS = Math.round((this.options.time.date().getTime() - job.acceptedAt) / 100) / 10;
+	private logDone(job: Job): void {
+		const { clock, log } = this.options;
+		const tookS = Math.round((clock.date().getTime() - job.acceptedAt) / 100) / 10;
 		const { jobClass, deadlineS } = job.spec;
-		this.options.log.info({ job: job.id, jobClass, tookS, dueS: deadlineS }, "job done");
-		this.options.finished(job, final, revision);
+		log.info({ jobId: job.id, jobClass, tookS, deadlineS }, "job done");
 	}
 
-	private notWritten(job: Job, error: unknown): void {
-		const { time, post, log } = this.options;
-		// What the store will not take is left to the audit, and said.
-		const refused = error instanceof CallError && error.outcome === "rejected";
-		if (refused) log.error({ key: keys.final(job.id), err: error.message }, "record rejected by the store");
-		else time.after(retryMs, () => post(() => this.writeFinal(job)));
+	private onFailed(job: Job, err: unknown): void {
+		const { clock, post, log } = this.options;
+		if (err instanceof CallError && err.outcome === "rejected") {
+			log.error({ key: keys.final(job.id), err }, "record rejected by the store");
+			return;
+		}
+		clock.after(retryMs, () => post(() => this.writeFinalRecord(job)));
 	}
 }
--- /dev/null
+++ b/src/coordination/jobs/job-feasibility.ts
@@ -0,0 +1,49 @@
+/** Whether a job can ever run with the teams' limits and the machine types there are. */
+
+import { typeFits } from "../../bookkeeping/machine-fit.js";
+import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
+import { isService, type JobSpec } from "../../protocol/model/job.js";
+import type { MachineType } from "../../protocol/model/machine.js";
+
+/**
+ * Returns why a job can never run, in words for its user; null: it can.
+ *
+ * Zone rules alone never keep an array from running: its tasks need not run at the same time, so that one zone
+ * can run one half of them after the other. The test is in `tests/coordination/jobs/job-feasibility.test.ts`.
+ *
+ * @param team The limits of the job's team; undefined: there is no such team.
+ * @param types All machine types on offer.
+ */
+export function infeasibilityReason(
+	spec: JobSpec,
+	team: TeamLimits | undefined,
+	types: readonly MachineType[],
+): string | null {
+	if (!team) return `there is no team "${spec.team}"`;
+	if (spec.cpus > team.cpus_max || spec.gpus > team.gpus_max) {
+		return `a task needs more than the limit of team "${spec.team}"`;
+	}
+	const fitting = types.filter((type) => typeFits(spec, type));
+	if (fitting.length === 0) return "a task fits no allowed machine type";
+	return isService(spec) ? serviceInfeasibilityReason(spec, team, fitting) : null;
+}
+
+/** The replicas of a service run at the same time: quota and zone rules hold for all of them together. */
+function serviceInfeasibilityReason(
+	spec: JobSpec,
+	team: TeamLimits,
+	fittingTypes: readonly MachineType[],
+): string | null {
+	const cpus = spec.taskCount * spec.cpus;
+	const gpus = spec.taskCount * spec.gpus;
+	if (cpus > team.cpus_max || gpus > team.gpus_max) {
+		return `all replicas together need more than the limit of team "${spec.team}"`;
+	}
+	const zones = new Set(fittingTypes.flatMap((type) => type.zones));
+	const hasOneZone = spec.singleZone || spec.zone !== null || zones.size < 2;
+	const maxPerZone = Math.ceil(spec.taskCount / 2);
+	if (spec.spreadZones && hasOneZone && maxPerZone < spec.taskCount) {
+		return "the replicas can't be spread over zones: they are allowed in one only";
+	}
+	return null;
+}
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -214,18 +214,18 @@
 		this.completion = new JobCompletion({
 			leaderCondition: this.leaderCondition(),
 			store: ports.store,
-			time,
+			clock: time,
 			log,
-			records,
+			chunkedRecords: records,
 			post,
-			ended: () => this.ended,
+			termEnded: () => this.ended,
 			jobs: () => clusterState.jobs.values(),
-			jobOf: (id) => clusterState.jobs.get(id),
-			finished: (job, final, revision) => {
+			jobById: (id) => clusterState.jobs.get(id),
+			onJobDone: (job, final, revision) => {
 				this.storeCopy.applyOwnWrite(keys.final(job.id), encodeFinalRecord(final), revision);
 				this.jobEnded(job.id);
 			},
-			lostKey: () => this.lostKey(),
+			onLeaderKeyChanged: () => this.lostKey(),
 		});
 		this.reports = new HeartbeatService({
 			term,
@@ -409,7 +409,7 @@
 		for (const id of jobs.keys()) if (!this.clusterState.jobs.has(id)) this.jobChanged(id);
 		for (const [id, job] of [...this.clusterState.jobs]) {
 			if (!jobs.has(id)) this.jobEnded(id);
-			else if (job.finalizing && now - job.finalizingAt > auditEveryMs) this.completion.writeFinal(job);
+			else if (job.finalizing && now - job.finalizingAt > auditEveryMs) this.completion.writeFinalRecord(job);
 		}
 	}
 
@@ -424,7 +424,7 @@
 	private jobEnded(id: string): void {
 		const job = this.clusterState.jobs.get(id);
 		if (!job) return;
-		this.completion.forget(job);
+		this.completion.deleteProgress(job);
 		const still = this.clusterState.removeJob(job);
 		if (still.length > 0) this.ports.log.info({ job: id, running: still.length }, "job over: stopping tasks");
 		if (this.active) this.orders.stop(still);
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -100,7 +100,7 @@
 	private probe({ machine, session, tries }: Probe): void {
 		if (!this.hooks.active()) return;
 		this.workers.sendCommands(machine.agent.endpoint, this.clusterState.term, session, []).then(
-			({ executed, report }) =>
+			({ executed, heartbeat: report }) =>
 				this.hooks.post(() => {
 					if (!this.clusterState.unreconciledMachines.has(machine) || this.hooks.ended()) return;
 					if (executed && report.machineId === machine.id) this.hooks.apply(report);
--- a/src/coordination/ports/clock.ts
+++ b/src/coordination/ports/clock.ts
@@ -15,3 +15,10 @@
 	/** Runs the action once after that many milliseconds. */
 	after(ms: number, run: () => void): Timer;
 }
+
+/** Resolves after that many milliseconds by the clock. */
+export function delay(clock: Pick<Clock, "after">, ms: number): Promise<void> {
+	return new Promise((resolve) => {
+		clock.after(ms, resolve);
+	});
+}
--- a/src/coordination/ports/workers.ts
+++ b/src/coordination/ports/workers.ts
@@ -8,7 +8,7 @@
 	/** false: the fencing token is too low or the agent epoch is another, and nothing was executed. */
 	executed: boolean;
 	/** The state of the worker afterwards. */
-	report: WorkerHeartbeat;
+	heartbeat: WorkerHeartbeat;
 }
 
 /** Commands that are sent straight to a worker. */
--- a/src/main.ts
+++ b/src/main.ts
@@ -12,8 +12,9 @@
 import { makeTeamQuota } from "./team-quota.js";
 import { CloudClient } from "./transport/cloud-client.js";
 import { HttpClient } from "./transport/http-client.js";
-import { PeerLinks } from "./transport/peer-link.js";
-import { listenPublicApi, type PublicService } from "./transport/public-api.js";
+import { PeerLinks } from "./transport/peer-links.js";
+import { startPublicServer } from "./transport/public-server.js";
+import type { PublicService } from "./transport/public-service.js";
 import { StoreClient } from "./transport/store-client.js";
 import { WorkerClient } from "./transport/worker-client.js";
 import { version } from "./version.js";
@@ -87,19 +88,19 @@
 
 	const { cluster, endpoints } = platform;
 	const seed = randomBytes(4).readInt32LE(0);
-	const store = new StoreClient(
-		new HttpClient(endpoints.state, 40),
-		steadyTime,
-		cluster.state.rps,
-		cluster.state.write_rps,
-		platform.others.length + 1,
-	);
-	const peers = new PeerLinks(
-		platform.node,
-		platform.others,
-		(from, m) => controller.peerMessage(from, m),
+	const store = new StoreClient({
+		http: new HttpClient(endpoints.state, 40),
+		clock: steadyTime,
+		requestsPerS: cluster.state.rps,
+		writesPerS: cluster.state.write_rps,
+		controllers: platform.others.length + 1,
+	});
+	const peers = new PeerLinks({
+		self: platform.node,
+		peers: platform.others,
+		onMessage: (from, message) => controller.peerMessage(from, message),
 		log,
-	);
+	});
 	const incarnation = randomBytes(6).toString("hex");
 	const controller = new Controller(platform, operator, incarnation, {
 		store,
@@ -125,7 +126,7 @@
 	const back = split(platform.back);
 	// Sockets are kept back for the store, the cloud, workers and the other controllers.
 	const sockets = Math.max(16, Math.floor(cluster.resources.fd_limit * 0.8) - 60);
-	const server = await listenPublicApi(service, front.host, front.port, sockets, log);
+	const server = await startPublicServer({ service, log, ...front, maxConnections: sockets });
 	await peers.listen(back.host, back.port);
 	controller.start();
 	log.info({ front: platform.front, back: platform.back, version: version }, "controller started");
@@ -133,8 +134,8 @@
 	const stop = () => {
 		log.info({}, "controller stopping");
 		controller.stop();
-		server.close();
-		peers.close();
+		void server.close();
+		void peers.close();
 		setTimeout(() => process.exit(0), 200);
 	};
 	process.once("SIGTERM", stop);
--- a/src/protocol/http/cloud-api.ts
+++ b/src/protocol/http/cloud-api.ts
@@ -1,48 +1,71 @@
+/**
+ * The cloud's API: machine types, creation and deletion of machines, and the machine list. `xBody` and `xPath`
+ * make requests, `xFrom` reads responses and throws a MalformedMessageError for one that lacks the published
+ * form.
+ *
+ * | on the wire | here |
+ * | --- | --- |
+ * | `shapes`, `sku`, `shape` | machine types, the name of one, the type of a machine |
+ * | `cores`, `accelerators`, `ram_gb` | `cpus`, `gpus`, `memoryGb` |
+ * | `local_gb` | `cacheGb`, the size of the image cache |
+ * | `fetch_gb_per_s` | `fetchGbPerS` |
+ * | `rate`, `market_price` | `price`, `spotPrice`, per hour |
+ * | `boot_s` | `bootS` |
+ * | `halls`, `hall` | zones |
+ * | `loaners` | spot machines |
+ * | `hosts` | machines |
+ * | `hire` | the name of a scale-out request |
+ * | `age_s` | `ageS` |
+ * | `truncated` | `more` machines follow |
+ * | `from` | the machine after which a page of the list begins |
+ */
+
 import * as v from "valibot";
-import { amount, checkShape, name, orNull, positive } from "../checks.js";
+import type { MachineId } from "../model/identifiers.js";
 import type { ListedMachine, MachineType } from "../model/machine.js";
+import { amount, checkShape, name, orNull, positive } from "../schema-checks.js";
 import { paths } from "./paths.js";
 
-/** The cloud's API: machine types, rentals, returns and the machine list. */
-
 /** Assumed where the cloud does not say how long a type takes to boot. */
-const usualBootS = 60;
-const slowestFetchGbPerS = 0.1;
-
-const MachineTypes = v.object({
-	shapes: v.array(
-		v.object({
-			sku: name,
-			cores: positive,
-			accelerators: orNull(amount),
-			ram_gb: positive,
-			local_gb: orNull(amount),
-			fetch_gb_per_s: orNull(amount),
-			rate: amount,
-			market_price: orNull(amount),
-			boot_s: orNull(amount),
-			halls: v.array(name),
-		}),
-	),
+const defaultBootS = 60;
+
+/** Assumed where the cloud does not say how fast a type fetches images. */
+const defaultFetchGbPerS = 0.1;
+
+const MachineTypeBody = v.object({
+	sku: name,
+	cores: positive,
+	accelerators: orNull(amount),
+	ram_gb: positive,
+	local_gb: orNull(amount),
+	fetch_gb_per_s: orNull(amount),
+	rate: amount,
+	market_price: orNull(amount),
+	boot_s: orNull(amount),
+	halls: v.array(name),
 });
 
+const MachineTypesBody = v.object({ shapes: v.array(MachineTypeBody) });
+
+/** Reads the machine types on offer. */
 export function machineTypesFrom(raw: unknown): MachineType[] {
-	return checkShape(MachineTypes, raw).shapes.map((type) => ({
+	return checkShape(MachineTypesBody, raw).shapes.map((type) => ({
 		name: type.sku,
 		cpus: type.cores,
 		gpus: type.accelerators ?? 0,
 		memoryGb: type.ram_gb,
 		cacheGb: type.local_gb ?? 0,
-		fetchGbPerS: type.fetch_gb_per_s ?? slowestFetchGbPerS,
+		fetchGbPerS: type.fetch_gb_per_s ?? defaultFetchGbPerS,
 		price: type.rate,
 		spotPrice: type.market_price ?? type.rate,
-		bootS: type.boot_s ?? usualBootS,
+		bootS: type.boot_s ?? defaultBootS,
 		zones: type.halls,
 	}));
 }
 
-/** A request to rent machines of one type, zone and kind. A name is used for one request only. */
+/** A request to create machines of one type, zone and kind. */
 export interface ScaleOutRequest {
+	/** Never used for another request: the cloud answers a repeated name as it did the first time. */
 	name: string;
 	machineType: string;
 	zone: string;
@@ -50,6 +73,7 @@
 	count: number;
 }
 
+/** The request that creates machines. */
 export function createMachinesBody(request: ScaleOutRequest) {
 	return {
 		hire: request.name,
@@ -60,58 +84,69 @@
 	};
 }
 
-const Rented = v.object({ hosts: v.array(name) });
+const CreatedMachinesBody = v.object({ hosts: v.array(name) });
 
-export function createdMachinesFrom(raw: unknown): string[] {
-	return checkShape(Rented, raw).hosts;
+/** Reads which machines were created. */
+export function createdMachinesFrom(raw: unknown): MachineId[] {
+	return checkShape(CreatedMachinesBody, raw).hosts;
 }
 
+const RefusalBody = v.object({ error: v.literal("no capacity") });
+
+/** Whether the body of a 503 says that there is no capacity for the request, rather than an outage. */
 export function isNoCapacity(raw: unknown): boolean {
-	return (raw as { error?: unknown } | null)?.error === "no capacity";
+	return v.is(RefusalBody, raw);
 }
 
-export function deleteMachinesBody(machines: string[]) {
+/** The request that deletes machines. */
+export function deleteMachinesBody(machines: MachineId[]) {
 	return { hosts: machines };
 }
 
-export function machineListPath(after: string, limit: number): string {
-	return `${paths.machines}?${after ? `from=${encodeURIComponent(after)}&` : ""}limit=${limit}`;
+/**
+ * Path of a page of the machine list, in the order of the machines' names.
+ *
+ * @param after The page begins after this machine; empty: with the first one.
+ */
+export function machineListPath(after: MachineId, limit: number): string {
+	const from = after === "" ? "" : `from=${encodeURIComponent(after)}&`;
+	return `${paths.machines}?${from}limit=${limit}`;
 }
 
-const Listed = v.object({
-	hosts: v.array(
-		v.object({
-			id: name,
-			endpoint: orNull(v.string()),
-			shape: name,
-			hall: name,
-			loaners: orNull(v.boolean()),
-			status: orNull(v.string()),
-			age_s: orNull(v.number()),
-		}),
-	),
-	truncated: orNull(v.boolean()),
+const ListedMachineBody = v.object({
+	id: name,
+	endpoint: orNull(v.string()),
+	shape: name,
+	hall: name,
+	loaners: orNull(v.boolean()),
+	status: orNull(v.string()),
+	age_s: orNull(v.number()),
 });
 
+const MachineListBody = v.object({ hosts: v.array(ListedMachineBody), truncated: orNull(v.boolean()) });
+
 /** One page of the machine list. */
 export interface MachineListPage {
 	machines: ListedMachine[];
+	/** Whether further pages follow. */
 	more: boolean;
 }
 
+/** Reads a page of the machine list. */
 export function machineListFrom(raw: unknown): MachineListPage {
-	const page = checkShape(Listed, raw);
+	const { hosts, truncated } = checkShape(MachineListBody, raw);
+	return { machines: hosts.map(toListedMachine), more: truncated === true };
+}
+
+function toListedMachine(host: v.InferOutput<typeof ListedMachineBody>): ListedMachine {
 	return {
-		machines: page.hosts.map((host) => ({
-			id: host.id,
-			endpoint: host.endpoint ?? "",
-			machineType: host.shape,
-			zone: host.hall,
-			spot: host.loaners === true,
-			// Any other state is one of a machine that may hold tasks.
-			status: host.status === "booting" || host.status === "failed" ? host.status : "running",
-			ageS: host.age_s ?? 0,
-		})),
-		more: page.truncated === true,
+		id: host.id,
+		endpoint: host.endpoint ?? "",
+		machineType: host.shape,
+		zone: host.hall,
+		spot: host.loaners === true,
+		// A machine in any other state may hold tasks.
+		status: host.status === "booting" || host.status === "failed" ? host.status : "running",
+		ageS: host.age_s ?? 0,
 	};
 }
--- a/src/protocol/http/store-api.ts
+++ b/src/protocol/http/store-api.ts
@@ -1,35 +1,91 @@
+/**
+ * The store's API: rows, compare-and-swap transactions, leases and watches. `xBody` and `xPath` make requests,
+ * `xFrom` reads responses and throws a MalformedMessageError for one that lacks the published form.
+ *
+ * | on the wire | here |
+ * | --- | --- |
+ * | `stamp` | `revision` of a key |
+ * | `epoch` | `revision` of the store |
+ * | `v` | `value` |
+ * | `when`, `then` | conditions and changes of a compare-and-swap |
+ * | `put`, `drop` | `put`, `delete`: a change that sets or removes a key |
+ * | `failed` | `conflicts`: keys whose conditions did not hold |
+ * | `permit` | `leaseId` |
+ * | `ttl_ms` | `ttlMs` |
+ * | `truncated` | `more` rows follow |
+ * | `from` | of rows: the key after which they begin; of a watch: the revision after which |
+ * | `block_ms` | `waitMs` |
+ */
+
 import * as v from "valibot";
-import { checkShape, count, name, orNull } from "../checks.js";
-import type { Revision } from "../model/identifiers.js";
+import type { LeaseId, Revision } from "../model/identifiers.js";
+import { checkShape, count, name, orNull } from "../schema-checks.js";
 import { paths } from "./paths.js";
 
-/** The state service's API: rows, transactions, leases and watches. */
-
+/** A key of the store with its value. */
 export interface StoreRow {
 	key: string;
 	value: unknown;
-	revision: number;
+	/** Revision at which the key last changed. */
+	revision: Revision;
 }
 
 /** A key must have this revision; 0: it must not exist. */
 export interface StoreCondition {
 	key: string;
-	revision: number;
+	revision: Revision;
 }
 
-export type StoreChange = { put: string; value: unknown; leaseId?: number } | { delete: string };
+/** A key that is set, and attached to a lease if one is given; or one that is deleted. */
+export type StoreChange = { put: string; value: unknown; leaseId?: LeaseId } | { delete: string };
 
+/** A change that a watch reports. */
 export interface StoreEvent {
 	key: string;
-	/** undefined: the key was removed */
+	/** undefined: the key was deleted */
 	value: unknown;
-	revision: number;
+	revision: Revision;
+}
+
+/** Path of a key's row. Slashes in keys stay as they are. */
+export function rowPath(key: string): string {
+	return `${paths.store}/${key}`;
+}
+
+const RowBody = v.object({ key: name, v: v.unknown(), stamp: count });
+
+/** Reads a row. */
+export function rowFrom(raw: unknown): StoreRow {
+	return toRow(checkShape(RowBody, raw));
+}
+
+function toRow({ key, v: value, stamp }: v.InferOutput<typeof RowBody>): StoreRow {
+	return { key, value, revision: stamp };
 }
 
+/**
+ * Path of a page of the rows below a prefix, in the order of their keys.
+ *
+ * @param after The page begins after this key; null: with the first one.
+ */
+export function rowsPath(prefix: string, after: string | null, limit: number): string {
+	const from = after === null ? "" : `&from=${after}`;
+	return `${paths.store}?prefix=${prefix}${from}&limit=${limit}`;
+}
+
+const RowsBody = v.object({ rows: v.array(RowBody), truncated: orNull(v.boolean()), epoch: count });
+
+/** Reads a page of rows, whether more follow, and the revision of the store that it shows. */
+export function rowsFrom(raw: unknown): { rows: StoreRow[]; more: boolean; revision: Revision } {
+	const { rows, truncated, epoch } = checkShape(RowsBody, raw);
+	return { rows: rows.map(toRow), more: truncated === true, revision: epoch };
+}
+
+/** The request that makes all changes if all conditions hold. Without changes it only compares. */
 export function compareAndSwapBody(conditions: StoreCondition[], changes: StoreChange[]) {
-	const when = conditions.map((c) => ({ key: c.key, stamp: c.revision }));
+	const when = conditions.map(({ key, revision }) => ({ key, stamp: revision }));
 	if (changes.length === 0) return { when };
-	// biome-ignore lint/suspicious/noThenProperty: the state service's own word for the changes
+	// biome-ignore lint/suspicious/noThenProperty: the store's own word for the changes
 	return { when, then: changes.map(changeBody) };
 }
 
@@ -39,68 +95,66 @@
 	return change.leaseId === undefined ? put : { ...put, permit: change.leaseId };
 }
 
-const Row = v.object({ key: name, v: v.unknown(), stamp: count });
-
-export function rowFrom(raw: unknown): StoreRow {
-	const row = checkShape(Row, raw);
-	return { key: row.key, value: row.v, revision: row.stamp };
-}
-
-const Rows = v.object({ rows: v.array(Row), truncated: orNull(v.boolean()), epoch: count });
-
-export function rowsFrom(raw: unknown): { rows: StoreRow[]; more: boolean; revision: number } {
-	const page = checkShape(Rows, raw);
-	return {
-		rows: page.rows.map((row) => ({ key: row.key, value: row.v, revision: row.stamp })),
-		more: page.truncated === true,
-		revision: page.epoch,
-	};
-}
-
 const RevisionBody = v.object({ epoch: count });
 
-/** The revision in an answer that holds nothing else. */
+/** Reads the revision of a response that holds nothing else. */
 export function revisionFrom(raw: unknown): Revision {
 	return checkShape(RevisionBody, raw).epoch;
 }
 
 const ConflictsBody = v.object({ failed: v.array(v.string()), epoch: count });
 
-/** The keys whose conditions did not hold, as of a revision. */
+/** Reads the keys whose conditions did not hold, as of a revision. */
 export function conflictsFrom(raw: unknown): { conflicts: string[]; revision: Revision } {
 	const { failed, epoch } = checkShape(ConflictsBody, raw);
 	return { conflicts: failed, revision: epoch };
 }
 
-const Lease = v.object({ permit: count });
-
-export function leaseIdFrom(raw: unknown): number {
-	return checkShape(Lease, raw).permit;
+/** The request for a lease that ends unless it is renewed within this time. */
+export function grantLeaseBody(ttlMs: number) {
+	return { ttl_ms: ttlMs };
 }
 
-const Events = v.object({
-	epoch: count,
-	events: v.array(
-		v.union([v.object({ put: name, v: v.unknown(), stamp: count }), v.object({ drop: name, stamp: count })]),
-	),
-});
+const LeaseBody = v.object({ permit: count });
 
-export function eventsFrom(raw: unknown): { events: StoreEvent[]; revision: Revision } {
-	const { events, epoch } = checkShape(Events, raw);
-	return {
-		events: events.map((event) =>
-			"put" in event
-				? { key: event.put, value: event.v, revision: event.stamp }
-				: { key: event.drop, value: undefined, revision: event.stamp },
-		),
-		revision: epoch,
-	};
+/** Reads the lease that was granted. */
+export function leaseIdFrom(raw: unknown): LeaseId {
+	return checkShape(LeaseBody, raw).permit;
 }
 
-export function rowsPath(prefix: string, after: string | null, limit: number): string {
-	return `${paths.store}?prefix=${prefix}${after === null ? "" : `&from=${after}`}&limit=${limit}`;
+/** Path of a lease, to be revoked. */
+export function leasePath(lease: LeaseId): string {
+	return `${paths.leases}/${lease}`;
 }
 
-export function watchPath(prefix: string, from: number, waitMs: number): string {
+/** Path at which a lease is renewed. */
+export function renewLeasePath(lease: LeaseId): string {
+	return `${leasePath(lease)}/renew`;
+}
+
+/** The request that renews a lease: all is said by its path. */
+export const renewLeaseBody = {} as const;
+
+/**
+ * Path of a watch: the changes below a prefix after a revision.
+ *
+ * @param waitMs How long the store waits for a change before it answers without one; 0: not at all.
+ */
+export function watchPath(prefix: string, from: Revision, waitMs: number): string {
 	return `${paths.watch}?prefix=${prefix}&from=${from}&block_ms=${waitMs}`;
 }
+
+const PutEventBody = v.object({ put: name, v: v.unknown(), stamp: count });
+const DropEventBody = v.object({ drop: name, stamp: count });
+const EventsBody = v.object({ epoch: count, events: v.array(v.union([PutEventBody, DropEventBody])) });
+
+/** Reads the changes that a watch reports, and the revision up to which they are all there. */
+export function eventsFrom(raw: unknown): { events: StoreEvent[]; revision: Revision } {
+	const { events, epoch } = checkShape(EventsBody, raw);
+	return { events: events.map(toEvent), revision: epoch };
+}
+
+function toEvent(event: v.InferOutput<typeof EventsBody>["events"][number]): StoreEvent {
+	if ("put" in event) return { key: event.put, value: event.v, revision: event.stamp };
+	return { key: event.drop, value: undefined, revision: event.stamp };
+}
--- a/src/protocol/http/user-api.ts
+++ b/src/protocol/http/user-api.ts
@@ -1,36 +1,67 @@
+/**
+ * The users' API: submissions, and the states of jobs.
+ *
+ * | on the wire | here |
+ * | --- | --- |
+ * | `lane` | `jobClass` |
+ * | `desk` | `team` |
+ * | `form` | `form`: `standing` is `service` |
+ * | `urgency` | `priority` |
+ * | `pieces` | `taskCount` |
+ * | `cores`, `accelerators`, `ram_gb` | `cpus`, `gpus`, `memoryGb` of each task |
+ * | `shapes` | `machineTypes` |
+ * | `hall` | `zone` |
+ * | `one_zone`, `spread` | `singleZone`, `spreadZones` |
+ * | `loaners` | `allowSpot` |
+ * | `bundle`, `image_gb` | `image`, `imageGb` |
+ * | `guess_s` | `estimatedRunS` |
+ * | `bookmark_s`, `bookmark_cost_s` | `checkpointIntervalS`, `checkpointCostS` |
+ * | `due_s` | `deadlineS` |
+ */
+
 import * as v from "valibot";
-import { amount, checkShape, flag, name, orNull, parseObject, positive } from "../checks.js";
 import { MalformedMessageError } from "../errors.js";
+import type { JobId } from "../model/identifiers.js";
 import type { JobSpec, JobStatus } from "../model/job.js";
+import { amount, checkShape, flag, name, orNull, parseObject, positive } from "../schema-checks.js";
+
+/** Most tasks of a job. */
+const maxTaskCount = 100_000;
 
-/** The users' API: wire words of jobs, mapped to the service's own. */
+/** Most machine types that a job may name. */
+const maxMachineTypes = 100;
 
 const jobId = v.pipe(v.string("must be a string"), v.regex(/^j-\d{1,18}$/, 'must look like "j-000412"'));
+
+const taskCount = v.pipe(
+	v.number("must be a number"),
+	v.integer("must be a whole number"),
+	v.minValue(1, "must be at least 1"),
+	v.maxValue(maxTaskCount, `must be at most ${maxTaskCount}`),
+);
+
+const machineTypes = v.pipe(
+	v.array(name, "must be a list or null"),
+	v.minLength(1, "must not be empty"),
+	v.maxLength(maxMachineTypes, `must name at most ${maxMachineTypes} types`),
+);
+
+const priority = v.picklist(
+	["critical", "urgent", "normal", "best_effort"],
+	"must be critical, urgent, normal or best_effort",
+);
+
 const JobBody = v.object({
 	id: jobId,
 	lane: name,
 	desk: name,
 	form: v.picklist(["array", "standing"], 'must be "array" or "standing"'),
-	urgency: v.picklist(
-		["critical", "urgent", "normal", "best_effort"],
-		"must be critical, urgent, normal or best_effort",
-	),
-	pieces: v.pipe(
-		v.number("must be a number"),
-		v.integer("must be a whole number"),
-		v.minValue(1, "must be at least 1"),
-		v.maxValue(100_000, "must be at most 100000"),
-	),
+	urgency: priority,
+	pieces: taskCount,
 	cores: positive,
 	accelerators: amount,
 	ram_gb: amount,
-	shapes: orNull(
-		v.pipe(
-			v.array(name, "must be a list or null"),
-			v.minLength(1, "must not be empty"),
-			v.maxLength(100, "must name at most 100 types"),
-		),
-	),
+	shapes: orNull(machineTypes),
 	hall: orNull(name),
 	one_zone: flag,
 	spread: flag,
@@ -43,32 +74,35 @@
 	due_s: orNull(positive),
 });
 
-/** The id of a submission that may be malformed otherwise; null if it has none. */
-export function jobIdOf(body: string): string | null {
+/** Whether the text has the form of a job's id. */
+export function isJobId(text: string): boolean {
+	return v.is(jobId, text);
+}
+
+/** The id of a submission that may be malformed otherwise; null: it has none. */
+export function jobIdOf(body: string): JobId | null {
 	try {
 		const { id } = JSON.parse(body) as { id?: unknown };
 		return v.is(jobId, id) ? id : null;
 	} catch {
+		// Not JSON, or JSON without fields: a submission without an id.
 		return null;
 	}
 }
 
-export function isJobId(id: string): boolean {
-	return v.is(jobId, id);
-}
-
+/** Reads a submission. Throws a MalformedMessageError that names the first faulty field. */
 export function parseJobSpec(body: string): JobSpec {
 	const job = checkShape(JobBody, parseObject(body));
-	const standing = job.form === "standing";
-	if (standing && job.guess_s !== 0) {
+	const isService = job.form === "standing";
+	if (isService && job.guess_s !== 0) {
 		throw new MalformedMessageError('field "guess_s" must be 0 for a standing job');
 	}
-	if (!standing && job.guess_s === 0) {
+	if (!isService && job.guess_s === 0) {
 		throw new MalformedMessageError('field "guess_s" must be above 0');
 	}
 	return {
 		id: job.id,
-		form: standing ? "service" : "array",
+		form: isService ? "service" : "array",
 		jobClass: job.lane,
 		team: job.desk,
 		priority: job.urgency,
@@ -90,6 +124,7 @@
 	};
 }
 
-export function jobResponseBody(id: string, status: JobStatus, counts?: { done: number; running: number }) {
+/** The response that tells a job's state, with the numbers of done and running tasks where they are asked for. */
+export function jobResponseBody(id: JobId, status: JobStatus, counts?: { done: number; running: number }) {
 	return counts ? { id, status, ...counts } : { id, status };
 }
--- a/src/protocol/http/worker-api.ts
+++ b/src/protocol/http/worker-api.ts
@@ -1,17 +1,39 @@
-import { parseObject } from "../checks.js";
+/**
+ * The workers' API: heartbeats, and the commands in the responses to them and in direct requests.
+ *
+ * | on the wire | here |
+ * | --- | --- |
+ * | report | heartbeat |
+ * | `host`, `shape`, `hall` | `machineId`, `machineType`, `zone` |
+ * | `loaners` | `spot` |
+ * | `shift` | `agentEpoch` |
+ * | `tick` | `sequence` |
+ * | `baton` | `fencingToken` |
+ * | `recall_s` | `reclaimInS` |
+ * | `pieces` | `tasks` |
+ * | `piece` | the task: job and index, as in `j-000412/3` |
+ * | `try` | `attempt` |
+ * | `status` | `state`: `pulling` is `fetching`, `flushing` is `checkpointing` |
+ * | `cause` | `exitCause`: `full` is `no_room`, `no_such` is `unknown` |
+ * | `stored` | `checkpointed` |
+ * | `orders`, `verb` | commands, `kind`: `run` is `start`, `halt` is `stop` |
+ * | `wind_down_s` | `graceS` |
+ * | `foreman` | the controller to which a worker is redirected |
+ */
+
 import { MalformedMessageError } from "../errors.js";
-import type { JobId } from "../model/identifiers.js";
+import type { AgentEpoch, FencingToken, JobId, NodeId } from "../model/identifiers.js";
 import type { ExitCause, TaskState, TaskStatus, WorkerCommand, WorkerHeartbeat } from "../model/worker.js";
+import { parseObject } from "../schema-checks.js";
 
-/** The workers' API: reports, and orders in answers and in direct requests. */
-
-const taskStates: Record<string, TaskState> = {
+const taskStates: Readonly<Record<string, TaskState>> = {
 	pulling: "fetching",
 	running: "running",
 	flushing: "checkpointing",
 	exited: "exited",
 };
-const causes: Record<string, ExitCause> = {
+
+const exitCauses: Readonly<Record<string, ExitCause>> = {
 	done: "done",
 	stopped: "stopped",
 	error: "error",
@@ -20,70 +42,110 @@
 	no_such: "unknown",
 };
 
+/** Longest text in a heartbeat. */
+const maxTextLength = 200;
+
 /**
- * Reports come by the dozen a second and from our own machines, so they are
- * checked by hand-written tests of the fields used, not by schema.
+ * Reads the body of a heartbeat. Throws a MalformedMessageError that names the first faulty field.
+ *
+ * Heartbeats come by the hundred a second and from our own machines, so the fields that are used are checked by
+ * hand-written code, which costs a fraction of a schema's processor time.
  */
 export function parseHeartbeat(body: string): WorkerHeartbeat {
 	return heartbeatFrom(parseObject(body));
 }
 
-function whole(value: unknown, field: string): number {
+/** Reads the response to direct commands, which is the worker's heartbeat after them. */
+export function directCommandsResponseFrom(raw: unknown): WorkerHeartbeat {
+	return heartbeatFrom((raw ?? {}) as Record<string, unknown>);
+}
+
+function heartbeatFrom(raw: Record<string, unknown>): WorkerHeartbeat {
+	if (!Array.isArray(raw.pieces)) throw new MalformedMessageError('field "pieces" must be a list');
+	const reclaimInS = reclaimOf(raw.recall_s);
+	return {
+		machineId: textOf(raw.host, "host"),
+		endpoint: textOf(raw.endpoint, "endpoint"),
+		machineType: textOf(raw.shape, "shape"),
+		zone: textOf(raw.hall, "hall"),
+		spot: raw.loaners === true,
+		agentEpoch: countOf(raw.shift, "shift"),
+		sequence: countOf(raw.tick, "tick"),
+		fencingToken: countOf(raw.baton ?? 0, "baton"),
+		reclaimInS,
+		tasks: raw.pieces.map(taskFrom),
+	};
+}
+
+function countOf(value: unknown, field: string): number {
 	if (typeof value !== "number" || !Number.isSafeInteger(value) || value < 0) {
 		throw new MalformedMessageError(`field "${field}" must be a whole number`);
 	}
 	return value;
 }
 
-function string(value: unknown, field: string): string {
-	if (typeof value !== "string" || value === "" || value.length > 200) {
-		throw new MalformedMessageError(`field "${field}" must be a string of 1 to 200 characters`);
+function textOf(value: unknown, field: string): string {
+	if (typeof value !== "string" || value === "" || value.length > maxTextLength) {
+		throw new MalformedMessageError(`field "${field}" must be a string of 1 to ${maxTextLength} characters`);
 	}
 	return value;
 }
 
-export function parseTaskId(name: string): { jobId: JobId; taskIndex: number } | null {
-	const at = name.indexOf("/");
-	const index = Number(name.slice(at + 1));
-	if (at <= 0 || at === name.length - 1 || !Number.isSafeInteger(index) || index < 0) return null;
-	return { jobId: name.slice(0, at), taskIndex: index };
+function reclaimOf(value: unknown): number | null {
+	if (value === null || value === undefined) return null;
+	if (typeof value !== "number" || !Number.isFinite(value)) {
+		throw new MalformedMessageError('field "recall_s" must be a number or null');
+	}
+	return value;
 }
 
 function taskFrom(raw: unknown): TaskStatus {
 	const item = (raw ?? {}) as Record<string, unknown>;
-	const name = parseTaskId(string(item.piece, "pieces.piece"));
-	if (!name) throw new MalformedMessageError('field "pieces.piece" must look like "j-000412/3"');
+	const task = parseTaskId(textOf(item.piece, "pieces.piece"));
+	if (!task) throw new MalformedMessageError('field "pieces.piece" must look like "j-000412/3"');
 	const state = taskStates[String(item.status)];
 	if (!state) throw new MalformedMessageError('field "pieces.status" is not a known state');
-	const cause = item.cause === undefined || item.cause === null ? null : causes[String(item.cause)];
 	return {
-		...name,
-		attempt: whole(item.try, "pieces.try"),
+		...task,
+		attempt: countOf(item.try, "pieces.try"),
 		state,
-		// A cause we have never heard of still means that the attempt has ended without success.
-		exitCause: state === "exited" ? (cause ?? "error") : null,
+		exitCause: state === "exited" ? exitCauseOf(item.cause) : null,
 		checkpointed: item.stored === true,
 	};
 }
 
-export function heartbeatFrom(raw: Record<string, unknown>): WorkerHeartbeat {
-	if (!Array.isArray(raw.pieces)) throw new MalformedMessageError('field "pieces" must be a list');
-	const notice = raw.recall_s;
-	if (notice !== null && notice !== undefined && (typeof notice !== "number" || !Number.isFinite(notice))) {
-		throw new MalformedMessageError('field "recall_s" must be a number or null');
-	}
-	return {
-		machineId: string(raw.host, "host"),
-		endpoint: string(raw.endpoint, "endpoint"),
-		machineType: string(raw.shape, "shape"),
-		zone: string(raw.hall, "hall"),
-		spot: raw.loaners === true,
-		agentEpoch: whole(raw.shift, "shift"),
-		sequence: whole(raw.tick, "tick"),
-		fencingToken: whole(raw.baton ?? 0, "baton"),
-		reclaimInS: notice ?? null,
-		tasks: raw.pieces.map(taskFrom),
-	};
+/** A cause that is missing or not known still means that the attempt has ended without success. */
+function exitCauseOf(cause: unknown): ExitCause {
+	if (cause === undefined || cause === null) return "error";
+	return exitCauses[String(cause)] ?? "error";
+}
+
+/** Reads a task's name, such as `j-000412/3`; null: it does not have that form. */
+function parseTaskId(taskId: string): { jobId: JobId; taskIndex: number } | null {
+	const slash = taskId.indexOf("/");
+	const taskIndex = Number(taskId.slice(slash + 1));
+	if (slash <= 0 || slash === taskId.length - 1) return null;
+	if (!Number.isSafeInteger(taskIndex) || taskIndex < 0) return null;
+	return { jobId: taskId.slice(0, slash), taskIndex };
+}
+
+/** The response to a heartbeat that was accepted. */
+export function heartbeatResponseBody(fencingToken: FencingToken, commands: WorkerCommand[]) {
+	return { baton: fencingToken, orders: commands.map(commandBody) };
+}
+
+/** The response to a heartbeat that another controller should receive; null: any other. */
+export function redirectBody(controller: NodeId | null) {
+	return controller === null ? {} : { foreman: controller };
+}
+
+/** The request that brings commands straight to a worker. */
+export function directCommandsBody(
+	fencingToken: FencingToken,
+	agentEpoch: AgentEpoch,
+	commands: WorkerCommand[],
+) {
+	return { baton: fencingToken, shift: agentEpoch, orders: commands.map(commandBody) };
 }
 
 function commandBody(command: WorkerCommand) {
@@ -97,15 +159,3 @@
 			return { verb: "forget", piece, try: command.attempt };
 	}
 }
-
-export function heartbeatResponseBody(token: number, commands: WorkerCommand[]) {
-	return { baton: token, orders: commands.map(commandBody) };
-}
-
-export function directCommandsBody(token: number, session: number, commands: WorkerCommand[]) {
-	return { baton: token, shift: session, orders: commands.map(commandBody) };
-}
-
-export function redirectBody(node: string | null) {
-	return node === null ? {} : { foreman: node };
-}
--- a/src/protocol/peer/codec.ts
+++ b/src/protocol/peer/codec.ts
@@ -4,8 +4,8 @@
  * whatever the types of the service are called. Unknown fields are ignored.
  */
 
-import { checkShape } from "../checks.js";
 import { MalformedMessageError } from "../errors.js";
+import { checkShape } from "../schema-checks.js";
 import {
 	decodeForwardedHeartbeats,
 	decodeForwardedResponses,
--- a/src/protocol/peer/forwarding-wire.ts
+++ b/src/protocol/peer/forwarding-wire.ts
@@ -6,8 +6,8 @@
  */
 
 import * as v from "valibot";
-import { count } from "../checks.js";
 import type { ExitCause, TaskState, TaskStatus, WorkerCommand, WorkerHeartbeat } from "../model/worker.js";
+import { count } from "../schema-checks.js";
 import type { ForwardedHeartbeats, ForwardedResponses } from "./messages.js";
 import { term } from "./wire-fields.js";
 
--- a/src/protocol/peer/leader-heartbeat-wire.ts
+++ b/src/protocol/peer/leader-heartbeat-wire.ts
@@ -1,7 +1,7 @@
 /** Leader heartbeats (`running` on the wire) and their replies (`pong`). */
 
 import * as v from "valibot";
-import { count, name } from "../checks.js";
+import { count, name } from "../schema-checks.js";
 import type { LeaderHeartbeat, LeaderHeartbeatReply } from "./messages.js";
 import { teamQuota, term } from "./wire-fields.js";
 
--- a/src/protocol/peer/leadership-wire.ts
+++ b/src/protocol/peer/leadership-wire.ts
@@ -4,7 +4,7 @@
  */
 
 import * as v from "valibot";
-import { count, name } from "../checks.js";
+import { count, name } from "../schema-checks.js";
 import type {
 	Cancellation,
 	LeaderQuery,
--- a/src/protocol/peer/placement-wire.ts
+++ b/src/protocol/peer/placement-wire.ts
@@ -1,7 +1,7 @@
 /** Placement requests (`view` on the wire) and proposals (`placed`). */
 
 import * as v from "valibot";
-import { amount, count, name } from "../checks.js";
+import { amount, count, name } from "../schema-checks.js";
 import type { Grant, Placement, PlacementProposal, PlacementRequest } from "./messages.js";
 import { teamQuota, term } from "./wire-fields.js";
 
--- a/src/protocol/records/final-record.ts
+++ b/src/protocol/records/final-record.ts
@@ -1,8 +1,8 @@
 /** Records of jobs that are over, as they are stored below `r/fin/`. They never change and are kept for good. */
 
 import * as v from "valibot";
-import { amount, checkShape, count, name } from "../checks.js";
 import type { TaskDemand } from "../model/job.js";
+import { amount, checkShape, count, name } from "../schema-checks.js";
 
 /** A job that is over. */
 export interface FinalJobRecord {
--- a/src/protocol/records/job-record.ts
+++ b/src/protocol/records/job-record.ts
@@ -1,10 +1,10 @@
 /** Records of live jobs, as they are stored below `r/job/`: one value for each job. */
 
 import * as v from "valibot";
-import { amount, checkShape, count, flag, name, positive } from "../checks.js";
 import { MalformedMessageError } from "../errors.js";
 import type { JobId } from "../model/identifiers.js";
 import type { JobSpec } from "../model/job.js";
+import { amount, checkShape, count, flag, name, positive } from "../schema-checks.js";
 
 /** A live job. */
 export interface JobRecord {
--- a/src/protocol/records/machine-record.ts
+++ b/src/protocol/records/machine-record.ts
@@ -1,8 +1,8 @@
 /** Records of machines that may run tasks, as they are stored below `r/machs/`, many to a chunk. */
 
 import * as v from "valibot";
-import { count, flag } from "../checks.js";
 import type { AgentEpoch } from "../model/identifiers.js";
+import { count, flag } from "../schema-checks.js";
 
 /** What a later leader must know of a machine that may run tasks. */
 export interface MachineRecord {
--- a/src/protocol/records/singleton-records.ts
+++ b/src/protocol/records/singleton-records.ts
@@ -1,9 +1,9 @@
 /** Records of which there is one each, as they are stored below `r/one/`. */
 
 import * as v from "valibot";
-import { amount, checkShape, name } from "../checks.js";
 import type { Incarnation, NodeId } from "../model/identifiers.js";
 import type { MachineType } from "../model/machine.js";
+import { amount, checkShape, name } from "../schema-checks.js";
 
 /** The value of the leader key. */
 export interface LeaderRecord {
--- a/src/protocol/records/stored-record.ts
+++ b/src/protocol/records/stored-record.ts
@@ -1,8 +1,8 @@
 /** Reads any value of the store by its key, for the local replica. */
 
-import { checkShape } from "../checks.js";
 import type { JobId } from "../model/identifiers.js";
 import type { MachineType } from "../model/machine.js";
+import { checkShape } from "../schema-checks.js";
 import { type StoredChunk, StoredProgressChunkSchema } from "./chunk.js";
 import { decodeFinalRecord, type FinalJobRecord } from "./final-record.js";
 import { decodeJobRecord, type JobRecord } from "./job-record.js";
--- a/src/protocol/checks.ts
+++ b/src/protocol/schema-checks.ts
@@ -1,52 +1,61 @@
+/**
+ * Checks shared by the parsers of everything that comes from outside this process. The messages are shown to
+ * users after the name of the field: `field "cores" must be above 0`.
+ */
+
 import * as v from "valibot";
 import { MalformedMessageError } from "./errors.js";
 
-/** Checks shared by the parsers of everything that comes from outside this process. */
+const maxNameLength = 200;
 
 const finite = v.pipe(v.number("must be a number"), v.finite("must be finite"));
 
+/** A finite number above 0. */
 export const positive = v.pipe(finite, v.gtValue(0, "must be above 0"));
 
+/** A finite number of 0 or more. */
 export const amount = v.pipe(finite, v.minValue(0, "must not be negative"));
 
+/** A whole number of 0 or more. */
 export const count = v.pipe(
 	v.number("must be a number"),
 	v.safeInteger("must be a whole number"),
 	v.minValue(0, "must not be negative"),
 );
 
+/** A text of 1 to 200 characters. */
 export const name = v.pipe(
 	v.string("must be a string"),
 	v.nonEmpty("must not be empty"),
-	v.maxLength(200, "must have at most 200 characters"),
+	v.maxLength(maxNameLength, `must have at most ${maxNameLength} characters`),
 );
 
+/** true or false. */
 export const flag = v.boolean("must be true or false");
 
-/** A field that may be null may also be left out. */
+/** A field that may be null or left out; either is read as null. */
 export const orNull = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
 
-function firstIssue(issues: [v.BaseIssue<unknown>, ...v.BaseIssue<unknown>[]]): string {
-	const issue = issues[0];
+function describeIssue(issue: v.BaseIssue<unknown>): string {
 	const path = v.getDotPath(issue);
-	const missing = issue.input === undefined && path;
-	return path ? `field "${path}" ${missing ? "is missing" : issue.message}` : issue.message;
+	if (!path) return issue.message;
+	return `field "${path}" ${issue.input === undefined ? "is missing" : issue.message}`;
 }
 
-/** The input in the schema's form, or a MalformedMessageError that names the first fault. */
+/** Returns the input in the schema's form. Throws a MalformedMessageError that names the first faulty field. */
 export function checkShape<T extends v.GenericSchema>(schema: T, input: unknown): v.InferOutput<T> {
 	const result = v.safeParse(schema, input, { abortEarly: true });
-	if (!result.success) throw new MalformedMessageError(firstIssue(result.issues));
+	if (!result.success) throw new MalformedMessageError(describeIssue(result.issues[0]));
 	return result.output;
 }
 
-/** A body that must be a JSON object. */
+/** Reads a text that must hold a JSON object. Throws a MalformedMessageError. */
 export function parseObject(body: string): Record<string, unknown> {
 	let raw: unknown;
 	try {
 		raw = JSON.parse(body);
-	} catch {
-		throw new MalformedMessageError("the body is not JSON");
+	} catch (error) {
+		throw new MalformedMessageError("the body is not JSON", { cause: error });
 	}
 	if (typeof raw !== "object" || raw === null || Array.isArray(raw)) {
 		throw new MalformedMessageError("the body is not a JSON object");
--- a/src/protocol/settings/operator.ts
+++ b/src/protocol/settings/operator.ts
@@ -1,6 +1,6 @@
 import * as v from "valibot";
-import { amount, positive } from "../checks.js";
 import { SettingsError } from "../errors.js";
+import { amount, positive } from "../schema-checks.js";
 import { checkSchema } from "./platform.js";
 
 /** Operators' own settings (YAML). Unknown fields are rejected by name. */
--- a/src/protocol/settings/platform.ts
+++ b/src/protocol/settings/platform.ts
@@ -1,8 +1,8 @@
 import { readFileSync } from "node:fs";
 import { parse as parseToml } from "smol-toml";
 import * as v from "valibot";
-import { amount, positive } from "../checks.js";
 import { SettingsError } from "../errors.js";
+import { amount, positive } from "../schema-checks.js";
 
 /** What the platform hands over in its TOML file. Unknown fields are ignored. */
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -88,13 +88,13 @@
 
 function connect(time: Clock, options: CommandOptions): KeyValueStore {
 	const { cluster, endpoints } = parsePlatform(options.config, readText(options.config));
-	return new StoreClient(
-		new HttpClient(endpoints.state, connections),
-		time,
-		cluster.state.rps,
-		cluster.state.write_rps,
-		1,
-	);
+	return new StoreClient({
+		http: new HttpClient(endpoints.state, connections),
+		clock: time,
+		requestsPerS: cluster.state.rps,
+		writesPerS: cluster.state.write_rps,
+		controllers: 1,
+	});
 }
 
 async function show(time: Clock, options: CommandOptions, team: string | undefined): Promise<string> {
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,5 +1,7 @@
+/** Client of the cloud's API, which keeps below the cloud's limit on requests. */
+
 import { CallError } from "../coordination/ports/call-error.js";
-import type { Clock } from "../coordination/ports/clock.js";
+import { type Clock, delay } from "../coordination/ports/clock.js";
 import type { CloudProvider } from "../coordination/ports/cloud.js";
 import {
 	createdMachinesFrom,
@@ -13,67 +15,90 @@
 	type ScaleOutRequest,
 } from "../protocol/http/cloud-api.js";
 import { paths } from "../protocol/http/paths.js";
+import type { MachineId } from "../protocol/model/identifiers.js";
 import type { MachineType } from "../protocol/model/machine.js";
-import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
+import type { HttpCaller } from "./http-client.js";
+import { expectStatus, parseResponse } from "./http-response.js";
 import { TokenBucket } from "./token-bucket.js";
 
-const callMs = 4000;
+const callTimeoutMs = 4000;
+
+/** Largest page of the machine list that the cloud gives. */
+const machineListPageSize = 500;
+
+/** A call that would wait this long for its share of the rate fails at once. */
+const maxRateWaitMs = 1000;
 
-/** The cloud's API. Only the leader calls it, so one node may use nearly all of the rate. */
+/** Part of the cloud's limit that this client uses; only the leader calls the cloud. */
+const rateShare = 0.9;
+/** Requests that may come at once, in seconds of the limit. The cloud allows for two. */
+const burstS = 1.5;
+/** Requests that are kept for scaling, in seconds of the limit; one request is enough. */
+const scalingReserveS = 0.5;
+
+/**
+ * The cloud's API. Only the leader calls it, so one controller may use nearly all of the rate. Calls that
+ * create and delete machines come before those that list, which leave a reserve to them.
+ */
 export class CloudClient implements CloudProvider {
-	private readonly bucket: TokenBucket;
-	private readonly reserve: number;
+	private readonly requests: TokenBucket;
+	private readonly scalingReserve: number;
 
+	/** @param requestsPerS The cloud's limit on requests (`cluster.cloud.rps` in the platform's settings). */
 	constructor(
 		private readonly http: HttpCaller,
-		private readonly time: Clock,
-		rps: number,
+		private readonly clock: Clock,
+		requestsPerS: number,
 	) {
-		this.bucket = new TokenBucket(rps * 0.9, Math.max(1, rps * 1.5), () => time.now());
-		this.reserve = Math.min(1, rps * 0.5);
-	}
-
-	/** Renting and returning come before listing, which leaves a reserve to them. */
-	private async admit(reserve: number): Promise<void> {
-		if (this.bucket.take(1, reserve)) return;
-		const wait = this.bucket.waitMs(1, reserve);
-		if (wait < 1000) {
-			await new Promise<void>((resolve) => this.time.after(wait + 1, resolve));
-			if (this.bucket.take(1, reserve)) return;
-		}
-		throw new CallError("not executed", 429, "own share of the cloud's rate is used up");
+		this.requests = new TokenBucket(requestsPerS * rateShare, Math.max(1, requestsPerS * burstS), clock);
+		this.scalingReserve = Math.min(1, requestsPerS * scalingReserveS);
 	}
 
 	async machineTypes(): Promise<MachineType[]> {
-		await this.admit(this.reserve);
-		const answer = await this.http.call("GET", paths.machineTypes, undefined, callMs);
-		expectStatus(answer, "machine types", 200);
-		return parseResponse(answer, "machine types", machineTypesFrom);
+		await this.admit(this.scalingReserve);
+		const response = await this.http.call("GET", paths.machineTypes, undefined, callTimeoutMs);
+		expectStatus(response, "machine types", 200);
+		return parseResponse(response, "machine types", machineTypesFrom);
 	}
 
-	async createMachines(request: ScaleOutRequest): Promise<string[]> {
+	async createMachines(request: ScaleOutRequest): Promise<MachineId[]> {
 		await this.admit(0);
-		const answer = await this.http.call("POST", paths.machines, createMachinesBody(request), callMs);
-		// Only this answer speaks of capacity; during an outage there is another 503.
-		if (answer.status === 503 && isNoCapacity(answer.body)) return [];
-		expectStatus(answer, "rental", 200, 201);
-		return parseResponse(answer, "rental", createdMachinesFrom);
+		const body = createMachinesBody(request);
+		const response = await this.http.call("POST", paths.machines, body, callTimeoutMs);
+		// A 503 with this body says that there is no capacity; one during an outage of the cloud has another.
+		if (response.status === 503 && isNoCapacity(response.body)) return [];
+		expectStatus(response, "creation of machines", 200, 201);
+		return parseResponse(response, "creation of machines", createdMachinesFrom);
 	}
 
-	async deleteMachines(machines: string[]): Promise<void> {
+	async deleteMachines(machines: MachineId[]): Promise<void> {
 		await this.admit(0);
-		const answer = await this.http.call("POST", paths.machinesReturn, deleteMachinesBody(machines), callMs);
-		expectStatus(answer, "return", 200);
+		const body = deleteMachinesBody(machines);
+		const response = await this.http.call("POST", paths.machinesReturn, body, callTimeoutMs);
+		expectStatus(response, "deletion of machines", 200);
 	}
 
-	async listMachines(after: string): Promise<MachineListPage> {
-		await this.admit(this.reserve);
-		const answer = await this.http.call("GET", machineListPath(after, 500), undefined, callMs);
-		expectStatus(answer, "list", 200);
-		return parseResponse(answer, "list", machineListFrom);
+	async listMachines(after: MachineId): Promise<MachineListPage> {
+		await this.admit(this.scalingReserve);
+		const path = machineListPath(after, machineListPageSize);
+		const response = await this.http.call("GET", path, undefined, callTimeoutMs);
+		expectStatus(response, "machine list", 200);
+		return parseResponse(response, "machine list", machineListFrom);
 	}
 
+	/** Closes the connections. Calls that are still open reject. */
 	close(): void {
 		this.http.close();
 	}
+
+	/** Waits for a request's share of the rate, beyond the reserve. */
+	private async admit(reserve: number): Promise<void> {
+		if (this.requests.take(1, reserve)) return;
+		const waitMs = this.requests.waitMs(1, reserve);
+		if (waitMs < maxRateWaitMs) {
+			await delay(this.clock, waitMs + 1);
+			if (this.requests.take(1, reserve)) return;
+		}
+		throw new CallError("not executed", 429, "this controller's share of the cloud's rate is used up");
+	}
 }
--- /dev/null
+++ b/src/transport/http-response.ts
@@ -0,0 +1,38 @@
+/** Responses of outside systems, and how they become results or errors of known consequence. */
+
+import { CallError, type CallOutcome } from "../coordination/ports/call-error.js";
+import { MalformedMessageError } from "../protocol/errors.js";
+
+/** A response whose body has been received as a whole. */
+export interface HttpResponse {
+	status: number;
+	/** The JSON value of the body; null for an empty body. */
+	body: unknown;
+}
+
+/** What a request has brought about if it was answered with a status that its caller does not expect. */
+function outcomeOf(status: number): CallOutcome {
+	if (status === 429 || status === 503) return "not executed";
+	return status >= 500 ? "unknown" : "rejected";
+}
+
+/** Throws a CallError unless the response has one of the expected statuses. */
+export function expectStatus(response: HttpResponse, call: string, ...expected: number[]): void {
+	const { status } = response;
+	if (!expected.includes(status)) throw new CallError(outcomeOf(status), status, `${call}: status ${status}`);
+}
+
+/**
+ * Reads the body of a response. A body that does not have the published form does not tell what was done: it
+ * counts as no response (a CallError with the outcome `unknown`), and nothing of it is used. The test is
+ * `tests/protocol/http/malformed-responses.test.ts`.
+ */
+export function parseResponse<T>(response: HttpResponse, call: string, parse: (body: unknown) => T): T {
+	try {
+		return parse(response.body);
+	} catch (error) {
+		if (!(error instanceof MalformedMessageError)) throw error;
+		const message = `${call}: malformed response: ${error.message}`;
+		throw new CallError("unknown", response.status, message, { cause: error });
+	}
+}
--- /dev/null
+++ b/src/transport/peer-links.ts
@@ -0,0 +1,99 @@
+/** The connections between this controller and all others. */
+
+import { once } from "node:events";
+import { createServer, type Server, type Socket } from "node:net";
+import type { Log } from "../coordination/ports/log.js";
+import type { PeerTransport } from "../coordination/ports/peers.js";
+import type { NodeId } from "../protocol/model/identifiers.js";
+import { boundPort } from "./address.js";
+import { IncomingPeerLink } from "./incoming-peer-link.js";
+import { OutgoingPeerLink } from "./outgoing-peer-link.js";
+
+/** How often links without a connection are looked at. */
+const connectEveryMs = 250;
+
+/** Accepted connections for each controller: old ones may be there for a while beside new ones. */
+const maxConnectionsPerController = 4;
+
+/** Another controller as the platform's settings name it. */
+export interface PeerAddress {
+	node: NodeId;
+	/** Of the form `host:port`. */
+	addr: string;
+}
+
+/** What the links need. */
+export interface PeerLinksOptions {
+	/** This controller. */
+	self: NodeId;
+	/** All other controllers. */
+	peers: readonly PeerAddress[];
+	/** Takes every message that another controller has sent. Its form is not checked yet. */
+	onMessage(from: NodeId, message: unknown): void;
+	log: Log;
+}
+
+/**
+ * Owns the listener, the timer and the sockets of the links. Each controller connects to every other one, sends
+ * on the connections that it has made and reads from those that it has accepted.
+ */
+export class PeerLinks implements PeerTransport {
+	private readonly outgoing: ReadonlyMap<NodeId, OutgoingPeerLink>;
+	private readonly incoming = new Set<IncomingPeerLink>();
+	private server: Server | null = null;
+	private connectTimer: NodeJS.Timeout | null = null;
+
+	constructor(private readonly options: PeerLinksOptions) {
+		const { self, peers, log } = options;
+		this.outgoing = new Map(
+			peers.map(({ node, addr }) => [node, new OutgoingPeerLink({ self, peer: node, address: addr, log })]),
+		);
+	}
+
+	/**
+	 * Begins to accept connections and to make them. Resolves to the port, which the system chooses for port 0.
+	 * Rejects if the address cannot be listened on.
+	 */
+	async listen(host: string, port: number): Promise<number> {
+		const server = createServer((socket) => this.accept(socket));
+		this.server = server;
+		server.maxConnections = maxConnectionsPerController * (this.outgoing.size + 1);
+		server.listen(port, host);
+		await once(server, "listening");
+		server.on("error", (err) => this.options.log.error({ err }, "peer listener failed"));
+		this.connectTimer = setInterval(() => this.connectAll(), connectEveryMs);
+		this.connectAll();
+		return boundPort(server) ?? port;
+	}
+
+	send(node: NodeId, message: unknown): void {
+		this.outgoing.get(node)?.send(message);
+	}
+
+	/** Stops listening and closes all connections. Resolves once the listener and what it accepted are closed. */
+	async close(): Promise<void> {
+		if (this.connectTimer) clearInterval(this.connectTimer);
+		for (const link of this.outgoing.values()) link.close();
+		for (const link of this.incoming) link.close();
+		const { server } = this;
+		if (!server?.listening) return;
+		await new Promise((resolve) => {
+			server.close(resolve);
+		});
+	}
+
+	private accept(socket: Socket): void {
+		const link = new IncomingPeerLink(socket, {
+			isPeer: (node) => this.outgoing.has(node),
+			onMessage: this.options.onMessage,
+			log: this.options.log,
+		});
+		this.incoming.add(link);
+		socket.on("close", () => this.incoming.delete(link));
+	}
+
+	private connectAll(): void {
+		const now = performance.now();
+		for (const link of this.outgoing.values()) link.connectIfDue(now);
+	}
+}
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -1,14 +1,21 @@
+/** Client of the key-value store, which keeps below the controller's share of the store's limits. */
+
 import { CallError } from "../coordination/ports/call-error.js";
-import type { Clock } from "../coordination/ports/clock.js";
+import { type Clock, delay } from "../coordination/ports/clock.js";
 import type { CompareAndSwapResult, KeyValueStore, WritePriority } from "../coordination/ports/store.js";
 import { paths } from "../protocol/http/paths.js";
 import {
 	compareAndSwapBody,
 	conflictsFrom,
 	eventsFrom,
+	grantLeaseBody,
 	leaseIdFrom,
+	leasePath,
+	renewLeaseBody,
+	renewLeasePath,
 	revisionFrom,
 	rowFrom,
+	rowPath,
 	rowsFrom,
 	rowsPath,
 	type StoreChange,
@@ -17,73 +24,107 @@
 	type StoreRow,
 	watchPath,
 } from "../protocol/http/store-api.js";
-import type { Revision } from "../protocol/model/identifiers.js";
-import { expectStatus, type HttpCaller, parseResponse } from "./http-client.js";
+import type { LeaseId, Revision } from "../protocol/model/identifiers.js";
+import type { HttpCaller } from "./http-client.js";
+import { expectStatus, type HttpResponse, parseResponse } from "./http-response.js";
 import { TokenBucket } from "./token-bucket.js";
 
-const callMs = 1500;
-const watchSlackMs = 3000;
-const leaderShare = 0.6;
+const callTimeoutMs = 1500;
+/** Reading many rows takes the store longer than other calls do. */
+const rowsTimeoutMs = 4000;
+const renewalTimeoutMs = 1000;
+/** How much longer than asked for a watch may take. */
+const watchGraceMs = 3000;
+
+/** Rows on one page of a prefix. */
+const pageSize = 200;
+
+/** How long calls wait for their share of a rate. */
+const maxRequestWaitMs = 300;
+const maxPageWaitMs = 1000;
+const maxWriteWaitMs = 200;
 
-/** The state service. Rates are a node's share of limits that all nodes draw on. */
+/** Part of the store's limit on changes that a controller uses. */
+const writeShare = 0.6;
+/** Part of that which background writes leave to others, and changes that normal ones leave. */
+const backgroundReservePart = 0.5;
+const normalReserve = 1;
+
+/** How often, and after how long each time, a write that a user waits for is sent again after a 429. */
+const maxRateRetries = 4;
+const rateRetryMs = 100;
+/** Spreads the retries of simultaneous writes. */
+const retryJitterSteps = 7;
+const retryJitterMs = 20;
+
+/** What a store client needs. */
+export interface StoreClientOptions {
+	http: HttpCaller;
+	clock: Clock;
+	/** The store's limit on requests per second, which all controllers share. */
+	requestsPerS: number;
+	/** The store's limit on changes per second, which all controllers share. */
+	writesPerS: number;
+	/** Number of controllers that share the limits. */
+	controllers: number;
+}
+
+/**
+ * The part of the limit on requests that one controller uses. A controller may be busier than the others, so it
+ * is somewhat more than an equal part; what exceeds the common limit is refused with 429 and tried again.
+ */
+function requestShare(controllers: number): number {
+	return controllers > 1 ? 1.4 / controllers : 0.9;
+}
+
+/** The key-value store over HTTP. Rates are this controller's share of limits that all controllers draw on. */
 export class StoreClient implements KeyValueStore {
+	private readonly http: HttpCaller;
+	private readonly clock: Clock;
 	private readonly requests: TokenBucket;
+	/**
+	 * Users' writes may come to any controller, all at once, and draw on the whole limit; what a leader writes
+	 * besides keeps to a part of it, and waits while users' writes use it up.
+	 */
 	private readonly writes: TokenBucket;
-	private readonly writeReserve: number;
-	private retries = 0;
-
-	constructor(
-		private readonly http: HttpCaller,
-		private readonly time: Clock,
-		rps: number,
-		writeRps: number,
-		nodes: number,
-	) {
-		const now = () => time.now();
-		// One node may be busier than the others, so a share is somewhat more than an equal part;
-		// what is over the common limit comes back as 429 and is tried again by the caller.
-		const share = nodes > 1 ? 1.4 / nodes : 0.9;
-		this.requests = new TokenBucket(rps * share, rps * share, now);
-		// Users' writes may come at any node, all at once, and draw on the whole limit; what a
-		// leader writes beside them keeps to a part of it and waits while they use it up.
-		this.writes = new TokenBucket(writeRps * leaderShare, writeRps * leaderShare, now);
-		this.writeReserve = writeRps * leaderShare * 0.5;
-	}
+	private readonly backgroundReserve: number;
+	private rateRetries = 0;
 
-	private async admit(bucket: TokenBucket, n: number, reserve: number, waitMs: number): Promise<void> {
-		if (bucket.take(n, reserve)) return;
-		const wait = bucket.waitMs(n, reserve);
-		if (wait <= waitMs) {
-			await new Promise<void>((resolve) => this.time.after(wait + 1, resolve));
-			if (bucket.take(n, reserve)) return;
-		}
-		throw new CallError("not executed", 429, "own share of the state service's rate is used up");
+	constructor({ http, clock, requestsPerS, writesPerS, controllers }: StoreClientOptions) {
+		this.http = http;
+		this.clock = clock;
+		const requestRate = requestsPerS * requestShare(controllers);
+		this.requests = new TokenBucket(requestRate, requestRate, clock);
+		const writeRate = writesPerS * writeShare;
+		this.writes = new TokenBucket(writeRate, writeRate, clock);
+		this.backgroundReserve = writeRate * backgroundReservePart;
 	}
 
 	async read(key: string): Promise<{ row: StoreRow | null }> {
-		await this.admit(this.requests, 1, 0, 300);
-		const answer = await this.http.call("GET", `${paths.store}/${key}`, undefined, callMs);
-		expectStatus(answer, "read", 200, 404);
-		if (answer.status === 200) return { row: parseResponse(answer, "read", rowFrom) };
-		// A 404 without a revision does not come from the store and says nothing about the key.
-		parseResponse(answer, "read", revisionFrom);
+		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		const response = await this.http.call("GET", rowPath(key), undefined, callTimeoutMs);
+		expectStatus(response, "read", 200, 404);
+		if (response.status === 200) return { row: parseResponse(response, "read", rowFrom) };
+		// A 404 without a revision does not come from the store and does not tell that the key is absent.
+		parseResponse(response, "read", revisionFrom);
 		return { row: null };
 	}
 
 	async readPrefix(prefix: string): Promise<{ rows: StoreRow[]; revision: Revision }> {
 		const all: StoreRow[] = [];
 		let after: string | null = null;
-		let first = -1;
+		let firstRevision: Revision | null = null;
 		for (;;) {
-			await this.admit(this.requests, 1, 0, 1000);
-			const answer = await this.http.call("GET", rowsPath(prefix, after, 200), undefined, 4000);
-			expectStatus(answer, "rows", 200);
-			const { rows, more, revision } = parseResponse(answer, "rows", rowsFrom);
-			// Later pages may hold later changes; a watch from the first page's revision repeats those.
-			if (first < 0) first = revision;
+			await this.admit(this.requests, 1, 0, maxPageWaitMs);
+			const path = rowsPath(prefix, after, pageSize);
+			const response = await this.http.call("GET", path, undefined, rowsTimeoutMs);
+			expectStatus(response, "rows", 200);
+			const { rows, more, revision } = parseResponse(response, "rows", rowsFrom);
+			// Later pages may hold later changes. A watch from the revision of the first page repeats those.
+			firstRevision ??= revision;
 			all.push(...rows);
 			const last = rows.at(-1);
-			if (!more || !last) return { rows: all, revision: first };
+			if (!more || !last) return { rows: all, revision: firstRevision };
 			after = last.key;
 		}
 	}
@@ -93,59 +134,83 @@
 		changes: StoreChange[],
 		priority: WritePriority,
 	): Promise<CompareAndSwapResult> {
-		if (priority === "user") this.writes.debit(changes.length);
-		else {
-			const reserve = priority === "normal" ? 1 : this.writeReserve;
-			await this.admit(this.writes, changes.length, reserve, 200);
-		}
-		await this.admit(this.requests, 1, 0, 300);
-		const sent = compareAndSwapBody(conditions, changes);
-		let answer = await this.http.call("POST", paths.transaction, sent, callMs);
-		// Refused for its rate a transaction was not executed. What users wait for is tried again
-		// a few times within a second, before they are told to come back.
-		for (let tries = 1; answer.status === 429 && priority === "user" && tries <= 4; tries++) {
-			await new Promise<void>((resolve) => this.time.after(100 * tries + (this.retries++ % 7) * 20, resolve));
-			answer = await this.http.call("POST", paths.transaction, sent, callMs);
-		}
-		expectStatus(answer, "transaction", 200, 409);
-		return answer.status === 200
-			? { swapped: true, revision: parseResponse(answer, "transaction", revisionFrom) }
-			: { swapped: false, ...parseResponse(answer, "transaction", conflictsFrom) };
+		await this.admitWrite(changes.length, priority);
+		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		const response = await this.transact(compareAndSwapBody(conditions, changes), priority);
+		expectStatus(response, "transaction", 200, 409);
+		return response.status === 200
+			? { swapped: true, revision: parseResponse(response, "transaction", revisionFrom) }
+			: { swapped: false, ...parseResponse(response, "transaction", conflictsFrom) };
 	}
 
-	async grantLease(ttlMs: number): Promise<number> {
-		const answer = await this.http.call("POST", paths.leases, { ttl_ms: ttlMs }, callMs);
-		expectStatus(answer, "lease", 200, 201);
-		return parseResponse(answer, "lease", leaseIdFrom);
+	async grantLease(ttlMs: number): Promise<LeaseId> {
+		const response = await this.http.call("POST", paths.leases, grantLeaseBody(ttlMs), callTimeoutMs);
+		expectStatus(response, "lease", 200, 201);
+		return parseResponse(response, "lease", leaseIdFrom);
 	}
 
-	async renewLease(lease: number): Promise<void> {
-		const answer = await this.http.call("POST", `${paths.leases}/${lease}/renew`, {}, 1000);
-		expectStatus(answer, "renewal", 200, 204);
+	async renewLease(lease: LeaseId): Promise<void> {
+		const response = await this.http.call("POST", renewLeasePath(lease), renewLeaseBody, renewalTimeoutMs);
+		expectStatus(response, "renewal", 200, 204);
 	}
 
-	async revokeLease(lease: number): Promise<void> {
-		const answer = await this.http.call("DELETE", `${paths.leases}/${lease}`, undefined, callMs);
-		expectStatus(answer, "end of lease", 200, 204, 404);
+	async revokeLease(lease: LeaseId): Promise<void> {
+		const response = await this.http.call("DELETE", leasePath(lease), undefined, callTimeoutMs);
+		expectStatus(response, "end of lease", 200, 204, 404);
 	}
 
 	async watch(
 		prefix: string,
-		from: number,
+		from: Revision,
 		waitMs: number,
 	): Promise<{ events: StoreEvent[]; revision: Revision }> {
-		await this.admit(this.requests, 1, 0, 300);
-		const answer = await this.http.call(
-			"GET",
-			watchPath(prefix, from, waitMs),
-			undefined,
-			waitMs + (waitMs === 0 ? callMs : watchSlackMs),
-		);
-		expectStatus(answer, "watch", 200);
-		return parseResponse(answer, "watch", eventsFrom);
+		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		const timeoutMs = waitMs + (waitMs === 0 ? callTimeoutMs : watchGraceMs);
+		const response = await this.http.call("GET", watchPath(prefix, from, waitMs), undefined, timeoutMs);
+		expectStatus(response, "watch", 200);
+		return parseResponse(response, "watch", eventsFrom);
 	}
 
+	/** Closes the connections. Calls that are still open reject. */
 	close(): void {
 		this.http.close();
 	}
+
+	/** Waits for a request's share of a rate, beyond the reserve, but no longer than given. */
+	private async admit(bucket: TokenBucket, count: number, reserve: number, maxWaitMs: number): Promise<void> {
+		if (bucket.take(count, reserve)) return;
+		const waitMs = bucket.waitMs(count, reserve);
+		if (waitMs <= maxWaitMs) {
+			await delay(this.clock, waitMs + 1);
+			if (bucket.take(count, reserve)) return;
+		}
+		throw new CallError("not executed", 429, "this controller's share of the store's rate is used up");
+	}
+
+	/** A write that a user waits for is sent at once, whatever the rate; the others wait for it to be paid for. */
+	private async admitWrite(changes: number, priority: WritePriority): Promise<void> {
+		switch (priority) {
+			case "user":
+				return this.writes.debit(changes);
+			case "normal":
+				return this.admit(this.writes, changes, normalReserve, maxWriteWaitMs);
+			case "background":
+				return this.admit(this.writes, changes, this.backgroundReserve, maxWriteWaitMs);
+		}
+	}
+
+	/**
+	 * Sends a transaction. One that was refused for its rate was not executed: if a user waits for it, it is sent
+	 * again a few times within a second before the user is told to come back.
+	 */
+	private async transact(body: object, priority: WritePriority): Promise<HttpResponse> {
+		let response = await this.http.call("POST", paths.transaction, body, callTimeoutMs);
+		for (let retry = 1; retry <= maxRateRetries; retry++) {
+			if (response.status !== 429 || priority !== "user") break;
+			const jitterMs = (this.rateRetries++ % retryJitterSteps) * retryJitterMs;
+			await delay(this.clock, rateRetryMs * retry + jitterMs);
+			response = await this.http.call("POST", paths.transaction, body, callTimeoutMs);
+		}
+		return response;
+	}
 }
--- a/src/transport/token-bucket.ts
+++ b/src/transport/token-bucket.ts
@@ -1,40 +1,51 @@
-/** A request rate kept below a limit that several nodes share. */
+/** A token bucket, which keeps a rate of requests below a limit of an outside system. */
+
+import type { Clock } from "../coordination/ports/clock.js";
+
+/**
+ * Tokens come at a steady rate up to the size of a burst; each request takes some. The number of tokens may be
+ * negative: see `debit`. The bucket only counts, the caller waits.
+ */
 export class TokenBucket {
 	private tokens: number;
-	private last: number;
+	private refilledAt: number;
 
+	/**
+	 * @param ratePerS Tokens that come in a second.
+	 * @param burst Most tokens at once; a new bucket has as many.
+	 */
 	constructor(
-		private readonly rate: number,
+		private readonly ratePerS: number,
 		private readonly burst: number,
-		private readonly now: () => number,
+		private readonly clock: Pick<Clock, "now">,
 	) {
 		this.tokens = burst;
-		this.last = now();
-	}
-
-	private refill(): void {
-		const now = this.now();
-		this.tokens = Math.min(this.burst, this.tokens + ((now - this.last) / 1000) * this.rate);
-		this.last = now;
+		this.refilledAt = clock.now();
 	}
 
-	/** Takes n tokens if they are there, leaving at least `reserve`. */
-	take(n = 1, reserve = 0): boolean {
+	/** Takes tokens if that leaves at least the reserve; returns whether it did. */
+	take(count = 1, reserve = 0): boolean {
 		this.refill();
-		if (this.tokens < n + reserve) return false;
-		this.tokens -= n;
+		if (this.tokens < count + reserve) return false;
+		this.tokens -= count;
 		return true;
 	}
 
-	/** Takes n tokens whether they are there or not; others wait until the debt is paid. */
-	debit(n: number): void {
+	/** Takes tokens whether they are there or not, up to one burst of debt; others wait until it is paid. */
+	debit(count: number): void {
 		this.refill();
-		this.tokens = Math.max(-this.burst, this.tokens - n);
+		this.tokens = Math.max(-this.burst, this.tokens - count);
 	}
 
-	/** Milliseconds until n tokens beyond the reserve are there. */
-	waitMs(n = 1, reserve = 0): number {
+	/** Milliseconds until so many tokens beyond the reserve are there; at least 1. */
+	waitMs(count = 1, reserve = 0): number {
 		this.refill();
-		return Math.max(1, ((n + reserve - this.tokens) / this.rate) * 1000);
+		return Math.max(1, ((count + reserve - this.tokens) / this.ratePerS) * 1000);
+	}
+
+	private refill(): void {
+		const now = this.clock.now();
+		this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) / 1000) * this.ratePerS);
+		this.refilledAt = now;
 	}
 }
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,34 +1,39 @@
-import type { WorkerGateway } from "../coordination/ports/workers.js";
+/** Client of the workers' own addresses, for commands that must not wait for the next heartbeat. */
+
+import type { DirectCommandResult, WorkerGateway } from "../coordination/ports/workers.js";
 import { paths } from "../protocol/http/paths.js";
-import { directCommandsBody, heartbeatFrom } from "../protocol/http/worker-api.js";
-import type { WorkerCommand, WorkerHeartbeat } from "../protocol/model/worker.js";
-import { expectStatus, type HttpCaller, HttpClient, parseResponse } from "./http-client.js";
+import { directCommandsBody, directCommandsResponseFrom } from "../protocol/http/worker-api.js";
+import type { AgentEpoch, FencingToken } from "../protocol/model/identifiers.js";
+import type { WorkerCommand } from "../protocol/model/worker.js";
+import { type HttpCaller, HttpClient } from "./http-client.js";
+import { expectStatus, parseResponse } from "./http-response.js";
+
+const callTimeoutMs = 2000;
 
-/** Orders sent straight to workers; each call has its own short-lived connection. */
+/**
+ * Sends commands straight to workers. Each call has its own short-lived connection: a worker is called seldom,
+ * and there are more workers than the process may have sockets.
+ */
 export class WorkerClient implements WorkerGateway {
+	/** @param openClient Makes the client of one worker's address; the call closes it. */
 	constructor(
-		private readonly open: (endpoint: string) => HttpCaller = (endpoint) => new HttpClient(endpoint, 1),
+		private readonly openClient: (endpoint: string) => HttpCaller = (endpoint) => new HttpClient(endpoint, 1),
 	) {}
 
 	async sendCommands(
 		endpoint: string,
-		token: number,
-		session: number,
-		orders: WorkerCommand[],
-	): Promise<{ executed: boolean; report: WorkerHeartbeat }> {
-		const http = this.open(endpoint);
+		fencingToken: FencingToken,
+		agentEpoch: AgentEpoch,
+		commands: WorkerCommand[],
+	): Promise<DirectCommandResult> {
+		const http = this.openClient(endpoint);
 		try {
-			const answer = await http.call(
-				"POST",
-				paths.commands,
-				directCommandsBody(token, session, orders),
-				2000,
-			);
-			expectStatus(answer, "orders", 200, 409);
-			const report = parseResponse(answer, "orders", (body) =>
-				heartbeatFrom((body ?? {}) as Record<string, unknown>),
-			);
-			return { executed: answer.status === 200, report };
+			const body = directCommandsBody(fencingToken, agentEpoch, commands);
+			const response = await http.call("POST", paths.commands, body, callTimeoutMs);
+			// 409: the fencing token is too low or the agent epoch is another, and nothing was executed.
+			expectStatus(response, "direct commands", 200, 409);
+			const heartbeat = parseResponse(response, "direct commands", directCommandsResponseFrom);
+			return { executed: response.status === 200, heartbeat };
 		} finally {
 			http.close();
 		}
--- a/tests/coordination/jobs/job-service.test.ts
+++ b/tests/coordination/jobs/job-service.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { reasonImpossible } from "../../../src/coordination/jobs/job-service.js";
+import { infeasibilityReason } from "../../../src/coordination/jobs/job-feasibility.js";
 import type { JobSpec } from "../../../src/protocol/model/job.js";
 import type { MachineType } from "../../../src/protocol/model/machine.js";
 import { publicApi } from "../../../src/transport/public-api.js";
@@ -34,7 +34,8 @@
 		type("nowhere", 64, 512, 8, []),
 	];
 	const team = { name: "red", cpus: 4, cpus_max: 20, gpus: 0, gpus_max: 4 };
-	const why = (more: Partial<JobSpec>) => reasonImpossible(specOf("j-1", { cpus: 2, ...more }), team, types);
+	const why = (more: Partial<JobSpec>) =>
+		infeasibilityReason(specOf("j-1", { cpus: 2, ...more }), team, types);
 	assert.equal(why({}), null);
 	assert.equal(why({ cpus: 16, zone: "a" }), null);
 	assert.match(
@@ -50,7 +51,7 @@
 		"a type offered in no zone can't be rented",
 	);
 	assert.match(why({ cpus: 21 }) as string, /more than the limit/);
-	assert.match(reasonImpossible(specOf("j-1"), undefined, types) as string, /no team "red"/);
+	assert.match(infeasibilityReason(specOf("j-1"), undefined, types) as string, /no team "red"/);
 	// Its tasks run half by half in the one zone, so this array can run (trace 47 plays its like).
 	assert.equal(why({ zone: "a", spreadZones: true, singleZone: true }), null);
 
--- a/tests/coordination/replication/chunked-records.test.ts
+++ b/tests/coordination/replication/chunked-records.test.ts
@@ -5,7 +5,7 @@
 import { ChunkedRecords } from "../../../src/coordination/replication/chunked-records.js";
 import { compareAndSwapBody } from "../../../src/protocol/http/store-api.js";
 import { keys } from "../../../src/protocol/records/keys.js";
-import type { HttpResponse } from "../../../src/transport/http-client.js";
+import type { HttpResponse } from "../../../src/transport/http-response.js";
 import { StoreClient } from "../../../src/transport/store-client.js";
 import { FakeTime } from "../../support/fake-time.js";
 import { StateService } from "../../support/state-service.js";
@@ -33,7 +33,13 @@
 		leaderCondition: { key: "r/one/leader", revision: 1 },
 		mostBytes,
 		mostChanges: 4,
-		store: new StoreClient(caller, time, 1000, 1000, 1),
+		store: new StoreClient({
+			http: caller,
+			clock: time,
+			requestsPerS: 1000,
+			writesPerS: 1000,
+			controllers: 1,
+		}),
 		post: (command) => command(),
 		now: () => time.now(),
 		lostKey: () => assert.fail("the key is ours"),
--- a/tests/coordination/replication/replica-sync.test.ts
+++ b/tests/coordination/replication/replica-sync.test.ts
@@ -45,7 +45,13 @@
 		close() {},
 	};
 	const replica = new StoreReplica();
-	const store = new StoreClient(caller, time, 1000, 1000, 1);
+	const store = new StoreClient({
+		http: caller,
+		clock: time,
+		requestsPerS: 1000,
+		writesPerS: 1000,
+		controllers: 1,
+	});
 	const copy = new ReplicaSync(replica, store, time, (command) => command(), silentLog);
 	copy.start();
 	await time.advance(8000);
--- a/tests/service/large-fleets.test.ts
+++ b/tests/service/large-fleets.test.ts
@@ -17,7 +17,7 @@
 import type { PeerMessage } from "../../src/protocol/peer/messages.js";
 import { defaultOperator } from "../../src/protocol/settings/operator.js";
 import type { PlatformSettings } from "../../src/protocol/settings/platform.js";
-import { frame } from "../../src/transport/peer-link.js";
+import { encodeFrame } from "../../src/transport/frame.js";
 import { FakeTime } from "../support/fake-time.js";
 import { makeSchedulable } from "../support/machines.js";
 import { silentLog } from "../support/silent-log.js";
@@ -154,7 +154,7 @@
 		let largest = 0;
 		const peers = {
 			send: (_node: string, message: PeerMessage) => {
-				largest = Math.max(largest, frame(encodePeerMessage(message)).length);
+				largest = Math.max(largest, encodeFrame(encodePeerMessage(message)).length);
 			},
 		};
 		const peerMonitor = new FailureDetector({
@@ -323,5 +323,5 @@
 	}));
 	assert.equal(cancellations.length, (changesPerS / 2) * 30);
 	const vote = { kind: "lease-extension-vote", term: 1, requestNumber: 1, cancellations } as const;
-	assert.ok(frame(encodePeerMessage(vote)).length < linkBytes / 4);
+	assert.ok(encodeFrame(encodePeerMessage(vote)).length < linkBytes / 4);
 });
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -25,8 +25,8 @@
 	/** What its local copy knows: all up to now, while the store answers its watch. */
 	const copy = { knownAt: 0, stuck: false, epoch: 5, cancelled: null as Cancellation[] | null };
 	const faults = { loseAnswers: false };
-	const store: KeyValueStore = new StoreClient(
-		{
+	const store: KeyValueStore = new StoreClient({
+		http: {
 			call: async (method, path, body) => {
 				const answer = await service.handle(method, path, body, "me");
 				if (faults.loseAnswers && path === "/multi") throw new CallError("unknown", 0, "no answer");
@@ -34,11 +34,11 @@
 			},
 			close() {},
 		},
-		time,
-		1000,
-		1000,
-		1,
-	);
+		clock: time,
+		requestsPerS: 1000,
+		writesPerS: 1000,
+		controllers: 1,
+	});
 	const leadership = new Leadership(
 		"me",
 		"inc",
--- a/tests/support/public-service.ts
+++ b/tests/support/public-service.ts
@@ -1,4 +1,4 @@
-import type { PublicService } from "../../src/transport/public-api.js";
+import type { PublicService } from "../../src/transport/public-service.js";
 
 export const settings = `node = "runner-0"
 domain = "z"
@@ -55,10 +55,10 @@
 	submit: async (spec) =>
 		spec.team === "red"
 			? { kind: "accepted", status: "pending" }
-			: { kind: "impossible", reason: "there is no team" },
+			: { kind: "rejected", reason: "there is no team" },
 	status: async (id) =>
-		id === "j-1" ? { kind: "job", status: "running", done: 1, running: 2 } : { kind: "unknown" },
-	cancel: async () => ({ kind: "later", reason: "not now" }),
+		id === "j-1" ? { kind: "found", status: "running", done: 1, running: 2 } : { kind: "not-found" },
+	cancel: async () => ({ kind: "unavailable", reason: "not now" }),
 	handleHeartbeat: async () => ({ kind: "elsewhere", node: "runner-2" }),
 	ready: () => true,
 };
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -9,7 +9,7 @@
 import type { LeadershipMessage } from "../../src/protocol/peer/messages.js";
 import { quotaStore } from "../../src/team-quota.js";
 import { HttpClient } from "../../src/transport/http-client.js";
-import { PeerLinks } from "../../src/transport/peer-link.js";
+import { PeerLinks } from "../../src/transport/peer-links.js";
 import { StoreClient } from "../../src/transport/store-client.js";
 import { silentLog } from "./silent-log.js";
 
@@ -82,13 +82,19 @@
 
 	constructor(private readonly config: NodeConfig) {
 		const { node, incarnation, others, teams } = config;
-		this.links = new PeerLinks(
-			node,
-			others,
-			(from, message) => this.message(from, message as Message),
-			silentLog,
-		);
-		this.store = new StoreClient(new HttpClient(config.state, 10), this.time, 1e6, 1e6, 1);
+		this.links = new PeerLinks({
+			self: node,
+			peers: others,
+			onMessage: (from, message) => this.message(from, message as Message),
+			log: silentLog,
+		});
+		this.store = new StoreClient({
+			http: new HttpClient(config.state, 10),
+			clock: this.time,
+			requestsPerS: 1e6,
+			writesPerS: 1e6,
+			controllers: 1,
+		});
 		this.quota = new TeamQuota({
 			node,
 			incarnation,
--- a/tests/support/quota-processes.ts
+++ b/tests/support/quota-processes.ts
@@ -270,5 +270,7 @@
 		call: (method: string, path: string, body: unknown) => made.operatorCall(method, path, body),
 		close() {},
 	};
-	return quotaStore(new StoreClient(http, time, 1000, 1000, 1));
+	return quotaStore(
+		new StoreClient({ http, clock: time, requestsPerS: 1000, writesPerS: 1000, controllers: 1 }),
+	);
 }
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -7,8 +7,9 @@
 import { parsePlatform } from "../../src/protocol/settings/platform.js";
 import { makeTeamQuota } from "../../src/team-quota.js";
 import { CloudClient } from "../../src/transport/cloud-client.js";
-import type { HttpCaller, HttpResponse } from "../../src/transport/http-client.js";
-import { FrameReader, frame } from "../../src/transport/peer-link.js";
+import { encodeFrame, FrameReader } from "../../src/transport/frame.js";
+import type { HttpCaller } from "../../src/transport/http-client.js";
+import type { HttpResponse } from "../../src/transport/http-response.js";
 import { publicApi } from "../../src/transport/public-api.js";
 import { StoreClient } from "../../src/transport/store-client.js";
 import { WorkerClient } from "../../src/transport/worker-client.js";
@@ -266,7 +267,13 @@
 		const operator = defaultOperator();
 		operator.team_quota.enabled = this.teamQuota;
 		const incarnation = `inc${this.incarnation}`;
-		const storeClient = new StoreClient(store, time, 300, 60, this.nodes.length);
+		const storeClient = new StoreClient({
+			http: store,
+			clock: time,
+			requestsPerS: 300,
+			writesPerS: 60,
+			controllers: this.nodes.length,
+		});
 		const controller = new Controller(settings, operator, incarnation, {
 			store: storeClient,
 			cloud: new CloudClient(
@@ -334,7 +341,7 @@
 	}
 
 	private peer(fromId: string, from: string, to: string, message: unknown): void {
-		const bytes = frame(message);
+		const bytes = encodeFrame(message);
 		this.time.after(2, () => {
 			if (this.network.isDown(fromId) || this.cutLinks.has(from) || this.cutLinks.has(to)) return;
 			const process = this.processes.get(to);
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -13,7 +13,9 @@
 		call: (method: string, path: string, body: unknown) => world.state.handle(method, path, body, "operator"),
 		close() {},
 	};
-	return quotaStore(new StoreClient(http, world.time, 1000, 1000, 1));
+	return quotaStore(
+		new StoreClient({ http, clock: world.time, requestsPerS: 1000, writesPerS: 1000, controllers: 1 }),
+	);
 }
 
 const setLimit = (world: World, team: string, request: LimitRequest) =>
--- a/tests/transport/peer-link.test.ts
+++ b/tests/transport/peer-link.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { FrameReader, frame } from "../../src/transport/peer-link.js";
+import { encodeFrame, FrameReader } from "../../src/transport/frame.js";
 
 test("frames between controllers survive any cutting of the stream", () => {
 	const messages = [{ a: 1 }, { text: "x".repeat(1000), list: [1, null, "y"] }, 7];
-	const bytes = Buffer.concat(messages.map(frame));
+	const bytes = Buffer.concat(messages.map(encodeFrame));
 	for (const step of [1, 3, 500, bytes.length]) {
 		const reader = new FrameReader();
 		const got: unknown[] = [];
--- a/tests/transport/public-api.test.ts
+++ b/tests/transport/public-api.test.ts
@@ -3,7 +3,8 @@
 import { connect } from "node:net";
 import { test } from "node:test";
 import { HttpClient } from "../../src/transport/http-client.js";
-import { listenPublicApi, publicApi } from "../../src/transport/public-api.js";
+import { publicApi } from "../../src/transport/public-api.js";
+import { startPublicServer } from "../../src/transport/public-server.js";
 import { job, report, service } from "../support/public-service.js";
 import { silentLog } from "../support/silent-log.js";
 
@@ -33,7 +34,13 @@
 });
 
 test("the front serves over a socket, bounds bodies and survives garbage", async () => {
-	const front = await listenPublicApi(service, "127.0.0.1", 0, 50, silentLog);
+	const front = await startPublicServer({
+		service,
+		log: silentLog,
+		host: "127.0.0.1",
+		port: 0,
+		maxConnections: 50,
+	});
 	try {
 		await new Promise<void>((resolve) => {
 			const socket = connect(front.port, "127.0.0.1", () => socket.write("nonsense\r\n\r\n"));
@@ -56,7 +63,7 @@
 		assert.equal((await client.call("GET", "/v1/report", undefined, 5000)).status, 405);
 		client.close();
 	} finally {
-		front.close();
+		await front.close();
 	}
 	const gone = new HttpClient(`127.0.0.1:${front.port}`, 2);
 	await assert.rejects(gone.call("GET", "/ready", undefined, 5000), { outcome: "not executed" });
@@ -64,7 +71,13 @@
 });
 
 test("where connections are short workers are asked to open theirs anew, users are not", async () => {
-	const front = await listenPublicApi(service, "127.0.0.1", 0, 10, silentLog);
+	const front = await startPublicServer({
+		service,
+		log: silentLog,
+		host: "127.0.0.1",
+		port: 0,
+		maxConnections: 10,
+	});
 	const idle: ReturnType<typeof connect>[] = [];
 	const agent = new Agent({ keepAlive: true, maxSockets: 1 });
 	const ask = (path: string, body?: object) =>
@@ -91,6 +104,6 @@
 	} finally {
 		for (const socket of idle) socket.destroy();
 		agent.destroy();
-		front.close();
+		await front.close();
 	}
 });
