--- a/src/main.ts
+++ b/src/main.ts
@@ -10,13 +10,13 @@
 import { parsePlatform, readText } from "./protocol/settings/platform.js";
 import { QuotaCommandError, quotaCommand } from "./quota-command.js";
 import { makeTeamQuota } from "./team-quota.js";
-import { CloudClient } from "./transport/cloud-client.js";
-import { HttpClient } from "./transport/http-client.js";
-import { PeerLinks } from "./transport/peer-links.js";
-import { startPublicServer } from "./transport/public-server.js";
-import type { PublicService } from "./transport/public-service.js";
-import { StoreClient } from "./transport/store-client.js";
-import { WorkerClient } from "./transport/worker-client.js";
+import { CloudClient } from "./transport/clients/cloud-client.js";
+import { HttpClient } from "./transport/clients/http-client.js";
+import { StoreClient } from "./transport/clients/store-client.js";
+import { WorkerClient } from "./transport/clients/worker-client.js";
+import { PeerLinks } from "./transport/peers/peer-links.js";
+import { startPublicServer } from "./transport/public/public-server.js";
+import type { PublicService } from "./transport/public/public-service.js";
 import { version } from "./version.js";
 
 const levels = ["fatal", "error", "warn", "info", "debug", "trace", "silent"];
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -18,8 +18,8 @@
 import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
 import { parsePlatform, readText } from "./protocol/settings/platform.js";
 import { quotaStore } from "./team-quota.js";
-import { HttpClient } from "./transport/http-client.js";
-import { StoreClient } from "./transport/store-client.js";
+import { HttpClient } from "./transport/clients/http-client.js";
+import { StoreClient } from "./transport/clients/store-client.js";
 
 /** `ramphub quota`: teams' limits for operators, read and changed in the state service itself. */
 
--- a/src/transport/cloud-client.ts
+++ b/src/transport/clients/cloud-client.ts
@@ -1,8 +1,8 @@
 /** Client of the cloud's API, which keeps below the cloud's limit on requests. */
 
-import { CallError } from "../coordination/ports/call-error.js";
-import { type Clock, delay } from "../coordination/ports/clock.js";
-import type { CloudProvider } from "../coordination/ports/cloud.js";
+import { CallError } from "../../coordination/ports/call-error.js";
+import { type Clock, delay } from "../../coordination/ports/clock.js";
+import type { CloudProvider } from "../../coordination/ports/cloud.js";
 import {
 	createdMachinesFrom,
 	createMachinesBody,
@@ -13,10 +13,10 @@
 	machineListPath,
 	machineTypesFrom,
 	type ScaleOutRequest,
-} from "../protocol/http/cloud-api.js";
-import { paths } from "../protocol/http/paths.js";
-import type { MachineId } from "../protocol/model/identifiers.js";
-import type { MachineType } from "../protocol/model/machine.js";
+} from "../../protocol/http/cloud-api.js";
+import { paths } from "../../protocol/http/paths.js";
+import type { MachineId } from "../../protocol/model/identifiers.js";
+import type { MachineType } from "../../protocol/model/machine.js";
 import type { HttpCaller } from "./http-client.js";
 import { expectStatus, parseResponse } from "./http-response.js";
 import { TokenBucket } from "./token-bucket.js";
--- a/src/transport/http-client.ts
+++ b/src/transport/clients/http-client.ts
@@ -1,7 +1,7 @@
 /** The HTTP client of one outside system: the store, the cloud, or a worker. */
 
 import { Agent } from "node:http";
-import { type HostAndPort, parseAddress } from "./address.js";
+import { type HostAndPort, parseAddress } from "../address.js";
 import { HttpExchange } from "./http-exchange.js";
 import type { HttpResponse } from "./http-response.js";
 
--- a/src/transport/http-exchange.ts
+++ b/src/transport/clients/http-exchange.ts
@@ -2,8 +2,8 @@
 
 import { type Agent, type ClientRequest, type IncomingMessage, request } from "node:http";
 import type { Socket } from "node:net";
-import { CallError, type CallOutcome } from "../coordination/ports/call-error.js";
-import type { HostAndPort } from "./address.js";
+import { CallError, type CallOutcome } from "../../coordination/ports/call-error.js";
+import type { HostAndPort } from "../address.js";
 import type { HttpResponse } from "./http-response.js";
 import { ResponseDeadline } from "./response-deadline.js";
 
--- a/src/transport/http-response.ts
+++ b/src/transport/clients/http-response.ts
@@ -1,7 +1,7 @@
 /** Responses of outside systems, and how they become results or errors of known consequence. */
 
-import { CallError, type CallOutcome } from "../coordination/ports/call-error.js";
-import { MalformedMessageError } from "../protocol/errors.js";
+import { CallError, type CallOutcome } from "../../coordination/ports/call-error.js";
+import { MalformedMessageError } from "../../protocol/errors.js";
 
 /** A response whose body has been received as a whole. */
 export interface HttpResponse {
--- a/src/transport/response-deadline.ts
+++ b/src/transport/clients/response-deadline.ts
@@ -11,7 +11,7 @@
  *
  * Node.js runs timers before it reads sockets. After a pause of the whole process the response may have been
  * waiting in the socket for long, and the other side is not to blame: the deadline is then extended by a
- * moment, in which the response is read. The test is in `tests/transport/http-client.test.ts`.
+ * moment, in which the response is read. The test is in `tests/transport/clients/http-client.test.ts`.
  */
 export class ResponseDeadline {
 	private timer: NodeJS.Timeout;
--- a/src/transport/store-client.ts
+++ b/src/transport/clients/store-client.ts
@@ -1,9 +1,9 @@
 /** Client of the key-value store, which keeps below the controller's share of the store's limits. */
 
-import { CallError } from "../coordination/ports/call-error.js";
-import { type Clock, delay } from "../coordination/ports/clock.js";
-import type { CompareAndSwapResult, KeyValueStore, WritePriority } from "../coordination/ports/store.js";
-import { paths } from "../protocol/http/paths.js";
+import { CallError } from "../../coordination/ports/call-error.js";
+import { type Clock, delay } from "../../coordination/ports/clock.js";
+import type { CompareAndSwapResult, KeyValueStore, WritePriority } from "../../coordination/ports/store.js";
+import { paths } from "../../protocol/http/paths.js";
 import {
 	compareAndSwapBody,
 	conflictsFrom,
@@ -23,8 +23,8 @@
 	type StoreEvent,
 	type StoreRow,
 	watchPath,
-} from "../protocol/http/store-api.js";
-import type { LeaseId, Revision } from "../protocol/model/identifiers.js";
+} from "../../protocol/http/store-api.js";
+import type { LeaseId, Revision } from "../../protocol/model/identifiers.js";
 import type { HttpCaller } from "./http-client.js";
 import { expectStatus, type HttpResponse, parseResponse } from "./http-response.js";
 import { TokenBucket } from "./token-bucket.js";
--- a/src/transport/token-bucket.ts
+++ b/src/transport/clients/token-bucket.ts
@@ -1,6 +1,6 @@
 /** A token bucket, which keeps a rate of requests below a limit of an outside system. */
 
-import type { Clock } from "../coordination/ports/clock.js";
+import type { Clock } from "../../coordination/ports/clock.js";
 
 /**
  * Tokens come at a steady rate up to the size of a burst; each request takes some. The number of tokens may be
--- a/src/transport/worker-client.ts
+++ b/src/transport/clients/worker-client.ts
@@ -1,10 +1,10 @@
 /** Client of the workers' own addresses, for commands that must not wait for the next heartbeat. */
 
-import type { DirectCommandResult, WorkerGateway } from "../coordination/ports/workers.js";
-import { paths } from "../protocol/http/paths.js";
-import { directCommandsBody, directCommandsResponseFrom } from "../protocol/http/worker-api.js";
-import type { AgentEpoch, FencingToken } from "../protocol/model/identifiers.js";
-import type { WorkerCommand } from "../protocol/model/worker.js";
+import type { DirectCommandResult, WorkerGateway } from "../../coordination/ports/workers.js";
+import { paths } from "../../protocol/http/paths.js";
+import { directCommandsBody, directCommandsResponseFrom } from "../../protocol/http/worker-api.js";
+import type { AgentEpoch, FencingToken } from "../../protocol/model/identifiers.js";
+import type { WorkerCommand } from "../../protocol/model/worker.js";
 import { type HttpCaller, HttpClient } from "./http-client.js";
 import { expectStatus, parseResponse } from "./http-response.js";
 
--- a/src/transport/frame.ts
+++ b/src/transport/peers/frame.ts
@@ -1,6 +1,7 @@
 /** Framing of the byte streams between controllers: four bytes of length, then a message in CBOR. */
 
 import { Decoder, Encoder } from "cbor-x";
+import { MalformedMessageError } from "../../protocol/errors.js";
 
 const headerBytes = 4;
 
@@ -35,7 +36,7 @@
 		while (this.bufferedBytes >= headerBytes) {
 			const buffered = this.joinChunks();
 			const bodyBytes = buffered.readUInt32BE(0);
-			if (bodyBytes > maxFrameBytes) throw new Error(`frame of ${bodyBytes} bytes`);
+			if (bodyBytes > maxFrameBytes) throw new MalformedMessageError(`frame of ${bodyBytes} bytes`);
 			const frameBytes = headerBytes + bodyBytes;
 			if (buffered.length < frameBytes) break;
 			messages.push(decoder.decode(buffered.subarray(headerBytes, frameBytes)));
--- a/src/transport/incoming-peer-link.ts
+++ b/src/transport/peers/incoming-peer-link.ts
@@ -1,9 +1,10 @@
 /** A connection on which another controller sends to this one. */
 
 import type { Socket } from "node:net";
-import type { Log } from "../coordination/ports/log.js";
-import type { NodeId } from "../protocol/model/identifiers.js";
-import { decodeHello } from "../protocol/peer/hello-wire.js";
+import type { Log } from "../../coordination/ports/log.js";
+import { MalformedMessageError } from "../../protocol/errors.js";
+import type { NodeId } from "../../protocol/model/identifiers.js";
+import { decodeHello } from "../../protocol/peer/hello-wire.js";
 import { FrameReader } from "./frame.js";
 
 /**
@@ -61,7 +62,8 @@
 			return;
 		}
 		const peer = decodeHello(message);
-		if (peer === null || !this.options.isPeer(peer)) throw new Error("not a known controller");
+		if (peer === null || !this.options.isPeer(peer))
+			throw new MalformedMessageError("not a known controller");
 		this.peer = peer;
 	}
 }
--- a/src/transport/outgoing-peer-link.ts
+++ b/src/transport/peers/outgoing-peer-link.ts
@@ -1,10 +1,10 @@
 /** The connection on which this controller sends to one other controller. */
 
 import { connect, type Socket } from "node:net";
-import type { Log } from "../coordination/ports/log.js";
-import type { NodeId } from "../protocol/model/identifiers.js";
-import { encodeHello } from "../protocol/peer/hello-wire.js";
-import { type HostAndPort, parseAddress } from "./address.js";
+import type { Log } from "../../coordination/ports/log.js";
+import type { NodeId } from "../../protocol/model/identifiers.js";
+import { encodeHello } from "../../protocol/peer/hello-wire.js";
+import { type HostAndPort, parseAddress } from "../address.js";
 import { encodeFrame } from "./frame.js";
 
 /** Longest time for a connection to be made. */
--- a/src/transport/peer-links.ts
+++ b/src/transport/peers/peer-links.ts
@@ -2,10 +2,10 @@
 
 import { once } from "node:events";
 import { createServer, type Server, type Socket } from "node:net";
-import type { Log } from "../coordination/ports/log.js";
-import type { PeerTransport } from "../coordination/ports/peers.js";
-import type { NodeId } from "../protocol/model/identifiers.js";
-import { boundPort } from "./address.js";
+import type { Log } from "../../coordination/ports/log.js";
+import type { PeerTransport } from "../../coordination/ports/peers.js";
+import type { NodeId } from "../../protocol/model/identifiers.js";
+import { boundPort } from "../address.js";
 import { IncomingPeerLink } from "./incoming-peer-link.js";
 import { OutgoingPeerLink } from "./outgoing-peer-link.js";
 
--- a/src/transport/heartbeat-listener.ts
+++ b/src/transport/public/heartbeat-listener.ts
@@ -1,10 +1,10 @@
 /** Receives workers' heartbeats over HTTP. */
 
 import type { IncomingMessage, OutgoingHttpHeaders, ServerResponse } from "node:http";
-import type { Log } from "../coordination/ports/log.js";
-import { MalformedMessageError } from "../protocol/errors.js";
-import { paths } from "../protocol/http/paths.js";
-import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../protocol/http/worker-api.js";
+import type { Log } from "../../coordination/ports/log.js";
+import { MalformedMessageError } from "../../protocol/errors.js";
+import { paths } from "../../protocol/http/paths.js";
+import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../../protocol/http/worker-api.js";
 import type { PublicService } from "./public-service.js";
 import { bodyTooLargeMessage, maxBodyBytes } from "./request-body.js";
 
--- a/src/transport/public-api.ts
+++ b/src/transport/public/public-api.ts
@@ -4,13 +4,13 @@
  */
 
 import { type Context, Hono } from "hono";
-import type { JobLookup, SubmitResult } from "../coordination/jobs/job-results.js";
-import type { Log } from "../coordination/ports/log.js";
-import { MalformedMessageError } from "../protocol/errors.js";
-import { paths } from "../protocol/http/paths.js";
-import { isJobId, jobIdOf, jobResponseBody, parseJobSpec } from "../protocol/http/user-api.js";
-import type { JobId } from "../protocol/model/identifiers.js";
-import type { JobSpec } from "../protocol/model/job.js";
+import type { JobLookup, SubmitResult } from "../../coordination/jobs/job-results.js";
+import type { Log } from "../../coordination/ports/log.js";
+import { MalformedMessageError } from "../../protocol/errors.js";
+import { paths } from "../../protocol/http/paths.js";
+import { isJobId, jobIdOf, jobResponseBody, parseJobSpec } from "../../protocol/http/user-api.js";
+import type { JobId } from "../../protocol/model/identifiers.js";
+import type { JobSpec } from "../../protocol/model/job.js";
 import type { PublicService } from "./public-service.js";
 import { bodyTooLargeMessage, readBody } from "./request-body.js";
 
--- a/src/transport/public-server.ts
+++ b/src/transport/public/public-server.ts
@@ -3,8 +3,8 @@
 import { once } from "node:events";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { getRequestListener } from "@hono/node-server";
-import type { Log } from "../coordination/ports/log.js";
-import { boundPort } from "./address.js";
+import type { Log } from "../../coordination/ports/log.js";
+import { boundPort } from "../address.js";
 import { HeartbeatListener, isHeartbeat } from "./heartbeat-listener.js";
 import { publicApi } from "./public-api.js";
 import type { PublicService } from "./public-service.js";
--- a/src/transport/public-service.ts
+++ b/src/transport/public/public-service.ts
@@ -1,10 +1,10 @@
 /** What the public API needs of the service behind it. */
 
-import type { JobLookup, SubmitResult } from "../coordination/jobs/job-results.js";
-import type { HeartbeatResponse } from "../coordination/workers/heartbeat-router.js";
-import type { JobId } from "../protocol/model/identifiers.js";
-import type { JobSpec } from "../protocol/model/job.js";
-import type { WorkerHeartbeat } from "../protocol/model/worker.js";
+import type { JobLookup, SubmitResult } from "../../coordination/jobs/job-results.js";
+import type { HeartbeatResponse } from "../../coordination/workers/heartbeat-router.js";
+import type { JobId } from "../../protocol/model/identifiers.js";
+import type { JobSpec } from "../../protocol/model/job.js";
+import type { WorkerHeartbeat } from "../../protocol/model/worker.js";
 
 /** The service as users, workers and the load balancer see it. */
 export interface PublicService {
--- a/tests/coordination/jobs/job-service.test.ts
+++ b/tests/coordination/jobs/job-service.test.ts
@@ -3,7 +3,7 @@
 import { infeasibilityReason } from "../../../src/coordination/jobs/job-feasibility.js";
 import type { JobSpec } from "../../../src/protocol/model/job.js";
 import type { MachineType } from "../../../src/protocol/model/machine.js";
-import { publicApi } from "../../../src/transport/public-api.js";
+import { publicApi } from "../../../src/transport/public/public-api.js";
 import { job, service } from "../../support/public-service.js";
 import { silentLog } from "../../support/silent-log.js";
 import { specOf } from "../../support/specs.js";
--- a/tests/coordination/replication/chunked-records.test.ts
+++ b/tests/coordination/replication/chunked-records.test.ts
@@ -5,8 +5,8 @@
 import { ChunkedRecords } from "../../../src/coordination/replication/chunked-records.js";
 import { compareAndSwapBody } from "../../../src/protocol/http/store-api.js";
 import { keys } from "../../../src/protocol/records/keys.js";
-import type { HttpResponse } from "../../../src/transport/http-response.js";
-import { StoreClient } from "../../../src/transport/store-client.js";
+import type { HttpResponse } from "../../../src/transport/clients/http-response.js";
+import { StoreClient } from "../../../src/transport/clients/store-client.js";
 import { FakeTime } from "../../support/fake-time.js";
 import { StateService } from "../../support/state-service.js";
 
--- a/tests/coordination/replication/replica-sync.test.ts
+++ b/tests/coordination/replication/replica-sync.test.ts
@@ -4,7 +4,7 @@
 import { CallError } from "../../../src/coordination/ports/call-error.js";
 import type { KeyValueStore } from "../../../src/coordination/ports/store.js";
 import { ReplicaSync } from "../../../src/coordination/replication/replica-sync.js";
-import { StoreClient } from "../../../src/transport/store-client.js";
+import { StoreClient } from "../../../src/transport/clients/store-client.js";
 import { FakeTime } from "../../support/fake-time.js";
 import { silentLog } from "../../support/silent-log.js";
 import { StateService } from "../../support/state-service.js";
--- a/tests/layers.test.ts
+++ b/tests/layers.test.ts
@@ -55,8 +55,17 @@
 		"coordination/preemption",
 		"coordination/fleet",
 	],
-	transport: [...protocolFolders, "coordination/ports", "coordination/jobs", "coordination/workers"],
-	".": [...shared, "coordination", "transport"],
+	transport: [],
+	"transport/clients": [...protocolFolders, "coordination/ports", "transport"],
+	"transport/peers": [...protocolFolders, "coordination/ports", "transport"],
+	"transport/public": [
+		...protocolFolders,
+		"coordination/ports",
+		"coordination/jobs",
+		"coordination/workers",
+		"transport",
+	],
+	".": [...shared, "coordination", "transport/clients", "transport/peers", "transport/public"],
 };
 
 describe("imports between the folders of src", () => {
--- a/tests/protocol/http/malformed-responses.test.ts
+++ b/tests/protocol/http/malformed-responses.test.ts
@@ -14,7 +14,7 @@
 	rowFrom,
 	rowsFrom,
 } from "../../../src/protocol/http/store-api.js";
-import { parseResponse } from "../../../src/transport/http-response.js";
+import { parseResponse } from "../../../src/transport/clients/http-response.js";
 
 test("answers of cloud and state service of another form are refused whole, and count as no answer", () => {
 	const refused: [(raw: unknown) => unknown, unknown[]][] = [
--- a/tests/service/large-fleets.test.ts
+++ b/tests/service/large-fleets.test.ts
@@ -17,7 +17,7 @@
 import type { PeerMessage } from "../../src/protocol/peer/messages.js";
 import { defaultOperator } from "../../src/protocol/settings/operator.js";
 import type { PlatformSettings } from "../../src/protocol/settings/platform.js";
-import { encodeFrame } from "../../src/transport/frame.js";
+import { encodeFrame } from "../../src/transport/peers/frame.js";
 import { FakeTime } from "../support/fake-time.js";
 import { makeSchedulable } from "../support/machines.js";
 import { silentLog } from "../support/silent-log.js";
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -3,7 +3,7 @@
 import { CallError } from "../../src/coordination/ports/call-error.js";
 import type { KeyValueStore } from "../../src/coordination/ports/store.js";
 import type { Cancellation, PeerMessage } from "../../src/protocol/peer/messages.js";
-import { StoreClient } from "../../src/transport/store-client.js";
+import { StoreClient } from "../../src/transport/clients/store-client.js";
 import { FakeTime } from "./fake-time.js";
 import { silentLog } from "./silent-log.js";
 import { StateService } from "./state-service.js";
--- a/tests/support/network.ts
+++ b/tests/support/network.ts
@@ -1,6 +1,6 @@
 import { CallError, type CallOutcome } from "../../src/coordination/ports/call-error.js";
-import type { HttpCaller } from "../../src/transport/http-client.js";
-import type { HttpResponse } from "../../src/transport/http-response.js";
+import type { HttpCaller } from "../../src/transport/clients/http-client.js";
+import type { HttpResponse } from "../../src/transport/clients/http-response.js";
 import type { FakeTime } from "./fake-time.js";
 
 /** A stand-in's answer; undefined: it never answers. */
--- a/tests/support/public-service.ts
+++ b/tests/support/public-service.ts
@@ -1,4 +1,4 @@
-import type { PublicService } from "../../src/transport/public-service.js";
+import type { PublicService } from "../../src/transport/public/public-service.js";
 
 export const settings = `node = "runner-0"
 domain = "z"
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -8,9 +8,9 @@
 import { decodePeerMessage, encodePeerMessage } from "../../src/protocol/peer/codec.js";
 import type { LeadershipMessage } from "../../src/protocol/peer/messages.js";
 import { quotaStore } from "../../src/team-quota.js";
-import { HttpClient } from "../../src/transport/http-client.js";
-import { PeerLinks } from "../../src/transport/peer-links.js";
-import { StoreClient } from "../../src/transport/store-client.js";
+import { HttpClient } from "../../src/transport/clients/http-client.js";
+import { StoreClient } from "../../src/transport/clients/store-client.js";
+import { PeerLinks } from "../../src/transport/peers/peer-links.js";
 import { silentLog } from "./silent-log.js";
 
 export interface NodeConfig {
--- a/tests/support/quota-processes.ts
+++ b/tests/support/quota-processes.ts
@@ -6,7 +6,7 @@
 import type { Amount, QuotaStore } from "#team-quota";
 import type { History } from "../../packages/team-quota/tests/support/history.js";
 import { quotaStore } from "../../src/team-quota.js";
-import { StoreClient } from "../../src/transport/store-client.js";
+import { StoreClient } from "../../src/transport/clients/store-client.js";
 import { type FromNode, machineMs, type NodeConfig, type QuotaTask, type ToNode } from "./quota-node.js";
 import { StateService } from "./state-service.js";
 
--- a/tests/support/worker.ts
+++ b/tests/support/worker.ts
@@ -1,4 +1,4 @@
-import type { HttpResponse } from "../../src/transport/http-response.js";
+import type { HttpResponse } from "../../src/transport/clients/http-response.js";
 import type { FakeTime } from "./fake-time.js";
 
 export interface WorkerWorld {
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -3,7 +3,7 @@
 import { type LimitRequest, type QuotaStore, type ShownTeam, setQuota, showQuotas } from "#team-quota";
 import { keys } from "../../src/protocol/records/keys.js";
 import { quotaStore } from "../../src/team-quota.js";
-import { StoreClient } from "../../src/transport/store-client.js";
+import { StoreClient } from "../../src/transport/clients/store-client.js";
 import { withJob } from "../support/quota-world.js";
 import { nodeNames, World } from "../support/world.js";
 
--- a/tests/transport/http-client.test.ts
+++ b/tests/transport/clients/http-client.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Worker } from "node:worker_threads";
-import { HttpClient } from "../../src/transport/http-client.js";
+import { HttpClient } from "../../../src/transport/clients/http-client.js";
 
 test("an answer that came while the process stood still counts, though its deadline has passed", async () => {
 	const source = `
--- a/tests/transport/token-bucket.test.ts
+++ b/tests/transport/clients/token-bucket.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { TokenBucket } from "../../src/transport/token-bucket.js";
+import { TokenBucket } from "../../../src/transport/clients/token-bucket.js";
 
 test("a token bucket keeps a rate and a reserve", () => {
 	let now = 0;
--- a/tests/transport/peer-link.test.ts
+++ b/tests/transport/peers/frame.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { encodeFrame, FrameReader } from "../../src/transport/frame.js";
+import { encodeFrame, FrameReader } from "../../../src/transport/peers/frame.js";
 
 test("frames between controllers survive any cutting of the stream", () => {
 	const messages = [{ a: 1 }, { text: "x".repeat(1000), list: [1, null, "y"] }, 7];
--- a/tests/transport/public-api.test.ts
+++ b/tests/transport/public/public-api.test.ts
@@ -2,11 +2,11 @@
 import { Agent, request } from "node:http";
 import { connect } from "node:net";
 import { test } from "node:test";
-import { HttpClient } from "../../src/transport/http-client.js";
-import { publicApi } from "../../src/transport/public-api.js";
-import { startPublicServer } from "../../src/transport/public-server.js";
-import { job, report, service } from "../support/public-service.js";
-import { silentLog } from "../support/silent-log.js";
+import { HttpClient } from "../../../src/transport/clients/http-client.js";
+import { publicApi } from "../../../src/transport/public/public-api.js";
+import { startPublicServer } from "../../../src/transport/public/public-server.js";
+import { job, report, service } from "../../support/public-service.js";
+import { silentLog } from "../../support/silent-log.js";
 
 test("the front answers every kind of request cleanly", async () => {
 	const app = publicApi(service, silentLog);
