--- a/src/coordination/fleet/expected-services.ts
+++ b/src/coordination/fleet/expected-services.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
-import type { StartTimeObjective } from "../../protocol/settings/platform.js";
+import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
 
 /** Part of the cores in use that is kept for a class of which no job has come yet. */
 const reservedPart = 0.02;
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -1,8 +1,8 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { couldHold } from "../../bookkeeping/machine-fit.js";
+import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
-import type { StartTimeObjective } from "../../protocol/settings/platform.js";
 import type { Clock } from "../ports/clock.js";
 import type { CloudProvider } from "../ports/cloud.js";
 import type { Log } from "../ports/log.js";
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -2,7 +2,7 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec } from "../../protocol/model/job.js";
-import type { StartTimeObjective } from "../../protocol/settings/platform.js";
+import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
 import { FreeCapacity, freeBesideReplicas, freeOn } from "../placement/free-capacity.js";
 import type { Clock } from "../ports/clock.js";
 import type { ClusterState } from "../state/cluster-state.js";
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -15,8 +15,9 @@
 	type MachineRecord,
 	type StoredMachineRecord,
 } from "../protocol/records/machine-record.js";
+import { startTimeObjectives } from "../protocol/settings/objectives.js";
 import type { OperatorSettings } from "../protocol/settings/operator.js";
-import { type PlatformSettings, startTimeObjectives } from "../protocol/settings/platform.js";
+import type { PlatformSettings } from "../protocol/settings/platform.js";
 import { Fleet } from "./fleet/fleet.js";
 import { ReplicaRelocation } from "./fleet/replica-relocation.js";
 import { JobCompletion } from "./jobs/job-completion.js";
--- a/src/main.ts
+++ b/src/main.ts
@@ -7,7 +7,8 @@
 import type { Clock } from "./coordination/ports/clock.js";
 import { SettingsError } from "./protocol/errors.js";
 import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
-import { parsePlatform, readText } from "./protocol/settings/platform.js";
+import { parsePlatform } from "./protocol/settings/platform.js";
+import { readSettingsFile } from "./protocol/settings/settings-file.js";
 import { QuotaCommandError, quotaCommand } from "./quota-command.js";
 import { makeTeamQuota } from "./team-quota.js";
 import { CloudClient } from "./transport/clients/cloud-client.js";
@@ -60,11 +61,11 @@
 }
 
 async function serve(options: ServeOptions): Promise<void> {
-	const platform = parsePlatform(options.config, readText(options.config));
+	const platform = parsePlatform(options.config, readSettingsFile(options.config));
 	const operator =
 		options.operator === undefined
 			? defaultOperator()
-			: await parseOperator(options.operator, readText(options.operator));
+			: await parseOperator(options.operator, readSettingsFile(options.operator));
 	if (options.check) {
 		process.stdout.write(`${options.config}: settings are good\n`);
 		return;
--- a/src/protocol/settings/platform.ts
+++ b/src/protocol/settings/platform.ts
@@ -1,159 +1,214 @@
-import { readFileSync } from "node:fs";
+/**
+ * The platform's settings: what the platform that runs the controllers hands over in a TOML file (`--config`).
+ * The names are the platform's and stay as they are. Fields that are not known are ignored.
+ *
+ * A name that ends in `_s` or `_ms` is a duration in seconds or milliseconds, `rps` counts per second, `kb` and
+ * `mb` are KiB and MiB.
+ */
+
 import { parse as parseToml } from "smol-toml";
 import * as v from "valibot";
-import { SettingsError } from "../errors.js";
 import { amount, positive } from "../schema-checks.js";
+import { checkSettings, fieldError, formatError } from "./settings-file.js";
 
-/** What the platform hands over in its TOML file. Unknown fields are ignored. */
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
+
 const text = v.pipe(v.string(), v.nonEmpty());
+
 const address = v.pipe(v.string(), v.regex(/^\S+:\d{1,5}$/, "expected an address such as 10.0.0.1:8080"));
 
-/** 0 stands for none: a team with no limit, such as a guest team, may use whatever is idle. */
+/** 0 stands for no limit: a team without one, such as a guest team, may use whatever is idle. */
 const limit = v.pipe(
 	amount,
 	v.transform((most) => (most === 0 ? Number.POSITIVE_INFINITY : most)),
 );
 
+/** A team, whose guarantees and limits are amounts that its running tasks take together. */
 const Team = v.object({
 	name: text,
+	/** Guaranteed CPU cores. */
 	cpus: amount,
+	/** Most CPU cores; 0 in the file: no limit. */
 	cpus_max: limit,
+	/** Guaranteed accelerators. */
 	gpus: v.optional(amount, 0),
+	/** Most accelerators; 0 in the file, or left out: no limit. */
 	gpus_max: v.optional(limit, 0),
 });
 
+/** What users expect of a class of jobs; see `objectives.ts` for those that the service acts on. */
 const ServiceLevelObjective = v.object({
+	/** `wait`: until the start of tasks; `finished`, `deadline`: until the end of jobs. */
 	kind: v.string(),
+	/** The class of jobs (`lane` of a submission). */
 	class: v.optional(v.string()),
 	within_s: v.optional(v.number()),
+	/** Part of the jobs or tasks that should meet the objective, 0 to 1. */
 	share: v.optional(v.number()),
+	/** For `deadline`: multiples of the deadline. */
 	times: v.optional(v.number()),
 });
 
-const limits = { rps: positive, write_rps: positive, value_kb: positive, txn_ops: count };
+/** Limits of the store. */
+const storeLimits = {
+	/** Requests per second of all controllers together. */
+	rps: positive,
+	/** Puts and deletes per second of all controllers together. */
+	write_rps: positive,
+	/** Largest value, in KiB. */
+	value_kb: positive,
+	/** Most puts and deletes in one transaction; it may have four times as many conditions. */
+	txn_ops: count,
+};
+
+const StoreSettings = v.object({
+	...storeLimits,
+	/** Limits that will replace those above at some moment, without notice. */
+	next: v.optional(v.partial(v.object(storeLimits)), {}),
+});
+
+const WorkerSettings = v.object({
+	/** Time between heartbeats of a worker, give or take a quarter. */
+	report_s: positive,
+	/** A worker whose heartbeats are not answered for this long stops all its tasks. */
+	lease_s: positive,
+	/** Within this time of a cancellation all tasks of the job must be gone. */
+	cancel_s: positive,
+});
+
+const CloudSettings = v.object({
+	/** Requests per second. */
+	rps: positive,
+	/** How far the machine list lags behind; at times up to twice that. */
+	list_lag_s: amount,
+});
+
+/** What the process may use. */
+const ResourceSettings = v.object({
+	/** Share of a processor, in cores. */
+	cores: v.optional(positive),
+	/** Memory, in MiB. */
+	ram_mb: v.optional(positive),
+	/** Open files and sockets. */
+	fd_limit: v.optional(count, 1000),
+});
+
+const ClusterSettings = v.object({
+	/** Number of controllers, this one included. */
+	nodes: v.optional(count),
+	/** The zones of the cluster; empty: not known. */
+	zones: v.optional(v.array(text), []),
+	/** Bound on the error of the time of day. */
+	clock_off_ms: v.optional(amount, 0),
+	teams: v.optional(v.array(Team), []),
+	objectives: v.optional(v.array(ServiceLevelObjective), []),
+	workers: WorkerSettings,
+	/** The store. */
+	state: StoreSettings,
+	cloud: CloudSettings,
+	resources: v.optional(ResourceSettings, {}),
+});
+
+/** Another controller. */
+const OtherController = v.object({
+	/** Its name. */
+	node: text,
+	/** Its failure domain, which is its zone. */
+	domain: text,
+	/** Where it takes connections of controllers, `host:port`. */
+	addr: address,
+});
 
 const Platform = v.object({
+	/** Name of this controller. */
 	node: text,
+	/** Failure domain of this controller, which is its zone. */
 	domain: text,
+	/** Public address, for users, workers and the load balancer, `host:port`. */
 	front: address,
+	/** Address for the other controllers, `host:port`. */
 	back: address,
-	others: v.optional(v.array(v.object({ node: text, domain: text, addr: address })), []),
+	/** All other controllers. */
+	others: v.optional(v.array(OtherController), []),
+	/** Addresses of outside systems: the cloud's API and the store, `host:port`. */
 	endpoints: v.object({ cloud: address, state: address }),
-	cluster: v.object({
-		nodes: v.optional(count),
-		zones: v.optional(v.array(text), []),
-		clock_off_ms: v.optional(amount, 0),
-		teams: v.optional(v.array(Team), []),
-		objectives: v.optional(v.array(ServiceLevelObjective), []),
-		workers: v.object({
-			report_s: positive,
-			lease_s: positive,
-			cancel_s: positive,
-		}),
-		state: v.object({
-			...limits,
-			/** Limits that come at some moment, without notice. */
-			next: v.optional(v.partial(v.object(limits)), {}),
-		}),
-		cloud: v.object({ rps: positive, list_lag_s: amount }),
-		resources: v.optional(
-			v.object({
-				cores: v.optional(positive),
-				ram_mb: v.optional(positive),
-				fd_limit: v.optional(count, 1000),
-			}),
-			{},
-		),
-	}),
+	cluster: ClusterSettings,
 });
 
+/** The platform's settings after all checks, with the lesser of present and coming store limits. */
 export type PlatformSettings = v.InferOutput<typeof Platform>;
+
+/** A team's guarantees and limits; no limit is Infinity. */
 export type TeamSettings = v.InferOutput<typeof Team>;
 
+/** What users expect of a class of jobs. */
 export type ServiceLevelObjective = v.InferOutput<typeof ServiceLevelObjective>;
 
-/** A class of jobs whose tasks are to start within a time. */
-export interface StartTimeObjective {
-	jobClass: string;
-	withinS: number;
-}
-
-/** Of what the platform expects, how soon tasks of which classes are to start. */
-export function startTimeObjectives(objectives: readonly ServiceLevelObjective[]): StartTimeObjective[] {
-	const starts: StartTimeObjective[] = [];
-	for (const { kind, class: jobClass, within_s: withinS } of objectives) {
-		if (kind === "wait" && jobClass !== undefined && withinS !== undefined)
-			starts.push({ jobClass, withinS });
-	}
-	return starts;
-}
-
-export function readText(file: string): string {
-	try {
-		return readFileSync(file, "utf8");
-	} catch (error) {
-		throw new SettingsError(`${file}: cannot be read (${(error as NodeJS.ErrnoException).code ?? error})`);
-	}
-}
-
-export function checkSchema<T extends v.GenericSchema>(
-	file: string,
-	schema: T,
-	input: unknown,
-): v.InferOutput<T> {
-	const result = v.safeParse(schema, input, { abortEarly: true });
-	if (result.success) return result.output;
-	const issue = result.issues[0];
-	const path = v.getDotPath(issue);
-	throw new SettingsError(`${file}: ${path ? `field "${path}"` : "top level"}: ${issue.message}`);
-}
+type StoreSettings = PlatformSettings["cluster"]["state"];
 
+/**
+ * Reads the platform's settings.
+ *
+ * @param file Name of the file, for errors.
+ * @param source Its text.
+ * @throws SettingsError that names the file and the first faulty field.
+ */
 export function parsePlatform(file: string, source: string): PlatformSettings {
 	let raw: unknown;
 	try {
 		raw = parseToml(source);
 	} catch (error) {
-		throw new SettingsError(`${file}: not TOML: ${(error as Error).message.split("\n")[0]}`);
+		throw formatError(file, "TOML", error);
 	}
-	const settings = checkSchema(file, Platform, raw);
+	const settings = checkSettings(file, Platform, raw);
+	checkTeams(file, settings);
+	checkControllers(file, settings);
+	checkWorkerTimes(file, settings);
+	settings.cluster.state = lesserLimits(settings.cluster.state);
+	return settings;
+}
+
+function checkTeams(file: string, { cluster }: PlatformSettings): void {
 	const names = new Set<string>();
-	settings.cluster.teams.forEach((team, i) => {
+	cluster.teams.forEach((team, i) => {
 		if (names.has(team.name)) {
-			throw new SettingsError(`${file}: field "cluster.teams.${i}.name": "${team.name}" is named twice`);
+			throw fieldError(file, `cluster.teams.${i}.name`, `"${team.name}" is named twice`);
 		}
 		names.add(team.name);
 		if (team.cpus > team.cpus_max || team.gpus > team.gpus_max) {
-			throw new SettingsError(`${file}: field "cluster.teams.${i}": the guarantee must not exceed the limit`);
+			throw fieldError(file, `cluster.teams.${i}`, "the guarantee must not exceed the limit");
 		}
 	});
-	// Every promise and vote is counted by node name.
-	const nodes = new Set([settings.node]);
-	settings.others.forEach(({ node }, i) => {
-		if (nodes.has(node)) {
-			throw new SettingsError(`${file}: field "others.${i}.node": "${node}" is named twice`);
-		}
-		nodes.add(node);
+}
+
+/** Votes of leadership are counted by the names of controllers, so each must be named once. */
+function checkControllers(file: string, { node: self, others, cluster }: PlatformSettings): void {
+	const names = new Set([self]);
+	others.forEach(({ node }, i) => {
+		if (names.has(node)) throw fieldError(file, `others.${i}.node`, `"${node}" is named twice`);
+		names.add(node);
 	});
-	const { nodes: count, workers } = settings.cluster;
-	if (count !== undefined && count !== nodes.size) {
-		throw new SettingsError(
-			`${file}: field "cluster.nodes": is ${count}, but this node and "others" are ${nodes.size}`,
-		);
+	const { nodes } = cluster;
+	if (nodes !== undefined && nodes !== names.size) {
+		const fault = `is ${nodes}, but this node and "others" are ${names.size}`;
+		throw fieldError(file, "cluster.nodes", fault);
 	}
-	if (workers.report_s >= workers.lease_s) {
-		throw new SettingsError(`${file}: field "cluster.workers.report_s": must be less than "lease_s"`);
+}
+
+/** A lease is longer than the time between heartbeats, and a cancellation takes at least a lease. */
+function checkWorkerTimes(file: string, { cluster }: PlatformSettings): void {
+	const { report_s, lease_s, cancel_s } = cluster.workers;
+	if (report_s >= lease_s) {
+		throw fieldError(file, "cluster.workers.report_s", 'must be less than "lease_s"');
 	}
-	if (workers.lease_s >= workers.cancel_s) {
-		throw new SettingsError(`${file}: field "cluster.workers.lease_s": must be less than "cancel_s"`);
+	if (lease_s >= cancel_s) {
+		throw fieldError(file, "cluster.workers.lease_s", 'must be less than "cancel_s"');
 	}
-	settings.cluster.state = lesserLimits(settings.cluster.state);
-	return settings;
 }
 
-/** What holds now and what is to come are kept from the start: the change comes without notice. */
-function lesserLimits(state: PlatformSettings["cluster"]["state"]): PlatformSettings["cluster"]["state"] {
-	const lesser = (limit: keyof typeof limits) => Math.min(state[limit], state.next[limit] ?? Infinity);
+/** Limits that are to come are kept from the start, since the change comes without notice. */
+function lesserLimits(state: StoreSettings): StoreSettings {
+	const lesser = (limit: keyof typeof storeLimits) => Math.min(state[limit], state.next[limit] ?? Infinity);
 	return {
 		...state,
 		rps: lesser("rps"),
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -16,7 +16,8 @@
 import { keys } from "./protocol/records/keys.js";
 import { decodeStoredRecord } from "./protocol/records/stored-record.js";
 import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
-import { parsePlatform, readText } from "./protocol/settings/platform.js";
+import { parsePlatform } from "./protocol/settings/platform.js";
+import { readSettingsFile } from "./protocol/settings/settings-file.js";
 import { quotaStore } from "./team-quota.js";
 import { HttpClient } from "./transport/clients/http-client.js";
 import { StoreClient } from "./transport/clients/store-client.js";
@@ -87,7 +88,7 @@
 }
 
 function connect(time: Clock, options: CommandOptions): KeyValueStore {
-	const { cluster, endpoints } = parsePlatform(options.config, readText(options.config));
+	const { cluster, endpoints } = parsePlatform(options.config, readSettingsFile(options.config));
 	return new StoreClient({
 		http: new HttpClient(endpoints.state, connections),
 		clock: time,
@@ -121,7 +122,7 @@
 	const operator =
 		options.operator === undefined
 			? defaultOperator()
-			: await parseOperator(options.operator, readText(options.operator));
+			: await parseOperator(options.operator, readSettingsFile(options.operator));
 	const machines = operator.climb.most_machines;
 	if (machines === 0) return null;
 	const { row } = await store.read(keys.machineTypes);
