--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -1,6 +1,6 @@
 import type { MachineType } from "../../protocol/model/machine.js";
 import { keys } from "../../protocol/records/keys.js";
-import type { StoredMachineTypes } from "../../protocol/records/singleton-records.js";
+import { encodeMachineTypes } from "../../protocol/records/singleton-records.js";
 import { CallError } from "../ports/call-error.js";
 import type { Clock } from "../ports/clock.js";
 import type { CloudProvider } from "../ports/cloud.js";
@@ -70,7 +70,7 @@
 		const { store, log, post, authority, stored } = this.options;
 		const term = authority();
 		if (term === null || sameTypes(stored() ?? [], types)) return;
-		const value: StoredMachineTypes = { types };
+		const value = encodeMachineTypes(types);
 		store
 			.compareAndSwap([{ key: keys.leader, revision: term }], [{ put: keys.machineTypes, value }], "user")
 			.catch((error) =>
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -6,7 +6,7 @@
 	LeaseExtensionVote,
 } from "../../protocol/peer/messages.js";
 import { keys } from "../../protocol/records/keys.js";
-import type { LeaderRecord } from "../../protocol/records/singleton-records.js";
+import { encodeLeaderRecord, type LeaderRecord } from "../../protocol/records/singleton-records.js";
 import { CallError } from "../ports/call-error.js";
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
@@ -348,7 +348,7 @@
 		try {
 			const result = await this.store.compareAndSwap(
 				[{ key: keys.leader, revision: expected }],
-				[{ put: keys.leader, value, leaseId: lease }],
+				[{ put: keys.leader, value: encodeLeaderRecord(value), leaseId: lease }],
 				"user",
 			);
 			if (result.swapped) return { term: result.revision, lease };
--- a/src/protocol/records/singleton-records.ts
+++ b/src/protocol/records/singleton-records.ts
@@ -14,6 +14,14 @@
 
 const StoredLeaderSchema = v.looseObject({ node: v.string(), incarnation: v.string() });
 
+/** The stored form of the leader key. */
+export type StoredLeader = v.InferOutput<typeof StoredLeaderSchema>;
+
+/** Maps the value of the leader key to its stored form. */
+export function encodeLeaderRecord({ node, incarnation }: LeaderRecord): StoredLeader {
+	return { node, incarnation };
+}
+
 /** Reads the stored leader key. Throws a MalformedMessageError that names the first faulty field. */
 export function decodeLeaderRecord(value: unknown): LeaderRecord {
 	return checkShape(StoredLeaderSchema, value);
@@ -74,6 +82,11 @@
 
 const StoredMachineTypesSchema = v.looseObject({ types: v.array(StoredMachineTypeSchema) });
 
+/** Maps the machine types to their stored form. */
+export function encodeMachineTypes(types: MachineType[]): StoredMachineTypes {
+	return { types };
+}
+
 /** Reads the stored machine types. Throws a MalformedMessageError that names the first faulty field. */
 export function decodeMachineTypes(value: unknown): MachineType[] {
 	return checkShape(StoredMachineTypesSchema, value).types;
