--- a/src/transport/public/public-api.ts
+++ b/src/transport/public/public-api.ts
@@ -56,7 +56,7 @@
 
 /**
  * A submission that names an accepted job is answered with the job's state, whatever is wrong with it: an
- * accepted job may never get 400 or 422. The test is in `tests/coordination/jobs/job-service.test.ts`.
+ * accepted job may never get 400 or 422. The test is in `tests/transport/public/public-api.test.ts`.
  */
 async function acceptedEarlier(service: PublicService, body: string): Promise<Response | null> {
 	const id = jobIdOf(body);
--- a/tests/command-line.test.ts
+++ b/tests/command-line.test.ts
@@ -3,14 +3,20 @@
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { test } from "node:test";
+import { after, before, describe, test } from "node:test";
 import { fileURLToPath } from "node:url";
 import { version } from "../src/version.js";
-import { settings } from "./support/public-service.js";
+import { platformSettingsToml } from "./support/platform-settings.js";
 
 const root = fileURLToPath(new URL("../../../", import.meta.url));
 
-function run(args: string[]): Promise<{ code: number; out: string; err: string }> {
+interface CommandResult {
+	code: number;
+	out: string;
+	err: string;
+}
+
+function run(args: string[]): Promise<CommandResult> {
 	const main = fileURLToPath(new URL("../src/main.js", import.meta.url));
 	return new Promise((resolve) => {
 		execFile(process.execPath, [main, ...args], (error, out, err) =>
@@ -19,23 +25,49 @@
 	});
 }
 
-test("the command line: --check, --version, bad settings and missing options", async () => {
-	const dir = mkdtempSync(join(tmpdir(), "ramphub-test-"));
-	try {
-		const good = join(dir, "good.toml");
-		const bad = join(dir, "bad.toml");
-		writeFileSync(good, settings);
-		writeFileSync(bad, settings.replace("cloud =", "clod ="));
-		const pkg = JSON.parse(readFileSync(join(root, "package.json"), "utf8")) as { version: string };
-		assert.equal(version, pkg.version);
-		assert.deepEqual(await run(["--version"]), { code: 0, out: `${pkg.version}\n`, err: "" });
+describe("the command line", () => {
+	let dir = "";
+	before(() => {
+		dir = mkdtempSync(join(tmpdir(), "ramphub-test-"));
+	});
+	after(() => rmSync(dir, { recursive: true }));
+
+	function settingsFile(name: string, text: string): string {
+		const file = join(dir, name);
+		writeFileSync(file, text);
+		return file;
+	}
+
+	test("--version prints the version of the package", async () => {
+		const packageFile = readFileSync(join(root, "package.json"), "utf8");
+		const { version: packageVersion } = JSON.parse(packageFile) as { version: string };
+		assert.equal(version, packageVersion);
+		assert.deepEqual(await run(["--version"]), { code: 0, out: `${packageVersion}\n`, err: "" });
+	});
+
+	test("--check accepts good settings", async () => {
+		const good = settingsFile("good.toml", platformSettingsToml);
 		assert.equal((await run(["--config", good, "--check"])).code, 0);
-		const failed = await run(["--config", bad, "--check"]);
-		assert.equal(failed.code, 2);
-		assert.match(failed.err, /bad\.toml: field "endpoints\.cloud"/);
+	});
+
+	test("--check refuses bad settings with exit code 2, the file and the field", async () => {
+		const bad = settingsFile("bad.toml", platformSettingsToml.replace("cloud =", "clod ="));
+		const { code, err } = await run(["--config", bad, "--check"]);
+		assert.equal(code, 2);
+		assert.match(err, /bad\.toml: field "endpoints\.cloud"/);
+	});
+
+	test("a settings file that cannot be read is refused with exit code 2", async () => {
+		const { code, err } = await run(["--config", join(dir, "missing.toml"), "--check"]);
+		assert.equal(code, 2);
+		assert.match(err, /missing\.toml: cannot be read \(ENOENT\)/);
+	});
+
+	test("a missing option is refused with exit code 2", async () => {
 		assert.equal((await run([])).code, 2);
+	});
+
+	test("--help names the options", async () => {
 		assert.match((await run(["--help"])).out, /--operator <file>/);
-	} finally {
-		rmSync(dir, { recursive: true });
-	}
+	});
 });
--- a/tests/coordination/leadership/cancellation-staleness.test.ts
+++ b/tests/coordination/leadership/cancellation-staleness.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { longestUnknowingMs } from "../../../src/coordination/controller.js";
 import { parsePlatform } from "../../../src/protocol/settings/platform.js";
-import { settings } from "../../support/public-service.js";
+import { platformSettingsToml as settings } from "../../support/platform-settings.js";
 
 test("authority without the store, a worker's lease and a margin end within cancel_s", () => {
 	const platform = parsePlatform("s.toml", settings);
--- a/tests/protocol/http/malformed-responses.test.ts
+++ b/tests/protocol/http/malformed-responses.test.ts
@@ -1,5 +1,5 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { CallError } from "../../../src/coordination/ports/call-error.js";
 import { MalformedMessageError } from "../../../src/protocol/errors.js";
 import {
@@ -8,38 +8,64 @@
 	machineTypesFrom,
 } from "../../../src/protocol/http/cloud-api.js";
 import {
+	conflictsFrom,
 	eventsFrom,
 	leaseIdFrom,
 	revisionFrom,
 	rowFrom,
 	rowsFrom,
 } from "../../../src/protocol/http/store-api.js";
+import { directCommandsResponseFrom } from "../../../src/protocol/http/worker-api.js";
 import { parseResponse } from "../../../src/transport/clients/http-response.js";
 
-test("answers of cloud and state service of another form are refused whole, and count as no answer", () => {
-	const refused: [(raw: unknown) => unknown, unknown[]][] = [
-		[machineTypesFrom, [null, {}, { shapes: [{ sku: "g8" }] }, { shapes: [{ sku: "g8", cores: 0 }] }]],
-		[createdMachinesFrom, [null, {}, { hosts: "n-000001" }, { hosts: [7] }]],
-		[
-			machineListFrom,
-			[{}, { hosts: [{ shape: "g8", hall: "a" }] }, { hosts: [{ id: "", shape: "g8", hall: "a" }] }],
-		],
-		[revisionFrom, [null, {}, { epoch: "7" }, { epoch: -1 }, { epoch: 1.5 }]],
-		[leaseIdFrom, [{}, { permit: null }]],
-		[rowFrom, [{}, { key: "a", v: 1 }]],
-		[rowsFrom, [{ rows: [] }, { rows: [{ key: "a" }], epoch: 1 }]],
-		[eventsFrom, [{ epoch: 1 }, { epoch: 1, events: [{ stamp: 1 }] }]],
-	];
-	for (const [parse, bodies] of refused) {
-		for (const body of bodies) {
-			assert.throws(() => parse(body), MalformedMessageError, `${parse.name} ${JSON.stringify(body)}`);
-			assert.throws(
-				() => parseResponse({ status: 200, body }, "call", parse),
-				(error) => error instanceof CallError && error.outcome === "unknown",
-			);
-		}
+interface MalformedBodies {
+	parse(raw: unknown): unknown;
+	bodies: unknown[];
+}
+
+const malformed: MalformedBodies[] = [
+	{
+		parse: machineTypesFrom,
+		bodies: [null, {}, { shapes: [{ sku: "g8" }] }, { shapes: [{ sku: "g8", cores: 0 }] }],
+	},
+	{ parse: createdMachinesFrom, bodies: [null, {}, { hosts: "n-000001" }, { hosts: [7] }] },
+	{
+		parse: machineListFrom,
+		bodies: [{}, { hosts: [{ shape: "g8", hall: "a" }] }, { hosts: [{ id: "", shape: "g8", hall: "a" }] }],
+	},
+	{ parse: revisionFrom, bodies: [null, {}, { epoch: "7" }, { epoch: -1 }, { epoch: 1.5 }] },
+	{ parse: conflictsFrom, bodies: [null, {}, { epoch: 7 }, { failed: "a/b", epoch: 7 }] },
+	{ parse: leaseIdFrom, bodies: [{}, { permit: null }] },
+	{ parse: rowFrom, bodies: [{}, { key: "a", v: 1 }] },
+	{ parse: rowsFrom, bodies: [{ rows: [] }, { rows: [{ key: "a" }], epoch: 1 }] },
+	{ parse: eventsFrom, bodies: [{ epoch: 1 }, { epoch: 1, events: [{ stamp: 1 }] }] },
+	{ parse: directCommandsResponseFrom, bodies: [null, {}, "executed", { pieces: [] }] },
+];
+
+describe("a response of an outside system that lacks the published form", () => {
+	for (const { parse, bodies } of malformed) {
+		test(`is refused as a whole by ${parse.name}`, () => {
+			for (const body of bodies) {
+				assert.throws(() => parse(body), MalformedMessageError, JSON.stringify(body));
+			}
+		});
+
+		test(`counts as no response to the call that ${parse.name} reads`, () => {
+			for (const body of bodies) {
+				assert.throws(
+					() => parseResponse({ status: 200, body }, "call", parse),
+					(error) =>
+						error instanceof CallError &&
+						error.outcome === "unknown" &&
+						error.cause instanceof MalformedMessageError,
+				);
+			}
+		});
 	}
-	assert.deepEqual(eventsFrom({ epoch: 3, later: 1, events: [{ drop: "a", stamp: 2 }] }).events, [
-		{ key: "a", value: undefined, revision: 2 },
-	]);
+
+	test("is not one that has further fields", () => {
+		assert.deepEqual(eventsFrom({ epoch: 3, later: 1, events: [{ drop: "a", stamp: 2 }] }).events, [
+			{ key: "a", value: undefined, revision: 2 },
+		]);
+	});
 });
--- /dev/null
+++ b/tests/protocol/http/store-api.test.ts
@@ -0,0 +1,78 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import {
+	compareAndSwapBody,
+	conflictsFrom,
+	eventsFrom,
+	grantLeaseBody,
+	leaseIdFrom,
+	leasePath,
+	renewLeaseBody,
+	renewLeasePath,
+	revisionFrom,
+	rowFrom,
+	rowPath,
+	rowsFrom,
+	rowsPath,
+	watchPath,
+} from "../../../src/protocol/http/store-api.js";
+
+describe("the store's API", () => {
+	test("rows: one by its key, a page of those below a prefix", () => {
+		assert.equal(rowPath("r/job/j-1"), "/store/r/job/j-1");
+		const row = { key: "a/b", value: { x: 1 }, revision: 412 };
+		const wire = { key: "a/b", v: { x: 1 }, stamp: 412, permit: 7 };
+		assert.deepStrictEqual(rowFrom(wire), row);
+		assert.equal(rowsPath("c/", null, 200), "/store?prefix=c/&limit=200");
+		assert.equal(rowsPath("c/", "c/7", 200), "/store?prefix=c/&from=c/7&limit=200");
+		assert.deepStrictEqual(rowsFrom({ rows: [wire], truncated: true, epoch: 431 }), {
+			rows: [row],
+			more: true,
+			revision: 431,
+		});
+		assert.deepStrictEqual(rowsFrom({ rows: [], epoch: 431 }), { rows: [], more: false, revision: 431 });
+	});
+
+	test("compare-and-swap: conditions and changes, and the revision or the conflicts", () => {
+		const conditions = [{ key: "a/b", revision: 0 }];
+		const changes = [
+			{ put: "a/b", value: { x: 1 }, leaseId: 7 },
+			{ put: "c/e", value: null },
+			{ delete: "c/d" },
+		];
+		assert.deepStrictEqual(compareAndSwapBody(conditions, changes), {
+			when: [{ key: "a/b", stamp: 0 }],
+			// biome-ignore lint/suspicious/noThenProperty: the store's own word for the changes
+			then: [{ put: "a/b", v: { x: 1 }, permit: 7 }, { put: "c/e", v: null }, { drop: "c/d" }],
+		});
+		assert.deepStrictEqual(compareAndSwapBody(conditions, []), { when: [{ key: "a/b", stamp: 0 }] });
+		assert.equal(revisionFrom({ epoch: 432 }), 432);
+		assert.deepStrictEqual(conflictsFrom({ failed: ["a/b"], epoch: 431 }), {
+			conflicts: ["a/b"],
+			revision: 431,
+		});
+	});
+
+	test("leases: granted, renewed, revoked", () => {
+		assert.deepStrictEqual(grantLeaseBody(5000), { ttl_ms: 5000 });
+		assert.equal(leaseIdFrom({ permit: 7 }), 7);
+		assert.equal(renewLeasePath(7), "/leases/7/renew");
+		assert.deepStrictEqual(renewLeaseBody, {});
+		assert.equal(leasePath(7), "/leases/7");
+	});
+
+	test("watches: keys that were set and keys that were deleted", () => {
+		assert.equal(watchPath("c/", 431, 10_000), "/watch?prefix=c/&from=431&block_ms=10000");
+		const events = [
+			{ put: "c/9", v: { x: 1 }, stamp: 433 },
+			{ drop: "c/d", stamp: 432 },
+		];
+		assert.deepStrictEqual(eventsFrom({ epoch: 433, events }), {
+			events: [
+				{ key: "c/9", value: { x: 1 }, revision: 433 },
+				{ key: "c/d", value: undefined, revision: 432 },
+			],
+			revision: 433,
+		});
+	});
+});
--- a/tests/protocol/http/user-api.test.ts
+++ b/tests/protocol/http/user-api.test.ts
@@ -1,12 +1,50 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
-import { parseJobSpec } from "../../../src/protocol/http/user-api.js";
-import { job } from "../../support/public-service.js";
-
-test("a job's fields are checked one by one and the fault is named", () => {
-	assert.equal(parseJobSpec(JSON.stringify(job)).team, "red");
-	assert.equal(parseJobSpec(JSON.stringify({ ...job, hall: undefined, extra: 1 })).zone, null);
-	const wrong: [string, unknown, RegExp][] = [
+import { describe, test } from "node:test";
+import { isJobId, jobIdOf, jobResponseBody, parseJobSpec } from "../../../src/protocol/http/user-api.js";
+import { type SubmissionField, submissionBody } from "../../support/request-bodies.js";
+
+const parse = (fields: Partial<Record<SubmissionField, unknown>>) =>
+	parseJobSpec(JSON.stringify(submissionBody(fields)));
+
+describe("a submission", () => {
+	test("is read field by field", () => {
+		assert.deepStrictEqual(parse({}), {
+			id: "j-000412",
+			form: "array",
+			jobClass: "train",
+			team: "red",
+			priority: "urgent",
+			taskCount: 16,
+			cpus: 8,
+			gpus: 1,
+			memoryGb: 64,
+			machineTypes: ["g8"],
+			zone: null,
+			singleZone: true,
+			spreadZones: false,
+			allowSpot: true,
+			image: "img-07",
+			imageGb: 6.2,
+			estimatedRunS: 240,
+			checkpointIntervalS: 30,
+			checkpointCostS: 4,
+			deadlineS: 900,
+		});
+	});
+
+	test("of a standing job is read as one of a service", () => {
+		const spec = parse({ form: "standing", guess_s: 0 });
+		assert.equal(spec.form, "service");
+		assert.equal(spec.estimatedRunS, 0);
+	});
+
+	test("may leave out fields that may be null, and have further fields", () => {
+		assert.equal(parse({}).team, "red");
+		const body = JSON.stringify({ ...submissionBody({ hall: undefined }), extra: 1 });
+		assert.equal(parseJobSpec(body).zone, null);
+	});
+
+	const faults: [SubmissionField, unknown, RegExp][] = [
 		["id", "x-1", /"id" must look like/],
 		["id", undefined, /"id" is missing/],
 		["pieces", 0, /"pieces" must be at least 1/],
@@ -40,10 +78,43 @@
 		["spread", "yes", /"spread" must be true or false/],
 		["urgency", null, /"urgency" must be/],
 	];
-	for (const [field, value, expected] of wrong) {
-		assert.throws(() => parseJobSpec(JSON.stringify({ ...job, [field]: value })), expected);
-	}
-	assert.throws(() => parseJobSpec("[1]"), /not a JSON object/);
-	assert.throws(() => parseJobSpec("{"), /not JSON/);
-	assert.throws(() => parseJobSpec('{"id":"j-1","cores":1e999}'), /is missing|finite/);
+	test("with a faulty field is refused by the name of the field", () => {
+		for (const [field, value, message] of faults) assert.throws(() => parse({ [field]: value }), message);
+	});
+
+	test("of a standing job may not estimate a run time", () => {
+		assert.throws(() => parse({ form: "standing", guess_s: 5 }), /"guess_s" must be 0 for a standing job/);
+	});
+
+	test("that is not a JSON object is refused", () => {
+		assert.throws(() => parseJobSpec("[1]"), /not a JSON object/);
+		assert.throws(() => parseJobSpec("{"), /not JSON/);
+		assert.throws(() => parseJobSpec('{"id":"j-1","cores":1e999}'), /is missing|finite/);
+	});
+});
+
+describe("the id of a job", () => {
+	test("is found in a submission that is malformed otherwise", () => {
+		assert.equal(jobIdOf('{"id":"j-7","cores":-1}'), "j-7");
+		for (const body of ["", "{", "null", "7", "[]", "{}", '{"id":7}', '{"id":"x-7"}']) {
+			assert.equal(jobIdOf(body), null, body);
+		}
+	});
+
+	test("has a form that is checked", () => {
+		for (const id of ["j-0", "j-000412", "j-123456789012345678"]) assert.ok(isJobId(id), id);
+		for (const id of ["", "j-", "j-1/0", "J-1", "j-1234567890123456789"]) assert.ok(!isJobId(id), id);
+	});
+});
+
+describe("the state of a job", () => {
+	test("is told with the numbers of tasks only where they are asked for", () => {
+		assert.deepStrictEqual(jobResponseBody("j-1", "pending"), { id: "j-1", status: "pending" });
+		assert.deepStrictEqual(jobResponseBody("j-1", "running", { done: 3, running: 13 }), {
+			id: "j-1",
+			status: "running",
+			done: 3,
+			running: 13,
+		});
+	});
 });
--- a/tests/protocol/peer/forwarding-wire.test.ts
+++ b/tests/protocol/peer/forwarding-wire.test.ts
@@ -3,6 +3,6 @@
 import { decodeHeartbeat, encodeHeartbeat } from "../../../src/protocol/peer/forwarding-wire.js";
 import { report } from "../../support/forwarded-heartbeat.js";
 
-test("a report keeps every field on its way between controllers", () => {
+test("a forwarded heartbeat keeps every field on its way between controllers", () => {
 	assert.deepEqual(decodeHeartbeat(encodeHeartbeat(report)), report);
 });
--- a/tests/protocol/settings/operator.test.ts
+++ b/tests/protocol/settings/operator.test.ts
@@ -1,11 +1,52 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
-import { parseOperator } from "../../../src/protocol/settings/operator.js";
-
-test("operators' settings: unknown fields are rejected by name, limits are checked", async () => {
-	assert.equal((await parseOperator("o.yaml", "climb:\n  high: 2\n")).climb.high, 2);
-	assert.equal((await parseOperator("o.yaml", "")).climb.up_past, 3);
-	await assert.rejects(parseOperator("o.yaml", "climb:\n  hgih: 2\n"), /o\.yaml: .*hgih/);
-	await assert.rejects(parseOperator("o.yaml", "climb:\n  high: 0.1\n"), /"climb\.low": must be below/);
-	await assert.rejects(parseOperator("o.yaml", "- 1\n"), /expected a mapping/);
+import { readFileSync } from "node:fs";
+import { describe, test } from "node:test";
+import { SettingsError } from "../../../src/protocol/errors.js";
+import { defaultOperator, parseOperator } from "../../../src/protocol/settings/operator.js";
+
+const parse = (source: string) => parseOperator("o.yaml", source);
+
+describe("the operators' settings", () => {
+	test("take what the file gives, and defaults for the rest", async () => {
+		assert.equal((await parse("climb:\n  high: 2\n")).climb.high, 2);
+		assert.equal((await parse("")).climb.up_past, 3);
+		assert.deepEqual(await parse(""), defaultOperator());
+	});
+
+	test("are refused by name for an unknown field", async () => {
+		await assert.rejects(parse("climb:\n  hgih: 2\n"), /o\.yaml: .*hgih/);
+	});
+
+	test("are refused where two fields do not go together", async () => {
+		await assert.rejects(parse("climb:\n  high: 0.1\n"), /"climb\.low": must be below/);
+		await assert.rejects(parse("leadership: { ttl_s: 1, margin_s: 0.5 }"), /"leadership\.margin_s": must be/);
+	});
+
+	test("are refused unless the file is a YAML mapping", async () => {
+		await assert.rejects(parse("- 1\n"), /expected a mapping/);
+		await assert.rejects(parse("climb: [\n"), (error) => {
+			assert.ok(error instanceof SettingsError);
+			assert.match(error.message, /^o\.yaml: not YAML: [^\n]+$/);
+			return true;
+		});
+	});
+});
+
+describe("the operators' settings of team quota", () => {
+	test("are off unless the file switches them on", () => {
+		assert.equal(defaultOperator().team_quota.enabled, false);
+	});
+
+	test("are read from the file that the service is deployed with", async () => {
+		// Compiled tests run from target/tests/tests; the deployment's files stay in the source tree.
+		const file = new URL("../../../../../deploy/operator.yaml", import.meta.url);
+		const deployed = await parseOperator("operator.yaml", readFileSync(file, "utf8"));
+		assert.equal(deployed.team_quota.expiry_s, 2.5);
+	});
+
+	test("are refused by the name of the faulty field", async () => {
+		await assert.rejects(parse("team_quota: { enable: true }"), /team_quota.enable/);
+		await assert.rejects(parse("team_quota: { expiry_s: 0 }"), /team_quota.expiry_s/);
+		await assert.rejects(parse("team_quota: { expiry_s: 1, margin_s: 0.6 }"), /team_quota.margin_s/);
+	});
 });
--- a/tests/protocol/settings/platform.test.ts
+++ b/tests/protocol/settings/platform.test.ts
@@ -1,46 +1,99 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { parsePlatform } from "../../../src/protocol/settings/platform.js";
-import { settings } from "../../support/public-service.js";
-
-test("platform settings: unknown fields are ignored, faults are named with their file", () => {
-	// No limit was told, and 0 means none: neither keeps a team from using anything.
-	assert.equal(parsePlatform("s.toml", settings).cluster.teams[0]?.gpus_max, Number.POSITIVE_INFINITY);
-	const guest = settings.replace(/cpus = [\d.]+\ncpus_max = 8\.0/, "cpus = 0.0\ncpus_max = 0.0");
-	assert.notEqual(guest, settings);
-	const [team] = parsePlatform("s.toml", guest).cluster.teams;
-	assert.deepEqual([team?.cpus, team?.cpus_max], [0, Number.POSITIVE_INFINITY]);
-	assert.throws(() => parsePlatform("s.toml", "node = "), /s\.toml: not TOML/);
-	assert.throws(
-		() => parsePlatform("s.toml", settings.replace("lease_s = 10.0", "")),
-		/"cluster\.workers\.lease_s"/,
-	);
-	assert.throws(
-		() => parsePlatform("s.toml", settings.replace("cpus_max = 8.0", "cpus_max = 1.0")),
-		/guarantee must not exceed/,
-	);
+import { platformSettingsToml } from "../../support/platform-settings.js";
+
+const parse = (source: string) => parsePlatform("s.toml", source);
+
+/** The settings with one text replaced, which must be there. */
+function changed(from: string | RegExp, to: string): string {
+	const source = platformSettingsToml.replace(from, to);
+	assert.notEqual(source, platformSettingsToml);
+	return source;
+}
+
+describe("the platform's settings", () => {
+	test("may have unknown fields", () => {
+		assert.equal(parse(platformSettingsToml).node, "runner-0");
+	});
+
+	test("are refused, by file, where they are not TOML", () => {
+		assert.throws(() => parse("node = "), /s\.toml: not TOML/);
+	});
+
+	test("are refused, by file and field, where a field is missing", () => {
+		assert.throws(() => parse(changed("lease_s = 10.0", "")), /"cluster\.workers\.lease_s"/);
+	});
+
+	test("are refused where times of workers do not go together", () => {
+		assert.throws(() => parse(changed("report_s = 1.0", "report_s = 10.0")), /"cluster\.workers\.report_s"/);
+		assert.throws(() => parse(changed("cancel_s = 37.0", "cancel_s = 9.0")), /"cluster\.workers\.lease_s"/);
+	});
+});
+
+describe("the limits of teams in the platform's settings", () => {
+	test("are none where the file says 0 or nothing", () => {
+		assert.equal(parse(platformSettingsToml).cluster.teams[0]?.gpus_max, Number.POSITIVE_INFINITY);
+		const guest = changed(/cpus = [\d.]+\ncpus_max = 8\.0/, "cpus = 0.0\ncpus_max = 0.0");
+		const [team] = parse(guest).cluster.teams;
+		assert.deepEqual([team?.cpus, team?.cpus_max], [0, Number.POSITIVE_INFINITY]);
+	});
+
+	test("are refused below the team's guarantee", () => {
+		assert.throws(() => parse(changed("cpus_max = 8.0", "cpus_max = 1.0")), /guarantee must not exceed/);
+	});
+
+	test("are refused for a team that is named twice", () => {
+		const team = '[[cluster.teams]]\nname = "red"\ncpus = 4.0\ncpus_max = 8.0\n';
+		const source = changed("[[cluster.teams]]", `${team}[[cluster.teams]]`);
+		assert.throws(() => parse(source), /"cluster\.teams\.1\.name": "red" is named twice/);
+	});
+});
+
+describe("the controllers in the platform's settings", () => {
 	const peer = (node: string) => `[[others]]\nnode = "${node}"\ndomain = "z"\naddr = "127.0.0.1:9"\n`;
-	const with4 = `${settings.replace("nodes = 1", "nodes = 5")}${["a", "b", "c", "d"].map(peer).join("")}`;
-	assert.equal(parsePlatform("s.toml", with4).others.length, 4);
-	const refused: [string, RegExp][] = [
-		[with4.replace("nodes = 5", "nodes = 3"), /"cluster\.nodes": is 3, but .* are 5/],
-		[with4.replace('"d"', '"a"'), /"others\.3\.node": "a" is named twice/],
-		[with4.replace('"d"', '"runner-0"'), /"others\.3\.node": "runner-0" is named twice/],
-		[settings.replace("report_s = 1.0", "report_s = 10.0"), /"cluster\.workers\.report_s"/],
-		[settings.replace("cancel_s = 37.0", "cancel_s = 9.0"), /"cluster\.workers\.lease_s"/],
-	];
-	for (const [text, message] of refused) assert.throws(() => parsePlatform("s.toml", text), message);
+	const fiveControllers = `${changed("nodes = 1", "nodes = 5")}${["a", "b", "c", "d"].map(peer).join("")}`;
+
+	test("are each named once, and as many as the cluster has", () => {
+		assert.equal(parse(fiveControllers).others.length, 4);
+	});
+
+	test("are refused in another number", () => {
+		const source = fiveControllers.replace("nodes = 5", "nodes = 3");
+		assert.throws(() => parse(source), /"cluster\.nodes": is 3, but .* are 5/);
+	});
+
+	test("are refused where one is named twice", () => {
+		const twice = fiveControllers.replace('"d"', '"a"');
+		assert.throws(() => parse(twice), /"others\.3\.node": "a" is named twice/);
+		const self = fiveControllers.replace('"d"', '"runner-0"');
+		assert.throws(() => parse(self), /"others\.3\.node": "runner-0" is named twice/);
+	});
 });
 
-test("limits of the state service that are to come hold from the start; impossible ones are refused by field", () => {
-	const state = (next: string) =>
-		parsePlatform("s.toml", `${settings}[cluster.state.next]\n${next}\n`).cluster.state;
-	const lesser = state("value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 40.0");
-	assert.deepEqual([lesser.value_kb, lesser.txn_ops, lesser.write_rps, lesser.rps], [2, 4, 20, 100]);
-	assert.equal(state("").value_kb, 16);
-	for (const wrong of ["value_kb = 0", "txn_ops = -1", "txn_ops = 1.5", "write_rps = nan", 'rps = "many"'])
-		assert.throws(
-			() => state(wrong),
-			new RegExp(`s\\.toml: field "cluster\\.state\\.next\\.${wrong.split(" ")[0]}"`),
-		);
+describe("limits of the store that are to come", () => {
+	const storeLimits = (next: string) =>
+		parse(`${platformSettingsToml}[cluster.state.next]\n${next}\n`).cluster.state;
+
+	test("hold from the start where they are lower", () => {
+		const lesser = storeLimits("value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 40.0");
+		assert.deepEqual([lesser.value_kb, lesser.txn_ops, lesser.write_rps, lesser.rps], [2, 4, 20, 100]);
+		assert.equal(storeLimits("").value_kb, 16);
+	});
+
+	test("are refused by field where they are impossible", () => {
+		for (const wrong of [
+			"value_kb = 0",
+			"txn_ops = -1",
+			"txn_ops = 1.5",
+			"write_rps = nan",
+			'rps = "many"',
+		]) {
+			const [field] = wrong.split(" ");
+			assert.throws(
+				() => storeLimits(wrong),
+				new RegExp(`s\\.toml: field "cluster\\.state\\.next\\.${field}"`),
+			);
+		}
+	});
 });
--- /dev/null
+++ b/tests/support/stub-public-service.ts
@@ -0,0 +1,17 @@
+import type { PublicService } from "../../src/transport/public/public-service.js";
+
+/**
+ * A service that accepts the jobs of team red, knows the running job j-1, cannot cancel now, and sends workers to
+ * runner-2.
+ */
+export const stubPublicService: PublicService = {
+	submit: async (spec) =>
+		spec.team === "red"
+			? { kind: "accepted", status: "pending" }
+			: { kind: "rejected", reason: "there is no team" },
+	status: async (id) =>
+		id === "j-1" ? { kind: "found", status: "running", done: 1, running: 2 } : { kind: "not-found" },
+	cancel: async () => ({ kind: "unavailable", reason: "not now" }),
+	handleHeartbeat: async () => ({ kind: "elsewhere", node: "runner-2" }),
+	ready: () => true,
+};
--- a/tests/transport/peers/frame.test.ts
+++ b/tests/transport/peers/frame.test.ts
@@ -1,15 +1,26 @@
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { encodeFrame, FrameReader } from "../../../src/transport/peers/frame.js";
 
-test("frames between controllers survive any cutting of the stream", () => {
-	const messages = [{ a: 1 }, { text: "x".repeat(1000), list: [1, null, "y"] }, 7];
-	const bytes = Buffer.concat(messages.map(encodeFrame));
-	for (const step of [1, 3, 500, bytes.length]) {
-		const reader = new FrameReader();
-		const got: unknown[] = [];
-		for (let i = 0; i < bytes.length; i += step) got.push(...reader.push(bytes.subarray(i, i + step)));
-		assert.deepEqual(got, messages);
-	}
-	assert.throws(() => new FrameReader().push(Buffer.from([255, 255, 255, 255])), /frame of/);
+describe("frames between controllers", () => {
+	test("are read whole however the stream is cut", () => {
+		const messages = [{ a: 1 }, { text: "x".repeat(1000), list: [1, null, "y"] }, 7];
+		const bytes = Buffer.concat(messages.map(encodeFrame));
+		for (const chunkBytes of [1, 3, 500, bytes.length]) {
+			const reader = new FrameReader();
+			const received: unknown[] = [];
+			for (let from = 0; from < bytes.length; from += chunkBytes) {
+				received.push(...reader.push(bytes.subarray(from, from + chunkBytes)));
+			}
+			assert.deepEqual(received, messages);
+		}
+	});
+
+	test("have four bytes of length, then CBOR without records", () => {
+		assert.equal(encodeFrame({ hello: "a" }).toString("hex"), "0000000bb900016568656c6c6f6161");
+	});
+
+	test("beyond the longest message are refused by their length", () => {
+		assert.throws(() => new FrameReader().push(Buffer.from([255, 255, 255, 255])), /frame of/);
+	});
 });
--- a/tests/transport/public/public-api.test.ts
+++ b/tests/transport/public/public-api.test.ts
@@ -1,109 +1,125 @@
 import assert from "node:assert/strict";
-import { Agent, request } from "node:http";
-import { connect } from "node:net";
-import { test } from "node:test";
-import { HttpClient } from "../../../src/transport/clients/http-client.js";
+import { describe, test } from "node:test";
+import { CallError } from "../../../src/coordination/ports/call-error.js";
 import { publicApi } from "../../../src/transport/public/public-api.js";
-import { startPublicServer } from "../../../src/transport/public/public-server.js";
-import { job, report, service } from "../../support/public-service.js";
+import type { PublicService } from "../../../src/transport/public/public-service.js";
+import { submissionBody } from "../../support/request-bodies.js";
 import { silentLog } from "../../support/silent-log.js";
+import { stubPublicService } from "../../support/stub-public-service.js";
 
-test("the front answers every kind of request cleanly", async () => {
-	const app = publicApi(service, silentLog);
-	const post = (path: string, body: string) => app.request(path, { method: "POST", body });
-	assert.equal((await app.request("/ready")).status, 200);
-	assert.equal((await post("/v1/jobs", JSON.stringify(job))).status, 201);
-	assert.equal((await post("/v1/jobs", JSON.stringify({ ...job, desk: "green" }))).status, 422);
-	const bad = await post("/v1/jobs", JSON.stringify({ ...job, cores: null }));
-	assert.equal(bad.status, 400);
-	assert.match(((await bad.json()) as { error: string }).error, /"cores"/);
-	assert.equal((await post("/v1/jobs", "x".repeat(70_000))).status, 413);
-	assert.deepEqual(await (await app.request("/v1/jobs/j-1")).json(), {
-		id: "j-1",
-		status: "running",
-		done: 1,
-		running: 2,
-	});
-	assert.equal((await app.request("/v1/jobs/j-2")).status, 404);
-	assert.equal((await app.request("/v1/jobs/nonsense")).status, 404);
-	const later = await post("/v1/jobs/j-1/abort", "");
-	assert.equal(later.status, 503);
-	assert.equal(later.headers.get("retry-after"), "1");
-	assert.equal((await app.request("/v1/jobs", { method: "DELETE" })).status, 405);
-	assert.equal((await app.request("/elsewhere")).status, 404);
+function apiOf(service: Partial<PublicService> = {}) {
+	const app = publicApi({ ...stubPublicService, ...service }, silentLog);
+	return {
+		get: async (path: string) => app.request(path),
+		delete: async (path: string) => app.request(path, { method: "DELETE" }),
+		post: async (path: string, body: string) => app.request(path, { method: "POST", body }),
+		submit: async (body: object) => app.request("/v1/jobs", { method: "POST", body: JSON.stringify(body) }),
+	};
+}
+
+describe("the load balancer's question whether the controller is ready", () => {
+	test("is answered 200 or 503", async () => {
+		assert.equal((await apiOf().get("/ready")).status, 200);
+		const starting = await apiOf({ ready: () => false }).get("/ready");
+		assert.deepEqual([starting.status, await starting.json()], [503, { error: "the node is starting" }]);
+	});
 });
 
-test("the front serves over a socket, bounds bodies and survives garbage", async () => {
-	const front = await startPublicServer({
-		service,
-		log: silentLog,
-		host: "127.0.0.1",
-		port: 0,
-		maxConnections: 50,
-	});
-	try {
-		await new Promise<void>((resolve) => {
-			const socket = connect(front.port, "127.0.0.1", () => socket.write("nonsense\r\n\r\n"));
-			socket.on("error", () => {});
-			socket.on("data", () => {});
-			socket.on("close", () => resolve());
-		});
-		const client = new HttpClient(`127.0.0.1:${front.port}`, 2);
-		assert.equal((await client.call("GET", "/v1/jobs/j-1", undefined, 5000)).status, 200);
-		assert.equal((await client.call("POST", "/v1/jobs", { text: "x".repeat(70_000) }, 5000)).status, 413);
-		assert.equal((await client.call("GET", "/v1/jobs/j-1", undefined, 5000)).status, 200);
-		const moved = await client.call("POST", "/v1/report", report, 5000);
-		assert.deepEqual(moved, { status: 421, body: { foreman: "runner-2" } });
-		assert.equal((await client.call("POST", "/v1/report?try=2", report, 5000)).status, 421);
-		const bad = await client.call("POST", "/v1/report", { ...report, shift: -1 }, 5000);
-		assert.equal(bad.status, 400);
-		assert.match((bad.body as { error: string }).error, /"shift"/);
-		const large = { ...report, endpoint: "x".repeat(70_000) };
-		assert.equal((await client.call("POST", "/v1/report", large, 5000)).status, 413);
-		assert.equal((await client.call("GET", "/v1/report", undefined, 5000)).status, 405);
-		client.close();
-	} finally {
-		await front.close();
-	}
-	const gone = new HttpClient(`127.0.0.1:${front.port}`, 2);
-	await assert.rejects(gone.call("GET", "/ready", undefined, 5000), { outcome: "not executed" });
-	gone.close();
+describe("a submission", () => {
+	test("that is accepted gets 201 and the job's state", async () => {
+		const response = await apiOf().submit(submissionBody());
+		assert.equal(response.status, 201);
+		assert.deepEqual(await response.json(), { id: "j-000412", status: "pending" });
+	});
+
+	test("of a job that was accepted earlier gets 200 and the job's state", async () => {
+		const service = { submit: async () => ({ kind: "duplicate", status: "done" }) as const };
+		const response = await apiOf(service).submit(submissionBody());
+		assert.deepEqual([response.status, await response.json()], [200, { id: "j-000412", status: "done" }]);
+	});
+
+	test("of a job that can never run gets 422", async () => {
+		assert.equal((await apiOf().submit(submissionBody({ desk: "green" }))).status, 422);
+	});
+
+	test("with a faulty field gets 400 and the field's name", async () => {
+		const response = await apiOf().submit(submissionBody({ cores: null }));
+		assert.equal(response.status, 400);
+		assert.match(((await response.json()) as { error: string }).error, /"cores"/);
+	});
+
+	test("with a field that names what does not exist gets 400 and the reason", async () => {
+		const service = { submit: async () => ({ kind: "malformed", reason: "no such zone" }) as const };
+		const response = await apiOf(service).submit(submissionBody());
+		assert.deepEqual([response.status, await response.json()], [400, { error: "no such zone" }]);
+	});
+
+	test("with a faulty field of a job that was accepted earlier gets 200 and the job's state", async () => {
+		assert.equal((await apiOf().submit(submissionBody({ id: "j-2", pieces: 0 }))).status, 400);
+		const known = await apiOf().submit(submissionBody({ id: "j-1", pieces: 0 }));
+		assert.deepEqual([known.status, await known.json()], [200, { id: "j-1", status: "running" }]);
+	});
+
+	test("larger than 64 KiB gets 413", async () => {
+		assert.equal((await apiOf().post("/v1/jobs", "x".repeat(70_000))).status, 413);
+	});
 });
 
-test("where connections are short workers are asked to open theirs anew, users are not", async () => {
-	const front = await startPublicServer({
-		service,
-		log: silentLog,
-		host: "127.0.0.1",
-		port: 0,
-		maxConnections: 10,
-	});
-	const idle: ReturnType<typeof connect>[] = [];
-	const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-	const ask = (path: string, body?: object) =>
-		new Promise<string | undefined>((resolve, reject) => {
-			const method = body ? "POST" : "GET";
-			const sent = request({ host: "127.0.0.1", port: front.port, path, method, agent }, (answer) => {
-				answer.resume();
-				answer.once("end", () => resolve(answer.headers.connection));
-			});
-			sent.once("error", reject);
-			sent.end(body && JSON.stringify(body));
+describe("a question about a job", () => {
+	test("is answered with its state and the numbers of its tasks", async () => {
+		assert.deepEqual(await (await apiOf().get("/v1/jobs/j-1")).json(), {
+			id: "j-1",
+			status: "running",
+			done: 1,
+			running: 2,
 		});
-	try {
-		assert.notEqual(await ask("/v1/report", report), "close");
-		for (let i = 0; i < 9; i++) {
-			const socket = connect(front.port, "127.0.0.1");
-			idle.push(socket);
-			await new Promise<void>((resolve) => socket.once("connect", resolve));
-		}
-		// The far end has connected before the server takes a connection up.
-		await new Promise((resolve) => setTimeout(resolve, 100));
-		assert.equal(await ask("/v1/report", report), "close");
-		assert.notEqual(await ask("/v1/jobs/j-1"), "close");
-	} finally {
-		for (const socket of idle) socket.destroy();
-		agent.destroy();
-		await front.close();
-	}
+	});
+
+	test("that does not exist, or has no valid id, is answered 404", async () => {
+		assert.equal((await apiOf().get("/v1/jobs/j-2")).status, 404);
+		assert.equal((await apiOf().get("/v1/jobs/nonsense")).status, 404);
+	});
+});
+
+describe("a cancellation", () => {
+	test("that is uncertain gets 503 and the time to try again", async () => {
+		const response = await apiOf().post("/v1/jobs/j-1/abort", "");
+		assert.equal(response.status, 503);
+		assert.equal(response.headers.get("retry-after"), "1");
+	});
+
+	test("that is certain gets 200 and the job's state", async () => {
+		const cancelled = { kind: "found", status: "cancelled", done: 1, running: 0 } as const;
+		const response = await apiOf({ cancel: async () => cancelled }).post("/v1/jobs/j-1/abort", "");
+		assert.deepEqual([response.status, await response.json()], [200, { id: "j-1", status: "cancelled" }]);
+	});
+
+	test("of a job that does not exist, or has no valid id, gets 404", async () => {
+		const service = { cancel: async () => ({ kind: "not-found" }) as const };
+		assert.equal((await apiOf(service).post("/v1/jobs/j-2/abort", "")).status, 404);
+		assert.equal((await apiOf().post("/v1/jobs/nonsense/abort", "")).status, 404);
+	});
+});
+
+describe("other requests", () => {
+	test("with a method that is not allowed get 405 and the one that is", async () => {
+		const response = await apiOf().delete("/v1/jobs");
+		assert.equal(response.status, 405);
+		assert.equal(response.headers.get("allow"), "POST");
+	});
+
+	test("to other paths get 404", async () => {
+		assert.equal((await apiOf().get("/elsewhere")).status, 404);
+	});
+
+	test("that fail by a fault of the service get 503 and the time to try again", async () => {
+		const failing = async () => {
+			throw new CallError("unknown", 0, "a fault");
+		};
+		const response = await apiOf({ status: failing }).get("/v1/jobs/j-1");
+		assert.deepEqual(
+			[response.status, response.headers.get("retry-after"), await response.json()],
+			[503, "1", { error: "the request could not be handled" }],
+		);
+	});
 });
