--- a/src/coordination/jobs/done-task-records.ts
+++ b/src/coordination/jobs/done-task-records.ts
@@ -52,7 +52,7 @@
 		this.nextWriteAt = now + writeEveryMs;
 		for (const job of this.options.jobs()) {
 			// The final record says more than the pages could.
-			if (!job.finalizing) this.setDirtyPages(job);
+			if (!job.finalizing) this.setChangedPages(job);
 		}
 		this.pages.flush();
 	}
@@ -64,15 +64,16 @@
 		}
 	}
 
-	private setDirtyPages(job: Job): void {
-		for (const page of job.dirtyPages) this.pages.set(pageName(job.id, page), job.doneTasks.page(page));
-		job.dirtyPages.clear();
+	private setChangedPages(job: Job): void {
+		for (const page of job.takeChangedPages()) {
+			this.pages.set(pageName(job.id, page), job.doneTasks.page(page));
+		}
 	}
 
 	private onConfirmed(entries: Map<string, string>): void {
 		for (const [name, bits] of entries) {
 			const { jobId, page } = parsePageName(name);
-			this.options.jobById(jobId)?.durableDoneTasks.addPage(page, bits);
+			this.options.jobById(jobId)?.markPageDurable(page, bits);
 		}
 	}
 }
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -70,7 +70,6 @@
 	/** Begins to write the final record if all tasks of the job are done. */
 	finishIfDone(job: Job): void {
 		if (!job.doneTasks.full || job.finalizing || job.over) return;
-		job.finalizing = true;
 		this.writeFinalRecord(job);
 	}
 
@@ -80,7 +79,7 @@
 	 */
 	writeFinalRecord(job: Job): void {
 		if (this.options.termEnded() || job.over) return;
-		job.finalizingAt = this.options.clock.now();
+		job.startFinalizing(this.options.clock.now());
 		const { spec } = job;
 		const final: FinalJobRecord = {
 			status: "done",
--- a/src/coordination/jobs/job-service.ts
+++ b/src/coordination/jobs/job-service.ts
@@ -1,9 +1,9 @@
 /** Users' requests about jobs: submission, state and cancellation. */
 
-import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import type { StoreReplica } from "../../bookkeeping/store-replica.js";
 import type { JobId } from "../../protocol/model/identifiers.js";
 import type { JobSpec } from "../../protocol/model/job.js";
+import type { TeamQuota } from "../../protocol/model/team-quota.js";
 import type { Clock } from "../ports/clock.js";
 import type { KeyValueStore } from "../ports/store.js";
 import type { ReplicaSync } from "../replication/replica-sync.js";
@@ -18,8 +18,8 @@
 	replicaSync: ReplicaSync;
 	store: KeyValueStore;
 	clock: Clock;
-	/** The limits of a team; undefined: there is no such team. */
-	limitsOf(team: string): TeamLimits | undefined;
+	/** The quota of a team; undefined: there is no such team. */
+	quotaOf(team: string): TeamQuota | undefined;
 	/** The zones of the platform's settings; empty: the settings do not say. */
 	zones: readonly string[];
 	/** Largest value that the store takes. */
--- a/src/coordination/jobs/job-submission.ts
+++ b/src/coordination/jobs/job-submission.ts
@@ -1,10 +1,10 @@
 /** Accepts jobs: checks them and writes them to the store. */
 
-import type { TeamLimits } from "../../bookkeeping/quota-ledger.js";
 import type { StoreReplica } from "../../bookkeeping/store-replica.js";
 import type { JobId } from "../../protocol/model/identifiers.js";
 import { isService, type JobSpec } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
+import type { TeamQuota } from "../../protocol/model/team-quota.js";
 import { encodeJobRecord, type StoredJobRecord } from "../../protocol/records/job-record.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { Clock } from "../ports/clock.js";
@@ -21,8 +21,8 @@
 	store: KeyValueStore;
 	clock: Clock;
 	states: JobStateReader;
-	/** The limits of a team; undefined: there is no such team. */
-	limitsOf(team: string): TeamLimits | undefined;
+	/** The quota of a team; undefined: there is no such team. */
+	quotaOf(team: string): TeamQuota | undefined;
 	/** The zones of the platform's settings; empty: the settings do not say. */
 	zones: readonly string[];
 	/** Largest value that the store takes. */
@@ -67,12 +67,12 @@
 	}
 
 	private refusalOf(spec: JobSpec, record: StoredJobRecord, types: MachineType[]): SubmitResult | null {
-		const { zones, limitsOf, maxValueBytes } = this.options;
+		const { zones, quotaOf, maxValueBytes } = this.options;
 		// A zone that does not exist is a mistake in the field; one that offers no fitting type is not.
 		if (spec.zone !== null && zones.length > 0 && !zones.includes(spec.zone)) {
 			return { kind: "malformed", reason: `field "hall": there is no zone "${spec.zone}"` };
 		}
-		const infeasible = infeasibilityReason(spec, limitsOf(spec.team), types);
+		const infeasible = infeasibilityReason(spec, quotaOf(spec.team), types);
 		if (infeasible !== null) return { kind: "rejected", reason: infeasible };
 		if (Buffer.byteLength(JSON.stringify(record)) > maxValueBytes) {
 			return { kind: "rejected", reason: "the job's description is too long to be kept" };
--- a/src/protocol/settings/platform.ts
+++ b/src/protocol/settings/platform.ts
@@ -8,6 +8,7 @@
 
 import { parse as parseToml } from "smol-toml";
 import * as v from "valibot";
+import type { TeamQuota } from "../model/team-quota.js";
 import { amount, positive } from "../schema-checks.js";
 import { checkSettings, fieldError, formatError } from "./settings-file.js";
 
@@ -23,7 +24,7 @@
 	v.transform((most) => (most === 0 ? Number.POSITIVE_INFINITY : most)),
 );
 
-/** A team, whose guarantees and limits are amounts that its running tasks take together. */
+/** A team. What it is guaranteed, and its limit, are amounts that its running tasks take together. */
 const Team = v.object({
 	name: text,
 	/** Guaranteed CPU cores. */
@@ -36,6 +37,18 @@
 	gpus_max: v.optional(limit, 0),
 });
 
+/** A team in the service's own terms. */
+const TeamQuotaOfTeam = v.pipe(
+	Team,
+	v.transform(
+		({ name, cpus, cpus_max, gpus, gpus_max }): TeamQuota => ({
+			name,
+			guaranteed: { cpus, gpus },
+			limit: { cpus: cpus_max, gpus: gpus_max },
+		}),
+	),
+);
+
 /** What users expect of a class of jobs; see `objectives.ts` for those that the service acts on. */
 const ServiceLevelObjective = v.object({
 	/** `wait`: until the start of tasks; `finished`, `deadline`: until the end of jobs. */
@@ -100,7 +113,7 @@
 	zones: v.optional(v.array(text), []),
 	/** Bound on the error of the time of day. */
 	clock_off_ms: v.optional(amount, 0),
-	teams: v.optional(v.array(Team), []),
+	teams: v.optional(v.array(TeamQuotaOfTeam), []),
 	objectives: v.optional(v.array(ServiceLevelObjective), []),
 	workers: WorkerSettings,
 	/** The store. */
@@ -138,9 +151,6 @@
 /** The platform's settings after all checks, with the lesser of present and coming store limits. */
 export type PlatformSettings = v.InferOutput<typeof Platform>;
 
-/** A team's guarantees and limits; no limit is Infinity. */
-export type TeamSettings = v.InferOutput<typeof Team>;
-
 /** What users expect of a class of jobs. */
 export type ServiceLevelObjective = v.InferOutput<typeof ServiceLevelObjective>;
 
@@ -175,7 +185,8 @@
 			throw fieldError(file, `cluster.teams.${i}.name`, `"${team.name}" is named twice`);
 		}
 		names.add(team.name);
-		if (team.cpus > team.cpus_max || team.gpus > team.gpus_max) {
+		const { guaranteed, limit } = team;
+		if (guaranteed.cpus > limit.cpus || guaranteed.gpus > limit.gpus) {
 			throw fieldError(file, `cluster.teams.${i}`, "the guarantee must not exceed the limit");
 		}
 	});
--- a/src/transport/public/heartbeat-listener.ts
+++ b/src/transport/public/heartbeat-listener.ts
@@ -51,8 +51,8 @@
 	private async answer(body: string, response: ServerResponse): Promise<void> {
 		try {
 			const result = await this.options.service.handleHeartbeat(parseHeartbeat(body));
-			if (result.kind === "elsewhere") this.respond(response, 421, redirectBody(result.node));
-			else this.respond(response, 200, heartbeatResponseBody(result.token, result.orders));
+			if (result.kind === "redirect") this.respond(response, 421, redirectBody(result.node));
+			else this.respond(response, 200, heartbeatResponseBody(result.fencingToken, result.commands));
 		} catch (error) {
 			this.fail(error, response);
 		}
--- a/tests/coordination/fleet/replica-capacity.test.ts
+++ b/tests/coordination/fleet/replica-capacity.test.ts
@@ -13,12 +13,12 @@
 import { silentLog } from "../../support/silent-log.js";
 import { specOf, mediumType as type } from "../../support/specs.js";
 
-const teams = [{ name: "red", cpus: 400, cpus_max: 400, gpus: 0, gpus_max: 0 }];
+const teams = [{ name: "red", guaranteed: { cpus: 400, gpus: 0 }, limit: { cpus: 400, gpus: 0 } }];
 
 /** A fleet between tables and a cloud that rents whatever is asked for. */
 class Setup {
 	readonly time = new FakeTime();
-	readonly clusterState = new ClusterState(1, teams, new Map([[type.name, type]]));
+	readonly clusterState = new ClusterState({ term: 1, teams, machineTypes: [type] });
 	readonly requests: ScaleOutRequest[] = [];
 	private readonly fleet: Fleet;
 	private jobs = 0;
@@ -49,7 +49,7 @@
 	machine(id: string, zone: string, spot: boolean): Machine {
 		const machine = new Machine({ id, type, zone, spot, origin: "heartbeat" }, 0);
 		makeSchedulable(machine);
-		this.clusterState.machines.set(id, machine);
+		this.clusterState.addMachine(machine);
 		return machine;
 	}
 
@@ -80,7 +80,7 @@
 		const machine = setup.machine(`n-${i}`, i % 2 ? "a" : "b", true);
 		for (let k = 0; k < 2; k++) {
 			const attempt = setup.clusterState.assignNextTask(job, machine);
-			if (attempt) attempt.runningAt = 0;
+			if (attempt) attempt.noteState("running", 0);
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	const spot = Array.from({ length: 4 }, (_, i) => setup.machine(`n-spot${i}`, "a", true));
 	for (const machine of spot) {
 		const attempt = setup.clusterState.assignNextTask(small, machine);
-		if (attempt) attempt.runningAt = 0;
+		if (attempt) attempt.noteState("running", 0);
 	}
 	await setup.run(10);
 	assert.ok(spot.some((machine) => machine.lifecycle.draining));
--- a/tests/coordination/jobs/job-feasibility.test.ts
+++ b/tests/coordination/jobs/job-feasibility.test.ts
@@ -11,7 +11,7 @@
 	machineType({ name: "nowhere", cpus: 64, memoryGb: 512, gpus: 8, zones: [] }),
 ];
 
-const team = { name: "red", cpus: 4, cpus_max: 20, gpus: 0, gpus_max: 4 };
+const team = { name: "red", guaranteed: { cpus: 4, gpus: 0 }, limit: { cpus: 20, gpus: 4 } };
 
 /** Why a job of team red that needs 2 cores for each task, and what is given, can never run. */
 const reasonFor = (fields: Partial<JobSpec>) =>
--- a/tests/protocol/settings/platform.test.ts
+++ b/tests/protocol/settings/platform.test.ts
@@ -33,10 +33,10 @@
 
 describe("the limits of teams in the platform's settings", () => {
 	test("are none where the file says 0 or nothing", () => {
-		assert.equal(parse(platformSettingsToml).cluster.teams[0]?.gpus_max, Number.POSITIVE_INFINITY);
+		assert.equal(parse(platformSettingsToml).cluster.teams[0]?.limit.gpus, Number.POSITIVE_INFINITY);
 		const guest = changed(/cpus = [\d.]+\ncpus_max = 8\.0/, "cpus = 0.0\ncpus_max = 0.0");
 		const [team] = parse(guest).cluster.teams;
-		assert.deepEqual([team?.cpus, team?.cpus_max], [0, Number.POSITIVE_INFINITY]);
+		assert.deepEqual([team?.guaranteed.cpus, team?.limit.cpus], [0, Number.POSITIVE_INFINITY]);
 	});
 
 	test("are refused below the team's guarantee", () => {
--- a/tests/support/stub-public-service.ts
+++ b/tests/support/stub-public-service.ts
@@ -12,6 +12,6 @@
 	status: async (id) =>
 		id === "j-1" ? { kind: "found", status: "running", done: 1, running: 2 } : { kind: "not-found" },
 	cancel: async () => ({ kind: "unavailable", reason: "not now" }),
-	handleHeartbeat: async () => ({ kind: "elsewhere", node: "runner-2" }),
+	handleHeartbeat: async () => ({ kind: "redirect", node: "runner-2" }),
 	ready: () => true,
 };
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -1,5 +1,6 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { Controller } from "../../src/coordination/controller.js";
+import type { Controller } from "../../src/coordination/controller.js";
+import { type ControllerPorts, createController } from "../../src/coordination/controller-composition.js";
 import type { Clock } from "../../src/coordination/ports/clock.js";
 import type { Log } from "../../src/coordination/ports/log.js";
 import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../../src/protocol/http/worker-api.js";
@@ -274,7 +275,7 @@
 			writesPerS: 60,
 			controllers: this.nodes.length,
 		});
-		const controller = new Controller(settings, operator, incarnation, {
+		const ports: ControllerPorts = {
 			store: storeClient,
 			cloud: new CloudClient(
 				gate.caller(this.network.caller(id, "cloud", (m, p, b) => this.cloud.handle(m, p, b))),
@@ -297,7 +298,8 @@
 			schedule: queueMicrotask,
 			teamQuota: (post) =>
 				makeTeamQuota({ platform: settings, operator, incarnation, store: storeClient, time, log, post }),
-		});
+		};
+		const controller = createController({ platform: settings, operator, incarnation, ports });
 		const app = publicApi(
 			{
 				submit: (spec) => controller.jobs.submit(spec),
@@ -387,8 +389,8 @@
 					const result = await now.controller.handleHeartbeat(parseHeartbeat(sent));
 					if (fault.loseAnswer || this.network.isDown(now.id)) return;
 					const answer: HttpResponse =
-						result.kind === "orders"
-							? { status: 200, body: heartbeatResponseBody(result.token, result.orders) }
+						result.kind === "commands"
+							? { status: 200, body: heartbeatResponseBody(result.fencingToken, result.commands) }
 							: { status: 421, body: redirectBody(result.node) };
 					this.time.after(2, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpResponse));
 				});
