--- a/src/coordination/state/orphan-registry.ts
+++ b/src/coordination/state/orphan-registry.ts
@@ -45,15 +45,18 @@
 		machine.addOrphan(task);
 	}
 
-	/** The machine's orphaned tasks are gone, or a new heartbeat lists them anew; false: it had none. */
+	/**
+	 * The machine's orphaned tasks are gone, or a new heartbeat lists them anew; false: it had none. The machine gets
+	 * a new list in any case: who holds the list of the heartbeat before compares it with the next one.
+	 */
 	clear(machine: Machine): boolean {
-		if (machine.orphans.length === 0) return false;
-		for (const { demand, charge } of machine.orphans) {
+		const { orphans } = machine;
+		machine.clearOrphans();
+		for (const { demand, charge } of orphans) {
 			if (demand) this.accounting.giveBack(demand, charge);
 			else this.countUnknown(machine, -1);
 		}
-		machine.clearOrphans();
-		return true;
+		return orphans.length > 0;
 	}
 
 	/** It may have become known what tasks of the job use; false: nothing has changed. */
