--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -5,8 +5,9 @@
 import type { StoreReplica } from "../bookkeeping/store-replica.js";
 import type { NodeId, Term } from "../protocol/model/identifiers.js";
 import type { MachineType } from "../protocol/model/machine.js";
+import { startTimeObjectives } from "../protocol/settings/objectives.js";
 import type { OperatorSettings } from "../protocol/settings/operator.js";
-import { type PlatformSettings, startTimeObjectives } from "../protocol/settings/platform.js";
+import type { PlatformSettings } from "../protocol/settings/platform.js";
 import { Fleet } from "./fleet/fleet.js";
 import { ReplicaRelocation } from "./fleet/replica-relocation.js";
 import { LiveJobs } from "./jobs/live-jobs.js";
@@ -139,7 +140,7 @@
 		clusterState,
 		replica,
 		store,
-		records,
+		chunkedRecords: records,
 		clock,
 		log,
 		post,
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -103,7 +103,7 @@
 		this.workers
 			.sendCommands(machine.agent.endpoint, fencingTokenOf(this.clusterState.term), session, [])
 			.then(
-				({ executed, report }) =>
+				({ executed, heartbeat: report }) =>
 					this.hooks.post(() => {
 						if (!this.clusterState.unreconciledMachines.has(machine) || this.hooks.ended()) return;
 						if (executed && report.machineId === machine.id) this.hooks.apply(report);
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -9,12 +9,14 @@
 import type { PlatformSettings } from "./protocol/settings/platform.js";
 import { systemClock } from "./system-clock.js";
 import { makeTeamQuota } from "./team-quota.js";
-import { CloudClient } from "./transport/cloud-client.js";
-import { HttpClient } from "./transport/http-client.js";
-import { PeerLinks } from "./transport/peer-link.js";
-import { listenPublicApi, type PublicService } from "./transport/public-api.js";
-import { StoreClient } from "./transport/store-client.js";
-import { WorkerClient } from "./transport/worker-client.js";
+import { parseAddress } from "./transport/address.js";
+import { CloudClient } from "./transport/clients/cloud-client.js";
+import { HttpClient } from "./transport/clients/http-client.js";
+import { StoreClient } from "./transport/clients/store-client.js";
+import { WorkerClient } from "./transport/clients/worker-client.js";
+import { PeerLinks } from "./transport/peers/peer-links.js";
+import { startPublicServer } from "./transport/public/public-server.js";
+import type { PublicService } from "./transport/public/public-service.js";
 import { version } from "./version.js";
 
 const logLevels = ["fatal", "error", "warn", "info", "debug", "trace", "silent"];
@@ -38,22 +40,20 @@
 export async function serve(platform: PlatformSettings, operator: OperatorSettings): Promise<void> {
 	const log = createLog(platform.node);
 	logUncaughtErrors(log);
-	const peers = new PeerLinks(
-		platform.node,
-		platform.others,
-		(from, message) => controller.peerMessage(from, message),
+	const peers = new PeerLinks({
+		self: platform.node,
+		peers: platform.others,
+		onMessage: (from, message) => controller.peerMessage(from, message),
 		log,
-	);
+	});
 	const controller = buildController(platform, operator, peers, log);
-	const front = parseAddress(platform.front);
-	const back = parseAddress(platform.back);
-	const server = await listenPublicApi(
-		publicService(controller),
-		front.host,
-		front.port,
-		publicSockets(platform),
+	const server = await startPublicServer({
+		service: publicService(controller),
 		log,
-	);
+		...parseAddress(platform.front),
+		maxConnections: publicSockets(platform),
+	});
+	const back = parseAddress(platform.back);
 	await peers.listen(back.host, back.port);
 	controller.start();
 	log.info({ front: platform.front, back: platform.back, version }, "controller started");
@@ -61,8 +61,8 @@
 	const stop = () => {
 		log.info({}, "controller stopping");
 		controller.stop();
-		server.close();
-		peers.close();
+		void server.close();
+		void peers.close();
 		setTimeout(() => process.exit(0), exitDelayMs);
 	};
 	process.once("SIGTERM", stop);
@@ -92,13 +92,13 @@
 	const { cluster, endpoints } = platform;
 	const incarnation = randomBytes(6).toString("hex");
 	const seed = randomBytes(4).readInt32LE(0);
-	const store = new StoreClient(
-		new HttpClient(endpoints.state, storeConnections),
-		systemClock,
-		cluster.state.rps,
-		cluster.state.write_rps,
-		platform.others.length + 1,
-	);
+	const store = new StoreClient({
+		http: new HttpClient(endpoints.state, storeConnections),
+		clock: systemClock,
+		requestsPerS: cluster.state.rps,
+		writesPerS: cluster.state.write_rps,
+		controllers: platform.others.length + 1,
+	});
 	const ports = {
 		store,
 		cloud: new CloudClient(new HttpClient(endpoints.cloud, cloudConnections), systemClock, cluster.cloud.rps),
@@ -128,8 +128,3 @@
 	const sockets = Math.floor(cluster.resources.fd_limit * publicSocketsPart) - socketsKeptBack;
 	return Math.max(leastPublicSockets, sockets);
 }
-
-function parseAddress(address: string): { host: string; port: number } {
-	const colon = address.lastIndexOf(":");
-	return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
-}
--- /dev/null
+++ b/src/transport/clients/worker-client.ts
@@ -0,0 +1,41 @@
+/** Client of the workers' own addresses, for commands that must not wait for the next heartbeat. */
+
+import type { DirectCommandResult, WorkerGateway } from "../../coordination/ports/workers.js";
+import { paths } from "../../protocol/http/paths.js";
+import { directCommandsBody, directCommandsResponseFrom } from "../../protocol/http/worker-api.js";
+import type { AgentEpoch, FencingToken } from "../../protocol/model/identifiers.js";
+import type { WorkerCommand } from "../../protocol/model/worker.js";
+import { type HttpCaller, HttpClient } from "./http-client.js";
+import { expectStatus, parseResponse } from "./http-response.js";
+
+const callTimeoutMs = 2000;
+
+/**
+ * Sends commands straight to workers. Each call has its own short-lived connection: a worker is called seldom,
+ * and there are more workers than the process may have sockets.
+ */
+export class WorkerClient implements WorkerGateway {
+	/** @param openClient Makes the client of one worker's address; the call closes it. */
+	constructor(
+		private readonly openClient: (endpoint: string) => HttpCaller = (endpoint) => new HttpClient(endpoint, 1),
+	) {}
+
+	async sendCommands(
+		endpoint: string,
+		fencingToken: FencingToken,
+		agentEpoch: AgentEpoch,
+		commands: WorkerCommand[],
+	): Promise<DirectCommandResult> {
+		const http = this.openClient(endpoint);
+		try {
+			const body = directCommandsBody(fencingToken, agentEpoch, commands);
+			const response = await http.call("POST", paths.commands, body, callTimeoutMs);
+			// 409: the fencing token is too low or the agent epoch is another, and nothing was executed.
+			expectStatus(response, "direct commands", 200, 409);
+			const heartbeat = parseResponse(response, "direct commands", directCommandsResponseFrom);
+			return { executed: response.status === 200, heartbeat };
+		} finally {
+			http.close();
+		}
+	}
+}
--- a/tests/bookkeeping/cancellation-retention.test.ts
+++ b/tests/bookkeeping/cancellation-retention.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { StoreReplica } from "../../src/bookkeeping/store-replica.js";
 import { encodePeerMessage } from "../../src/protocol/peer/codec.js";
-import { frame } from "../../src/transport/peer-link.js";
+import { encodeFrame } from "../../src/transport/peers/frame.js";
 import { maxLinkBytes } from "../support/large-fleets.js";
 
 test("final records are kept as long as the store's write rate asks, and a vote with all of them is a message that links take", () => {
@@ -25,5 +25,5 @@
 	}));
 	assert.equal(cancellations.length, (changesPerS / 2) * 30);
 	const vote = { kind: "lease-extension-vote", term: 1, requestNumber: 1, cancellations } as const;
-	assert.ok(frame(encodePeerMessage(vote)).length < maxLinkBytes / 4);
+	assert.ok(encodeFrame(encodePeerMessage(vote)).length < maxLinkBytes / 4);
 });
--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -7,7 +7,7 @@
 import type { PeerMessage } from "../../../src/protocol/peer/messages.js";
 import { defaultOperator } from "../../../src/protocol/settings/operator.js";
 import type { PlatformSettings } from "../../../src/protocol/settings/platform.js";
-import { frame } from "../../../src/transport/peer-link.js";
+import { encodeFrame } from "../../../src/transport/peers/frame.js";
 import { FakeTime } from "../../support/fake-time.js";
 import { largeFleet, largeFleetSizes, maxLinkBytes } from "../../support/large-fleets.js";
 import { silentLog } from "../../support/silent-log.js";
@@ -24,7 +24,7 @@
 			let largestMessageBytes = 0;
 			const peers = {
 				send: (_node: string, message: PeerMessage) => {
-					largestMessageBytes = Math.max(largestMessageBytes, frame(encodePeerMessage(message)).length);
+					largestMessageBytes = Math.max(largestMessageBytes, encodeFrame(encodePeerMessage(message)).length);
 				},
 			};
 			const peerMonitor = new FailureDetector({
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -7,12 +7,13 @@
 import { defaultOperator } from "../../src/protocol/settings/operator.js";
 import { parsePlatform } from "../../src/protocol/settings/platform.js";
 import { makeTeamQuota } from "../../src/team-quota.js";
-import { CloudClient } from "../../src/transport/cloud-client.js";
-import type { HttpCaller, HttpResponse } from "../../src/transport/http-client.js";
-import { FrameReader, frame } from "../../src/transport/peer-link.js";
-import { publicApi } from "../../src/transport/public-api.js";
-import { StoreClient } from "../../src/transport/store-client.js";
-import { WorkerClient } from "../../src/transport/worker-client.js";
+import { CloudClient } from "../../src/transport/clients/cloud-client.js";
+import type { HttpCaller } from "../../src/transport/clients/http-client.js";
+import type { HttpResponse } from "../../src/transport/clients/http-response.js";
+import { StoreClient } from "../../src/transport/clients/store-client.js";
+import { WorkerClient } from "../../src/transport/clients/worker-client.js";
+import { encodeFrame, FrameReader } from "../../src/transport/peers/frame.js";
+import { publicApi } from "../../src/transport/public/public-api.js";
 import { FakeCloud } from "./cloud.js";
 import { FakeTime } from "./fake-time.js";
 import { FakeNetwork } from "./network.js";
@@ -267,7 +268,13 @@
 		const operator = defaultOperator();
 		operator.team_quota.enabled = this.teamQuota;
 		const incarnation = `inc${this.incarnation}`;
-		const storeClient = new StoreClient(store, time, 300, 60, this.nodes.length);
+		const storeClient = new StoreClient({
+			http: store,
+			clock: time,
+			requestsPerS: 300,
+			writesPerS: 60,
+			controllers: this.nodes.length,
+		});
 		const ports: ControllerPorts = {
 			store: storeClient,
 			cloud: new CloudClient(
@@ -336,7 +343,7 @@
 	}
 
 	private peer(fromId: string, from: string, to: string, message: unknown): void {
-		const bytes = frame(message);
+		const bytes = encodeFrame(message);
 		this.time.after(2, () => {
 			if (this.network.isDown(fromId) || this.cutLinks.has(from) || this.cutLinks.has(to)) return;
 			const process = this.processes.get(to);
