--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -35,7 +35,7 @@
 
 /** A job whose cancellation is in the store, and the revision of that. */
 export interface CancelledJob {
-	id: string;
+	jobId: string;
 	record: FinalJobRecord;
 	revision: number;
 }
@@ -53,10 +53,10 @@
 	features: FeatureSet = noFeatures;
 	readonly jobs = new Map<string, Versioned<JobRecord>>();
 	/** Shared values by their keys. */
-	readonly progress = new Map<string, Versioned<StoredChunk<string>>>();
-	readonly machines = new Map<string, Versioned<StoredChunk<StoredMachineRecord>>>();
+	readonly progressChunks = new Map<string, Versioned<StoredChunk<string>>>();
+	readonly machineChunks = new Map<string, Versioned<StoredChunk<StoredMachineRecord>>>();
 	/** Team quota's values as they are; undefined: gone. */
-	readonly quota = new Map<string, Versioned<unknown>>();
+	readonly quotaRecords = new Map<string, Versioned<unknown>>();
 	/** Pages of done-sets by job, as the values of `progress` have them. */
 	private readonly pages = new Map<string, Map<number, string>>();
 	/** The latest terminal records seen; older ones are read from the store when asked for. */
@@ -90,11 +90,11 @@
 
 	reset(rows: StoreRow[], revision: number): void {
 		const before = [...this.jobs.keys()];
-		const quotaBefore = [...this.quota.keys()];
+		const quotaBefore = [...this.quotaRecords.keys()];
 		this.jobs.clear();
-		this.progress.clear();
+		this.progressChunks.clear();
 		this.pages.clear();
-		this.machines.clear();
+		this.machineChunks.clear();
 		this.leader = null;
 		this.machineTypes = null;
 		this.features = noFeatures;
@@ -166,20 +166,21 @@
 				this.recordFinal(record.jobId, record.value, revision);
 				break;
 			case "progress": {
-				const old = this.progress.get(key);
+				const old = this.progressChunks.get(key);
 				if (!newer(old)) return;
-				this.progress.set(key, { value: record.value, revision });
+				this.progressChunks.set(key, { value: record.value, revision });
 				this.index(old?.value, record.value);
 				break;
 			}
 			case "machines":
-				if (newer(this.machines.get(key))) this.machines.set(key, { value: record.value, revision });
+				if (newer(this.machineChunks.get(key)))
+					this.machineChunks.set(key, { value: record.value, revision });
 				break;
 			case "leader":
 				if (newer(this.leader)) this.leader = { value: record.value, revision };
 				break;
 			case "quota":
-				if (newer(this.quota.get(key))) this.quota.set(key, { value: record.value, revision });
+				if (newer(this.quotaRecords.get(key))) this.quotaRecords.set(key, { value: record.value, revision });
 				break;
 			case "features":
 				this.features = record.value;
@@ -197,14 +198,14 @@
 			const id = key.slice(keys.jobs.length);
 			if (older(this.jobs.get(id))) this.dropLive(id);
 		} else if (key.startsWith(keys.progress)) {
-			const old = this.progress.get(key);
+			const old = this.progressChunks.get(key);
 			if (!older(old)) return;
-			this.progress.delete(key);
+			this.progressChunks.delete(key);
 			this.index(old?.value, { entries: {} });
 		} else if (key.startsWith(keys.machines)) {
-			if (older(this.machines.get(key))) this.machines.delete(key);
+			if (older(this.machineChunks.get(key))) this.machineChunks.delete(key);
 		} else if (key.startsWith(keys.quota)) {
-			if (older(this.quota.get(key))) this.quota.set(key, { value: undefined, revision });
+			if (older(this.quotaRecords.get(key))) this.quotaRecords.set(key, { value: undefined, revision });
 		} else if (key === keys.leader) {
 			if (older(this.leader)) this.leader = null;
 		} else if (key === keys.features) {
@@ -236,7 +237,7 @@
 	/** The page as the latest value that holds it has it. */
 	private pageIn(name: string): string | undefined {
 		let best: { bits: string; revision: number } | null = null;
-		for (const { value, revision } of this.progress.values()) {
+		for (const { value, revision } of this.progressChunks.values()) {
 			const bits = value.entries[name];
 			if (bits !== undefined && (best === null || revision > best.revision)) best = { bits, revision };
 		}
@@ -244,7 +245,7 @@
 	}
 
 	/** Bitmaps of the pages of a job's done-set. */
-	pagesOf(id: string): Iterable<[number, string]> {
+	donePagesOf(id: string): Iterable<[number, string]> {
 		return this.pages.get(id) ?? [];
 	}
 
@@ -252,7 +253,7 @@
 	recordFinal(id: string, record: FinalJobRecord, revision: number): void {
 		this.finalRecords.set(id, record);
 		trim(this.finalRecords, this.terminalKept);
-		if (record.status === "cancelled") this.noteCancelled({ id, record, revision });
+		if (record.status === "cancelled") this.noteCancelled({ jobId: id, record, revision });
 		if (this.dropLive(id)) this.notify(keys.job(id));
 	}
 
@@ -270,7 +271,7 @@
 	}
 
 	private noteCancelled(job: CancelledJob): void {
-		this.cancelled.set(job.id, job);
+		this.cancelled.set(job.jobId, job);
 		const dropped = trim(this.cancelled, this.cancellationsKept);
 		if (dropped) this.cancelledAfter = Math.max(this.cancelledAfter, dropped.revision);
 	}
@@ -279,7 +280,7 @@
 	 * Every cancellation after the revision of which this node can have told a user. null: it cannot
 	 * say, since an earlier process of the node may have told of some that this one never saw.
 	 */
-	cancelledSince(revision: number): CancelledJob[] | null {
+	cancellationsSince(revision: number): CancelledJob[] | null {
 		if (revision < this.cancelledAfter) return null;
 		return [...this.cancelled.values()].filter((job) => job.revision > revision);
 	}
@@ -290,14 +291,14 @@
 	}
 
 	/** Values of machines that may hold tasks are there and cannot be read. */
-	get machinesMalformed(): boolean {
+	get machineRecordsMalformed(): boolean {
 		for (const key of this.malformed) if (key.startsWith(keys.machines)) return true;
 		return false;
 	}
 
 	doneCount(id: string): number {
 		let n = 0;
-		for (const [, bits] of this.pagesOf(id)) n += countInPage(bits);
+		for (const [, bits] of this.donePagesOf(id)) n += countInPage(bits);
 		return n;
 	}
 }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -93,9 +93,9 @@
 			platform.node,
 			incarnation,
 			{
-				ttlMs: settings.leadership.ttl_s * 1000,
+				leaseTtlMs: settings.leadership.ttl_s * 1000,
 				marginMs: settings.leadership.margin_s * 1000,
-				longestUnknowingMs: longestUnknowingMs(platform),
+				maxCancellationStalenessMs: maxCancellationStalenessMs(platform),
 			},
 			store,
 			time,
@@ -109,7 +109,7 @@
 				knownAt: () => this.replicaSync.syncedAt,
 				knownRevision: () => this.replica.revision,
 				cancelledSince: (revision) =>
-					this.replica.cancelledSince(revision)?.map(({ id, record, revision: at }) => ({
+					this.replica.cancellationsSince(revision)?.map(({ jobId: id, record, revision: at }) => ({
 						jobId: id,
 						revision: at,
 						taskCount: record.taskCount,
@@ -202,8 +202,8 @@
 	 */
 	private stalled(stalledMs: number): void {
 		this.ports.log.info({ stalledMs: Math.round(stalledMs) }, "process pause detected");
-		this.leadership.stalled();
-		this.replicaSync.stalled();
+		this.leadership.onProcessPause();
+		this.replicaSync.onProcessPause();
 		this.heartbeatRouter.stalled();
 		this.leader?.stalled(stalledMs);
 	}
@@ -218,7 +218,7 @@
 
 	private tick(): void {
 		// Machine types are the first thing a first leader writes.
-		if (this.replica.loaded && this.replica.machineTypes === null) this.leadership.releaseStartHold();
+		if (this.replica.loaded && this.replica.machineTypes === null) this.leadership.endStartupHoldoff();
 		this.leadership.tick(this.replica.leader, this.replica.loaded);
 		if (this.leadership.authority() !== null) this.machineTypes.tick();
 		this.leader?.tick();
@@ -277,7 +277,7 @@
 
 	private changed(key: string): void {
 		if (key.startsWith(keys.jobs)) this.leader?.jobChanged(key.slice(keys.jobs.length));
-		const quota = key.startsWith(keys.quota) ? this.replica.quota.get(key) : undefined;
+		const quota = key.startsWith(keys.quota) ? this.replica.quotaRecords.get(key) : undefined;
 		if (quota) this.teamQuota?.stored(key, quota.value, quota.revision);
 	}
 
@@ -327,7 +327,7 @@
 			case "lease-extension-vote":
 			case "leader-query":
 			case "leader-query-reply":
-				this.leadership.message(from, message);
+				this.leadership.handleMessage(from, message);
 				break;
 			default:
 				this.leader?.peerMessage(from, message);
@@ -370,7 +370,7 @@
  * cancel_s: authority without knowledge of it, then a worker's whole lease, then a margin.
  * All three count from the sending of requests, so delays on the way are on the safe side.
  */
-export function longestUnknowingMs(platform: PlatformSettings): number {
+export function maxCancellationStalenessMs(platform: PlatformSettings): number {
 	const { cancel_s, lease_s } = platform.cluster.workers;
 	return Math.max(0, (cancel_s - lease_s * 1.01) * 1000 - cancelMarginMs);
 }
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -41,8 +41,8 @@
 		this.progress = new ChunkedRecords({
 			...options.records,
 			prefix: keys.progress,
-			confirmed: (entries) => this.confirmed(entries),
-			pace: { rateClass: "background", everyMs: progressEveryMs, shrinkMs },
+			onConfirmed: (entries) => this.confirmed(entries),
+			pace: { priority: "background", minIntervalMs: progressEveryMs, cleanupIntervalMs: shrinkMs },
 		});
 	}
 
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -152,8 +152,8 @@
 			settings,
 			clusterState,
 			peers: ports.peers,
-			quotaTerms: (node) => this.leaderQuota?.termsFor(node),
-			served: options.served,
+			teamQuotaMessageFor: (node) => this.leaderQuota?.termsFor(node),
+			storeReachable: options.served,
 			resign: options.resign,
 			log,
 		});
@@ -198,8 +198,8 @@
 				post,
 				active,
 				ended: () => this.ended,
-				apply: (heartbeat) => this.reports.apply(heartbeat),
-				unlisted: (id) => this.fleet.unlisted(id),
+				reconcileHeartbeat: (heartbeat) => this.reports.apply(heartbeat),
+				missingFromCloudList: (id) => this.fleet.unlisted(id),
 			},
 			log,
 		);
@@ -208,8 +208,12 @@
 		this.machineRecords = new ChunkedRecords({
 			...records,
 			prefix: keys.machines,
-			confirmed: (entries) => this.machinesDurable(entries.keys()),
-			pace: { rateClass: "normal", everyMs: machineRecordsEveryMs, shrinkMs: machineRecordsShrinkMs },
+			onConfirmed: (entries) => this.machinesDurable(entries.keys()),
+			pace: {
+				priority: "normal",
+				minIntervalMs: machineRecordsEveryMs,
+				cleanupIntervalMs: machineRecordsShrinkMs,
+			},
 		});
 		this.completion = new JobCompletion({
 			leaderCondition: this.leaderCondition(),
@@ -258,7 +262,7 @@
 			orders,
 			nodes: [node, ...others.map((other) => other.node)],
 			preemptAfterMs: options.settings.team_quota.preempt_after_s * 1000,
-			servedByAll: () => this.storeCopy.features.teamQuota === true || peerMonitor.allServeQuota,
+			servedByAll: () => this.storeCopy.features.teamQuota === true || peerMonitor.allSupportTeamQuota,
 			log: this.ports.log,
 		});
 	}
@@ -282,14 +286,14 @@
 		const { value_kb, txn_ops } = this.platform.cluster.state;
 		return {
 			leaderCondition: this.leaderCondition(),
-			mostBytes: Math.floor(value_kb * 1024 * valuePart),
-			mostChanges: txn_ops,
+			maxChunkBytes: Math.floor(value_kb * 1024 * valuePart),
+			maxChangesPerWrite: txn_ops,
 			store,
 			post,
 			now: () => time.now(),
-			lostKey: () => this.lostKey(),
-			failed: (error) => log.debug({ err: String(error) }, "records not written"),
-			tooLarge: (tooLarge, mostBytes) =>
+			onLeaderKeyLost: () => this.lostKey(),
+			onWriteFailed: (error) => log.debug({ err: String(error) }, "records not written"),
+			onChunksRejected: (tooLarge, mostBytes) =>
 				log.error({ keys: tooLarge, mostBytes }, "store rejected values: splitting them"),
 		};
 	}
@@ -303,14 +307,14 @@
 	/** Jobs come from the store; machines that may hold tasks are hidden until heard or waited out. */
 	private rebuild(): void {
 		const { clusterState, storeCopy, ports } = this;
-		this.completion.load(storeCopy.progress);
+		this.completion.load(storeCopy.progressChunks);
 		for (const [id, record] of storeCopy.jobs) this.loadJob(id, record);
-		this.machineRecords.load(storeCopy.machines);
-		for (const { value } of storeCopy.machines.values()) {
+		this.machineRecords.load(storeCopy.machineChunks);
+		for (const { value } of storeCopy.machineChunks.values()) {
 			for (const [id, record] of Object.entries(value.entries))
 				this.loadMachine(id, decodeMachineRecord(record));
 		}
-		if (storeCopy.machinesMalformed) this.takeover.waitForUnreadable();
+		if (storeCopy.machineRecordsMalformed) this.takeover.waitOutMalformedRecords();
 		this.takeover.sendProbes(false);
 		ports.log.info(
 			{ term: this.term, jobs: clusterState.jobs.size, machines: clusterState.machines.size },
@@ -328,12 +332,12 @@
 		);
 		this.clusterState.machines.set(id, machine);
 		machine.agent.endpointLearned(record.endpoint);
-		this.takeover.hide(machine, record.agentEpoch);
+		this.takeover.markUnreconciled(machine, record.agentEpoch);
 	}
 
 	private loadJob(id: string, { value: { spec, acceptedAt: at }, revision }: Versioned<JobRecord>): void {
 		const job = this.clusterState.addJob(id, spec, at, revision);
-		for (const [page, bits] of this.storeCopy.pagesOf(id)) {
+		for (const [page, bits] of this.storeCopy.donePagesOf(id)) {
 			job.doneTasks.addPage(page, bits);
 			job.durableDoneTasks.addPage(page, bits);
 		}
@@ -435,9 +439,9 @@
 	/** The process stood still; see `Controller.stalled`. */
 	stalled(stalledMs: number): void {
 		const now = this.ports.clock.now();
-		this.lateness.resume(now);
+		this.lateness.onProcessPause(now);
 		this.reports.refuseAll();
-		this.takeover.stalled(stalledMs);
+		this.takeover.onProcessPause(stalledMs);
 		this.placement.stalled();
 	}
 
@@ -493,17 +497,17 @@
 	peerMessage(from: string, message: PeerMessage): void {
 		if (this.ended || message.term !== this.term) return;
 		const now = this.ports.clock.now();
-		this.peerMonitor.heard(from, now);
+		this.peerMonitor.messageReceived(from, now);
 		if (message.kind === "placement-proposal") this.placement.proposed(from, message, now);
 		if (message.kind !== "leader-heartbeat-reply") return;
-		this.peerMonitor.answered(from, message, now);
+		this.peerMonitor.heartbeatReplyReceived(from, message, now);
 		if (message.teamQuota !== undefined) this.leaderQuota?.heard(from, message.teamQuota);
 		if (this.active) this.recordFeatures();
 	}
 
 	private recordFeatures(): void {
-		const { allServeStanding, allServeQuota } = this.peerMonitor;
-		this.featureRecord.write(this.storeCopy.features, {
+		const { allSupportServiceJobs: allServeStanding, allSupportTeamQuota: allServeQuota } = this.peerMonitor;
+		this.featureRecord.recordSupport(this.storeCopy.features, {
 			serviceJobs: allServeStanding,
 			teamQuota: allServeQuota && this.leaderQuota !== null,
 		});
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -21,15 +21,15 @@
 	tries: number;
 }
 
-export interface TakeoverHooks {
+export interface FailoverHooks {
 	post(command: () => void): void;
 	/** This process may act for the controllers. */
 	active(): boolean;
 	/** The term is over for good. */
 	ended(): boolean;
-	apply(report: WorkerHeartbeat): void;
+	reconcileHeartbeat(report: WorkerHeartbeat): void;
 	/** The cloud has named its machines, and this one is not among them. */
-	unlisted(id: string): boolean;
+	missingFromCloudList(id: string): boolean;
 }
 
 /** Hears every machine of the leader before, or gives it up. */
@@ -44,25 +44,25 @@
 		private readonly clusterState: ClusterState,
 		private readonly workers: WorkerGateway,
 		private readonly beganAt: number,
-		private readonly hooks: TakeoverHooks,
+		private readonly hooks: FailoverHooks,
 		private readonly log: Log,
 	) {
 		this.listeningSince = beganAt;
 	}
 
 	/** The process stood still: machines can have been silent only while it listened. */
-	stalled(stalledMs: number): void {
+	onProcessPause(stalledMs: number): void {
 		this.listeningSince += stalledMs;
 	}
 
 	/** The machine may hold tasks that nobody has listed yet. */
-	hide(machine: Machine, session: number): void {
+	markUnreconciled(machine: Machine, session: number): void {
 		this.clusterState.markUnreconciled(machine);
 		this.probes.push({ machine, session, tries: probeTries });
 	}
 
 	/** Machines of which nothing is known may hold tasks: nothing starts before every lease has run out. */
-	waitForUnreadable(): void {
+	waitOutMalformedRecords(): void {
 		this.unreadable = new Machine(
 			{ id: "unreadable records", type: unknownMachineType(""), zone: "", spot: false, origin: "heartbeat" },
 			this.beganAt,
@@ -103,7 +103,7 @@
 			({ executed, report }) =>
 				this.hooks.post(() => {
 					if (!this.clusterState.unreconciledMachines.has(machine) || this.hooks.ended()) return;
-					if (executed && report.machineId === machine.id) this.hooks.apply(report);
+					if (executed && report.machineId === machine.id) this.hooks.reconcileHeartbeat(report);
 					else if (report.fencingToken <= this.clusterState.term && tries > 1) {
 						this.probes.unshift({ machine, session: report.agentEpoch, tries: tries - 1 });
 					}
@@ -129,11 +129,11 @@
 		const share = Math.min(1 / 5, 0.01 * 2 ** ((waitedMs - hiddenPatienceMs) / 1000));
 		// What the cloud does not list was returned or taken while its record could not be dropped.
 		// This is no proof, since a list may be late; its return is.
-		const here = [...hidden].filter((m) => !this.hooks.unlisted(m.id));
+		const here = [...hidden].filter((m) => !this.hooks.missingFromCloudList(m.id));
 		const few = here.length <= Math.max(2, machines.size * share);
 		for (const machine of hidden) {
 			if (machine === this.unreadable) continue;
-			if (machine.lifecycle.deleting || !(few || this.hooks.unlisted(machine.id))) continue;
+			if (machine.lifecycle.deleting || !(few || this.hooks.missingFromCloudList(machine.id))) continue;
 			machine.lifecycle.startDeleting();
 			this.log.info({ machine: machine.id }, "unreconciled machine given up");
 		}
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -16,7 +16,7 @@
 /** Ticks further apart than this show that this process could not act in between. */
 const pauseMs = 1500;
 
-export interface PeerMonitorOptions {
+export interface FailureDetectorOptions {
 	term: number;
 	/** Steady time at which the term began. */
 	beganAt: number;
@@ -25,9 +25,9 @@
 	clusterState: ClusterState;
 	peers: PeerMessenger;
 	/** Team quota's message to a controller; undefined: none. */
-	quotaTerms(node: string): unknown;
+	teamQuotaMessageFor(node: string): unknown;
 	/** The state service answers this node. */
-	served(): boolean;
+	storeReachable(): boolean;
 	resign(why: string): void;
 	log: Log;
 }
@@ -56,7 +56,7 @@
 	private readonly peers: PeerMessenger;
 	private readonly log: Log;
 
-	constructor(private readonly options: PeerMonitorOptions) {
+	constructor(private readonly options: FailureDetectorOptions) {
 		this.term = options.term;
 		this.platform = options.platform;
 		this.clusterState = options.clusterState;
@@ -87,12 +87,12 @@
 			kind: "leader-heartbeat",
 			term: this.term,
 			runningTasks: counts(),
-			storeReachable: this.options.served(),
+			storeReachable: this.options.storeReachable(),
 			workersReachable: hearing,
 			forwardHeartbeats: this.relaying,
 		};
 		for (const { node } of this.platform.others) {
-			const quota = this.options.quotaTerms(node);
+			const quota = this.options.teamQuotaMessageFor(node);
 			this.peers.send(node, quota === undefined ? message : { ...message, teamQuota: quota });
 		}
 		this.unreachableLooks = ears.up >= 2 && !hearing ? this.unreachableLooks + 1 : 0;
@@ -100,16 +100,16 @@
 	}
 
 	/** Another controller has spoken to this leader. */
-	heard(from: string, now: number): void {
+	messageReceived(from: string, now: number): void {
 		this.heardFrom.set(from, now);
 	}
 
-	silent(node: string): void {
+	markUnresponsive(node: string): void {
 		this.heardFrom.delete(node);
 	}
 
 	/** It has answered, and says how many machines turned to it. */
-	answered(
+	heartbeatReplyReceived(
 		from: string,
 		{ misdirectedWorkers: strays, supportsServiceJobs: standing, teamQuota: quota }: LeaderHeartbeatReply,
 		now: number,
@@ -122,15 +122,15 @@
 		if (this.unreachableLooks > 0) this.stepAside(now, this.reachable(now));
 	}
 
-	get allServeStanding(): boolean {
+	get allSupportServiceJobs(): boolean {
 		return this.platform.others.every(({ node }) => this.serveStanding.has(node));
 	}
 
-	get allServeQuota(): boolean {
+	get allSupportTeamQuota(): boolean {
 		return this.platform.others.every(({ node }) => this.serveQuota.has(node));
 	}
 
-	livePlacers(now: number): string[] {
+	liveControllers(now: number): string[] {
 		const live = [this.platform.node];
 		for (const other of this.platform.others) {
 			const heard = this.heardFrom.get(other.node) ?? -Infinity;
--- a/src/coordination/leadership/feature-gate.ts
+++ b/src/coordination/leadership/feature-gate.ts
@@ -21,7 +21,7 @@
 	) {}
 
 	/** Adds to what is recorded, if that lacks something. */
-	write(recorded: FeatureSet, served: Omit<FeatureSet, "unknown">): void {
+	recordSupport(recorded: FeatureSet, served: Omit<FeatureSet, "unknown">): void {
 		const lacking =
 			(served.serviceJobs && !recorded.serviceJobs) || (served.teamQuota && !recorded.teamQuota);
 		if (this.writing || !lacking) return;
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -13,10 +13,10 @@
 import type { KeyValueStore } from "../ports/store.js";
 
 export interface LeadershipSettings {
-	ttlMs: number;
+	leaseTtlMs: number;
 	marginMs: number;
 	/** Longest authority after the moment up to which every cancellation is known here. */
-	longestUnknowingMs: number;
+	maxCancellationStalenessMs: number;
 }
 
 /** Two steady clocks drift apart by at most this part. */
@@ -103,7 +103,7 @@
 	}
 
 	private get promiseMs(): number {
-		return this.settings.ttlMs;
+		return this.settings.leaseTtlMs;
 	}
 
 	/** The term while this process may act for the controllers, else null. */
@@ -120,7 +120,7 @@
 	 * against nothing that the times do not: it makes a leader that wakes up act on a fresh answer
 	 * of the store, or of every other controller, and not on what was so before.
 	 */
-	stalled(): void {
+	onProcessPause(): void {
 		this.confirmFrom = this.time.now();
 		// The request under way was sent before; its answer, if any, confirms nothing.
 		this.renewing = false;
@@ -142,7 +142,9 @@
 		const served = this.time.now() < this.validFrom(this.renewedAt);
 		return (
 			known +
-			(served ? Math.max(this.settings.longestUnknowingMs, watchAnswerMs) : this.settings.longestUnknowingMs)
+			(served
+				? Math.max(this.settings.maxCancellationStalenessMs, watchAnswerMs)
+				: this.settings.maxCancellationStalenessMs)
 		);
 	}
 
@@ -153,13 +155,13 @@
 	}
 
 	/** A fresh cluster has nothing that a promise could have been about. */
-	releaseStartHold(): void {
+	endStartupHoldoff(): void {
 		if (!this.startHold) return;
 		this.startHold = false;
 		this.promisedUntil = -Infinity;
 	}
 
-	message(from: string, message: LeadershipMessage): void {
+	handleMessage(from: string, message: LeadershipMessage): void {
 		const now = this.time.now();
 		if (message.kind === "leader-query") {
 			this.hooks.tell({
@@ -174,7 +176,7 @@
 			if (message.incarnation !== this.incarnation) return;
 			if (message.isLeader) this.notLeading.delete(from);
 			else this.notLeading.add(from);
-			if (this.others.every((other) => this.notLeading.has(other))) this.releaseStartHold();
+			if (this.others.every((other) => this.notLeading.has(other))) this.endStartupHoldoff();
 		} else if (message.kind === "lease-extension-request") this.considerPromise(message);
 		else if (message.kind === "lease-extension-vote") this.promised(from, message, now);
 	}
@@ -249,7 +251,7 @@
 	}
 
 	private validFrom(sentAt: number): number {
-		return sentAt + this.settings.ttlMs * (1 - maxClockDrift) - this.settings.marginMs;
+		return sentAt + this.settings.leaseTtlMs * (1 - maxClockDrift) - this.settings.marginMs;
 	}
 
 	/** Called often, in the queue. */
@@ -257,7 +259,7 @@
 		const now = this.time.now();
 		if (this.heldTerm !== null) {
 			if (!this.renewing && now >= this.nextRenewal) this.renew();
-			if (now - this.renewedAt > this.settings.ttlMs / 3) this.requestPromises(now);
+			if (now - this.renewedAt > this.settings.leaseTtlMs / 3) this.requestPromises(now);
 			// Served, and yet the changes do not come: another had better lead.
 			else if (now >= this.knowingUntil()) this.resign("changes of the store do not reach this node");
 			return;
@@ -283,7 +285,7 @@
 		this.lease = null;
 		this.unchallengedUntil = -Infinity;
 		// Long enough for another to take over, also where this node resigns because it is in the way.
-		this.nextCampaign = this.time.now() + this.settings.ttlMs + this.jitter() * 200;
+		this.nextCampaign = this.time.now() + this.settings.leaseTtlMs + this.jitter() * 200;
 		if (lease !== null) this.store.revokeLease(lease).catch(() => {});
 		this.hooks.lost(term, why);
 	}
@@ -293,7 +295,7 @@
 		if (lease === null) return;
 		this.renewing = true;
 		const sentAt = this.time.now();
-		this.nextRenewal = sentAt + this.settings.ttlMs / 5;
+		this.nextRenewal = sentAt + this.settings.leaseTtlMs / 5;
 		this.store.renewLease(lease).then(
 			() =>
 				this.post(() => {
@@ -305,7 +307,8 @@
 			(error) =>
 				this.post(() => {
 					this.renewing = false;
-					this.nextRenewal = this.time.now() + Math.min(150, this.settings.ttlMs / 10) * (1 + this.jitter());
+					this.nextRenewal =
+						this.time.now() + Math.min(150, this.settings.leaseTtlMs / 10) * (1 + this.jitter());
 					if (this.lease !== lease) return;
 					if (error instanceof CallError && error.status === 404) this.resign("lease ended");
 					else this.log.debug({ err: String(error) }, "leader lease renewal failed");
@@ -343,7 +346,7 @@
 	}
 
 	private async take(expected: number, sentAt: number): Promise<{ term: number; lease: number } | null> {
-		const lease = await this.store.grantLease(this.settings.ttlMs);
+		const lease = await this.store.grantLease(this.settings.leaseTtlMs);
 		const value: LeaderRecord = { node: this.node, incarnation: `${this.incarnation}.${sentAt.toFixed(3)}` };
 		try {
 			const result = await this.store.compareAndSwap(
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -141,7 +141,7 @@
 		for (const [node, { sentAt }] of this.outstanding) {
 			if (now - sentAt <= this.options.silentMs) continue;
 			this.outstanding.delete(node);
-			this.options.peerMonitor.silent(node);
+			this.options.peerMonitor.markUnresponsive(node);
 		}
 	}
 
@@ -166,7 +166,7 @@
 	}
 
 	private shares(grants: TeamGrant[], now: number): Map<string, Grant[]> {
-		const live = this.options.peerMonitor.livePlacers(now);
+		const live = this.options.peerMonitor.liveControllers(now);
 		const shares = new Map<string, Grant[]>();
 		for (const { grant } of grants) {
 			const job = this.clusterState.jobs.get(grant.jobId);
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -81,7 +81,7 @@
 	/** Allotments follow the placers, which change when controllers come and go. */
 	private preferPlacers(now: number): void {
 		const { clusterState, peerMonitor, leaderQuota, nodes } = this.options;
-		const live = peerMonitor.livePlacers(now);
+		const live = peerMonitor.liveControllers(now);
 		if (live.join() === this.placers.join()) return;
 		this.placers = live;
 		for (const team of clusterState.quotas.names)
--- a/src/coordination/replication/chunked-records.ts
+++ b/src/coordination/replication/chunked-records.ts
@@ -31,16 +31,16 @@
 export interface ChunkedRecordsEnvironment {
 	leaderCondition: StoreCondition;
 	/** Largest value that is written, and changes that one transaction may hold. */
-	mostBytes: number;
-	mostChanges: number;
+	maxChunkBytes: number;
+	maxChangesPerWrite: number;
 	store: KeyValueStore;
 	post(command: () => void): void;
 	now(): number;
 	/** The leader's key has changed hands. */
-	lostKey(): void;
-	failed(error: unknown): void;
+	onLeaderKeyLost(): void;
+	onWriteFailed(error: unknown): void;
 	/** The store does not take these values: too large, though within the limits that were told. */
-	tooLarge(keys: string[], mostBytes: number): void;
+	onChunksRejected(keys: string[], mostBytes: number): void;
 }
 
 export interface ChunkedRecordsOptions<V> extends ChunkedRecordsEnvironment {
@@ -48,14 +48,14 @@
 	prefix: string;
 	pace: WritePace;
 	/** The store has confirmed these. */
-	confirmed(entries: Map<string, V>): void;
+	onConfirmed(entries: Map<string, V>): void;
 }
 
 export interface WritePace {
-	rateClass: WritePriority;
+	priority: WritePriority;
 	/** Least time between writes, and how long what was taken out may stay. */
-	everyMs: number;
-	shrinkMs: number;
+	minIntervalMs: number;
+	cleanupIntervalMs: number;
 }
 
 const mostPerWrite = 3;
@@ -93,8 +93,8 @@
 	constructor(private readonly options: ChunkedRecordsOptions<V>) {
 		this.leaderCondition = options.leaderCondition;
 		this.pace = options.pace;
-		this.mostBytes = options.mostBytes;
-		this.mostChanges = options.mostChanges;
+		this.mostBytes = options.maxChunkBytes;
+		this.mostChanges = options.maxChangesPerWrite;
 	}
 
 	/** What the store held when the term began. */
@@ -207,8 +207,8 @@
 		const written = this.firstOf(due);
 		const changes = written.flatMap(({ pack }) => this.changeOf(pack));
 		if (changes.length === 0) return;
-		this.nextWrite = now + this.pace.everyMs;
-		if (shrinkToo) this.nextShrink = now + this.pace.shrinkMs;
+		this.nextWrite = now + this.pace.minIntervalMs;
+		if (shrinkToo) this.nextShrink = now + this.pace.cleanupIntervalMs;
 		this.write(changes, written);
 	}
 
@@ -242,7 +242,7 @@
 			this.leaderCondition,
 			...written.map(({ pack }) => ({ key: pack.key, revision: pack.revision })),
 		];
-		this.options.store.compareAndSwap(conditions, changes, this.pace.rateClass).then(
+		this.options.store.compareAndSwap(conditions, changes, this.pace.priority).then(
 			(result) =>
 				this.options.post(() => {
 					if (result.swapped) this.succeeded(changes, written, result.revision);
@@ -261,20 +261,20 @@
 			else this.written(pack);
 			// Versions before 0.5.0 forget a page when a value that held the same goes: they hear it once more.
 			for (const part of pack.parts === null ? [] : this.partsOf(pack.key)) part.shrunk = true;
-			this.options.confirmed(fresh);
+			this.options.onConfirmed(fresh);
 		}
 	}
 
 	private conflicted(written: Written<V>[], failed: string[]): void {
 		this.writeAgain(written);
-		if (failed.includes(this.leaderCondition.key)) this.options.lostKey();
+		if (failed.includes(this.leaderCondition.key)) this.options.onLeaderKeyLost();
 		else this.readBack(failed);
 	}
 
 	private notWritten(written: Written<V>[], error: unknown): void {
 		this.writeAgain(written);
 		if (error instanceof CallError && error.status === 400) this.shrinkValues(written);
-		else this.options.failed(error);
+		else this.options.onWriteFailed(error);
 	}
 
 	private writeAgain(written: Written<V>[]): void {
@@ -309,7 +309,7 @@
 			this.mostBytes = Math.max(leastBytes, Math.floor(Math.min(this.mostBytes, pack.bytes) / 2));
 			pack.refused = pack.entries.size <= 1 || pack.bytes <= this.mostBytes;
 		}
-		this.options.tooLarge(
+		this.options.onChunksRejected(
 			written.map(({ pack }) => pack.key),
 			this.mostBytes,
 		);
@@ -334,7 +334,7 @@
 			(error) =>
 				this.options.post(() => {
 					this.writing = false;
-					this.options.failed(error);
+					this.options.onWriteFailed(error);
 				}),
 		);
 	}
--- a/src/coordination/replication/replica-sync.ts
+++ b/src/coordination/replication/replica-sync.ts
@@ -30,7 +30,7 @@
 	private stopped = false;
 	private reloading: Promise<void> | null = null;
 	/** Steady time at which the store last answered. */
-	heardAt = -Infinity;
+	lastResponseAt = -Infinity;
 	/**
 	 * Steady time up to which every change of the store is in the copy: the sending of the
 	 * latest request whose answer covers it. The answer itself may be held up on its way, or
@@ -70,7 +70,7 @@
 		step.then(
 			(answer) =>
 				this.post(() => {
-					this.heardAt = this.time.now();
+					this.lastResponseAt = this.time.now();
 					if (answer) this.take(from, answer, sentAt);
 					// Each answer costs a request and a turn: changes of a moment come together.
 					if (answer && answer.events.length > 0) this.time.after(watchPauseMs, () => this.watchOn());
@@ -119,12 +119,12 @@
 
 	/** Nothing has been heard of the store for longer than a watch lasts, and calls fail. */
 	get unresponsive(): boolean {
-		const lastSignAt = Math.max(this.heardAt, this.awakeSince);
-		return this.time.now() - lastSignAt > silentMs && this.failedAt > this.heardAt;
+		const lastSignAt = Math.max(this.lastResponseAt, this.awakeSince);
+		return this.time.now() - lastSignAt > silentMs && this.failedAt > this.lastResponseAt;
 	}
 
 	/** The process stood still: calls that now fail were given up by this side, not by the store. */
-	stalled(): void {
+	onProcessPause(): void {
 		this.awakeSince = this.time.now();
 	}
 
@@ -196,7 +196,7 @@
 		this.store.watch(keys.root, from, 0).then(
 			(answer) =>
 				this.post(() => {
-					this.heardAt = this.time.now();
+					this.lastResponseAt = this.time.now();
 					this.take(from, answer, sentAt);
 					done((w) => w.resolve());
 				}),
--- a/src/coordination/runtime/tick-delay.ts
+++ b/src/coordination/runtime/tick-delay.ts
@@ -18,7 +18,7 @@
 	}
 
 	/** The process stood still: nothing was late but the process as a whole, and it is no longer. */
-	resume(now: number): void {
+	onProcessPause(now: number): void {
 		this.lastTickAt = now;
 	}
 
--- a/tests/bookkeeping/store-replica.test.ts
+++ b/tests/bookkeeping/store-replica.test.ts
@@ -29,11 +29,11 @@
 	const replica = new StoreReplica();
 	const cancelled = (id: string, revision: number) =>
 		replica.applyOwnWrite(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
-	assert.equal(replica.cancelledSince(0), null, "nothing is loaded");
+	assert.equal(replica.cancellationsSince(0), null, "nothing is loaded");
 	const record = encodeJobRecord({ spec: specOf("j-000001"), acceptedAt: 0 });
 	replica.reset([{ key: keys.job("j-000001"), value: record, revision: 8 }], 10);
 	assert.equal(
-		replica.cancelledSince(9),
+		replica.cancellationsSince(9),
 		null,
 		"an earlier process may have told of what came before the load",
 	);
@@ -43,7 +43,7 @@
 		"a job whose end is known is not live, whatever the watch has brought",
 	);
 	cancelled("j-000002", 14);
-	const since = (epoch: number) => replica.cancelledSince(epoch)?.map((job) => job.id);
+	const since = (epoch: number) => replica.cancellationsSince(epoch)?.map((job) => job.jobId);
 	assert.deepEqual(since(10), ["j-000001", "j-000002"]);
 	assert.deepEqual(since(12), ["j-000002"]);
 	replica.reset([], 15);
--- a/tests/coordination/leadership/cancellation-staleness.test.ts
+++ b/tests/coordination/leadership/cancellation-staleness.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { longestUnknowingMs } from "../../../src/coordination/controller.js";
+import { maxCancellationStalenessMs } from "../../../src/coordination/controller.js";
 import { parsePlatform } from "../../../src/protocol/settings/platform.js";
 import { settings } from "../../support/public-service.js";
 
 test("authority without the store, a worker's lease and a margin end within cancel_s", () => {
 	const platform = parsePlatform("s.toml", settings);
 	const { cancel_s, lease_s } = platform.cluster.workers;
-	assert.ok(longestUnknowingMs(platform) / 1000 + lease_s * 1.001 + 2 < cancel_s);
+	assert.ok(maxCancellationStalenessMs(platform) / 1000 + lease_s * 1.001 + 2 < cancel_s);
 	const tight = parsePlatform("s.toml", settings.replace("cancel_s = 37.0", "cancel_s = 11.0"));
-	assert.equal(longestUnknowingMs(tight), 0);
+	assert.equal(maxCancellationStalenessMs(tight), 0);
 });
--- a/tests/coordination/leadership/failover.test.ts
+++ b/tests/coordination/leadership/failover.test.ts
@@ -7,13 +7,19 @@
 
 test("a pause in a takeover does not make machines silent", async () => {
 	const clusterState = fleetOf(50);
-	const hooks = { post() {}, active: () => true, ended: () => false, apply() {}, unlisted: () => false };
+	const hooks = {
+		post() {},
+		active: () => true,
+		ended: () => false,
+		reconcileHeartbeat() {},
+		missingFromCloudList: () => false,
+	};
 	const workers = { sendCommands: () => new Promise<never>(() => {}) };
 	const takeover = new Failover(clusterState, workers, 0, hooks, silentLog);
 	const [one] = clusterState.machines.values();
-	takeover.hide(one as Machine, 1);
+	takeover.markUnreconciled(one as Machine, 1);
 	takeover.tick(1000, false);
-	takeover.stalled(2500);
+	takeover.onProcessPause(2500);
 	takeover.tick(3500, false);
 	assert.equal(one?.lifecycle.deleting, false);
 	takeover.tick(4600, false);
--- a/tests/coordination/leadership/failure-detector.test.ts
+++ b/tests/coordination/leadership/failure-detector.test.ts
@@ -21,8 +21,8 @@
 		settings: defaultOperator(),
 		clusterState,
 		peers: { send() {} },
-		quotaTerms: () => undefined,
-		served: () => true,
+		teamQuotaMessageFor: () => undefined,
+		storeReachable: () => true,
 		resign: (why) => resigned.push(why),
 		log: silentLog,
 	});
@@ -42,13 +42,13 @@
 	reports(20_000);
 	tick(0, 20_000);
 	// Fifteen seconds later the workers are at another controller.
-	monitor.answered("b", reply, 35_000);
+	monitor.heartbeatReplyReceived("b", reply, 35_000);
 	tick(35_000, 36_500);
-	monitor.answered("b", reply, 36_600);
+	monitor.heartbeatReplyReceived("b", reply, 36_600);
 	tick(36_600, 38_000);
 	assert.deepEqual(resigned, [], "they have had no time to come back");
 	for (let now = 38_100; now < 50_000 && resigned.length === 0; now += 100) {
-		monitor.answered("b", reply, now);
+		monitor.heartbeatReplyReceived("b", reply, now);
 		monitor.tick(now, () => []);
 	}
 	assert.equal(resigned.length > 0, true, "a leader that nobody reaches still steps aside");
--- a/tests/coordination/leadership/leadership.test.ts
+++ b/tests/coordination/leadership/leadership.test.ts
@@ -10,11 +10,16 @@
 	assert.equal(waits.won.length, 1);
 
 	const told = candidate(["a", "b"]);
-	told.leadership.message("a", { kind: "leader-query-reply", term: 0, isLeader: false, incarnation: "inc" });
+	told.leadership.handleMessage("a", {
+		kind: "leader-query-reply",
+		term: 0,
+		isLeader: false,
+		incarnation: "inc",
+	});
 	await told.run(300);
 	assert.deepEqual(told.won, [], "one of two has answered");
 	// A late copy of what an earlier process of this node was told: it may have promised since.
-	told.leadership.message("b", {
+	told.leadership.handleMessage("b", {
 		kind: "leader-query-reply",
 		term: 0,
 		isLeader: false,
@@ -22,19 +27,24 @@
 	});
 	await told.run(300);
 	assert.deepEqual(told.won, []);
-	told.leadership.message("b", { kind: "leader-query-reply", term: 0, isLeader: false, incarnation: "inc" });
+	told.leadership.handleMessage("b", {
+		kind: "leader-query-reply",
+		term: 0,
+		isLeader: false,
+		incarnation: "inc",
+	});
 	await told.run(300);
 	assert.equal(told.won.length, 1);
 });
 
 test("a leader that stood still within its lease acts only on an answer asked for since", async () => {
 	const c = candidate(["a", "b"]);
-	c.leadership.releaseStartHold();
+	c.leadership.endStartupHoldoff();
 	await c.run(500);
 	const epoch = c.won[0] as number;
 	await c.time.advance(2100);
 	assert.equal(c.leadership.authority(), epoch, "by its clock nobody else can lead yet");
-	c.leadership.stalled();
+	c.leadership.onProcessPause();
 	assert.equal(c.leadership.authority(), null);
 	await c.run(200);
 	assert.equal(c.leadership.authority(), epoch, "the renewal was answered");
@@ -42,7 +52,7 @@
 	// Refused by the store, it needs a promise of every other controller that was asked for since.
 	c.service.setOutage(true);
 	const promise = (from: string, number: number) =>
-		c.leadership.message(from, {
+		c.leadership.handleMessage(from, {
 			kind: "lease-extension-vote",
 			term: epoch,
 			requestNumber: number,
@@ -53,7 +63,7 @@
 	await c.run(1200);
 	const before = asked();
 	for (const node of ["a", "b"]) promise(node, before);
-	c.leadership.stalled();
+	c.leadership.onProcessPause();
 	assert.equal(c.leadership.authority(), null, "promises of before the pause");
 	await c.run(200);
 	assert.ok(asked() > before);
@@ -65,7 +75,7 @@
 
 test("authority without the store ends in bounded time even with all promises", async () => {
 	const c = candidate([]);
-	c.leadership.releaseStartHold();
+	c.leadership.endStartupHoldoff();
 	await c.run(500);
 	c.service.setOutage(true);
 	await c.run(19_000);
@@ -76,7 +86,7 @@
 
 test("a leader whose watch is stuck while its renewals succeed gives up in time", async () => {
 	const c = candidate(["a"]);
-	c.leadership.releaseStartHold();
+	c.leadership.endStartupHoldoff();
 	await c.run(500);
 	await c.run(5000);
 	c.copy.stuck = true;
@@ -102,13 +112,13 @@
 
 test("a campaign without an answer is decided by reading the key back", async () => {
 	const mine = candidate([]);
-	mine.leadership.releaseStartHold();
+	mine.leadership.endStartupHoldoff();
 	mine.faults.loseAnswers = true;
 	await mine.run(300);
 	assert.equal(mine.won[0], mine.service.rows.get("r/one/leader")?.stamp, "the put had been applied");
 
 	const theirs = candidate([]);
-	theirs.leadership.releaseStartHold();
+	theirs.leadership.endStartupHoldoff();
 	theirs.faults.loseAnswers = true;
 	const changes = [{ put: "r/one/leader", v: { node: "a" } }];
 	// biome-ignore lint/suspicious/noThenProperty: the state service's own word for the changes
--- a/tests/coordination/leadership/lease-extension.test.ts
+++ b/tests/coordination/leadership/lease-extension.test.ts
@@ -4,9 +4,9 @@
 
 test("a candidate that promised does not campaign until its promise has run out", async () => {
 	const c = candidate(["a"]);
-	c.leadership.releaseStartHold();
+	c.leadership.endStartupHoldoff();
 	c.service.setOutage(true);
-	c.leadership.message("a", { kind: "lease-extension-request", term: 9, requestNumber: 1 });
+	c.leadership.handleMessage("a", { kind: "lease-extension-request", term: 9, requestNumber: 1 });
 	await c.time.advance(100);
 	assert.deepEqual(c.told.at(-1), { kind: "lease-extension-vote", term: 9, requestNumber: 1 });
 	c.service.setOutage(false);
@@ -18,15 +18,15 @@
 
 test("no promise is given by a node that the store serves", async () => {
 	const c = candidate(["a"]);
-	c.leadership.releaseStartHold();
-	c.leadership.message("a", { kind: "lease-extension-request", term: 9, requestNumber: 1 });
+	c.leadership.endStartupHoldoff();
+	c.leadership.handleMessage("a", { kind: "lease-extension-request", term: 9, requestNumber: 1 });
 	await c.time.advance(500);
 	assert.deepEqual(c.told, []);
 });
 
 test("authority outlasts the lease only while every other controller has promised", async () => {
 	const c = candidate(["a", "b"]);
-	c.leadership.releaseStartHold();
+	c.leadership.endStartupHoldoff();
 	await c.run(500);
 	const epoch = c.won[0] as number;
 	assert.equal(c.leadership.authority(), epoch);
@@ -37,7 +37,7 @@
 			for (const ask of c.told.splice(0)) {
 				if (ask.kind !== "lease-extension-request") continue;
 				for (const node of from)
-					c.leadership.message(node, {
+					c.leadership.handleMessage(node, {
 						kind: "lease-extension-vote",
 						term: epoch,
 						requestNumber: ask.requestNumber,
--- a/tests/coordination/replication/chunked-records.test.ts
+++ b/tests/coordination/replication/chunked-records.test.ts
@@ -31,16 +31,16 @@
 	const records = new ChunkedRecords<string>({
 		prefix: "r/x/",
 		leaderCondition: { key: "r/one/leader", revision: 1 },
-		mostBytes,
-		mostChanges: 4,
+		maxChunkBytes: mostBytes,
+		maxChangesPerWrite: 4,
 		store: new StoreClient(caller, time, 1000, 1000, 1),
 		post: (command) => command(),
 		now: () => time.now(),
-		lostKey: () => assert.fail("the key is ours"),
-		confirmed: (entries) => confirmed.push(...entries.keys()),
-		failed() {},
-		tooLarge: (keys) => tooLarge.push(...keys),
-		pace: { rateClass: "normal", everyMs: 100, shrinkMs: 500 },
+		onLeaderKeyLost: () => assert.fail("the key is ours"),
+		onConfirmed: (entries) => confirmed.push(...entries.keys()),
+		onWriteFailed() {},
+		onChunksRejected: (keys) => tooLarge.push(...keys),
+		pace: { priority: "normal", minIntervalMs: 100, cleanupIntervalMs: 500 },
 	});
 	const run = async (ms: number) => {
 		for (let t = 0; t < ms; t += 50) {
@@ -160,12 +160,12 @@
 		],
 		9,
 	);
-	assert.deepEqual([...replica.pagesOf("j-1")], [[0, "newer"]]);
+	assert.deepEqual([...replica.donePagesOf("j-1")], [[0, "newer"]]);
 	replica.apply([{ key: `${keys.progress}9`, value: undefined, revision: 11 }], 11);
-	assert.deepEqual([...replica.pagesOf("j-1")], [[0, "newer"]]);
+	assert.deepEqual([...replica.donePagesOf("j-1")], [[0, "newer"]]);
 	replica.apply([{ key: `${keys.progress}2`, value: { entries: { "j-1/0": "newer" } }, revision: 12 }], 12);
 	replica.apply([{ key: `${keys.progress}1`, value: undefined, revision: 13 }], 13);
-	assert.deepEqual([...replica.pagesOf("j-1")], [[0, "newer"]], "a copy of it is still there");
+	assert.deepEqual([...replica.donePagesOf("j-1")], [[0, "newer"]], "a copy of it is still there");
 });
 
 test("values that the store refuses for their size are made smaller; one that can't be is named and holds up nothing", async () => {
--- a/tests/coordination/replication/replica-sync.test.ts
+++ b/tests/coordination/replication/replica-sync.test.ts
@@ -20,7 +20,7 @@
 	sync.start();
 	await time.advance(100);
 	await time.advance(9000);
-	sync.stalled();
+	sync.onProcessPause();
 	for (const reject of fail) reject(new CallError("unknown", 0, "no answer in time"));
 	await time.advance(100);
 	sync.assertResponsive();
@@ -52,7 +52,7 @@
 	assert.ok(time.now() - copy.syncedAt <= 5100, "two waits of a watch at most");
 	heldMs = 5000;
 	await time.advance(10_000);
-	assert.ok(time.now() - copy.heardAt < 10_000, "answers do come");
+	assert.ok(time.now() - copy.lastResponseAt < 10_000, "answers do come");
 	assert.ok(time.now() - copy.syncedAt >= 5000, `known up to ${copy.syncedAt} at ${time.now()}`);
 	copy.stop();
 });
--- a/tests/service/large-fleets.test.ts
+++ b/tests/service/large-fleets.test.ts
@@ -55,8 +55,8 @@
 		const records = new ChunkedRecords<object>({
 			prefix: "r/machs/",
 			leaderCondition: { key: "r/one/leader", revision: 1 },
-			mostBytes,
-			mostChanges: 12,
+			maxChunkBytes: mostBytes,
+			maxChangesPerWrite: 12,
 			store: {
 				compareAndSwap: async (_conditions: unknown, changes: { put?: string; value?: unknown }[]) => {
 					writes.push(
@@ -70,11 +70,11 @@
 			} as never,
 			post: (command) => command(),
 			now: () => time.now(),
-			lostKey: () => assert.fail("the key is ours"),
-			confirmed() {},
-			failed: (error) => assert.fail(String(error)),
-			tooLarge: () => assert.fail("a value is too large"),
-			pace: { rateClass: "normal", everyMs: 150, shrinkMs: 3000 },
+			onLeaderKeyLost: () => assert.fail("the key is ours"),
+			onConfirmed() {},
+			onWriteFailed: (error) => assert.fail(String(error)),
+			onChunksRejected: () => assert.fail("a value is too large"),
+			pace: { priority: "normal", minIntervalMs: 150, cleanupIntervalMs: 3000 },
 		});
 		const record = (i: number) => ({
 			endpoint: `10.1.0.1:${i}`,
@@ -164,13 +164,13 @@
 			settings,
 			clusterState,
 			peers,
-			quotaTerms: () => undefined,
-			served: () => true,
+			teamQuotaMessageFor: () => undefined,
+			storeReachable: () => true,
 			resign: () => assert.fail("resigned"),
 			log: silentLog,
 		});
-		peerMonitor.heard("b", 0);
-		peerMonitor.heard("c", 0);
+		peerMonitor.messageReceived("b", 0);
+		peerMonitor.messageReceived("c", 0);
 		let started = 0;
 		const cycle = new PlacementCycle({
 			self: "a",
@@ -250,11 +250,11 @@
 			post: (run: () => void) => run(),
 			active: () => true,
 			ended: () => false,
-			apply() {},
-			unlisted: () => false,
+			reconcileHeartbeat() {},
+			missingFromCloudList: () => false,
 		};
 		const takeover = new Failover(clusterState, workers, 0, hooks, silentLog);
-		for (const machine of clusterState.machines.values()) takeover.hide(machine, 1);
+		for (const machine of clusterState.machines.values()) takeover.markUnreconciled(machine, 1);
 		for (let t = 0; t < 12_000; t += 100) {
 			takeover.tick(time.now(), false);
 			await time.advance(100);
@@ -312,10 +312,10 @@
 		const value = { status: "cancelled", tasks: 1, done: 0, demand: { team: "red", cpus: 1, gpus: 0 } };
 		copy.apply([{ key: `r/fin/j-${String(i).padStart(6, "0")}`, value, revision: i + 2 }], i + 2);
 	}
-	assert.equal(copy.cancelledSince(1)?.length, ends, "five minutes of nothing but cancellations");
+	assert.equal(copy.cancellationsSince(1)?.length, ends, "five minutes of nothing but cancellations");
 	// A leader asks from what it knows, which is seconds old.
-	const named = copy.cancelledSince(ends + 1 - (changesPerS / 2) * 30) ?? [];
-	const cancellations = named.map(({ id, record, revision }) => ({
+	const named = copy.cancellationsSince(ends + 1 - (changesPerS / 2) * 30) ?? [];
+	const cancellations = named.map(({ jobId: id, record, revision }) => ({
 		jobId: id,
 		revision,
 		taskCount: record.taskCount,
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -42,7 +42,7 @@
 	const leadership = new Leadership(
 		"me",
 		"inc",
-		{ ttlMs: 3000, marginMs: 300, longestUnknowingMs: unknowingMs },
+		{ leaseTtlMs: 3000, marginMs: 300, maxCancellationStalenessMs: unknowingMs },
 		store,
 		time,
 		(command) => command(),
@@ -77,7 +77,7 @@
 
 /** Wins the key, then answers every question as the others would, for so long. */
 export async function inOutage(c: ReturnType<typeof candidate>) {
-	c.leadership.releaseStartHold();
+	c.leadership.endStartupHoldoff();
 	await c.run(500);
 	const epoch = c.won[0] as number;
 	assert.equal(c.leadership.authority(), epoch);
@@ -89,7 +89,7 @@
 				if (ask.kind !== "lease-extension-request") continue;
 				for (const [node, cancelled] of Object.entries(answers)) {
 					const { requestNumber: number } = ask;
-					c.leadership.message(node, {
+					c.leadership.handleMessage(node, {
 						kind: "lease-extension-vote",
 						term: epoch,
 						requestNumber: number,
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -110,7 +110,7 @@
 		this.leadership = new Leadership(
 			node,
 			incarnation,
-			{ ttlMs: 800, marginMs: 50, longestUnknowingMs: 60_000 },
+			{ leaseTtlMs: 800, marginMs: 50, maxCancellationStalenessMs: 60_000 },
 			this.store,
 			this.time,
 			(command) => command(),
@@ -215,7 +215,7 @@
 				parsed.kind === "leader-query" ||
 				parsed.kind === "leader-query-reply"
 			)
-				this.leadership.message(from, parsed);
+				this.leadership.handleMessage(from, parsed);
 		}
 	}
 
