--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -120,7 +120,7 @@
 						taskCount: record.taskCount,
 						doneCount: record.doneCount,
 					})) ?? null,
-				learn: (cancelled) => {
+				record: (cancelled) => {
 					for (const { jobId, revision, taskCount, doneCount } of cancelled)
 						this.replica.applyOwnWrite(
 							keys.final(jobId),
--- a/src/coordination/leadership/cancellation-staleness.ts
+++ b/src/coordination/leadership/cancellation-staleness.ts
@@ -50,5 +50,5 @@
 	/** Every cancellation after the revision of which this node can have told a user; null: it cannot say. */
 	since(revision: Revision): Cancellation[] | null;
 	/** Takes over cancellations of which other controllers have told their users. */
-	learn(cancellations: Cancellation[]): void;
+	record(cancellations: Cancellation[]): void;
 }
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -1,198 +1,154 @@
-import type { LeaderHeartbeat, LeaderHeartbeatReply } from "../../protocol/peer/messages.js";
+/**
+ * A leader's failure detector: which controllers and workers are in reach, and what the controllers support.
+ *
+ * Twice a second the leader sends a heartbeat to every other controller, and each answers. From these and from all
+ * other messages the leader knows which controllers are live; whether workers turn to others instead of to it
+ * (`worker-reachability.ts`); who may forward heartbeats (`forwarding-policy.ts`); and which features all support.
+ */
+
+import type { MachineId, NodeId, Term } from "../../protocol/model/identifiers.js";
+import type {
+	LeaderHeartbeat,
+	LeaderHeartbeatReply,
+	RunningTaskCount,
+} from "../../protocol/peer/messages.js";
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
 import type { PlatformSettings } from "../../protocol/settings/platform.js";
 import type { Log } from "../ports/log.js";
 import type { PeerMessenger } from "../ports/peers.js";
-import { ownerOf } from "../sharding/rendezvous-hash.js";
 import type { ClusterState } from "../state/cluster-state.js";
+import { FeatureSupport } from "./feature-gate.js";
+import { ForwardingPolicy } from "./forwarding-policy.js";
 import type { ResignationReason } from "./resignation-reason.js";
+import {
+	type PeerReply,
+	reachesMost,
+	type WorkerContact,
+	WorkerReachability,
+} from "./worker-reachability.js";
 
-/** So long after a takeover workers still come from elsewhere. */
-const afterTakeoverMs = 8000;
-/** A machine that does not stay with its relay is left alone for this long. */
-const redirectPauseMs = 60_000;
-/** A relay answers twice a second. */
-const relaySilentMs = 1200;
-const pingEveryMs = 500;
-/** Ticks further apart than this show that this process could not act in between. */
-const pauseMs = 1500;
+/** Pause between two heartbeats of the leader. */
+const heartbeatIntervalMs = 500;
 
+/** Beside the silence that the operators' settings allow: for a message on its way. */
+const silenceSlackMs = 500;
+
+/** What a failure detector needs of the leader. */
 export interface FailureDetectorOptions {
-	term: number;
+	term: Term;
 	/** Steady time at which the term began. */
 	beganAt: number;
 	platform: PlatformSettings;
 	settings: OperatorSettings;
 	clusterState: ClusterState;
 	peers: PeerMessenger;
-	/** Team quota's message to a controller; undefined: none. */
-	teamQuotaMessageFor(node: string): unknown;
-	/** The state service answers this node. */
+	/** Team quota's message to a controller; undefined: there is none. */
+	teamQuotaMessageFor(node: NodeId): unknown;
+	/** The store answers this controller. */
 	storeReachable(): boolean;
+	/** Ends the term. */
 	resign(reason: ResignationReason): void;
 	log: Log;
 }
 
-/** Who is there for a leader: which other controllers, and whether workers reach it. */
+/** Owns what is known of the other controllers in one term. */
 export class FailureDetector {
-	private readonly heardFrom = new Map<string, number>();
-	/** Machines that turned to other controllers, by controller. */
-	private readonly redirected = new Map<string, { at: number; count: number }>();
-	/** Looks in a row at which most machines were not heard. */
-	private unreachableLooks = 0;
-	/** Whether workers reach this node is not judged before this: they need time to come. */
-	private judgeFrom: number;
-	private lastTickAt: number;
-	/** Whether the other controllers receive reports and pass them on. */
-	private relaying = false;
-	private nextPing = 0;
-	/** Controllers that serve standing jobs, by their own word in this term. */
-	private readonly serveStanding = new Set<string>();
-	/** Controllers that take part in team quota, likewise. */
-	private readonly serveQuota = new Set<string>();
-
-	private readonly term: number;
-	private readonly platform: PlatformSettings;
-	private readonly clusterState: ClusterState;
-	private readonly peers: PeerMessenger;
-	private readonly log: Log;
+	/** Steady times of the latest messages, by controller. */
+	private readonly lastMessageAt = new Map<NodeId, number>();
+	private readonly replies = new Map<NodeId, PeerReply>();
+	private readonly features = new FeatureSupport();
+	private readonly workers: WorkerReachability;
+	private readonly forwarding: ForwardingPolicy;
+	private nextHeartbeatAt = 0;
 
 	constructor(private readonly options: FailureDetectorOptions) {
-		this.term = options.term;
-		this.platform = options.platform;
-		this.clusterState = options.clusterState;
-		this.peers = options.peers;
-		this.log = options.log;
-		this.judgeFrom = options.beganAt + afterTakeoverMs;
-		this.lastTickAt = options.beganAt;
+		const { replies } = this;
+		this.workers = new WorkerReachability({ ...options, replies });
+		this.forwarding = new ForwardingPolicy({ ...options, replies });
 	}
 
-	/** Without authority for a while, or standing still, it cannot have heard anybody. */
-	private noticePause(now: number): void {
-		if (now - this.lastTickAt > pauseMs) {
-			this.unreachableLooks = 0;
-			this.judgeFrom = Math.max(this.judgeFrom, now + afterTakeoverMs);
-		}
-		this.lastTickAt = now;
-	}
-
-	/** Called often, with authority; tells the others twice a second how things stand. */
-	tick(now: number, counts: () => [string, number][]): void {
-		this.noticePause(now);
-		if (now < this.nextPing) return;
-		this.nextPing = now + pingEveryMs;
-		const ears = this.reachable(now);
-		const hearing = ears.heard >= ears.up / 2;
-		this.considerRelaying();
-		const message: LeaderHeartbeat = {
-			kind: "leader-heartbeat",
-			term: this.term,
-			runningTasks: counts(),
-			storeReachable: this.options.storeReachable(),
-			workersReachable: hearing,
-			forwardHeartbeats: this.relaying,
-		};
-		for (const { node } of this.platform.others) {
-			const quota = this.options.teamQuotaMessageFor(node);
-			this.peers.send(node, quota === undefined ? message : { ...message, teamQuota: quota });
-		}
-		this.unreachableLooks = ears.up >= 2 && !hearing ? this.unreachableLooks + 1 : 0;
-		this.stepAside(now, ears);
+	/**
+	 * Called in each tick with authority.
+	 *
+	 * @param runningTasks Counts the running tasks; called only when a heartbeat is due.
+	 */
+	tick(now: number, runningTasks: () => RunningTaskCount[]): void {
+		this.workers.tick(now);
+		if (now < this.nextHeartbeatAt) return;
+		this.nextHeartbeatAt = now + heartbeatIntervalMs;
+		const contact = this.workers.contact(now);
+		this.forwarding.update();
+		this.sendHeartbeats(contact, runningTasks());
+		this.workers.judge(contact);
+		this.resignIfUnreached(contact, now);
 	}
 
-	/** Another controller has spoken to this leader. */
-	messageReceived(from: string, now: number): void {
-		this.heardFrom.set(from, now);
+	/** Another controller has sent a message to this leader. */
+	messageReceived(from: NodeId, now: number): void {
+		this.lastMessageAt.set(from, now);
 	}
 
-	markUnresponsive(node: string): void {
-		this.heardFrom.delete(node);
+	/** The controller has not answered a request in time: it does not count as live before its next message. */
+	markUnresponsive(node: NodeId): void {
+		this.lastMessageAt.delete(node);
 	}
 
-	/** It has answered, and says how many machines turned to it. */
-	heartbeatReplyReceived(
-		from: string,
-		{ misdirectedWorkers: strays, supportsServiceJobs: standing, teamQuota: quota }: LeaderHeartbeatReply,
-		now: number,
-	): void {
-		if (standing === true) this.serveStanding.add(from);
-		else this.serveStanding.delete(from);
-		if (quota !== undefined) this.serveQuota.add(from);
-		else this.serveQuota.delete(from);
-		this.redirected.set(from, { at: now, count: strays });
-		if (this.unreachableLooks > 0) this.stepAside(now, this.reachable(now));
+	/** Another controller has answered the leader's heartbeat, or has said unasked that workers turn to it. */
+	heartbeatReplyReceived(from: NodeId, reply: LeaderHeartbeatReply, now: number): void {
+		this.features.replyReceived(from, reply);
+		this.replies.set(from, { receivedAt: now, misdirectedWorkers: reply.misdirectedWorkers });
+		if (this.workers.inDoubt) this.resignIfUnreached(this.workers.contact(now), now);
 	}
 
+	/** Every other controller has said in this term that it serves service jobs. */
 	get allSupportServiceJobs(): boolean {
-		return this.platform.others.every(({ node }) => this.serveStanding.has(node));
+		return this.platform.others.every(({ node }) => this.features.supportsServiceJobs(node));
 	}
 
+	/** Every other controller has said in this term that it takes part in team quota. */
 	get allSupportTeamQuota(): boolean {
-		return this.platform.others.every(({ node }) => this.serveQuota.has(node));
+		return this.platform.others.every(({ node }) => this.features.supportsTeamQuota(node));
 	}
 
-	liveControllers(now: number): string[] {
+	/** This controller, and those that have sent a message lately. */
+	liveControllers(now: number): NodeId[] {
+		const maxSilenceMs = this.options.settings.placing.silent_s * 1000 + silenceSlackMs;
 		const live = [this.platform.node];
-		for (const other of this.platform.others) {
-			const heard = this.heardFrom.get(other.node) ?? -Infinity;
-			if (now - heard <= this.options.settings.placing.silent_s * 1000 + 500) live.push(other.node);
+		for (const { node } of this.platform.others) {
+			const lastMessageAt = this.lastMessageAt.get(node) ?? -Infinity;
+			if (now - lastMessageAt <= maxSilenceMs) live.push(node);
 		}
 		return live;
 	}
 
-	/**
-	 * The controller that receives the machine's reports, or null for this one. Where so many
-	 * come that receiving them would take most of this process's share, the others do it. One
-	 * that comes back after it was sent away does not reach its relay and stays for a while.
-	 */
-	forwarderFor(id: string, now: number): string | null {
-		if (!this.relaying || !this.clusterState.reconciled) return null;
-		const machine = this.clusterState.machines.get(id);
-		if (!machine || now - machine.agent.redirectedAt < redirectPauseMs) return null;
-		const relays: string[] = [];
-		for (const [node, { at }] of this.redirected) if (now - at < relaySilentMs) relays.push(node);
-		const relay = ownerOf(id, relays);
-		if (relay !== null) machine.agent.redirected(now);
-		return relay;
+	/** The controller that the machine's worker is to send its heartbeats to; null: this one. */
+	forwarderFor(machineId: MachineId, now: number): NodeId | null {
+		return this.forwarding.forwarderFor(machineId, now);
 	}
 
-	/** Reports come at least so often; with half as many, relaying ends again. */
-	private considerRelaying(): void {
-		const { workers, resources } = this.platform.cluster;
-		const perCore = this.options.settings.reports.relay_per_core;
-		const rate = this.clusterState.machines.size / workers.report_s / (resources.cores ?? 1);
-		const relaying = perCore > 0 && rate >= (this.relaying ? perCore / 2 : perCore);
-		if (relaying === this.relaying) return;
-		this.relaying = relaying;
-		const by = relaying ? "heartbeat forwarding enabled" : "heartbeat forwarding disabled";
-		this.log.info({ perCore: Math.round(rate) }, by);
+	private get platform(): PlatformSettings {
+		return this.options.platform;
 	}
 
-	/** Machines that are up, and those of them that this node hears. */
-	private reachable(now: number): { up: number; heard: number } {
-		const since = now - (2500 * this.platform.cluster.workers.report_s + 500);
-		let up = 0;
-		let heard = 0;
-		for (const machine of this.clusterState.machines.values()) {
-			if (!machine.agent.running) continue;
-			up += 1;
-			if (machine.agent.heartbeatAt > since && machine.agent.unreachableSince === null) heard += 1;
+	private sendHeartbeats(contact: WorkerContact, runningTasks: RunningTaskCount[]): void {
+		const { term, peers, storeReachable, teamQuotaMessageFor } = this.options;
+		const heartbeat: LeaderHeartbeat = {
+			kind: "leader-heartbeat",
+			term,
+			runningTasks,
+			storeReachable: storeReachable(),
+			workersReachable: reachesMost(contact),
+			forwardHeartbeats: this.forwarding.enabled,
+		};
+		for (const { node } of this.platform.others) {
+			const teamQuota = teamQuotaMessageFor(node);
+			peers.send(node, teamQuota === undefined ? heartbeat : { ...heartbeat, teamQuota });
 		}
-		return { up, heard };
 	}
 
-	/**
-	 * A leader may keep the store and the other controllers and lose the workers. Then it
-	 * stands in the way: the workers turn to the others, who can only send them back. If
-	 * the others hear more machines than this node does, one of them had better lead.
-	 */
-	private stepAside(now: number, { up, heard }: { up: number; heard: number }): void {
-		if (now < this.judgeFrom) return;
-		let strays = 0;
-		for (const { at, count } of this.redirected.values())
-			if (now - at < 2000) strays = Math.max(strays, count);
-		if (this.unreachableLooks >= 2 && strays > heard && strays >= up / 10) {
-			this.options.resign(`workers do not reach this controller: ${heard} of ${up} heard`);
-		}
+	private resignIfUnreached(contact: WorkerContact, now: number): void {
+		if (!this.workers.shouldResign(contact, now)) return;
+		const { heard, running } = contact;
+		this.options.resign(`workers do not reach this controller: ${heard} of ${running} heard`);
 	}
 }
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -225,7 +225,7 @@
 	private voteReceived(from: NodeId, vote: LeaseExtensionVote, now: number): void {
 		// The cancellations that it names have happened, however old the message is. They are taken over before the
 		// vote is counted, because counting it says that they are known here.
-		if (vote.cancellations) this.options.cancellations.learn(vote.cancellations);
+		if (vote.cancellations) this.options.cancellations.record(vote.cancellations);
 		if (this.role.kind !== "leader" || vote.term !== this.role.lease.term) return;
 		this.extension.countVote(from, vote, this.role.lease, now);
 	}
--- a/src/coordination/runtime/pause-detector.ts
+++ b/src/coordination/runtime/pause-detector.ts
@@ -1,25 +1,30 @@
+/**
+ * Notices that the process paused while its clocks ran on, as when its machine was suspended or the process was
+ * stopped by a signal.
+ *
+ * The detector is asked before each batch of actions. The controller's own tick makes sure that there is a batch
+ * several times a second, so a longer gap by the steady clock means that nothing of this process ran in between.
+ * Traces 34, 35 and 54; pause-detector.test.ts.
+ */
+
 import type { Clock } from "../ports/clock.js";
 
-/** A process that is merely short of processor time handles its commands more often than this. */
-const shortestStallMs = 2000;
+/** Shortest gap that counts: a process that is merely short of processor time runs more often than this. */
+const minPauseMs = 2000;
 
-/**
- * Notices that the process stood still while its clocks ran on. It is asked before each batch of
- * commands; the controller's own tick makes sure that there is one several times a second, so a
- * longer gap by the steady clock means that nothing of this process ran in between.
- */
+/** Owns when the process was last seen running. */
 export class PauseDetector {
 	private lastSeenAt: number;
 
-	constructor(private readonly time: Pick<Clock, "now">) {
-		this.lastSeenAt = time.now();
+	constructor(private readonly clock: Pick<Clock, "now">) {
+		this.lastSeenAt = clock.now();
 	}
 
-	/** Milliseconds for which the process stood still until just now, or null. */
+	/** Milliseconds for which the process paused until just now; null: it did not. Each pause is told once. */
 	observe(): number | null {
-		const now = this.time.now();
+		const now = this.clock.now();
 		const gapMs = now - this.lastSeenAt;
 		this.lastSeenAt = now;
-		return gapMs >= shortestStallMs ? gapMs : null;
+		return gapMs >= minPauseMs ? gapMs : null;
 	}
 }
--- a/src/coordination/runtime/serial-executor.ts
+++ b/src/coordination/runtime/serial-executor.ts
@@ -1,41 +1,51 @@
 /**
- * The queue of commands of a process. All state belongs to its single consumer:
- * handlers of requests, answers and timers enqueue a command and await it.
- * Commands run in batches; work that a batch makes necessary, such as placing,
- * is done once after it.
+ * The serial executor: the one owner of a process's state.
+ *
+ * Handlers of requests, answers of outside systems and timers never touch the state themselves. They post an action,
+ * and the executor runs the actions one at a time, in the order in which they were posted. Actions run in batches,
+ * so that work that several of them make necessary, such as placing tasks, is done once after the batch.
  */
+
+/** Runs actions one at a time. */
 export class SerialExecutor {
 	private queue: (() => void)[] = [];
 	private scheduled = false;
-	private readonly beforeBatch: (() => void)[] = [];
-	private readonly afterBatch: (() => void)[] = [];
+	private readonly batchStartHooks: (() => void)[] = [];
+	private readonly batchEndHooks: (() => void)[] = [];
 
+	/**
+	 * @param schedule Runs a batch soon, and not within the call.
+	 * @param onError Called with what an action has thrown.
+	 */
 	constructor(
 		private readonly schedule: (run: () => void) => void,
-		private readonly failed: (error: unknown) => void,
+		private readonly onError: (error: unknown) => void,
 	) {}
 
-	/** Runs before the first command of a batch acts. */
-	onBatchStart(run: () => void): void {
-		this.beforeBatch.push(run);
+	/** Adds what runs before the first action of each batch. */
+	onBatchStart(hook: () => void): void {
+		this.batchStartHooks.push(hook);
 	}
 
-	onBatchEnd(run: () => void): void {
-		this.afterBatch.push(run);
+	/** Adds what runs after the last action of each batch. */
+	onBatchEnd(hook: () => void): void {
+		this.batchEndHooks.push(hook);
 	}
 
-	post(command: () => void): void {
-		this.queue.push(command);
+	/** Runs the action after all that were posted before. */
+	post(action: () => void): void {
+		this.queue.push(action);
 		if (this.scheduled) return;
 		this.scheduled = true;
-		this.schedule(() => this.drain());
+		this.schedule(() => this.runBatch());
 	}
 
-	call<T>(command: () => T | Promise<T>): Promise<T> {
+	/** Posts the action, and resolves to its result or rejects with what it throws. */
+	call<T>(action: () => T | Promise<T>): Promise<T> {
 		return new Promise<T>((resolve, reject) => {
 			this.post(() => {
 				try {
-					resolve(command());
+					resolve(action());
 				} catch (error) {
 					reject(error);
 				}
@@ -43,21 +53,22 @@
 		});
 	}
 
-	private drain(): void {
+	/** What is posted while a batch runs belongs to the next one. */
+	private runBatch(): void {
 		const batch = this.queue;
 		this.queue = [];
 		this.scheduled = false;
-		for (const run of this.beforeBatch) this.guard(run);
-		for (const command of batch) this.guard(command);
-		for (const run of this.afterBatch) this.guard(run);
+		for (const hook of this.batchStartHooks) this.runGuarded(hook);
+		for (const action of batch) this.runGuarded(action);
+		for (const hook of this.batchEndHooks) this.runGuarded(hook);
 	}
 
-	/** A command that fails must not take the process, and with it all other work, down. */
-	private guard(run: () => void): void {
+	/** An action that fails must not end the process, and with it all other work. */
+	private runGuarded(run: () => void): void {
 		try {
 			run();
 		} catch (error) {
-			this.failed(error);
+			this.onError(error);
 		}
 	}
 }
--- a/src/coordination/sharding/rendezvous-hash.ts
+++ b/src/coordination/sharding/rendezvous-hash.ts
@@ -1,4 +1,12 @@
-/** 32-bit FNV-1a with a final mix: the same on every node, which is all that is asked of it. */
+/**
+ * Rendezvous hashing: which node a key belongs to, agreed on without a word by all that know the same nodes.
+ *
+ * Each node has a weight for each key, and the node with the greatest weight owns the key. When a node comes or
+ * goes, only the keys that it owns move. Teams are divided among placers this way, and machines among controllers
+ * that forward heartbeats.
+ */
+
+/** 32-bit FNV-1a with the final mix of MurmurHash3, for keys that differ only in their last characters. */
 function hash(text: string): number {
 	let h = 0x811c9dc5;
 	for (let i = 0; i < text.length; i++) {
@@ -12,16 +20,16 @@
 	return (h ^ (h >>> 16)) >>> 0;
 }
 
-/** Rendezvous hashing: a team moves only when its own placer comes or goes. */
-export function ownerOf(team: string, live: readonly string[]): string | null {
-	let best: string | null = null;
-	let most = -1;
-	for (const node of live) {
-		const weight = hash(`${node}/${team}`);
-		if (weight > most || (weight === most && best !== null && node < best)) {
-			best = node;
-			most = weight;
-		}
+/** The node that owns the key; null: there are no nodes. The order of the nodes does not matter. */
+export function ownerOf<Node extends string>(key: string, nodes: readonly Node[]): Node | null {
+	let owner: Node | null = null;
+	let greatestWeight = -1;
+	for (const node of nodes) {
+		const weight = hash(`${node}/${key}`);
+		const wins = weight > greatestWeight || (weight === greatestWeight && owner !== null && node < owner);
+		if (!wins) continue;
+		owner = node;
+		greatestWeight = weight;
 	}
-	return best;
+	return owner;
 }
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -59,7 +59,7 @@
 			},
 			revision: () => copy.epoch,
 			since: () => copy.cancelled,
-			learn: (cancelled) => learnt.push(...cancelled.map(({ jobId }) => jobId)),
+			record: (cancelled) => learnt.push(...cancelled.map(({ jobId }) => jobId)),
 		},
 	});
 	const key = () => {
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -120,7 +120,7 @@
 			broadcast,
 			onElected: (term) => this.tellParent({ kind: "leads", term, at: machineMs() }),
 			onLeadershipLost: () => this.endTerm(),
-			cancellations: { syncedAt: () => this.time.now(), revision: () => 0, since: () => [], learn() {} },
+			cancellations: { syncedAt: () => this.time.now(), revision: () => 0, since: () => [], record() {} },
 		});
 	}
 
