--- a/src/coordination/leadership/cancellation-staleness.ts
+++ b/src/coordination/leadership/cancellation-staleness.ts
@@ -23,8 +23,8 @@
  *
  * Tests: `cancellation-staleness.test.ts`, traces 05 and 39.
  */
-export function maxCancellationStalenessMs(platform: PlatformSettings): number {
-	const { cancel_s, lease_s } = platform.cluster.workers;
+export function maxCancellationStalenessMs(workers: PlatformSettings["cluster"]["workers"]): number {
+	const { cancel_s, lease_s } = workers;
 	return Math.max(0, (cancel_s - lease_s * (1 + leaseDriftAllowance)) * 1000 - marginMs);
 }
 
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -12,7 +12,7 @@
  */
 
 import { Machine, unknownMachineType } from "../../bookkeeping/machine.js";
-import type { AgentEpoch, MachineId } from "../../protocol/model/identifiers.js";
+import { type AgentEpoch, fencingTokenOf, type MachineId } from "../../protocol/model/identifiers.js";
 import type { WorkerHeartbeat } from "../../protocol/model/worker.js";
 import type { Log } from "../ports/log.js";
 import type { DirectCommandResult, WorkerGateway } from "../ports/workers.js";
@@ -138,7 +138,8 @@
 		const { machine, agentEpoch } = probe;
 		let result: DirectCommandResult;
 		try {
-			result = await workers.sendCommands(machine.agent.endpoint, clusterState.term, agentEpoch, []);
+			const token = fencingTokenOf(clusterState.term);
+			result = await workers.sendCommands(machine.agent.endpoint, token, agentEpoch, []);
 		} catch (error) {
 			// The machine may be out of reach; whether it is given up is decided by its silence.
 			log.debug({ machineId: machine.id, err: error }, "direct command failed");
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -17,9 +17,9 @@
 import type { Log } from "../ports/log.js";
 import type { PeerMessenger } from "../ports/peers.js";
 import type { ClusterState } from "../state/cluster-state.js";
+import type { ResignationReason } from "../state/resignation-reason.js";
 import { FeatureSupport } from "./feature-gate.js";
 import { ForwardingPolicy } from "./forwarding-policy.js";
-import type { ResignationReason } from "./resignation-reason.js";
 import {
 	type PeerReply,
 	reachesMost,
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -21,6 +21,7 @@
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
 import type { KeyValueStore } from "../ports/store.js";
+import type { ResignationReason } from "../state/resignation-reason.js";
 import { CampaignHoldoff } from "./campaign-holdoff.js";
 import { type CancellationKnowledge, stalenessBoundMs } from "./cancellation-staleness.js";
 import { type CampaignResult, LeaderKeyCampaign } from "./leader-key-campaign.js";
@@ -28,7 +29,6 @@
 import { LeaseExtension } from "./lease-extension.js";
 import { LeaseExtensionVoter } from "./lease-extension-voter.js";
 import type { LeaseTiming } from "./lease-timing.js";
-import type { ResignationReason } from "./resignation-reason.js";
 
 /** Least pause after a campaign that another controller has won; up to twice this with jitter. */
 const lostCampaignPauseMs = 100;
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -1,4 +1,5 @@
-import type { Attempt, Job } from "../../bookkeeping/job.js";
+import type { Attempt } from "../../bookkeeping/attempt.js";
+import type { Job } from "../../bookkeeping/job.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
 import type { FailureDetector } from "../leadership/failure-detector.js";
 import type { Log } from "../ports/log.js";
@@ -57,7 +58,7 @@
 		this.scrub(now);
 		if (now < this.nextLimitsAt) return;
 		this.nextLimitsAt = now + limitsEveryMs;
-		for (const team of [...this.options.clusterState.quotas.names]) this.followLimit(team, now);
+		for (const team of [...this.options.clusterState.quotas.teams]) this.followLimit(team, now);
 	}
 
 	/** The leader's own count and the charges are kept apart, so each shows a fault of the other. */
@@ -65,7 +66,7 @@
 		if (now < this.nextScrubAt) return;
 		this.nextScrubAt = now + scrubEveryMs;
 		const { quotas } = this.options.clusterState;
-		this.options.leaderQuota.scrub([...quotas.names].map((team) => ({ team, ...quotas.use(team) })));
+		this.options.leaderQuota.scrub([...quotas.teams].map((team) => ({ team, ...quotas.usage(team) })));
 	}
 
 	/** Only once all that may run is known, so that it can be charged. */
@@ -84,7 +85,7 @@
 		const live = peerMonitor.liveControllers(now);
 		if (live.join() === this.placers.join()) return;
 		this.placers = live;
-		for (const team of clusterState.quotas.names)
+		for (const team of clusterState.quotas.teams)
 			leaderQuota.prefer(team, ownerOf(team, live) ?? leaderQuota.self, nodes);
 	}
 
@@ -125,7 +126,7 @@
 	private followLimit(team: string, now: number): void {
 		const { quota, clusterState, leaderQuota } = this.options;
 		const limits = quota.limits(team);
-		if (limits) clusterState.quotas.setLimits(limits);
+		if (limits) clusterState.quotas.setQuota(limits);
 		const excess = leaderQuota.excess(team);
 		if (!excess) {
 			this.excessSince.delete(team);
@@ -152,7 +153,7 @@
 			left.cpus -= cpus;
 			left.gpus -= gpus;
 			if (attempt.stop !== null) continue;
-			attempt.stop = { graceS: checkpointCostS, reason: "the team's limit was lowered" };
+			attempt.requestStop("team limit lowered", checkpointCostS);
 			stopped.push(attempt);
 		}
 		if (stopped.length === 0) return;
