--- a/src/coordination/jobs/done-task-records.ts
+++ b/src/coordination/jobs/done-task-records.ts
@@ -1,8 +1,8 @@
 /** The stored record of which tasks of live jobs are done. */
 
 import type { Job } from "../../bookkeeping/job.js";
-import type { Versioned } from "../../bookkeeping/store-replica.js";
 import { tasksPerPage } from "../../bookkeeping/task-set.js";
+import type { Versioned } from "../../bookkeeping/versioned.js";
 import type { JobId } from "../../protocol/model/identifiers.js";
 import { pageName, parsePageName, type StoredChunk } from "../../protocol/records/chunk.js";
 import { keys } from "../../protocol/records/keys.js";
@@ -36,8 +36,8 @@
 		this.pages = new ChunkedRecords({
 			...options.chunkedRecords,
 			prefix: keys.progress,
-			confirmed: (entries) => this.onConfirmed(entries),
-			pace: { rateClass: "background", everyMs: writeEveryMs, shrinkMs: shrinkEveryMs },
+			onConfirmed: (entries) => this.onConfirmed(entries),
+			pace: { priority: "background", minIntervalMs: writeEveryMs, cleanupIntervalMs: shrinkEveryMs },
 		});
 	}
 
--- a/src/coordination/jobs/job-cancellation.ts
+++ b/src/coordination/jobs/job-cancellation.ts
@@ -1,6 +1,7 @@
 /** Cancels jobs: replaces the record of a live job by a final one. */
 
-import type { StoreReplica, Versioned } from "../../bookkeeping/store-replica.js";
+import type { StoreReplica } from "../../bookkeeping/store-replica.js";
+import type { Versioned } from "../../bookkeeping/versioned.js";
 import type { JobId } from "../../protocol/model/identifiers.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
 import { encodeFinalRecord } from "../../protocol/records/final-record.js";
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -1,7 +1,7 @@
 /** The progress and the end of jobs in the store, as the leader writes them. */
 
 import type { Job } from "../../bookkeeping/job.js";
-import type { Versioned } from "../../bookkeeping/store-replica.js";
+import type { Versioned } from "../../bookkeeping/versioned.js";
 import type { StoreChange, StoreCondition } from "../../protocol/http/store-api.js";
 import type { JobId, Revision } from "../../protocol/model/identifiers.js";
 import { taskDemandOf } from "../../protocol/model/job.js";
--- a/src/coordination/jobs/live-jobs.ts
+++ b/src/coordination/jobs/live-jobs.ts
@@ -2,7 +2,8 @@
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
-import type { StoreReplica, Versioned } from "../../bookkeeping/store-replica.js";
+import type { StoreReplica } from "../../bookkeeping/store-replica.js";
+import type { Versioned } from "../../bookkeeping/versioned.js";
 import type { JobId, Revision } from "../../protocol/model/identifiers.js";
 import { encodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import type { JobRecord } from "../../protocol/records/job-record.js";
@@ -60,14 +61,14 @@
 	/** Loads all that the replica holds when the term begins. */
 	loadAll(): void {
 		const { replica } = this.options;
-		this.completion.load(replica.progress);
+		this.completion.load(replica.progressChunks);
 		for (const [id, record] of replica.jobs) this.load(id, record);
 	}
 
 	private load(id: JobId, { value: { spec, acceptedAt }, revision }: Versioned<JobRecord>): void {
 		const { clusterState, replica, clock, log } = this.options;
 		const job = clusterState.addJob(id, spec, acceptedAt, revision);
-		job.load(replica.pagesOf(id), clock.now());
+		job.load(replica.donePagesOf(id), clock.now());
 		const { jobClass, team, taskCount, estimatedRunS, deadlineS } = spec;
 		log.debug({ jobId: id, jobClass, team, tasks: taskCount, estimatedRunS, deadlineS }, "job loaded");
 		this.completion.finishIfDone(job);
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -15,7 +15,7 @@
 import { Failover } from "./leadership/failover.js";
 import { FailureDetector } from "./leadership/failure-detector.js";
 import { FeatureGate } from "./leadership/feature-gate.js";
-import { maxClockDrift } from "./leadership/leadership.js";
+import { maxClockDrift } from "./leadership/lease-timing.js";
 import { PlacementCycle } from "./placement/placement-cycle.js";
 import { QuotaAdmission } from "./placement/quota-admission.js";
 import type { Clock } from "./ports/clock.js";
@@ -29,6 +29,7 @@
 import type { ChunkedRecordsEnvironment } from "./replication/chunked-records.js";
 import { TickDelay } from "./runtime/tick-delay.js";
 import { ClusterState } from "./state/cluster-state.js";
+import type { ResignationReason } from "./state/resignation-reason.js";
 import { TermAuthority } from "./state/term-authority.js";
 import { DirectCommandSender } from "./workers/direct-command-sender.js";
 import { FaultAttribution } from "./workers/fault-attribution.js";
@@ -74,7 +75,7 @@
 	/** The store answers this controller. */
 	storeReachable(): boolean;
 	/** Gives up leadership. */
-	resign(reason: string): void;
+	resign(reason: ResignationReason): void;
 	/** null: team quota is off, and this leader's own check of limits stands alone. */
 	teamQuota: TeamQuotaPort | null;
 	/** Begins the names of scale-out requests; no other term or process ever uses it. */
@@ -119,8 +120,8 @@
 		settings: operator,
 		clusterState,
 		peers,
-		quotaTerms: (node) => leaderQuota?.termsFor(node),
-		served: options.storeReachable,
+		teamQuotaMessageFor: (node) => leaderQuota?.termsFor(node),
+		storeReachable: options.storeReachable,
 		resign: (reason) => authority.resign(reason),
 		log,
 	});
@@ -204,19 +205,17 @@
 		hooks: { post, authority: active, gone: machineDeleted },
 		log,
 	});
-	const failover = new Failover(
+	const failover = new Failover({
 		clusterState,
 		workers,
 		beganAt,
-		{
-			post,
-			active,
-			ended: () => authority.ended,
-			apply: (heartbeat) => heartbeats.reconcile(heartbeat),
-			unlisted: (machine) => fleet.unlisted(machine),
-		},
 		log,
-	);
+		post,
+		active,
+		ended: () => authority.ended,
+		reconcileHeartbeat: (heartbeat) => heartbeats.reconcile(heartbeat),
+		missingFromCloudList: (machine) => fleet.unlisted(machine),
+	});
 
 	return {
 		authority,
@@ -227,7 +226,7 @@
 		machineRecords,
 		failover,
 		failureDetector,
-		featureGate: new FeatureGate(authority.leaderCondition, store, clock, post),
+		featureGate: new FeatureGate({ leaderCondition: authority.leaderCondition, store, clock, log, post }),
 		heartbeats,
 		leaseMonitor,
 		fleet,
@@ -280,7 +279,7 @@
 		orders: commands,
 		nodes,
 		preemptAfterMs: operator.team_quota.preempt_after_s * 1000,
-		servedByAll: () => replica.features.teamQuota || failureDetector.allServeQuota,
+		servedByAll: () => replica.features.teamQuota || failureDetector.allSupportTeamQuota,
 		log: ports.log,
 	});
 }
@@ -293,13 +292,14 @@
 	const { value_kb, txn_ops } = platform.cluster.state;
 	return {
 		leaderCondition: authority.leaderCondition,
-		mostBytes: Math.floor(value_kb * 1024 * valueSizePart),
-		mostChanges: txn_ops,
+		maxChunkBytes: Math.floor(value_kb * 1024 * valueSizePart),
+		maxChangesPerWrite: txn_ops,
 		store,
 		post,
 		now: () => clock.now(),
-		lostKey: () => authority.leaderKeyLost(),
-		failed: (error) => log.debug({ err: error }, "records not written"),
-		tooLarge: (keys, maxBytes) => log.error({ keys, maxBytes }, "store rejected values: splitting them"),
+		onLeaderKeyLost: () => authority.leaderKeyLost(),
+		onWriteFailed: (error) => log.debug({ err: error }, "records not written"),
+		onChunksRejected: (keys, maxBytes) =>
+			log.error({ keys, maxBytes }, "store rejected values: splitting them"),
 	};
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -73,11 +73,11 @@
 	begin(): void {
 		const { authority, clusterState, replica, liveJobs, machineRecords, failover, log } = this.parts;
 		liveJobs.loadAll();
-		machineRecords.load(replica.machines);
-		for (const { value } of replica.machines.values())
+		machineRecords.load(replica.machineChunks);
+		for (const { value } of replica.machineChunks.values())
 			for (const [id, stored] of Object.entries(value.entries))
 				this.loadMachine(id, decodeMachineRecord(stored));
-		if (replica.machinesMalformed) failover.waitForUnreadable();
+		if (replica.machineRecordsMalformed) failover.waitOutMalformedRecords();
 		failover.sendProbes(false);
 		const { jobs, machines } = clusterState;
 		log.info({ term: authority.term, jobs: jobs.size, machines: machines.size }, "failover started");
@@ -91,7 +91,7 @@
 		const machine = new Machine({ id, type, zone, spot, origin: "record" }, beganAt);
 		clusterState.addMachine(machine);
 		machine.agent.endpointLearned(endpoint);
-		failover.hide(machine, agentEpoch);
+		failover.markUnreconciled(machine, agentEpoch);
 	}
 
 	/** Ends the term: nothing is decided or answered any more. */
@@ -119,7 +119,7 @@
 		parts.preemption.tick(now);
 		parts.relocation.tick(now);
 		this.place();
-		if (parts.clusterState.attemptNumbersExhausted) parts.authority.resign("attempt numbers used up");
+		if (parts.clusterState.attemptNumbersExhausted) parts.authority.resign("attempt numbers exhausted");
 	}
 
 	/** Places what waits, and sends what was decided. Called after each batch of actions. */
@@ -143,9 +143,9 @@
 	 */
 	onProcessPause(pausedMs: number): void {
 		const { tickDelay, heartbeats, failover, placement, clock } = this.parts;
-		tickDelay.resume(clock.now());
+		tickDelay.onProcessPause(clock.now());
 		heartbeats.refuseAll();
-		failover.stalled(pausedMs);
+		failover.onProcessPause(pausedMs);
 		placement.stalled();
 	}
 
@@ -193,10 +193,10 @@
 		const { authority, failureDetector, placement, leaderQuota, clock } = this.parts;
 		if (authority.ended || message.term !== authority.term) return;
 		const now = clock.now();
-		failureDetector.heard(from, now);
+		failureDetector.messageReceived(from, now);
 		if (message.kind === "placement-proposal") placement.proposed(from, message, now);
 		if (message.kind !== "leader-heartbeat-reply") return;
-		failureDetector.answered(from, message, now);
+		failureDetector.heartbeatReplyReceived(from, message, now);
 		if (message.teamQuota !== undefined) leaderQuota?.heard(from, message.teamQuota);
 		if (authority.active) this.recordFeatures();
 	}
@@ -204,9 +204,9 @@
 	/** Records what every controller supports by now, for good. */
 	private recordFeatures(): void {
 		const { featureGate, failureDetector, leaderQuota, replica } = this.parts;
-		featureGate.write(replica.features, {
-			serviceJobs: failureDetector.allServeStanding,
-			teamQuota: failureDetector.allServeQuota && leaderQuota !== null,
+		featureGate.recordSupport(replica.features, {
+			serviceJobs: failureDetector.allSupportServiceJobs,
+			teamQuota: failureDetector.allSupportTeamQuota && leaderQuota !== null,
 		});
 	}
 }
--- a/src/coordination/state/term-authority.ts
+++ b/src/coordination/state/term-authority.ts
@@ -3,6 +3,7 @@
 import type { StoreCondition } from "../../protocol/http/store-api.js";
 import { revisionOf, type Term } from "../../protocol/model/identifiers.js";
 import { keys } from "../../protocol/records/keys.js";
+import type { ResignationReason } from "./resignation-reason.js";
 
 /** What a term's authority rests on. */
 export interface TermAuthorityOptions {
@@ -10,7 +11,7 @@
 	/** This process may act for the controllers in the term now. */
 	mayAct(): boolean;
 	/** Gives up leadership. */
-	resign(reason: string): void;
+	resign(reason: ResignationReason): void;
 }
 
 /**
@@ -45,12 +46,12 @@
 	}
 
 	/** Gives up leadership. */
-	resign(reason: string): void {
+	resign(reason: ResignationReason): void {
 		this.options.resign(reason);
 	}
 
 	/** A write has failed because another controller has written the leader key. */
 	leaderKeyLost(): void {
-		if (!this.#ended) this.resign("the leader key has changed");
+		if (!this.#ended) this.resign("leader key changed");
 	}
 }
--- a/src/coordination/term-supervisor.ts
+++ b/src/coordination/term-supervisor.ts
@@ -10,6 +10,7 @@
 import type { Leadership } from "./leadership/leadership.js";
 import type { TeamQuotaPort } from "./ports/team-quota.js";
 import type { ReplicaSync } from "./replication/replica-sync.js";
+import type { ResignationReason } from "./state/resignation-reason.js";
 import type { ActiveLeader } from "./workers/heartbeat-router.js";
 
 /** Waited for before machine types are looked for again. */
@@ -62,7 +63,7 @@
 	}
 
 	/** Leadership has ended, whatever the step it was at. */
-	onLeadershipLost(term: Term, reason: string): void {
+	onLeadershipLost(term: Term, reason: ResignationReason): void {
 		this.options.ports.log.info({ term, reason }, "leadership lost");
 		this.beginning = null;
 		this.current?.end();
--- a/src/coordination/workers/machine-records.ts
+++ b/src/coordination/workers/machine-records.ts
@@ -1,7 +1,7 @@
 /** Records in the store of the machines that may run tasks, for the next leader. */
 
 import type { Machine } from "../../bookkeeping/machine.js";
-import type { Versioned } from "../../bookkeeping/store-replica.js";
+import type { Versioned } from "../../bookkeeping/versioned.js";
 import type { MachineId } from "../../protocol/model/identifiers.js";
 import type { StoredChunk } from "../../protocol/records/chunk.js";
 import { keys } from "../../protocol/records/keys.js";
@@ -28,8 +28,8 @@
 		this.records = new ChunkedRecords({
 			...environment,
 			prefix: keys.machines,
-			confirmed: (entries) => this.confirmed(entries.keys()),
-			pace: { rateClass: "normal", everyMs: writeEveryMs, shrinkMs: removeWithinMs },
+			onConfirmed: (entries) => this.confirmed(entries.keys()),
+			pace: { priority: "normal", minIntervalMs: writeEveryMs, cleanupIntervalMs: removeWithinMs },
 		});
 	}
 
