--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -70,7 +70,7 @@
 		platform.cluster.state.write_rps,
 	);
 	const teamQuota = ports.teamQuota?.(post) ?? null;
-	const replicaSync = new ReplicaSync(replica, store, clock, post, log);
+	const replicaSync = new ReplicaSync({ replica, store, clock, log, post });
 	const runningTasks = new RunningTaskCounts();
 
 	const leadership: Leadership = createLeadership(
@@ -108,17 +108,17 @@
 		leaderInStore: () => replica.leader?.value.node ?? null,
 		reportMisdirectedWorkers: (leader, term) => controller.replyToLeader(leader, term),
 	});
-	const jobs = new JobService(
+	const jobs = new JobService({
 		replica,
 		replicaSync,
 		store,
 		clock,
-		(team) => limitsOf(platform, teamQuota, team),
-		platform.cluster.zones,
-		platform.cluster.state.value_kb,
-		(action) => executor.call(action),
-		(jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
-	);
+		quotaOf: (team) => quotaOf(platform, teamQuota, team),
+		zones: platform.cluster.zones,
+		maxValueBytes: platform.cluster.state.value_kb * 1024,
+		call: (action) => executor.call(action),
+		runningTasks: (jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
+	});
 	const controller = new Controller({
 		executor,
 		replica,
@@ -157,37 +157,37 @@
 	const broadcast = (message: LeadershipMessage) => {
 		for (const node of others) peers.send(node, message);
 	};
-	return new Leadership(
-		platform.node,
+	return new Leadership({
+		node: platform.node,
 		incarnation,
-		{
-			ttlMs: operator.leadership.ttl_s * 1000,
+		others,
+		settings: {
+			leaseTtlMs: operator.leadership.ttl_s * 1000,
 			marginMs: operator.leadership.margin_s * 1000,
-			longestUnknowingMs: maxCancellationStalenessMs(platform.cluster.workers),
+			maxCancellationStalenessMs: maxCancellationStalenessMs(platform.cluster.workers),
 		},
-		ports.store,
-		ports.clock,
-		post,
-		{
-			won: (term) => terms().onElected(term),
-			lost: (term, reason) => terms().onLeadershipLost(term, reason),
-			tell: broadcast,
-			knownAt: () => replicaSync.syncedAt,
-			knownRevision: () => replica.revision,
-			cancelledSince: (revision) => cancellationsSince(replica, revision),
-			learn: (cancellations) => applyCancellations(replica, cancellations),
+		store: ports.store,
+		clock: ports.clock,
+		log: ports.log,
+		cancellations: {
+			syncedAt: () => replicaSync.syncedAt,
+			revision: () => replica.revision,
+			since: (revision) => cancellationsSince(replica, revision),
+			record: (cancellations) => applyCancellations(replica, cancellations),
 		},
-		others,
-		ports.log,
-		() => uniformInt(ports.random, 0, 999) / 1000,
-	);
+		post,
+		jitter: () => uniformInt(ports.random, 0, 999) / 1000,
+		broadcast,
+		onElected: (term) => terms().onElected(term),
+		onLeadershipLost: (term, reason) => terms().onLeadershipLost(term, reason),
+	});
 }
 
 function cancellationsSince(replica: StoreReplica, revision: Revision): Cancellation[] | null {
-	const jobs = replica.cancelledSince(revision);
+	const jobs = replica.cancellationsSince(revision);
 	if (jobs === null) return null;
-	return jobs.map(({ id, record, revision: cancelledAt }) => ({
-		jobId: id,
+	return jobs.map(({ jobId, record, revision: cancelledAt }) => ({
+		jobId,
 		revision: cancelledAt,
 		taskCount: record.taskCount,
 		doneCount: record.doneCount,
@@ -201,8 +201,8 @@
 	}
 }
 
-/** The limits of a team that the platform names: what its record says, else the platform's settings. */
-function limitsOf(
+/** The quota of a team that the platform names: what its record says, else the platform's settings. */
+function quotaOf(
 	platform: PlatformSettings,
 	teamQuota: TeamQuotaPort | null,
 	team: string,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -109,7 +109,7 @@
 	private tick(): void {
 		const { replica, leadership, machineTypes, terms, heartbeatRouter } = this.parts;
 		// Machine types are the first thing that a first leader writes: without them there was no leader before.
-		if (replica.loaded && replica.machineTypes === null) leadership.releaseStartHold();
+		if (replica.loaded && replica.machineTypes === null) leadership.endStartupHoldoff();
 		leadership.tick(replica.leader, replica.loaded);
 		if (leadership.authority() !== null) machineTypes.tick();
 		terms.leader?.tick();
@@ -130,8 +130,8 @@
 	private onProcessPause(pausedMs: number): void {
 		const { log, leadership, replicaSync, heartbeatRouter, terms } = this.parts;
 		log.info({ pausedMs: Math.round(pausedMs) }, "process pause detected");
-		leadership.stalled();
-		replicaSync.stalled();
+		leadership.onProcessPause();
+		replicaSync.onProcessPause();
 		heartbeatRouter.onProcessPause();
 		terms.leader?.onProcessPause(pausedMs);
 	}
@@ -141,7 +141,7 @@
 	private replicaChanged(key: string): void {
 		const { replica, terms, teamQuota } = this.parts;
 		if (key.startsWith(keys.jobs)) terms.leader?.jobChanged(key.slice(keys.jobs.length));
-		const quota = key.startsWith(keys.quota) ? replica.quota.get(key) : undefined;
+		const quota = key.startsWith(keys.quota) ? replica.quotaRecords.get(key) : undefined;
 		if (quota) teamQuota?.stored(key, quota.value, quota.revision);
 	}
 
@@ -170,7 +170,7 @@
 			case "lease-extension-vote":
 			case "leader-query":
 			case "leader-query-reply":
-				leadership.message(from, message);
+				leadership.handleMessage(from, message);
 				break;
 			case "placement-proposal":
 			case "leader-heartbeat-reply":
--- a/src/coordination/jobs/live-jobs.ts
+++ b/src/coordination/jobs/live-jobs.ts
@@ -2,7 +2,8 @@
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
-import type { StoreReplica, Versioned } from "../../bookkeeping/store-replica.js";
+import type { StoreReplica } from "../../bookkeeping/store-replica.js";
+import type { Versioned } from "../../bookkeeping/versioned.js";
 import type { JobId, Revision } from "../../protocol/model/identifiers.js";
 import { encodeFinalRecord, type FinalJobRecord } from "../../protocol/records/final-record.js";
 import type { JobRecord } from "../../protocol/records/job-record.js";
@@ -24,7 +25,7 @@
 	replica: StoreReplica;
 	store: KeyValueStore;
 	/** What all chunked records of the term have in common. */
-	records: ChunkedRecordsEnvironment;
+	chunkedRecords: ChunkedRecordsEnvironment;
 	clock: Clock;
 	log: Log;
 	post(action: () => void): void;
@@ -41,33 +42,33 @@
 	private nextAuditAt = 0;
 
 	constructor(private readonly options: LiveJobsOptions) {
-		const { authority, clusterState, store, clock, log, records, post } = options;
+		const { authority, clusterState, store, clock, log, chunkedRecords, post } = options;
 		this.completion = new JobCompletion({
 			leaderCondition: authority.leaderCondition,
 			store,
-			time: clock,
+			clock,
 			log,
-			records,
+			chunkedRecords,
 			post,
-			ended: () => authority.ended,
+			termEnded: () => authority.ended,
 			jobs: () => clusterState.jobs.values(),
-			jobOf: (id) => clusterState.jobs.get(id),
-			finished: (job, final, revision) => this.finished(job, final, revision),
-			lostKey: () => authority.leaderKeyLost(),
+			jobById: (id) => clusterState.jobs.get(id),
+			onJobDone: (job, final, revision) => this.onJobDone(job, final, revision),
+			onLeaderKeyChanged: () => authority.leaderKeyLost(),
 		});
 	}
 
 	/** Loads all that the replica holds when the term begins. */
 	loadAll(): void {
 		const { replica } = this.options;
-		this.completion.load(replica.progress);
+		this.completion.load(replica.progressChunks);
 		for (const [id, record] of replica.jobs) this.load(id, record);
 	}
 
 	private load(id: JobId, { value: { spec, acceptedAt }, revision }: Versioned<JobRecord>): void {
 		const { clusterState, replica, clock, log } = this.options;
 		const job = clusterState.addJob(id, spec, acceptedAt, revision);
-		job.load(replica.pagesOf(id), clock.now());
+		job.load(replica.donePagesOf(id), clock.now());
 		const { jobClass, team, taskCount, estimatedRunS, deadlineS } = spec;
 		log.debug({ jobId: id, jobClass, team, tasks: taskCount, estimatedRunS, deadlineS }, "job loaded");
 		this.completion.finishIfDone(job);
@@ -103,11 +104,11 @@
 		for (const id of replica.jobs.keys()) if (!clusterState.jobs.has(id)) this.replicaChanged(id);
 		for (const [id, job] of [...clusterState.jobs]) {
 			if (!replica.jobs.has(id)) this.remove(id);
-			else if (job.finalizing && now - job.finalizingAt > auditEveryMs) this.completion.writeFinal(job);
+			else if (job.finalizing && now - job.finalizingAt > auditEveryMs) this.completion.writeFinalRecord(job);
 		}
 	}
 
-	private finished(job: Job, final: FinalJobRecord, revision: Revision): void {
+	private onJobDone(job: Job, final: FinalJobRecord, revision: Revision): void {
 		this.options.replica.applyOwnWrite(keys.final(job.id), encodeFinalRecord(final), revision);
 		this.remove(job.id);
 	}
@@ -117,7 +118,7 @@
 		const { authority, clusterState, log, stopAttempts } = this.options;
 		const job = clusterState.jobs.get(id);
 		if (!job) return;
-		this.completion.forget(job);
+		this.completion.deleteProgress(job);
 		const running = clusterState.removeJob(job);
 		if (running.length > 0) log.info({ jobId: id, tasks: running.length }, "job over: stopping tasks");
 		if (authority.active) stopAttempts(running);
--- a/src/main.ts
+++ b/src/main.ts
@@ -4,7 +4,8 @@
 import { Command, CommanderError } from "commander";
 import { SettingsError } from "./protocol/errors.js";
 import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
-import { parsePlatform, readText } from "./protocol/settings/platform.js";
+import { parsePlatform } from "./protocol/settings/platform.js";
+import { readSettingsFile } from "./protocol/settings/settings-file.js";
 import { QuotaCommandError, quotaCommand } from "./quota-command.js";
 import { serve } from "./serve.js";
 import { systemClock } from "./system-clock.js";
@@ -39,11 +40,11 @@
 }
 
 async function checkOrServe(options: ServeOptions): Promise<void> {
-	const platform = parsePlatform(options.config, readText(options.config));
+	const platform = parsePlatform(options.config, readSettingsFile(options.config));
 	const operator =
 		options.operator === undefined
 			? defaultOperator()
-			: await parseOperator(options.operator, readText(options.operator));
+			: await parseOperator(options.operator, readSettingsFile(options.operator));
 	if (options.check) process.stdout.write(`${options.config}: settings are good\n`);
 	else await serve(platform, operator);
 }
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -16,10 +16,11 @@
 import { keys } from "./protocol/records/keys.js";
 import { decodeStoredRecord } from "./protocol/records/stored-record.js";
 import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
-import { parsePlatform, readText } from "./protocol/settings/platform.js";
+import { parsePlatform } from "./protocol/settings/platform.js";
+import { readSettingsFile } from "./protocol/settings/settings-file.js";
 import { quotaStore } from "./team-quota.js";
-import { HttpClient } from "./transport/http-client.js";
-import { StoreClient } from "./transport/store-client.js";
+import { HttpClient } from "./transport/clients/http-client.js";
+import { StoreClient } from "./transport/clients/store-client.js";
 
 /** `ramphub quota`: teams' limits for operators, read and changed in the state service itself. */
 
@@ -87,14 +88,14 @@
 }
 
 function connect(time: Clock, options: CommandOptions): KeyValueStore {
-	const { cluster, endpoints } = parsePlatform(options.config, readText(options.config));
-	return new StoreClient(
-		new HttpClient(endpoints.state, connections),
-		time,
-		cluster.state.rps,
-		cluster.state.write_rps,
-		1,
-	);
+	const { cluster, endpoints } = parsePlatform(options.config, readSettingsFile(options.config));
+	return new StoreClient({
+		http: new HttpClient(endpoints.state, connections),
+		clock: time,
+		requestsPerS: cluster.state.rps,
+		writesPerS: cluster.state.write_rps,
+		controllers: 1,
+	});
 }
 
 async function show(time: Clock, options: CommandOptions, team: string | undefined): Promise<string> {
@@ -121,7 +122,7 @@
 	const operator =
 		options.operator === undefined
 			? defaultOperator()
-			: await parseOperator(options.operator, readText(options.operator));
+			: await parseOperator(options.operator, readSettingsFile(options.operator));
 	const machines = operator.climb.most_machines;
 	if (machines === 0) return null;
 	const { row } = await store.read(keys.machineTypes);
--- a/tests/coordination/leadership/failover-large-fleets.test.ts
+++ b/tests/coordination/leadership/failover-large-fleets.test.ts
@@ -21,11 +21,11 @@
 				post: (run: () => void) => run(),
 				active: () => true,
 				ended: () => false,
-				apply() {},
-				unlisted: () => false,
+				reconcileHeartbeat() {},
+				missingFromCloudList: () => false,
 			};
-			const failover = new Failover(clusterState, workers, 0, hooks, silentLog);
-			for (const machine of clusterState.machines.values()) failover.hide(machine, 1);
+			const failover = new Failover({ clusterState, workers, beganAt: 0, log: silentLog, ...hooks });
+			for (const machine of clusterState.machines.values()) failover.markUnreconciled(machine, 1);
 
 			for (let t = 0; t < 12_000; t += 100) {
 				failover.tick(clock.now(), false);
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -8,9 +8,9 @@
 import { decodePeerMessage, encodePeerMessage } from "../../src/protocol/peer/codec.js";
 import type { LeadershipMessage } from "../../src/protocol/peer/messages.js";
 import { quotaStore } from "../../src/team-quota.js";
-import { HttpClient } from "../../src/transport/http-client.js";
-import { PeerLinks } from "../../src/transport/peer-link.js";
-import { StoreClient } from "../../src/transport/store-client.js";
+import { HttpClient } from "../../src/transport/clients/http-client.js";
+import { StoreClient } from "../../src/transport/clients/store-client.js";
+import { PeerLinks } from "../../src/transport/peers/peer-links.js";
 import { silentLog } from "./silent-log.js";
 
 export interface NodeConfig {
@@ -82,13 +82,19 @@
 
 	constructor(private readonly config: NodeConfig) {
 		const { node, incarnation, others, teams } = config;
-		this.links = new PeerLinks(
-			node,
-			others,
-			(from, message) => this.message(from, message as Message),
-			silentLog,
-		);
-		this.store = new StoreClient(new HttpClient(config.state, 10), this.time, 1e6, 1e6, 1);
+		this.links = new PeerLinks({
+			self: node,
+			peers: others,
+			onMessage: (from, message) => this.message(from, message as Message),
+			log: silentLog,
+		});
+		this.store = new StoreClient({
+			http: new HttpClient(config.state, 10),
+			clock: this.time,
+			requestsPerS: 1e6,
+			writesPerS: 1e6,
+			controllers: 1,
+		});
 		this.quota = new TeamQuota({
 			node,
 			incarnation,
@@ -104,29 +110,24 @@
 			post: (command) => command(),
 			log: silentLog,
 		});
-		const tell = (message: LeadershipMessage) => {
+		const broadcast = (message: LeadershipMessage) => {
 			for (const other of others) this.links.send(other.node, encodePeerMessage(message));
 		};
-		this.leadership = new Leadership(
+		this.leadership = new Leadership({
 			node,
 			incarnation,
-			{ ttlMs: 800, marginMs: 50, longestUnknowingMs: 60_000 },
-			this.store,
-			this.time,
-			(command) => command(),
-			{
-				won: (term) => this.tellParent({ kind: "leads", term, at: machineMs() }),
-				lost: () => this.endTerm(),
-				tell,
-				knownAt: () => this.time.now(),
-				knownRevision: () => 0,
-				cancelledSince: () => [],
-				learn: () => {},
-			},
-			others.map((other) => other.node),
-			silentLog,
-			() => Math.random(),
-		);
+			others: others.map((other) => other.node),
+			settings: { leaseTtlMs: 800, marginMs: 50, maxCancellationStalenessMs: 60_000 },
+			store: this.store,
+			clock: this.time,
+			log: silentLog,
+			post: (action) => action(),
+			jitter: () => Math.random(),
+			broadcast,
+			onElected: (term) => this.tellParent({ kind: "leads", term, at: machineMs() }),
+			onLeadershipLost: () => this.endTerm(),
+			cancellations: { syncedAt: () => this.time.now(), revision: () => 0, since: () => [], record() {} },
+		});
 	}
 
 	async start(): Promise<void> {
@@ -215,7 +216,7 @@
 				parsed.kind === "leader-query" ||
 				parsed.kind === "leader-query-reply"
 			)
-				this.leadership.message(from, parsed);
+				this.leadership.handleMessage(from, parsed);
 		}
 	}
 
--- a/tests/support/quota-processes.ts
+++ b/tests/support/quota-processes.ts
@@ -6,7 +6,7 @@
 import type { Amount, QuotaStore } from "#team-quota";
 import type { History } from "../../packages/team-quota/tests/support/history.js";
 import { quotaStore } from "../../src/team-quota.js";
-import { StoreClient } from "../../src/transport/store-client.js";
+import { StoreClient } from "../../src/transport/clients/store-client.js";
 import { type FromNode, machineMs, type NodeConfig, type QuotaTask, type ToNode } from "./quota-node.js";
 import { StateService } from "./state-service.js";
 
@@ -270,5 +270,7 @@
 		call: (method: string, path: string, body: unknown) => made.operatorCall(method, path, body),
 		close() {},
 	};
-	return quotaStore(new StoreClient(http, time, 1000, 1000, 1));
+	return quotaStore(
+		new StoreClient({ http, clock: time, requestsPerS: 1000, writesPerS: 1000, controllers: 1 }),
+	);
 }
