--- a/tests/coordination/workers/heartbeat-service.test.ts
+++ b/tests/coordination/workers/heartbeat-service.test.ts
@@ -35,7 +35,7 @@
 			workers: {
 				sendCommands: async (_endpoint, _token, _epoch, commands) => {
 					this.directCommands.push(...commands);
-					return { executed: true, report: heartbeat(1) };
+					return { executed: true, heartbeat: heartbeat(1) };
 				},
 			},
 		});
--- a/tests/coordination/workers/orphan-cleanup.test.ts
+++ b/tests/coordination/workers/orphan-cleanup.test.ts
@@ -62,7 +62,7 @@
 			workers: {
 				sendCommands: async (_endpoint, _token, _epoch, sent) => {
 					commands.push(...sent);
-					return { executed: true, report: heartbeatOf(machine) };
+					return { executed: true, heartbeat: heartbeatOf(machine) };
 				},
 			},
 		}),
