--- a/src/coordination/state/orphan-registry.ts
+++ b/src/coordination/state/orphan-registry.ts
@@ -40,7 +40,7 @@
 	add(machine: Machine, ref: AttemptRef, demand: TaskDemand | null): void {
 		const task = new OrphanedTask(ref);
 		const known = demand ?? this.demandOf(ref.jobId);
-		if (known) task.setDemand(known, this.accounting.takeFound(known));
+		if (known) task.setDemand(known, this.accounting.allocateFound(known));
 		else this.countUnknown(machine, 1);
 		machine.addOrphan(task);
 	}
@@ -53,7 +53,7 @@
 		const { orphans } = machine;
 		machine.clearOrphans();
 		for (const { demand, charge } of orphans) {
-			if (demand) this.accounting.giveBack(demand, charge);
+			if (demand) this.accounting.release(demand, charge);
 			else this.countUnknown(machine, -1);
 		}
 		return orphans.length > 0;
@@ -68,7 +68,7 @@
 			for (const task of machine.orphans) {
 				if (task.jobId !== jobId || task.demand !== null) continue;
 				this.countUnknown(machine, -1);
-				task.setDemand(demand, this.accounting.takeFound(demand));
+				task.setDemand(demand, this.accounting.allocateFound(demand));
 				resolved = true;
 			}
 		}
