--- a/tests/coordination/workers/direct-command-sender.test.ts
+++ b/tests/coordination/workers/direct-command-sender.test.ts
@@ -36,10 +36,9 @@
 				maxInFlight,
 				workers: { sendCommands },
 				active: () => true,
-				post: (run) => run(),
+				post: (action) => action(),
 				log: silentLog,
 			});
-
 			sender.stop(clusterState.removeJob(job));
 			await clock.advance((size / maxInFlight) * 10);
 			assert.equal(reached.size, size);
