--- a/src/coordination/leadership/peer-channel.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -45,6 +45,6 @@
 		const source = `${from}/${kind}`;
 		if (this.malformedSources.has(source)) return;
 		if (this.malformedSources.size < maxMalformedSources) this.malformedSources.add(source);
-		this.log.error({ from, kind, err: error.message }, "malformed message from a controller");
+		this.log.error({ peer: from, kind, err: error }, "malformed message from a controller");
 	}
 }
