--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -108,17 +108,17 @@
 		leaderInStore: () => replica.leader?.value.node ?? null,
 		reportMisdirectedWorkers: (leader, term) => controller.replyToLeader(leader, term),
 	});
-	const jobs = new JobService(
+	const jobs = new JobService({
 		replica,
 		replicaSync,
 		store,
 		clock,
-		(team) => limitsOf(platform, teamQuota, team),
-		platform.cluster.zones,
-		platform.cluster.state.value_kb,
-		(action) => executor.call(action),
-		(jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
-	);
+		quotaOf: (team) => quotaOf(platform, teamQuota, team),
+		zones: platform.cluster.zones,
+		maxValueBytes: platform.cluster.state.value_kb * 1024,
+		call: (action) => executor.call(action),
+		runningTasks: (jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
+	});
 	const controller = new Controller({
 		executor,
 		replica,
@@ -201,8 +201,8 @@
 	}
 }
 
-/** The limits of a team that the platform names: what its record says, else the platform's settings. */
-function limitsOf(
+/** The quota of a team that the platform names: what its record says, else the platform's settings. */
+function quotaOf(
 	platform: PlatformSettings,
 	teamQuota: TeamQuotaPort | null,
 	team: string,
--- a/src/coordination/jobs/live-jobs.ts
+++ b/src/coordination/jobs/live-jobs.ts
@@ -25,7 +25,7 @@
 	replica: StoreReplica;
 	store: KeyValueStore;
 	/** What all chunked records of the term have in common. */
-	records: ChunkedRecordsEnvironment;
+	chunkedRecords: ChunkedRecordsEnvironment;
 	clock: Clock;
 	log: Log;
 	post(action: () => void): void;
@@ -42,19 +42,19 @@
 	private nextAuditAt = 0;
 
 	constructor(private readonly options: LiveJobsOptions) {
-		const { authority, clusterState, store, clock, log, records, post } = options;
+		const { authority, clusterState, store, clock, log, chunkedRecords, post } = options;
 		this.completion = new JobCompletion({
 			leaderCondition: authority.leaderCondition,
 			store,
-			time: clock,
+			clock,
 			log,
-			records,
+			chunkedRecords,
 			post,
-			ended: () => authority.ended,
+			termEnded: () => authority.ended,
 			jobs: () => clusterState.jobs.values(),
-			jobOf: (id) => clusterState.jobs.get(id),
-			finished: (job, final, revision) => this.finished(job, final, revision),
-			lostKey: () => authority.leaderKeyLost(),
+			jobById: (id) => clusterState.jobs.get(id),
+			onJobDone: (job, final, revision) => this.onJobDone(job, final, revision),
+			onLeaderKeyChanged: () => authority.leaderKeyLost(),
 		});
 	}
 
@@ -104,11 +104,11 @@
 		for (const id of replica.jobs.keys()) if (!clusterState.jobs.has(id)) this.replicaChanged(id);
 		for (const [id, job] of [...clusterState.jobs]) {
 			if (!replica.jobs.has(id)) this.remove(id);
-			else if (job.finalizing && now - job.finalizingAt > auditEveryMs) this.completion.writeFinal(job);
+			else if (job.finalizing && now - job.finalizingAt > auditEveryMs) this.completion.writeFinalRecord(job);
 		}
 	}
 
-	private finished(job: Job, final: FinalJobRecord, revision: Revision): void {
+	private onJobDone(job: Job, final: FinalJobRecord, revision: Revision): void {
 		this.options.replica.applyOwnWrite(keys.final(job.id), encodeFinalRecord(final), revision);
 		this.remove(job.id);
 	}
@@ -118,7 +118,7 @@
 		const { authority, clusterState, log, stopAttempts } = this.options;
 		const job = clusterState.jobs.get(id);
 		if (!job) return;
-		this.completion.forget(job);
+		this.completion.deleteProgress(job);
 		const running = clusterState.removeJob(job);
 		if (running.length > 0) log.info({ jobId: id, tasks: running.length }, "job over: stopping tasks");
 		if (authority.active) stopAttempts(running);
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -149,14 +149,17 @@
 		post(() => this.probeAnswered(probe, result));
 	}
 
-	private probeAnswered({ machine, attemptsLeft }: Probe, { executed, report }: DirectCommandResult): void {
+	private probeAnswered(
+		{ machine, attemptsLeft }: Probe,
+		{ executed, heartbeat }: DirectCommandResult,
+	): void {
 		const { clusterState, ended, reconcileHeartbeat } = this.options;
 		if (!clusterState.unreconciledMachines.has(machine) || ended()) return;
-		if (executed && report.machineId === machine.id) reconcileHeartbeat(report);
+		if (executed && heartbeat.machineId === machine.id) reconcileHeartbeat(heartbeat);
 		// Refused for another epoch: it is asked again under the one that it has named. A later fencing token means
 		// that another controller leads.
-		else if (report.fencingToken <= clusterState.term && attemptsLeft > 1) {
-			this.probes.unshift({ machine, agentEpoch: report.agentEpoch, attemptsLeft: attemptsLeft - 1 });
+		else if (heartbeat.fencingToken <= clusterState.term && attemptsLeft > 1) {
+			this.probes.unshift({ machine, agentEpoch: heartbeat.agentEpoch, attemptsLeft: attemptsLeft - 1 });
 		}
 	}
 
--- a/src/coordination/leadership/leader-key-campaign.ts
+++ b/src/coordination/leadership/leader-key-campaign.ts
@@ -7,7 +7,7 @@
 import type { Incarnation, LeaseId, NodeId, Revision, Term } from "../../protocol/model/identifiers.js";
 import { termOf } from "../../protocol/model/identifiers.js";
 import { keys } from "../../protocol/records/keys.js";
-import type { LeaderRecord } from "../../protocol/records/singleton-records.js";
+import { encodeLeaderRecord } from "../../protocol/records/singleton-records.js";
 import { CallError } from "../ports/call-error.js";
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
@@ -52,11 +52,11 @@
 		const { node, store, log, clock, leaseTtlMs } = this.options;
 		const leaseId = await store.grantLease(leaseTtlMs);
 		const incarnation = `${this.options.incarnation}.${startedAt.toFixed(3)}`;
-		const record: LeaderRecord = { node, incarnation };
+		const value = encodeLeaderRecord({ node, incarnation });
 		try {
 			const result = await store.compareAndSwap(
 				[{ key: keys.leader, revision: expectedRevision }],
-				[{ put: keys.leader, value: record, leaseId }],
+				[{ put: keys.leader, value, leaseId }],
 				"user",
 			);
 			if (result.swapped) return { elected: true, term: termOf(result.revision), leaseId };
--- a/src/coordination/state/term-authority.ts
+++ b/src/coordination/state/term-authority.ts
@@ -1,7 +1,7 @@
 /** Whether a leader may still act in its term. */
 
 import type { StoreCondition } from "../../protocol/http/store-api.js";
-import type { Term } from "../../protocol/model/identifiers.js";
+import { revisionOf, type Term } from "../../protocol/model/identifiers.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { ResignationReason } from "./resignation-reason.js";
 
@@ -27,7 +27,7 @@
 
 	constructor(private readonly options: TermAuthorityOptions) {
 		this.term = options.term;
-		this.leaderCondition = { key: keys.leader, revision: options.term };
+		this.leaderCondition = { key: keys.leader, revision: revisionOf(options.term) };
 	}
 
 	/** The leader may act now. */
--- a/src/protocol/model/identifiers.ts
+++ b/src/protocol/model/identifiers.ts
@@ -49,6 +49,11 @@
 	return Number(revision);
 }
 
+/** The revision of the write that began the term, which the leader key has for as long as the term lasts. */
+export function revisionOf(term: Term): Revision {
+	return Number(term);
+}
+
 /** The id of a job's task, by its index in the job. */
 export function taskIdOf(jobId: JobId, taskIndex: number): TaskId {
 	return `${jobId}/${taskIndex}`;
--- /dev/null
+++ b/src/transport/public/public-api.ts
@@ -0,0 +1,125 @@
+/**
+ * Routes of the public HTTP API: users' requests, and the load balancer's question whether this controller is
+ * ready. Workers' heartbeats come to the same port but pass by the routes, see `heartbeat-listener.ts`.
+ */
+
+import { type Context, Hono } from "hono";
+import type { JobLookup, SubmitResult } from "../../coordination/jobs/job-results.js";
+import type { Log } from "../../coordination/ports/log.js";
+import { MalformedMessageError } from "../../protocol/errors.js";
+import { paths } from "../../protocol/http/paths.js";
+import { isJobId, jobIdOf, jobResponseBody, parseJobSpec } from "../../protocol/http/user-api.js";
+import type { JobId } from "../../protocol/model/identifiers.js";
+import type { JobSpec } from "../../protocol/model/job.js";
+import type { PublicService } from "./public-service.js";
+import { bodyTooLargeMessage, readBody } from "./request-body.js";
+
+/** What users are told to wait before they try again. */
+const retryAfterS = "1";
+
+const jobPath = `${paths.jobs}/:id` as const;
+const cancelPath = `${jobPath}/abort` as const;
+
+/** The routes of one service. */
+export function publicApi(service: PublicService, log: Log): Hono {
+	const app = new Hono();
+	app.get(paths.ready, () =>
+		service.ready() ? Response.json({ ready: true }) : unavailable("the node is starting"),
+	);
+	app.post(paths.jobs, (context) => submit(service, context.req.raw));
+	app.get(jobPath, (context) => lookUp(service, context.req.param("id")));
+	app.post(cancelPath, (context) => cancel(service, context.req.param("id")));
+	// After the handlers of the methods that are allowed.
+	app.all(paths.ready, () => methodNotAllowed("GET"));
+	app.all(paths.report, () => methodNotAllowed("POST"));
+	app.all(paths.jobs, () => methodNotAllowed("POST"));
+	app.all(jobPath, () => methodNotAllowed("GET"));
+	app.all(cancelPath, () => methodNotAllowed("POST"));
+	app.notFound(() => failure(404, "there is nothing at this path"));
+	app.onError((error, context) => failed(error, context, log));
+	return app;
+}
+
+async function submit(service: PublicService, request: Request): Promise<Response> {
+	const body = await readBody(request);
+	if (body === null) return failure(413, bodyTooLargeMessage);
+	let spec: JobSpec;
+	try {
+		spec = parseJobSpec(body);
+	} catch (error) {
+		const known = await acceptedEarlier(service, body);
+		if (known) return known;
+		throw error;
+	}
+	return submitResponse(spec.id, await service.submit(spec));
+}
+
+/**
+ * A submission that names an accepted job is answered with the job's state, whatever is wrong with it: an
+ * accepted job may never get 400 or 422. The test is in `tests/transport/public/public-api.test.ts`.
+ */
+async function acceptedEarlier(service: PublicService, body: string): Promise<Response | null> {
+	const id = jobIdOf(body);
+	if (id === null) return null;
+	const known = await service.status(id);
+	return known.kind === "found" ? Response.json(jobResponseBody(id, known.status)) : null;
+}
+
+function submitResponse(id: JobId, result: SubmitResult): Response {
+	switch (result.kind) {
+		case "accepted":
+			return Response.json(jobResponseBody(id, result.status), { status: 201 });
+		case "duplicate":
+			return Response.json(jobResponseBody(id, result.status));
+		case "malformed":
+			return failure(400, result.reason);
+		case "rejected":
+			return failure(422, result.reason);
+		case "unavailable":
+			return unavailable(result.reason);
+	}
+}
+
+async function lookUp(service: PublicService, id: string): Promise<Response> {
+	if (!isJobId(id)) return noSuchJob();
+	const result = await service.status(id);
+	if (result.kind !== "found") return notFoundResponse(result);
+	const { status, done, running } = result;
+	return Response.json(jobResponseBody(id, status, { done, running }));
+}
+
+async function cancel(service: PublicService, id: string): Promise<Response> {
+	if (!isJobId(id)) return noSuchJob();
+	const result = await service.cancel(id);
+	if (result.kind !== "found") return notFoundResponse(result);
+	return Response.json(jobResponseBody(id, result.status));
+}
+
+function notFoundResponse(result: Exclude<JobLookup, { kind: "found" }>): Response {
+	return result.kind === "not-found" ? noSuchJob() : unavailable(result.reason);
+}
+
+function failed(error: Error, context: Context, log: Log): Response {
+	if (error instanceof MalformedMessageError) {
+		log.debug({ path: context.req.path, err: error }, "malformed request");
+		return failure(400, error.message);
+	}
+	log.error({ err: error }, "request failed");
+	return unavailable("the request could not be handled");
+}
+
+function noSuchJob(): Response {
+	return failure(404, "there is no such job");
+}
+
+function methodNotAllowed(allow: string): Response {
+	return failure(405, `the method is not allowed here, use ${allow}`, { allow });
+}
+
+function unavailable(reason: string): Response {
+	return failure(503, reason, { "retry-after": retryAfterS });
+}
+
+function failure(status: number, error: string, headers?: Record<string, string>): Response {
+	return Response.json({ error }, { status, headers });
+}
--- a/tests/coordination/replication/replica-sync.test.ts
+++ b/tests/coordination/replication/replica-sync.test.ts
@@ -4,7 +4,7 @@
 import { CallError } from "../../../src/coordination/ports/call-error.js";
 import type { KeyValueStore } from "../../../src/coordination/ports/store.js";
 import { ReplicaSync } from "../../../src/coordination/replication/replica-sync.js";
-import { StoreClient } from "../../../src/transport/store-client.js";
+import { StoreClient } from "../../../src/transport/clients/store-client.js";
 import { FakeTime } from "../../support/fake-time.js";
 import { silentLog } from "../../support/silent-log.js";
 import { StateService } from "../../support/state-service.js";
@@ -51,7 +51,13 @@
 		close() {},
 	};
 	const replica = new StoreReplica();
-	const store = new StoreClient(caller, time, 1000, 1000, 1);
+	const store = new StoreClient({
+		http: caller,
+		clock: time,
+		requestsPerS: 1000,
+		writesPerS: 1000,
+		controllers: 1,
+	});
 	const copy = new ReplicaSync({
 		replica,
 		store,
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -3,7 +3,7 @@
 import { type LimitRequest, type QuotaStore, type ShownTeam, setQuota, showQuotas } from "#team-quota";
 import { keys } from "../../src/protocol/records/keys.js";
 import { quotaStore } from "../../src/team-quota.js";
-import { StoreClient } from "../../src/transport/store-client.js";
+import { StoreClient } from "../../src/transport/clients/store-client.js";
 import { withJob } from "../support/quota-world.js";
 import { nodeNames, World } from "../support/world.js";
 
@@ -13,7 +13,9 @@
 		call: (method: string, path: string, body: unknown) => world.state.handle(method, path, body, "operator"),
 		close() {},
 	};
-	return quotaStore(new StoreClient(http, world.time, 1000, 1000, 1));
+	return quotaStore(
+		new StoreClient({ http, clock: world.time, requestsPerS: 1000, writesPerS: 1000, controllers: 1 }),
+	);
 }
 
 const setLimit = (world: World, team: string, request: LimitRequest) =>
