--- a/packages/team-quota/src/quota-service.ts
+++ b/packages/team-quota/src/quota-service.ts
@@ -33,12 +33,12 @@
 		private readonly leaderKey: string,
 	) {}
 
-	stored(key: string, value: unknown, revision: number): void {
+	applyStoredValue(key: string, value: unknown, revision: number): void {
 		this.quota.stored(key, value, revision);
 	}
 
 	/** What the team may use for now; null: the platform's settings say it. */
-	limits(team: string): UsableLimits | null {
+	effectiveLimits(team: string): UsableLimits | null {
 		const terms = this.quota.terms(team);
 		if (!terms) return null;
 		const { limit, guarantee } = terms;
@@ -49,13 +49,13 @@
 		};
 	}
 
-	takeTerms(term: number, terms: unknown): void {
-		this.quota.takeTerms(term, terms);
+	applyAllotmentUpdate(term: number, update: unknown): void {
+		this.quota.takeTerms(term, update);
 	}
 
 	/** How many tasks of this size are admitted, of `most`. */
-	admit(demand: TaskDemand, most: number): number {
-		const admission = this.quota.admit(demand.team, amountOf(demand), most);
+	admit(demand: TaskDemand, maxCount: number): number {
+		const admission = this.quota.admit(demand.team, amountOf(demand), maxCount);
 		return admission.kind === "admitted" ? admission.count : 0;
 	}
 
@@ -64,7 +64,7 @@
 	}
 
 	/** The reply that goes with a batch of admissions. */
-	sendBatch(): HolderReply {
+	closeBatch(): HolderReply {
 		this.quota.closeBatch();
 		return this.quota.reply();
 	}
@@ -73,7 +73,7 @@
 		return this.quota.reply();
 	}
 
-	lead(term: number): LeaderQuota {
+	beginTerm(term: number): LeaderQuota {
 		const manager = this.quota.beginTerm({ key: this.leaderKey, revision: term });
 		return new LeaderQuota(this.quota, manager);
 	}
@@ -86,7 +86,7 @@
 		private readonly manager: AllotmentManager,
 	) {}
 
-	get self(): string {
+	get node(): string {
 		return this.quota.node;
 	}
 
@@ -104,11 +104,11 @@
 	}
 
 	/** True: the admissions that came with the reply count. */
-	heard(node: string, reply: unknown): boolean {
+	handleReply(node: string, reply: unknown): boolean {
 		return this.quota.heard(node, reply);
 	}
 
-	termsFor(node: string): QuotaTerms | undefined {
+	nextUpdate(node: string): QuotaTerms | undefined {
 		return this.manager.termsFor(node) ?? undefined;
 	}
 
@@ -116,7 +116,7 @@
 		return this.manager.mayStart(admittedBy, demand.team, amountOf(demand));
 	}
 
-	hasRoom(demand: TaskDemand, node: string): boolean {
+	canAdmit(demand: TaskDemand, node: string): boolean {
 		return this.manager.hasRoom(node, demand.team, amountOf(demand));
 	}
 
@@ -124,7 +124,7 @@
 		return this.manager.charges.add(demand.team, admittedBy, amountOf(demand));
 	}
 
-	chargeFound(demand: TaskDemand): Charge {
+	chargeUnattributed(demand: TaskDemand): Charge {
 		return this.manager.chargeFound(demand.team, amountOf(demand));
 	}
 
@@ -133,21 +133,21 @@
 	}
 
 	/** The controller whose allotment is to be as large as can be; the others keep what they use. */
-	prefer(team: string, preferred: string, nodes: readonly string[]): void {
+	setPreferredHolder(team: string, preferred: string, nodes: readonly string[]): void {
 		this.manager.prefer(preferred, team);
 		for (const node of nodes) this.manager.want(node, team, node === preferred ? everything : nothing);
 	}
 
 	/** The leader itself is to admit so many tasks, whoever is preferred; 0: no longer. */
-	need(demand: TaskDemand, count: number): void {
+	setLeaderDemand(demand: TaskDemand, count: number): void {
 		const { team } = demand;
 		const more = times(amountOf(demand), count);
-		const wanted = isNothing(more) ? nothing : plus(this.manager.charges.of(team, this.self), more);
-		this.manager.want(this.self, team, wanted);
+		const wanted = isNothing(more) ? nothing : plus(this.manager.charges.of(team, this.node), more);
+		this.manager.want(this.node, team, wanted);
 	}
 
 	/** What runs by the scheduler's own count, which rounds nothing: charges may be more by a little for each task. */
-	scrub(running: readonly TaskDemand[]): void {
+	verifyCharges(running: readonly TaskDemand[]): void {
 		const counted = running.map((use): [string, { amount: Amount; tolerance: Amount }] => {
 			const tolerance = demandAmount(use.cpus * roundingPart, use.gpus * roundingPart);
 			return [use.team, { amount: amountOf(use), tolerance: plus(tolerance, oneThousandth) }];
@@ -156,7 +156,7 @@
 	}
 
 	/** What the team runs above a lower limit that is pending; null: nothing. */
-	excess(team: string): { cpus: number; gpus: number } | null {
+	excessOverPendingLimit(team: string): { cpus: number; gpus: number } | null {
 		const excess = this.manager.excess(team);
 		return isNothing(excess) ? null : { cpus: inUnits(excess.cpus), gpus: inUnits(excess.gpus) };
 	}
--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -84,7 +84,7 @@
 		time: clock,
 		log,
 		post,
-		authority: () => leadership.authority(),
+		authority: () => leadership.authorizedTerm(),
 		stored: () => replica.machineTypes?.value ?? null,
 		refreshed: (types) => terms.leader?.machineTypesRefreshed(types),
 	});
@@ -160,7 +160,7 @@
 	return new Leadership({
 		node: platform.node,
 		incarnation,
-		others,
+		otherControllers: others,
 		settings: {
 			leaseTtlMs: operator.leadership.ttl_s * 1000,
 			marginMs: operator.leadership.margin_s * 1000,
@@ -171,7 +171,7 @@
 		log: ports.log,
 		cancellations: {
 			syncedAt: () => replicaSync.syncedAt,
-			revision: () => replica.revision,
+			replicaRevision: () => replica.revision,
 			since: (revision) => cancellationsSince(replica, revision),
 			record: (cancellations) => applyCancellations(replica, cancellations),
 		},
@@ -208,5 +208,5 @@
 	team: string,
 ): TeamQuota | undefined {
 	const settings = platform.cluster.teams.find(({ name }) => name === team);
-	return settings && (teamQuota?.limits(team) ?? settings);
+	return settings && (teamQuota?.effectiveLimits(team) ?? settings);
 }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -92,7 +92,7 @@
 
 	/** A message of another controller, as it came over the link. */
 	peerMessage(from: NodeId, encoded: unknown): void {
-		const message = this.parts.peers.read(from, encoded);
+		const message = this.parts.peers.decode(from, encoded);
 		if (message) this.parts.executor.post(() => this.handlePeerMessage(from, message));
 	}
 
@@ -111,7 +111,7 @@
 		// Machine types are the first thing that a first leader writes: without them there was no leader before.
 		if (replica.loaded && replica.machineTypes === null) leadership.endStartupHoldoff();
 		leadership.tick(replica.leader, replica.loaded);
-		if (leadership.authority() !== null) machineTypes.tick();
+		if (leadership.authorizedTerm() !== null) machineTypes.tick();
 		terms.leader?.tick();
 		heartbeatRouter.tick();
 	}
@@ -142,7 +142,7 @@
 		const { replica, terms, teamQuota } = this.parts;
 		if (key.startsWith(keys.jobs)) terms.leader?.jobChanged(key.slice(keys.jobs.length));
 		const quota = key.startsWith(keys.quota) ? replica.quotaRecords.get(key) : undefined;
-		if (quota) teamQuota?.stored(key, quota.value, quota.revision);
+		if (quota) teamQuota?.applyStoredValue(key, quota.value, quota.revision);
 	}
 
 	// --- other controllers ---
@@ -185,7 +185,7 @@
 		if (message.term < (replica.leader?.revision ?? 0)) return;
 		if (message.storeReachable) readiness.storeServesPeer(now);
 		runningTasks.replace(message.runningTasks);
-		if (message.teamQuota !== undefined) teamQuota?.takeTerms(message.term, message.teamQuota);
+		if (message.teamQuota !== undefined) teamQuota?.applyAllotmentUpdate(message.term, message.teamQuota);
 		this.replyToLeader(from, message.term);
 	}
 
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -130,7 +130,7 @@
 	private dropUnlisted(names: Set<string>): void {
 		for (const machine of [...this.clusterState.machines.values()]) {
 			if (machine.lifecycle.onlyListed && !machine.agent.running && !names.has(machine.id))
-				this.clusterState.dropMachine(machine);
+				this.clusterState.removeNonexistentMachine(machine);
 		}
 	}
 }
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -15,7 +15,7 @@
 import { Failover } from "./leadership/failover.js";
 import { FailureDetector } from "./leadership/failure-detector.js";
 import { FeatureGate } from "./leadership/feature-gate.js";
-import { maxClockDrift } from "./leadership/lease-timing.js";
+import { maxClockDriftFraction } from "./leadership/lease-timing.js";
 import { PlacementCycle } from "./placement/placement-cycle.js";
 import { QuotaAdmission } from "./placement/quota-admission.js";
 import type { Clock } from "./ports/clock.js";
@@ -112,15 +112,15 @@
 	});
 	const relocation = new ReplicaRelocation(clusterState, commands, log);
 
-	const leaderQuota = options.teamQuota?.lead(term) ?? null;
+	const leaderQuota = options.teamQuota?.beginTerm(term) ?? null;
 	const failureDetector = new FailureDetector({
 		term,
-		beganAt,
+		termStartedAt: beganAt,
 		platform,
 		settings: operator,
 		clusterState,
 		peers,
-		teamQuotaMessageFor: (node) => leaderQuota?.termsFor(node),
+		teamQuotaMessageFor: (node) => leaderQuota?.nextUpdate(node),
 		storeReachable: options.storeReachable,
 		resign: (reason) => authority.resign(reason),
 		log,
@@ -208,7 +208,7 @@
 	const failover = new Failover({
 		clusterState,
 		workers,
-		beganAt,
+		termStartedAt: beganAt,
 		log,
 		post,
 		active,
@@ -243,7 +243,7 @@
 
 function createClusterState({ term, platform, replica, machineTypes }: LeaderOptions): ClusterState {
 	const { teams, workers } = platform.cluster;
-	const leaseExpiryMs = workers.lease_s * 1000 * (1 + 2 * maxClockDrift) + leaseExpiryMarginMs;
+	const leaseExpiryMs = workers.lease_s * 1000 * (1 + 2 * maxClockDriftFraction) + leaseExpiryMarginMs;
 	return new ClusterState({
 		term,
 		teams,
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -77,7 +77,7 @@
 		for (const { value } of replica.machineChunks.values())
 			for (const [id, stored] of Object.entries(value.entries))
 				this.loadMachine(id, decodeMachineRecord(stored));
-		if (replica.machineRecordsMalformed) failover.waitOutMalformedRecords();
+		if (replica.machineRecordsMalformed) failover.blockStartsUntilLeasesExpire();
 		failover.sendProbes(false);
 		const { jobs, machines } = clusterState;
 		log.info({ term: authority.term, jobs: jobs.size, machines: machines.size }, "failover started");
@@ -128,7 +128,7 @@
 		if (!authority.active) return;
 		const now = clock.now();
 		placement.run(now);
-		for (const machine of clusterState.takeRelocationTargets()) heartbeats.onRelocatedTo(machine);
+		for (const machine of clusterState.consumeRelocationTargets()) heartbeats.onRelocatedTo(machine);
 		if (placement.settled) {
 			heartbeats.sendAssigned(now);
 			if (!clusterState.placementRequested) heartbeats.releaseForPlacement();
@@ -197,7 +197,7 @@
 		if (message.kind === "placement-proposal") placement.proposed(from, message, now);
 		if (message.kind !== "leader-heartbeat-reply") return;
 		failureDetector.heartbeatReplyReceived(from, message, now);
-		if (message.teamQuota !== undefined) leaderQuota?.heard(from, message.teamQuota);
+		if (message.teamQuota !== undefined) leaderQuota?.handleReply(from, message.teamQuota);
 		if (authority.active) this.recordFeatures();
 	}
 
--- a/src/coordination/leadership/campaign-holdoff.ts
+++ b/src/coordination/leadership/campaign-holdoff.ts
@@ -9,7 +9,7 @@
 import type { Incarnation, NodeId } from "../../protocol/model/identifiers.js";
 import type { LeaderQueryReply, LeadershipMessage } from "../../protocol/peer/messages.js";
 import type { Clock } from "../ports/clock.js";
-import { boundUntil, type LeaseTiming } from "./lease-timing.js";
+import { grantorExpiryAt, type LeaseTiming } from "./lease-timing.js";
 
 /** Pause between two leader queries. */
 const queryIntervalMs = 200;
@@ -27,7 +27,7 @@
 	/** Names this process, so that answers to an earlier one are recognized. */
 	incarnation: Incarnation;
 	/** All other controllers. */
-	others: readonly NodeId[];
+	otherControllers: readonly NodeId[];
 	timing: LeaseTiming;
 	clock: Clock;
 	/** Sends a message to every other controller. */
@@ -40,25 +40,25 @@
 	private nextQueryAt = 0;
 
 	constructor(private readonly options: CampaignHoldoffOptions) {
-		const until = boundUntil(options.timing, options.clock.now());
+		const until = grantorExpiryAt(options.timing, options.clock.now());
 		this.state = { kind: "startup", until, notLeading: new Set() };
 	}
 
 	/** This process has voted: it does not campaign for the duration of a lease. */
-	pledge(): void {
-		const until = boundUntil(this.options.timing, this.options.clock.now());
+	holdOffAfterVote(): void {
+		const until = grantorExpiryAt(this.options.timing, this.options.clock.now());
 		const earlier = this.state.kind === "none" ? -Infinity : this.state.until;
 		// A startup hold-off does not end early any more, since its end would end this pledge as well.
 		this.state = { kind: "pledged", until: Math.max(earlier, until) };
 	}
 
 	/** Nobody can rely on a vote of an earlier process. A pledge of this one stays. */
-	endStartup(): void {
+	endStartupHoldoff(): void {
 		if (this.state.kind === "startup") this.state = { kind: "none" };
 	}
 
 	/** Called often while this process neither leads nor campaigns: whether it must not campaign now. */
-	check(now: number): boolean {
+	preventsCampaign(now: number): boolean {
 		const { state } = this;
 		if (state.kind === "none") return false;
 		if (now >= state.until) {
@@ -78,7 +78,7 @@
 		const { notLeading } = this.state;
 		if (reply.isLeader) notLeading.delete(from);
 		else notLeading.add(from);
-		if (this.options.others.every((other) => notLeading.has(other))) this.endStartup();
+		if (this.options.otherControllers.every((other) => notLeading.has(other))) this.endStartupHoldoff();
 	}
 
 	/** Answers may have been lost during a pause of the process, so the next query goes out at once. */
--- a/src/coordination/leadership/cancellation-staleness.ts
+++ b/src/coordination/leadership/cancellation-staleness.ts
@@ -42,11 +42,11 @@
 }
 
 /** What this process knows of cancellations; all of it comes from its replica of the store. */
-export interface CancellationKnowledge {
+export interface CancellationTracker {
 	/** Steady time up to which every change of the store is in the replica. */
 	syncedAt(): number;
 	/** Revision up to which this process knows the store. */
-	revision(): Revision;
+	replicaRevision(): Revision;
 	/** Every cancellation after the revision of which this node can have told a user; null: it cannot say. */
 	since(revision: Revision): Cancellation[] | null;
 	/** Takes over cancellations of which other controllers have told their users. */
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -55,7 +55,7 @@
 	clusterState: ClusterState;
 	workers: WorkerGateway;
 	/** Steady time at which the term began. */
-	beganAt: number;
+	termStartedAt: number;
 	log: Log;
 	/** Runs an action in the process's serial executor. */
 	post(action: () => void): void;
@@ -78,7 +78,7 @@
 	private listeningSince: number;
 
 	constructor(private readonly options: FailoverOptions) {
-		this.listeningSince = options.beganAt;
+		this.listeningSince = options.termStartedAt;
 	}
 
 	/** Machines cannot be heard while the process pauses, so the pause does not count as their silence. */
@@ -93,8 +93,8 @@
 	}
 
 	/** Machines of which nothing is known may hold tasks: nothing starts before every lease has expired. */
-	waitOutMalformedRecords(): void {
-		const { clusterState, beganAt } = this.options;
+	blockStartsUntilLeasesExpire(): void {
+		const { clusterState, termStartedAt: beganAt } = this.options;
 		this.unknownMachines = new Machine(
 			{ id: "unreadable records", type: unknownMachineType(""), zone: "", spot: false, origin: "heartbeat" },
 			beganAt,
@@ -104,7 +104,7 @@
 
 	/** Called often, with authority. */
 	tick(now: number, overloaded: boolean): void {
-		const { clusterState, beganAt } = this.options;
+		const { clusterState, termStartedAt: beganAt } = this.options;
 		if (this.unknownMachines && now - beganAt > clusterState.workerLeaseExpiryMs) {
 			clusterState.markReconciled(this.unknownMachines);
 			this.unknownMachines = null;
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -21,9 +21,9 @@
 import { FeatureSupport } from "./feature-gate.js";
 import { ForwardingPolicy } from "./forwarding-policy.js";
 import {
+	atLeastHalfReachable,
 	type PeerReply,
-	reachesMost,
-	type WorkerContact,
+	type WorkerCounts,
 	WorkerReachability,
 } from "./worker-reachability.js";
 
@@ -37,7 +37,7 @@
 export interface FailureDetectorOptions {
 	term: Term;
 	/** Steady time at which the term began. */
-	beganAt: number;
+	termStartedAt: number;
 	platform: PlatformSettings;
 	settings: OperatorSettings;
 	clusterState: ClusterState;
@@ -76,10 +76,10 @@
 		this.workers.tick(now);
 		if (now < this.nextHeartbeatAt) return;
 		this.nextHeartbeatAt = now + heartbeatIntervalMs;
-		const contact = this.workers.contact(now);
+		const contact = this.workers.countWorkers(now);
 		this.forwarding.update();
 		this.sendHeartbeats(contact, runningTasks());
-		this.workers.judge(contact);
+		this.workers.recordCheck(contact);
 		this.resignIfUnreached(contact, now);
 	}
 
@@ -97,7 +97,7 @@
 	heartbeatReplyReceived(from: NodeId, reply: LeaderHeartbeatReply, now: number): void {
 		this.features.replyReceived(from, reply);
 		this.replies.set(from, { receivedAt: now, misdirectedWorkers: reply.misdirectedWorkers });
-		if (this.workers.inDoubt) this.resignIfUnreached(this.workers.contact(now), now);
+		if (this.workers.lastCheckFailed) this.resignIfUnreached(this.workers.countWorkers(now), now);
 	}
 
 	/** Every other controller has said in this term that it serves service jobs. */
@@ -130,14 +130,14 @@
 		return this.options.platform;
 	}
 
-	private sendHeartbeats(contact: WorkerContact, runningTasks: RunningTaskCount[]): void {
+	private sendHeartbeats(contact: WorkerCounts, runningTasks: RunningTaskCount[]): void {
 		const { term, peers, storeReachable, teamQuotaMessageFor } = this.options;
 		const heartbeat: LeaderHeartbeat = {
 			kind: "leader-heartbeat",
 			term,
 			runningTasks,
 			storeReachable: storeReachable(),
-			workersReachable: reachesMost(contact),
+			workersReachable: atLeastHalfReachable(contact),
 			forwardHeartbeats: this.forwarding.enabled,
 		};
 		for (const { node } of this.platform.others) {
@@ -146,9 +146,9 @@
 		}
 	}
 
-	private resignIfUnreached(contact: WorkerContact, now: number): void {
+	private resignIfUnreached(contact: WorkerCounts, now: number): void {
 		if (!this.workers.shouldResign(contact, now)) return;
-		const { heard, running } = contact;
+		const { reachable: heard, running } = contact;
 		this.options.resign(`workers do not reach this controller: ${heard} of ${running} heard`);
 	}
 }
--- a/src/coordination/leadership/leader-key-campaign.ts
+++ b/src/coordination/leadership/leader-key-campaign.ts
@@ -37,7 +37,7 @@
 	constructor(private readonly options: LeaderKeyCampaignOptions) {}
 
 	/** Steady time until which a write of an earlier campaign, to which there was no answer, may still be applied. */
-	get inDoubtUntil(): number {
+	get unresolvedWriteUntil(): number {
 		return this.#inDoubtUntil;
 	}
 
--- a/src/coordination/leadership/leader-lease.ts
+++ b/src/coordination/leadership/leader-lease.ts
@@ -12,7 +12,7 @@
 import type { Clock } from "../ports/clock.js";
 import type { Log } from "../ports/log.js";
 import type { KeyValueStore } from "../ports/store.js";
-import { type LeaseTiming, reliableUntil } from "./lease-timing.js";
+import { holderExpiryAt, type LeaseTiming } from "./lease-timing.js";
 
 /** A lease is renewed so many times within its duration. */
 const renewalsPerLease = 5;
@@ -53,12 +53,12 @@
 	constructor(private readonly options: LeaderLeaseOptions) {
 		this.term = options.term;
 		this.#renewedAt = options.requestedAt;
-		this.#validUntil = reliableUntil(options.timing, options.requestedAt);
+		this.#validUntil = holderExpiryAt(options.timing, options.requestedAt);
 		this.nextRenewalAt = options.clock.now();
 	}
 
 	/** Steady time at which the latest renewal that succeeded was sent. */
-	get renewedAt(): number {
+	get lastRenewalSentAt(): number {
 		return this.#renewedAt;
 	}
 
@@ -68,8 +68,8 @@
 	}
 
 	/** The latest renewal alone keeps the lease alive: the store serves this process. */
-	servedByStore(now: number): boolean {
-		return now < reliableUntil(this.options.timing, this.#renewedAt);
+	renewedByStore(now: number): boolean {
+		return now < holderExpiryAt(this.options.timing, this.#renewedAt);
 	}
 
 	/** No other controller can have the leader key before that time, whoever has made sure of it. */
@@ -111,7 +111,7 @@
 	private renewalSucceeded(sentAt: number): void {
 		this.renewalInFlight = false;
 		if (this.released) return;
-		this.extendTo(reliableUntil(this.options.timing, sentAt));
+		this.extendTo(holderExpiryAt(this.options.timing, sentAt));
 		this.#renewedAt = Math.max(this.#renewedAt, sentAt);
 	}
 
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -23,7 +23,7 @@
 import type { KeyValueStore } from "../ports/store.js";
 import type { ResignationReason } from "../state/resignation-reason.js";
 import { CampaignHoldoff } from "./campaign-holdoff.js";
-import { type CancellationKnowledge, stalenessBoundMs } from "./cancellation-staleness.js";
+import { type CancellationTracker, stalenessBoundMs } from "./cancellation-staleness.js";
 import { type CampaignResult, LeaderKeyCampaign } from "./leader-key-campaign.js";
 import { LeaderLease } from "./leader-lease.js";
 import { LeaseExtension } from "./lease-extension.js";
@@ -55,12 +55,12 @@
 	/** Names this process. */
 	incarnation: Incarnation;
 	/** All other controllers. */
-	others: readonly NodeId[];
+	otherControllers: readonly NodeId[];
 	settings: LeadershipSettings;
 	store: KeyValueStore;
 	clock: Clock;
 	log: Log;
-	cancellations: CancellationKnowledge;
+	cancellations: CancellationTracker;
 	/** Runs an action in the process's serial executor, where all methods of leadership are called. */
 	post(action: () => void): void;
 	/** A random part of 1, so that controllers do not act in step. */
@@ -102,22 +102,22 @@
 		this.extension = new LeaseExtension({
 			...options,
 			timing: settings,
-			knownRevision: () => cancellations.revision(),
+			replicaRevision: () => cancellations.replicaRevision(),
 		});
 		this.voter = new LeaseExtensionVoter({
 			...options,
-			mayPledge: () => this.mayPledge,
-			pledge: () => this.holdoff.pledge(),
+			mayVote: () => this.mayPledge,
+			holdOffAfterVote: () => this.holdoff.holdOffAfterVote(),
 			cancellationsSince: (revision) => cancellations.since(revision),
 		});
 	}
 
 	/** The term while this process may act for the controllers; null: it may not act now. */
-	authority(): Term | null {
+	authorizedTerm(): Term | null {
 		if (this.role.kind !== "leader") return null;
 		const { lease } = this.role;
 		const now = this.options.clock.now();
-		const alone = this.options.others.length === 0;
+		const alone = this.options.otherControllers.length === 0;
 		if (!alone && now >= lease.validUntil) return null;
 		if (!this.isConfirmed(lease)) return null;
 		return now < this.cancellationsStaleAt(lease) ? lease.term : null;
@@ -142,7 +142,7 @@
 
 	/** The store has never had a leader: no earlier process can have voted. */
 	endStartupHoldoff(): void {
-		this.holdoff.endStartup();
+		this.holdoff.endStartupHoldoff();
 	}
 
 	/** A message of another controller. */
@@ -156,7 +156,7 @@
 				this.holdoff.replyReceived(from, message);
 				break;
 			case "lease-extension-request":
-				void this.voter.consider(message);
+				void this.voter.requestReceived(message);
 				break;
 			case "lease-extension-vote":
 				this.voteReceived(from, message, now);
@@ -176,7 +176,7 @@
 			this.keepLease(this.role.lease, now);
 			return;
 		}
-		if (this.holdoff.check(now)) return;
+		if (this.holdoff.preventsCampaign(now)) return;
 		if (!replicaLoaded || this.role.kind !== "follower" || now < this.role.nextCampaignAt) return;
 		// A key with this node's name was written by an earlier process of it, which has ended: there is one process
 		// for each node.
@@ -200,14 +200,14 @@
 
 	/** A renewal, or a vote of every other controller, was requested since the process last paused. */
 	private isConfirmed(lease: LeaderLease): boolean {
-		return lease.renewedAt >= this.resumedAt || this.extension.allVotedSince >= this.resumedAt;
+		return lease.lastRenewalSentAt >= this.resumedAt || this.extension.allVotedSince >= this.resumedAt;
 	}
 
 	/** Steady time at which what is known of cancellations is too old to act on. */
 	private cancellationsStaleAt(lease: LeaderLease): number {
 		const { cancellations, settings, clock } = this.options;
-		const knownUntil = Math.max(cancellations.syncedAt(), this.extension.cancellationsKnownUntil);
-		const served = lease.servedByStore(clock.now());
+		const knownUntil = Math.max(cancellations.syncedAt(), this.extension.cancellationsListedUntil);
+		const served = lease.renewedByStore(clock.now());
 		return knownUntil + stalenessBoundMs(settings.maxCancellationStalenessMs, served);
 	}
 
@@ -216,7 +216,7 @@
 	private keepLease(lease: LeaderLease, now: number): void {
 		lease.tick(now);
 		const renewalOverdueMs = this.options.settings.leaseTtlMs / votesAfterLeaseDividedBy;
-		if (now - lease.renewedAt > renewalOverdueMs) this.extension.requestVotes(lease.term, now);
+		if (now - lease.lastRenewalSentAt > renewalOverdueMs) this.extension.requestVotes(lease.term, now);
 		// The store serves this process, and yet its changes do not arrive: another controller had better lead.
 		// Test: "a leader whose watch is stuck while its renewals succeed ..." in leadership.test.ts.
 		else if (now >= this.cancellationsStaleAt(lease)) this.resign("store changes do not arrive");
@@ -233,7 +233,7 @@
 	// --- following ---
 
 	private get mayPledge(): boolean {
-		return this.role.kind === "follower" && this.options.clock.now() >= this.campaign.inDoubtUntil;
+		return this.role.kind === "follower" && this.options.clock.now() >= this.campaign.unresolvedWriteUntil;
 	}
 
 	private answerQuery(incarnation: Incarnation): void {
--- a/src/coordination/leadership/lease-extension-voter.ts
+++ b/src/coordination/leadership/lease-extension-voter.ts
@@ -22,9 +22,9 @@
 	/** Sends a message to every other controller. */
 	broadcast(message: LeadershipMessage): void;
 	/** This process neither leads nor campaigns, and no campaign of it is in doubt. */
-	mayPledge(): boolean;
+	mayVote(): boolean;
 	/** From now on this process does not campaign for the duration of a lease. */
-	pledge(): void;
+	holdOffAfterVote(): void;
 	/** Every cancellation after the revision of which this node can have told a user; null: it cannot say. */
 	cancellationsSince(revision: Revision): Cancellation[] | null;
 }
@@ -34,8 +34,8 @@
 	constructor(private readonly options: LeaseExtensionVoterOptions) {}
 
 	/** Votes for the request if this process may pledge, and the store refuses it. */
-	async consider(request: LeaseExtensionRequest): Promise<void> {
-		const { store, mayPledge, post } = this.options;
+	async requestReceived(request: LeaseExtensionRequest): Promise<void> {
+		const { store, mayVote: mayPledge, post } = this.options;
 		if (!mayPledge()) return;
 		try {
 			await store.read(keys.leader);
@@ -45,7 +45,7 @@
 	}
 
 	private readFailed(request: LeaseExtensionRequest, error: unknown): void {
-		const { mayPledge, log } = this.options;
+		const { mayVote: mayPledge, log } = this.options;
 		// Any other failure does not show that the store refuses this node: it may serve the next campaign.
 		if (!(error instanceof CallError) || error.status !== 503) {
 			log.debug({ err: error }, "lease extension vote withheld");
@@ -56,7 +56,7 @@
 	}
 
 	private vote({ term, requestNumber, knownRevision }: LeaseExtensionRequest): void {
-		const { pledge, broadcast, cancellationsSince } = this.options;
+		const { holdOffAfterVote: pledge, broadcast, cancellationsSince } = this.options;
 		pledge();
 		// The list is made in the same action that sends the vote: what users are told later was told after the
 		// request, so the leader may count all up to its sending as known. Traces 39 and 40; see docs/safety.md.
--- a/src/coordination/leadership/lease-extension.ts
+++ b/src/coordination/leadership/lease-extension.ts
@@ -14,7 +14,7 @@
 import type { LeadershipMessage, LeaseExtensionVote } from "../../protocol/peer/messages.js";
 import type { Log } from "../ports/log.js";
 import type { LeaderLease } from "./leader-lease.js";
-import { type LeaseTiming, reliableUntil } from "./lease-timing.js";
+import { holderExpiryAt, type LeaseTiming } from "./lease-timing.js";
 
 /**
  * Requests that are sent within the duration of a lease. They are many, since the store may go down for the others
@@ -28,13 +28,13 @@
 /** What lease extension needs. */
 export interface LeaseExtensionOptions {
 	/** All other controllers. */
-	others: readonly NodeId[];
+	otherControllers: readonly NodeId[];
 	timing: LeaseTiming;
 	log: Log;
 	/** Sends a message to every other controller. */
 	broadcast(message: LeadershipMessage): void;
 	/** Revision up to which this process knows the store. */
-	knownRevision(): Revision;
+	replicaRevision(): Revision;
 }
 
 /** The leader's side: sends the requests and counts the votes. Lives as long as the process. */
@@ -65,7 +65,7 @@
 	/** Called often while the store does not renew the lease: sends the next request when it is due. */
 	requestVotes(term: Term, now: number): void {
 		if (now < this.nextRequestAt) return;
-		const { timing, broadcast, knownRevision } = this.options;
+		const { timing, broadcast, replicaRevision: knownRevision } = this.options;
 		this.nextRequestAt = now + timing.leaseTtlMs / requestsPerLease;
 		this.requestNumber += 1;
 		this.requestsSentAt.set(this.requestNumber, now);
@@ -88,8 +88,8 @@
 		// "votes do not bring authority back once it has lapsed" in lease-extension.test.ts; traces 19 and 28.
 		if (now >= lease.validUntil) return;
 		keepLatest(this.votedRequestSentAt, from, sentAt);
-		lease.extendTo(reliableUntil(this.options.timing, this.allVotedSince));
-		const validForMs = Math.round(reliableUntil(this.options.timing, sentAt) - now);
+		lease.extendTo(holderExpiryAt(this.options.timing, this.allVotedSince));
+		const validForMs = Math.round(holderExpiryAt(this.options.timing, sentAt) - now);
 		this.options.log.debug({ peer: from, validForMs }, "lease extension vote received");
 	}
 
@@ -102,13 +102,13 @@
 	 * Steady time up to which the votes have named every cancellation that any other controller told a user of;
 	 * -Infinity: not all have named theirs.
 	 */
-	get cancellationsKnownUntil(): number {
+	get cancellationsListedUntil(): number {
 		return this.earliest(this.cancellationsNamedAt);
 	}
 
 	/** The earliest of the times of all other controllers; one without a time is the earliest of all. */
 	private earliest(times: ReadonlyMap<NodeId, number>): number {
-		const { others } = this.options;
+		const { otherControllers: others } = this.options;
 		if (others.length === 0) return -Infinity;
 		return Math.min(...others.map((other) => times.get(other) ?? -Infinity));
 	}
--- a/src/coordination/leadership/lease-timing.ts
+++ b/src/coordination/leadership/lease-timing.ts
@@ -8,7 +8,7 @@
  */
 
 /** Two steady clocks drift apart by at most this part of the time that passes. */
-export const maxClockDrift = 0.001;
+export const maxClockDriftFraction = 0.001;
 
 /** The durations of the leader lease; both come from the operators' settings. */
 export interface LeaseTiming {
@@ -19,11 +19,11 @@
 }
 
 /** Steady time until which the side whose request was sent at `sentAt` may rely on what was granted. */
-export function reliableUntil({ leaseTtlMs, marginMs }: LeaseTiming, sentAt: number): number {
-	return sentAt + leaseTtlMs * (1 - maxClockDrift) - marginMs;
+export function holderExpiryAt({ leaseTtlMs, marginMs }: LeaseTiming, sentAt: number): number {
+	return sentAt + leaseTtlMs * (1 - maxClockDriftFraction) - marginMs;
 }
 
 /** Steady time until which the side that gave its word at `givenAt` holds to it. */
-export function boundUntil({ leaseTtlMs }: LeaseTiming, givenAt: number): number {
-	return givenAt + leaseTtlMs * (1 + maxClockDrift);
+export function grantorExpiryAt({ leaseTtlMs }: LeaseTiming, givenAt: number): number {
+	return givenAt + leaseTtlMs * (1 + maxClockDriftFraction);
 }
--- a/src/coordination/leadership/peer-channel.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -31,7 +31,7 @@
 	 * Decodes what another controller has sent. A message that cannot be read, such as one of another version, is
 	 * left out (null) and logged once for each sender and kind, since such messages come in large numbers.
 	 */
-	read(from: NodeId, encoded: unknown): PeerMessage | null {
+	decode(from: NodeId, encoded: unknown): PeerMessage | null {
 		try {
 			return decodePeerMessage(encoded);
 		} catch (error) {
--- a/src/coordination/leadership/worker-reachability.ts
+++ b/src/coordination/leadership/worker-reachability.ts
@@ -42,9 +42,9 @@
 }
 
 /** How many workers run, and how many of them this leader hears and reaches. */
-export interface WorkerContact {
+export interface WorkerCounts {
 	running: number;
-	heard: number;
+	reachable: number;
 }
 
 /** What is needed to judge. */
@@ -52,7 +52,7 @@
 	clusterState: ClusterState;
 	platform: PlatformSettings;
 	/** Steady time at which the term began. */
-	beganAt: number;
+	termStartedAt: number;
 	/** The latest answers of the other controllers. */
 	replies: ReadonlyMap<NodeId, PeerReply>;
 }
@@ -65,8 +65,8 @@
 	private lastTickAt: number;
 
 	constructor(private readonly options: WorkerReachabilityOptions) {
-		this.judgedFrom = options.beganAt + settlingMs;
-		this.lastTickAt = options.beganAt;
+		this.judgedFrom = options.termStartedAt + settlingMs;
+		this.lastTickAt = options.termStartedAt;
 	}
 
 	/**
@@ -82,7 +82,7 @@
 	}
 
 	/** Counts the workers. */
-	contact(now: number): WorkerContact {
+	countWorkers(now: number): WorkerCounts {
 		const { clusterState, platform } = this.options;
 		const { report_s } = platform.cluster.workers;
 		const heardSince = now - (heardWithinIntervals * 1000 * report_s + heardSlackMs);
@@ -93,22 +93,22 @@
 			running += 1;
 			if (agent.heartbeatAt > heardSince && agent.unreachableSince === null) heard += 1;
 		}
-		return { running, heard };
+		return { running, reachable: heard };
 	}
 
 	/** Takes note of one regular count. */
-	judge(contact: WorkerContact): void {
-		const unreached = contact.running >= minRunningWorkers && !reachesMost(contact);
+	recordCheck(contact: WorkerCounts): void {
+		const unreached = contact.running >= minRunningWorkers && !atLeastHalfReachable(contact);
 		this.consecutiveVerdicts = unreached ? this.consecutiveVerdicts + 1 : 0;
 	}
 
 	/** The latest count spoke against this leader. */
-	get inDoubt(): boolean {
+	get lastCheckFailed(): boolean {
 		return this.consecutiveVerdicts > 0;
 	}
 
 	/** Another controller had better lead. */
-	shouldResign({ running, heard }: WorkerContact, now: number): boolean {
+	shouldResign({ running, reachable: heard }: WorkerCounts, now: number): boolean {
 		if (now < this.judgedFrom || this.consecutiveVerdicts < minConsecutiveVerdicts) return false;
 		const misdirected = this.mostMisdirected(now);
 		return misdirected > heard && misdirected >= running / oneMisdirectedIn;
@@ -123,6 +123,6 @@
 }
 
 /** At least half of the workers reach this leader. */
-export function reachesMost({ running, heard }: WorkerContact): boolean {
+export function atLeastHalfReachable({ running, reachable: heard }: WorkerCounts): boolean {
 	return heard >= running / 2;
 }
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -197,7 +197,7 @@
 	): void {
 		this.outstanding.set(placer, { cycle: this.cycle, sentAt: now });
 		const { cycle, clusterState, options } = this;
-		const quota = options.quota?.admission.on ? options.quota.leaderQuota.termsFor(placer) : undefined;
+		const quota = options.quota?.admission.on ? options.quota.leaderQuota.nextUpdate(placer) : undefined;
 		options.peers.send(placer, {
 			kind: "placement-request",
 			term: clusterState.term,
@@ -213,7 +213,7 @@
 	proposed(from: string, proposal: PlacementProposal, now: number): void {
 		const { quota } = this.options;
 		// Heard in any case: what was admitted and does not start is settled by that.
-		const admitted = quota?.leaderQuota.heard(from, proposal.teamQuota) ?? false;
+		const admitted = quota?.leaderQuota.handleReply(from, proposal.teamQuota) ?? false;
 		if (this.outstanding.get(from)?.cycle !== proposal.cycle) return;
 		this.outstanding.delete(from);
 		if (admitted || !quota?.admission.on) this.issue(proposal.placements, from);
--- a/src/coordination/placement/placer.ts
+++ b/src/coordination/placement/placer.ts
@@ -23,8 +23,8 @@
 		const proposal = { kind: "placement-proposal", term, cycle, unknownJobs } as const;
 		if (request.teamQuota === undefined || !this.teamQuota)
 			return { ...proposal, placements: placeFirstFit(machines, grants, specOf, startIndex) };
-		this.teamQuota.takeTerms(term, request.teamQuota);
+		this.teamQuota.applyAllotmentUpdate(term, request.teamQuota);
 		const placements = placeWithinAllotments(this.teamQuota, machines, grants, specOf, startIndex);
-		return { ...proposal, placements, teamQuota: this.teamQuota.sendBatch() };
+		return { ...proposal, placements, teamQuota: this.teamQuota.closeBatch() };
 	}
 }
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -66,7 +66,9 @@
 		if (now < this.nextScrubAt) return;
 		this.nextScrubAt = now + scrubEveryMs;
 		const { quotas } = this.options.clusterState;
-		this.options.leaderQuota.scrub([...quotas.teams].map((team) => ({ team, ...quotas.usage(team) })));
+		this.options.leaderQuota.verifyCharges(
+			[...quotas.teams].map((team) => ({ team, ...quotas.usage(team) })),
+		);
 	}
 
 	/** Only once all that may run is known, so that it can be charged. */
@@ -74,7 +76,7 @@
 		const { clusterState, leaderQuota, log } = this.options;
 		if (!clusterState.reconciled || !this.options.servedByAll()) return;
 		this.started = true;
-		clusterState.enableAdmission(leaderQuota);
+		clusterState.enableAdmissionControl(leaderQuota);
 		leaderQuota.start();
 		log.info({}, "team quota enabled");
 	}
@@ -86,19 +88,19 @@
 		if (live.join() === this.placers.join()) return;
 		this.placers = live;
 		for (const team of clusterState.quotas.teams)
-			leaderQuota.prefer(team, ownerOf(team, live) ?? leaderQuota.self, nodes);
+			leaderQuota.setPreferredHolder(team, ownerOf(team, live) ?? leaderQuota.node, nodes);
 	}
 
 	/** Who can admit a task of the job now: its team's placer, or another that still holds an allotment. */
 	placerFor(job: Job, preferred: string, live: readonly string[]): string | null {
 		const demand = taskDemandOf(job.spec);
 		const { leaderQuota } = this.options;
-		if (leaderQuota.hasRoom(demand, preferred)) return preferred;
-		return live.find((node) => leaderQuota.hasRoom(demand, node)) ?? null;
+		if (leaderQuota.canAdmit(demand, preferred)) return preferred;
+		return live.find((node) => leaderQuota.canAdmit(demand, node)) ?? null;
 	}
 
 	mayPlaceHere(job: Job): boolean {
-		return this.options.leaderQuota.hasRoom(taskDemandOf(job.spec), this.options.leaderQuota.self);
+		return this.options.leaderQuota.canAdmit(taskDemandOf(job.spec), this.options.leaderQuota.node);
 	}
 
 	/** Tasks that this node itself has to admit, since nobody else can place them: one job of each team. */
@@ -116,8 +118,8 @@
 	/** What this node places for a team anyway is not asked for apart. */
 	private need(job: Job, tasks: number): void {
 		const { leaderQuota } = this.options;
-		if (ownerOf(job.spec.team, this.placers) !== leaderQuota.self)
-			leaderQuota.need(taskDemandOf(job.spec), tasks);
+		if (ownerOf(job.spec.team, this.placers) !== leaderQuota.node)
+			leaderQuota.setLeaderDemand(taskDemandOf(job.spec), tasks);
 	}
 
 	// --- limits ---
@@ -125,9 +127,9 @@
 	/** The leader's own check goes by the limit that allotments go by. */
 	private followLimit(team: string, now: number): void {
 		const { quota, clusterState, leaderQuota } = this.options;
-		const limits = quota.limits(team);
+		const limits = quota.effectiveLimits(team);
 		if (limits) clusterState.quotas.setQuota(limits);
-		const excess = leaderQuota.excess(team);
+		const excess = leaderQuota.excessOverPendingLimit(team);
 		if (!excess) {
 			this.excessSince.delete(team);
 			return;
--- a/src/coordination/ports/clock.ts
+++ b/src/coordination/ports/clock.ts
@@ -13,12 +13,12 @@
 	/** Time of day, for people and for the order of jobs; no safety decision uses it. */
 	date(): Date;
 	/** Runs the action once after that many milliseconds. */
-	after(ms: number, run: () => void): Timer;
+	after(delayMs: number, action: () => void): Timer;
 }
 
 /** Resolves after that many milliseconds by the clock. */
-export function delay(clock: Pick<Clock, "after">, ms: number): Promise<void> {
+export function delay(clock: Pick<Clock, "after">, durationMs: number): Promise<void> {
 	return new Promise((resolve) => {
-		clock.after(ms, resolve);
+		clock.after(durationMs, resolve);
 	});
 }
--- a/src/coordination/ports/store.ts
+++ b/src/coordination/ports/store.ts
@@ -38,7 +38,7 @@
 	 */
 	watch(
 		prefix: string,
-		from: Revision,
+		afterRevision: Revision,
 		waitMs: number,
 	): Promise<{ events: StoreEvent[]; revision: Revision }>;
 }
--- a/src/coordination/ports/team-quota.ts
+++ b/src/coordination/ports/team-quota.ts
@@ -7,28 +7,28 @@
  */
 export interface TeamQuotaPort {
 	/** News of a stored value; undefined: it is gone. */
-	stored(key: string, value: unknown, revision: number): void;
+	applyStoredValue(key: string, value: unknown, revision: number): void;
 	/** What the team may use for now; null: the platform's settings say it. */
-	limits(team: string): TeamQuota | null;
+	effectiveLimits(team: string): TeamQuota | null;
 	/** From the leader of the term. */
-	takeTerms(term: number, terms: unknown): void;
+	applyAllotmentUpdate(term: number, update: unknown): void;
 	/** How many tasks of this size this controller admits, of `most`. */
-	admit(demand: TaskDemand, most: number): number;
+	admit(demand: TaskDemand, maxCount: number): number;
 	/** Gives back admissions since the last batch. */
 	withdraw(demand: TaskDemand, count: number): void;
 	/** The reply that goes with the admissions since the last batch. */
-	sendBatch(): unknown;
+	closeBatch(): unknown;
 	reply(): unknown;
-	lead(term: number): LeaderQuotaPort;
+	beginTerm(term: number): LeaderQuotaPort;
 }
 /** Whether allotments let a task start, and whose allotment each task counts against. */
 export interface AdmissionControl {
 	/** This node, which holds allotments like any other. */
-	readonly self: string;
+	readonly node: string;
 	mayStart(demand: TaskDemand, admittedBy: string): boolean;
 	charge(demand: TaskDemand, admittedBy: string): QuotaCharge;
 	/** Of a task that was found running: nobody knows who admitted it. */
-	chargeFound(demand: TaskDemand): QuotaCharge;
+	chargeUnattributed(demand: TaskDemand): QuotaCharge;
 	release(charge: QuotaCharge): void;
 }
 /** The leader's side of team quota, for one term. */
@@ -38,15 +38,15 @@
 	end(): void;
 	tick(): void;
 	/** True: the admissions that came with the reply count. */
-	heard(node: string, reply: unknown): boolean;
+	handleReply(node: string, reply: unknown): boolean;
 	/** What the node is to be told; undefined: nothing. */
-	termsFor(node: string): unknown;
-	hasRoom(demand: TaskDemand, node: string): boolean;
-	prefer(team: string, preferred: string, nodes: readonly string[]): void;
+	nextUpdate(node: string): unknown;
+	canAdmit(demand: TaskDemand, node: string): boolean;
+	setPreferredHolder(team: string, preferred: string, nodes: readonly string[]): void;
 	/** This node is to admit so many tasks, whoever is preferred; 0: no longer. */
-	need(demand: TaskDemand, count: number): void;
+	setLeaderDemand(demand: TaskDemand, count: number): void;
 	/** By the leader's own count, to be compared with what is charged. */
-	scrub(running: readonly TaskDemand[]): void;
+	verifyCharges(running: readonly TaskDemand[]): void;
 	/** What the team runs above a lower limit that is pending. */
-	excess(team: string): { cpus: number; gpus: number } | null;
+	excessOverPendingLimit(team: string): { cpus: number; gpus: number } | null;
 }
--- a/src/coordination/replication/chunk-table.ts
+++ b/src/coordination/replication/chunk-table.ts
@@ -77,14 +77,14 @@
 	split(chunk: RecordChunk<V>, maxChunkBytes: number): void {
 		let successor = this.create();
 		const successors = [successor];
-		for (const { name, value, unwritten } of chunk.takeEntries()) {
+		for (const { name, value, unwritten } of chunk.removeAllEntries()) {
 			const full = successor.bytes + entryBytes(name, value) > maxChunkBytes;
 			if (full && successor.size > 0) {
 				successor = this.create();
 				successors.push(successor);
 			}
 			if (unwritten) successor.set(name, value);
-			else successor.put(name, value);
+			else successor.insert(name, value);
 			this.chunksByRecord.set(name, successor);
 			successor.stale = true;
 		}
@@ -94,12 +94,12 @@
 	/** The chunk is not in the store, and has no entries. */
 	remove(chunk: RecordChunk<V>): void {
 		this.chunksByKey.delete(chunk.key);
-		this.noteWritten(chunk);
+		this.markWritten(chunk);
 	}
 
 	/** The chunk is written, or has nothing to write any more. */
-	noteWritten(chunk: RecordChunk<V>): void {
-		for (const other of this.chunksByKey.values()) other.noteWritten(chunk);
+	markWritten(chunk: RecordChunk<V>): void {
+		for (const other of this.chunksByKey.values()) other.successorWritten(chunk);
 	}
 
 	private chunkWithRoom(bytes: number, maxChunkBytes: number): RecordChunk<V> | undefined {
@@ -120,7 +120,7 @@
 	}
 
 	private put(chunk: RecordChunk<V>, name: string, value: V): void {
-		chunk.put(name, value);
+		chunk.insert(name, value);
 		this.chunksByRecord.set(name, chunk);
 	}
 }
--- a/src/coordination/replication/chunked-records.ts
+++ b/src/coordination/replication/chunked-records.ts
@@ -162,7 +162,7 @@
 			chunk.revision = wasPut ? revision : 0;
 			// Entries may have been set while the chunk was removed from the store.
 			if (!wasPut && chunk.size === 0) this.table.remove(chunk);
-			else this.table.noteWritten(chunk);
+			else this.table.markWritten(chunk);
 			chunk.removedFromStore();
 			this.options.onConfirmed(carried);
 		}
--- a/src/coordination/replication/record-chunk.ts
+++ b/src/coordination/replication/record-chunk.ts
@@ -79,7 +79,7 @@
 	}
 
 	/** Takes an entry that the store has, or that another chunk is responsible for writing. */
-	put(name: string, value: V): void {
+	insert(name: string, value: V): void {
 		const known = this.#entries.get(name);
 		if (known !== undefined) this.#bytes -= entryBytes(name, known);
 		this.#entries.set(name, value);
@@ -88,7 +88,7 @@
 
 	/** Sets an entry, which is to be written. */
 	set(name: string, value: V): void {
-		this.put(name, value);
+		this.insert(name, value);
 		this.unwritten.set(name, value);
 		this.rejected = false;
 	}
@@ -126,7 +126,7 @@
 	}
 
 	/** Hands out all entries, which leaves the chunk empty. */
-	takeEntries(): ChunkEntry<V>[] {
+	removeAllEntries(): ChunkEntry<V>[] {
 		const taken: ChunkEntry<V>[] = [];
 		for (const [name, value] of this.#entries)
 			taken.push({ name, value, unwritten: this.unwritten.has(name) });
@@ -144,7 +144,7 @@
 	}
 
 	/** A chunk is written, or has nothing to write any more: if the entries went there, they are safe. */
-	noteWritten(chunk: RecordChunk<V>): void {
+	successorWritten(chunk: RecordChunk<V>): void {
 		this.unwrittenSuccessors.delete(chunk);
 	}
 
--- a/src/coordination/state/assignment-rules.ts
+++ b/src/coordination/state/assignment-rules.ts
@@ -10,16 +10,16 @@
 /** Why no further task of a job may start on a machine now. */
 export type AssignmentRefusal =
 	| "cluster not reconciled"
-	| "job over"
+	| "job ended"
 	| "attempt numbers exhausted"
 	| "machine not schedulable"
 	| "machine reserved"
 	| "machine not allowed"
-	| "no room on machine"
+	| "insufficient capacity on machine"
 	| "machine on probation"
 	| "team at limit"
-	| "zone rule"
-	| "no allotment";
+	| "zone constraint"
+	| "allotment exhausted";
 
 /** What the rules need to know of the leader's state as a whole. */
 export interface AssignmentReadiness {
@@ -55,7 +55,7 @@
 		if (!this.readiness.reconciled) return "cluster not reconciled";
 		// A cancelled job's task would run on beyond `cancel_s` ("the end of a job withdraws assigned attempts…" in
 		// tests/coordination/workers/worker-commands.test.ts; traces 07, 08).
-		if (job.over || job.finalizing) return "job over";
+		if (job.over || job.finalizing) return "job ended";
 		// A number that was given out twice would let a late heartbeat be taken for another attempt. The leader resigns.
 		if (this.readiness.attemptNumbersExhausted) return "attempt numbers exhausted";
 		return null;
@@ -68,9 +68,9 @@
 		if (!this.accounting.fitsLimit(spec)) return "team at limit";
 		// The job's tasks would be in several zones, or too many of them in one (trace 16).
 		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, tasksByZone(job), machine.zone) < 1)
-			return "zone rule";
+			return "zone constraint";
 		// Controllers that admit tasks at the same time would pass the limit together (tests/team-quota).
-		if (!this.accounting.mayStart(spec, admittedBy)) return "no allotment";
+		if (!this.accounting.mayStart(spec, admittedBy)) return "allotment exhausted";
 		return null;
 	}
 }
@@ -89,7 +89,7 @@
 	if (!machineAllowed(spec, machine)) return "machine not allowed";
 	// The worker would refuse the start ("the assignment of tasks never exceeds a team's limit or a machine's
 	// capacity…" in tests/coordination/state/cluster-state.test.ts).
-	if (!capacity.hasRoomFor(spec)) return "no room on machine";
+	if (!capacity.hasRoomFor(spec)) return "insufficient capacity on machine";
 	// A faulty machine would fail all the tasks that it has room for (traces 40, 55).
 	if (health.onProbation && machine.attempts.size > 0) return "machine on probation";
 	return null;
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -167,7 +167,7 @@
 	}
 
 	/** A machine that was known from the cloud's list alone is not there: its worker was never heard. */
-	dropMachine(machine: Machine): void {
+	removeNonexistentMachine(machine: Machine): void {
 		this.#machines.delete(machine.id);
 	}
 
@@ -197,7 +197,7 @@
 	 * orphaned tasks use. Nothing starts before.
 	 */
 	get reconciled(): boolean {
-		return this.#unreconciled.size === 0 && this.#orphans.demandsKnown;
+		return this.#unreconciled.size === 0 && this.#orphans.allDemandsKnown;
 	}
 
 	/** Machines that may hold tasks of an earlier leader which nobody has listed yet. */
@@ -242,11 +242,11 @@
 	// --- quota ---
 
 	/** From now on a task needs an allotment to start. Those that may run already are charged to some. */
-	enableAdmission(admission: AdmissionControl): void {
-		this.#accounting.enableAdmission(admission);
+	enableAdmissionControl(admission: AdmissionControl): void {
+		this.#accounting.enableAdmissionControl(admission);
 		for (const machine of this.#machines.values()) {
 			for (const attempt of machine.attempts.values())
-				attempt.setCharge(this.#accounting.chargeFound(taskDemandOf(attempt.job.spec)));
+				attempt.setCharge(this.#accounting.chargeUnattributed(taskDemandOf(attempt.job.spec)));
 			this.#orphans.chargeAll(machine);
 		}
 		this.requestPlacement();
@@ -263,7 +263,7 @@
 	assignmentRefusal(
 		job: Job,
 		machine: Machine,
-		admittedBy: NodeId = this.#accounting.self,
+		admittedBy: NodeId = this.#accounting.leaderNode,
 	): AssignmentRefusal | null {
 		return this.#rules.refusal(job, machine, admittedBy);
 	}
@@ -275,7 +275,11 @@
 	 *   QuotaAccounting.
 	 * @returns null: a rule forbids it, or no task waits.
 	 */
-	assignNextTask(job: Job, machine: Machine, admittedBy: NodeId = this.#accounting.self): Attempt | null {
+	assignNextTask(
+		job: Job,
+		machine: Machine,
+		admittedBy: NodeId = this.#accounting.leaderNode,
+	): Attempt | null {
 		if (job.waitingTasks.length === 0 || this.assignmentRefusal(job, machine, admittedBy) !== null)
 			return null;
 		const taskIndex = job.takeWaitingTask();
@@ -291,7 +295,7 @@
 	adoptAttempt(job: Job, taskIndex: number, number: number, machine: Machine): Attempt {
 		const attempt = new Attempt({ job, taskIndex, number, machine, phase: "sent" });
 		job.removeWaitingTask(taskIndex);
-		attempt.setCharge(this.#accounting.allocateFound(job.spec));
+		attempt.setCharge(this.#accounting.allocateUnattributed(job.spec));
 		this.register(attempt);
 		return attempt;
 	}
@@ -321,7 +325,7 @@
 	}
 
 	/** Machines to which relocated replicas were assigned since the last call. */
-	takeRelocationTargets(): ReadonlySet<Machine> {
+	consumeRelocationTargets(): ReadonlySet<Machine> {
 		const targets = this.#relocationTargets;
 		if (targets.size > 0) this.#relocationTargets = new Set();
 		return targets;
--- a/src/coordination/state/orphan-registry.ts
+++ b/src/coordination/state/orphan-registry.ts
@@ -24,7 +24,7 @@
 	) {}
 
 	/** It is known of every orphaned task what it uses. */
-	get demandsKnown(): boolean {
+	get allDemandsKnown(): boolean {
 		return this.#unknownDemands.size === 0;
 	}
 
@@ -40,7 +40,7 @@
 	add(machine: Machine, ref: AttemptRef, demand: TaskDemand | null): void {
 		const task = new OrphanedTask(ref);
 		const known = demand ?? this.demandOf(ref.jobId);
-		if (known) task.setDemand(known, this.accounting.allocateFound(known));
+		if (known) task.setDemand(known, this.accounting.allocateUnattributed(known));
 		else this.countUnknown(machine, 1);
 		machine.addOrphan(task);
 	}
@@ -68,7 +68,7 @@
 			for (const task of machine.orphans) {
 				if (task.jobId !== jobId || task.demand !== null) continue;
 				this.countUnknown(machine, -1);
-				task.setDemand(demand, this.accounting.allocateFound(demand));
+				task.setDemand(demand, this.accounting.allocateUnattributed(demand));
 				resolved = true;
 			}
 		}
@@ -78,7 +78,7 @@
 	/** Team quota is in use from now on: charges what is known of the machine's orphaned tasks. */
 	chargeAll(machine: Machine): void {
 		for (const task of machine.orphans)
-			if (task.demand) task.setDemand(task.demand, this.accounting.chargeFound(task.demand));
+			if (task.demand) task.setDemand(task.demand, this.accounting.chargeUnattributed(task.demand));
 	}
 
 	private countUnknown(machine: Machine, change: 1 | -1): void {
--- a/src/coordination/state/quota-accounting.ts
+++ b/src/coordination/state/quota-accounting.ts
@@ -18,12 +18,12 @@
 	constructor(private readonly ledger: QuotaLedger) {}
 
 	/** The controller that admits the starts that this leader decides by itself; empty: team quota is not in use. */
-	get self(): NodeId {
-		return this.#admission?.self ?? "";
+	get leaderNode(): NodeId {
+		return this.#admission?.node ?? "";
 	}
 
 	/** Team quota is in use from now on. Tasks that were counted before are to be charged with `chargeFound`. */
-	enableAdmission(admission: AdmissionControl): void {
+	enableAdmissionControl(admission: AdmissionControl): void {
 		this.#admission = admission;
 	}
 
@@ -45,15 +45,15 @@
 	}
 
 	/** Counts a task that was found on a machine. Nobody knows who had admitted it, so team quota chooses. */
-	allocateFound(demand: TaskDemand): QuotaCharge | null {
-		const charge = this.chargeFound(demand);
+	allocateUnattributed(demand: TaskDemand): QuotaCharge | null {
+		const charge = this.chargeUnattributed(demand);
 		this.ledger.allocate(demand);
 		return charge;
 	}
 
 	/** Charges a task that the ledger counts already; null: team quota is not in use. */
-	chargeFound(demand: TaskDemand): QuotaCharge | null {
-		return this.#admission?.chargeFound(demand) ?? null;
+	chargeUnattributed(demand: TaskDemand): QuotaCharge | null {
+		return this.#admission?.chargeUnattributed(demand) ?? null;
 	}
 
 	/** A task that was counted is proved gone. */
--- a/src/coordination/term-supervisor.ts
+++ b/src/coordination/term-supervisor.ts
@@ -51,7 +51,7 @@
 
 	/** The leader, as long as this process may act for the controllers. */
 	get activeLeader(): ActiveLeader | null {
-		const term = this.options.leadership.authority();
+		const term = this.options.leadership.authorizedTerm();
 		return term !== null && this.current ? { term, leader: this.current } : null;
 	}
 
@@ -108,7 +108,7 @@
 			replica,
 			machineTypes: types,
 			ports,
-			mayAct: () => leadership.authority() === term,
+			mayAct: () => leadership.authorizedTerm() === term,
 			storeReachable: () => !replicaSync.unresponsive,
 			resign: (reason) => leadership.resign(reason),
 			teamQuota,
--- a/tests/coordination/leadership/failover-large-fleets.test.ts
+++ b/tests/coordination/leadership/failover-large-fleets.test.ts
@@ -24,7 +24,7 @@
 				reconcileHeartbeat() {},
 				missingFromCloudList: () => false,
 			};
-			const failover = new Failover({ clusterState, workers, beganAt: 0, log: silentLog, ...hooks });
+			const failover = new Failover({ clusterState, workers, termStartedAt: 0, log: silentLog, ...hooks });
 			for (const machine of clusterState.machines.values()) failover.markUnreconciled(machine, 1);
 
 			for (let t = 0; t < 12_000; t += 100) {
--- a/tests/coordination/leadership/failover.test.ts
+++ b/tests/coordination/leadership/failover.test.ts
@@ -15,7 +15,7 @@
 		missingFromCloudList: () => false,
 	};
 	const workers = { sendCommands: () => new Promise<never>(() => {}) };
-	const takeover = new Failover({ clusterState, workers, beganAt: 0, log: silentLog, ...hooks });
+	const takeover = new Failover({ clusterState, workers, termStartedAt: 0, log: silentLog, ...hooks });
 	const [one] = clusterState.machines.values();
 	takeover.markUnreconciled(one as Machine, 1);
 	takeover.tick(1000, false);
--- a/tests/coordination/leadership/failure-detector.test.ts
+++ b/tests/coordination/leadership/failure-detector.test.ts
@@ -12,7 +12,7 @@
 	const clusterState = fleetOf(6);
 	const monitor = new FailureDetector({
 		term: 1,
-		beganAt: 0,
+		termStartedAt: 0,
 		platform: {
 			node: "a",
 			others: [{ node: "b" }],
--- a/tests/coordination/leadership/leadership.test.ts
+++ b/tests/coordination/leadership/leadership.test.ts
@@ -43,11 +43,11 @@
 	await c.run(500);
 	const epoch = c.won[0] as number;
 	await c.time.advance(2100);
-	assert.equal(c.leadership.authority(), epoch, "by its clock nobody else can lead yet");
+	assert.equal(c.leadership.authorizedTerm(), epoch, "by its clock nobody else can lead yet");
 	c.leadership.onProcessPause();
-	assert.equal(c.leadership.authority(), null);
+	assert.equal(c.leadership.authorizedTerm(), null);
 	await c.run(200);
-	assert.equal(c.leadership.authority(), epoch, "the renewal was answered");
+	assert.equal(c.leadership.authorizedTerm(), epoch, "the renewal was answered");
 
 	// Refused by the store, it needs a promise of every other controller that was asked for since.
 	c.service.setOutage(true);
@@ -64,13 +64,13 @@
 	const before = asked();
 	for (const node of ["a", "b"]) promise(node, before);
 	c.leadership.onProcessPause();
-	assert.equal(c.leadership.authority(), null, "promises of before the pause");
+	assert.equal(c.leadership.authorizedTerm(), null, "promises of before the pause");
 	await c.run(200);
 	assert.ok(asked() > before);
 	promise("a", asked());
-	assert.equal(c.leadership.authority(), null, "one of two");
+	assert.equal(c.leadership.authorizedTerm(), null, "one of two");
 	promise("b", asked());
-	assert.equal(c.leadership.authority(), epoch);
+	assert.equal(c.leadership.authorizedTerm(), epoch);
 });
 
 test("authority without the store ends in bounded time even with all promises", async () => {
@@ -79,9 +79,9 @@
 	await c.run(500);
 	c.service.setOutage(true);
 	await c.run(19_000);
-	assert.notEqual(c.leadership.authority(), null);
+	assert.notEqual(c.leadership.authorizedTerm(), null);
 	await c.run(2_500);
-	assert.equal(c.leadership.authority(), null);
+	assert.equal(c.leadership.authorizedTerm(), null);
 });
 
 test("a leader whose watch is stuck while its renewals succeed gives up in time", async () => {
@@ -91,9 +91,9 @@
 	await c.run(5000);
 	c.copy.stuck = true;
 	await c.run(19_500);
-	assert.notEqual(c.leadership.authority(), null);
+	assert.notEqual(c.leadership.authorizedTerm(), null);
 	await c.run(1000);
-	assert.equal(c.leadership.authority(), null);
+	assert.equal(c.leadership.authorizedTerm(), null);
 	assert.deepEqual(c.lost, ["store changes do not arrive"]);
 });
 
@@ -101,13 +101,13 @@
 	const c = candidate(["a"], 0);
 	const { epoch, answer } = await inOutage(c);
 	await answer(3500, { a: [] });
-	assert.equal(c.leadership.authority(), null, "promised or not");
+	assert.equal(c.leadership.authorizedTerm(), null, "promised or not");
 	c.service.setOutage(false);
 	await c.run(1000);
-	assert.equal(c.leadership.authority(), epoch);
+	assert.equal(c.leadership.authorizedTerm(), epoch);
 	c.copy.stuck = true;
 	await c.run(8500);
-	assert.equal(c.leadership.authority(), null);
+	assert.equal(c.leadership.authorizedTerm(), null);
 });
 
 test("a campaign without an answer is decided by reading the key back", async () => {
--- a/tests/coordination/leadership/lease-extension.test.ts
+++ b/tests/coordination/leadership/lease-extension.test.ts
@@ -29,7 +29,7 @@
 	c.leadership.endStartupHoldoff();
 	await c.run(500);
 	const epoch = c.won[0] as number;
-	assert.equal(c.leadership.authority(), epoch);
+	assert.equal(c.leadership.authorizedTerm(), epoch);
 	c.service.setOutage(true);
 	const answerAsks = async (ms: number, from: string[]) => {
 		for (let t = 0; t < ms; t += 100) {
@@ -46,35 +46,35 @@
 		}
 	};
 	await answerAsks(8000, ["a", "b"]);
-	assert.equal(c.leadership.authority(), epoch, "8 s into an outage, with all promises");
+	assert.equal(c.leadership.authorizedTerm(), epoch, "8 s into an outage, with all promises");
 	await answerAsks(4000, ["a"]);
-	assert.equal(c.leadership.authority(), null, "b has promised no more");
+	assert.equal(c.leadership.authorizedTerm(), null, "b has promised no more");
 	c.service.setOutage(false);
 	await c.run(1000);
-	assert.equal(c.leadership.authority(), epoch, "its lease had its full time again after the outage");
+	assert.equal(c.leadership.authorizedTerm(), epoch, "its lease had its full time again after the outage");
 });
 
 test("promises do not bring authority back once it has lapsed; a renewal does", async () => {
 	const c = candidate(["a", "b"]);
 	const { epoch, answer } = await inOutage(c);
 	await answer(4000, {});
-	assert.equal(c.leadership.authority(), null, "nobody promised");
+	assert.equal(c.leadership.authorizedTerm(), null, "nobody promised");
 	await answer(2000, { a: [], b: [] });
-	assert.equal(c.leadership.authority(), null, "one of them may have led and ended since");
+	assert.equal(c.leadership.authorizedTerm(), null, "one of them may have led and ended since");
 	c.service.setOutage(false);
 	await c.run(1000);
-	assert.equal(c.leadership.authority(), epoch);
+	assert.equal(c.leadership.authorizedTerm(), epoch);
 });
 
 test("promises that name every cancellation carry authority through an outage of any length", async () => {
 	const c = candidate(["a", "b"]);
 	const { epoch, answer } = await inOutage(c);
 	await answer(30_000, { a: [], b: [{ jobId: "j-000007", revision: 9, taskCount: 1, doneCount: 0 }] });
-	assert.equal(c.leadership.authority(), epoch, "30 s, though unknowing for at most 20 s");
+	assert.equal(c.leadership.authorizedTerm(), epoch, "30 s, though unknowing for at most 20 s");
 	assert.ok(c.learnt.includes("j-000007"));
 	// From here on b cannot say what it told its users: the time since counts as unknowing.
 	await answer(19_000, { a: [], b: undefined });
-	assert.equal(c.leadership.authority(), epoch);
+	assert.equal(c.leadership.authorizedTerm(), epoch);
 	await answer(2000, { a: [], b: undefined });
-	assert.equal(c.leadership.authority(), null);
+	assert.equal(c.leadership.authorizedTerm(), null);
 });
--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -29,7 +29,7 @@
 			};
 			const peerMonitor = new FailureDetector({
 				term: 7,
-				beganAt: 0,
+				termStartedAt: 0,
 				platform: platform as unknown as PlatformSettings,
 				settings,
 				clusterState,
--- a/tests/coordination/state/assignment-rules.test.ts
+++ b/tests/coordination/state/assignment-rules.test.ts
@@ -30,10 +30,10 @@
 
 /** Allotments that admit nothing. */
 const noAllotments: AdmissionControl = {
-	self: "runner-0",
+	node: "runner-0",
 	mayStart: () => false,
 	charge: (demand, node) => ({ team: demand.team, node, amount: demand }),
-	chargeFound: (demand) => ({ team: demand.team, node: "runner-0", amount: demand }),
+	chargeUnattributed: (demand) => ({ team: demand.team, node: "runner-0", amount: demand }),
 	release() {},
 };
 
@@ -62,12 +62,12 @@
 			clusterState.addOrphan(other, { jobId: "j-9", taskIndex: 0, attempt: 1 }),
 	},
 	{
-		refusal: "job over",
+		refusal: "job ended",
 		when: "the record that ends the job is being written",
 		happens: ({ job }) => job.startFinalizing(0),
 	},
 	{
-		refusal: "job over",
+		refusal: "job ended",
 		when: "the job has ended in the store",
 		happens: ({ job }) => {
 			job.end();
@@ -97,7 +97,7 @@
 	},
 	{ refusal: "machine not allowed", when: "the job allows no spot machine", spec: { allowSpot: false } },
 	{
-		refusal: "no room on machine",
+		refusal: "insufficient capacity on machine",
 		when: "another task of the job leaves too little",
 		spec: { cpus: 3 },
 		happens: ({ clusterState, machine, job }) => start(clusterState, job, machine),
@@ -118,21 +118,21 @@
 	},
 	{ refusal: "team at limit", when: "the platform does not name the team", spec: { team: "unknown" } },
 	{
-		refusal: "zone rule",
+		refusal: "zone constraint",
 		when: "a task of the job runs in another zone than this, and all must run in the same",
 		spec: { singleZone: true },
 		happens: ({ clusterState, other, job }) => start(clusterState, job, other),
 	},
 	{
-		refusal: "zone rule",
+		refusal: "zone constraint",
 		when: "half of the job's tasks run in the zone, and they are spread over zones",
 		spec: { spreadZones: true, taskCount: 2, cpus: 1 },
 		happens: ({ clusterState, machine, job }) => start(clusterState, job, machine),
 	},
 	{
-		refusal: "no allotment",
+		refusal: "allotment exhausted",
 		when: "the controller that admitted the task has no allotment left",
-		happens: ({ clusterState }) => clusterState.enableAdmission(noAllotments),
+		happens: ({ clusterState }) => clusterState.enableAdmissionControl(noAllotments),
 	},
 ];
 
--- a/tests/coordination/state/cluster-state.test.ts
+++ b/tests/coordination/state/cluster-state.test.ts
@@ -111,8 +111,8 @@
 		attempt.relocateTo(to);
 		clusterState.endAttempt(attempt);
 		assert.equal(job.attempts.get(0)?.machine, to);
-		assert.deepEqual([...clusterState.takeRelocationTargets()], [to]);
-		assert.deepEqual([...clusterState.takeRelocationTargets()], []);
+		assert.deepEqual([...clusterState.consumeRelocationTargets()], [to]);
+		assert.deepEqual([...clusterState.consumeRelocationTargets()], []);
 		assert.equal(to.capacity.freeCpus, to.type.cpus - job.spec.cpus, "the reservation became the attempt's");
 	});
 
@@ -129,7 +129,7 @@
 		clusterState.endAttempt(attempt);
 		assert.equal(job.attempts.size, 0);
 		assert.equal(to.capacity.freeCpus, to.type.cpus);
-		assert.equal(clusterState.takeRelocationTargets().size, 0);
+		assert.equal(clusterState.consumeRelocationTargets().size, 0);
 	});
 });
 
@@ -163,7 +163,7 @@
 	test("known only from an out-of-date list are dropped, and nothing is placed for that", () => {
 		const clusterState = tablesWith(1);
 		clusterState.clearPlacementRequest();
-		clusterState.dropMachine(machinesOf(clusterState)[0]);
+		clusterState.removeNonexistentMachine(machinesOf(clusterState)[0]);
 		assert.equal(clusterState.machines.size, 0);
 		assert.equal(clusterState.placementRequested, false);
 	});
--- a/tests/coordination/state/quota-accounting.test.ts
+++ b/tests/coordination/state/quota-accounting.test.ts
@@ -14,7 +14,7 @@
 
 /** Allotments of this node `runner-0` and others, of which only `runner-1` has none left. */
 class Allotments implements AdmissionControl {
-	readonly self = "runner-0";
+	readonly node = "runner-0";
 	readonly charges = new Set<QuotaCharge>();
 
 	mayStart(_demand: TaskDemand, admittedBy: string): boolean {
@@ -27,7 +27,7 @@
 		return charge;
 	}
 
-	chargeFound(found: TaskDemand): QuotaCharge {
+	chargeUnattributed(found: TaskDemand): QuotaCharge {
 		return this.charge(found, "nobody");
 	}
 
@@ -44,10 +44,10 @@
 	test("counts tasks by the ledger alone until team quota is in use", () => {
 		const ledger = new QuotaLedger([teamRed]);
 		const accounting = new QuotaAccounting(ledger);
-		assert.equal(accounting.self, "");
+		assert.equal(accounting.leaderNode, "");
 		assert.equal(accounting.mayStart(demand, "runner-1"), true);
 		assert.equal(accounting.allocateAdmitted(demand, "runner-1"), null);
-		assert.equal(accounting.allocateFound(demand), null);
+		assert.equal(accounting.allocateUnattributed(demand), null);
 		assert.equal(ledger.usage("red").cpus, 4);
 		accounting.release(demand, null);
 		assert.equal(ledger.usage("red").cpus, 2);
@@ -57,11 +57,11 @@
 		const ledger = new QuotaLedger([teamRed]);
 		const accounting = new QuotaAccounting(ledger);
 		const allotments = new Allotments();
-		accounting.enableAdmission(allotments);
-		assert.equal(accounting.self, "runner-0");
+		accounting.enableAdmissionControl(allotments);
+		assert.equal(accounting.leaderNode, "runner-0");
 		assert.equal(accounting.mayStart(demand, "runner-1"), false);
 		const admitted = accounting.allocateAdmitted(demand, "runner-2");
-		const found = accounting.allocateFound(demand);
+		const found = accounting.allocateUnattributed(demand);
 		assert.deepEqual(allotments.nodes, ["runner-2", "nobody"]);
 		assert.equal(ledger.usage("red").cpus, 4);
 		accounting.release(demand, admitted);
@@ -93,7 +93,7 @@
 		assert.ok(attempt);
 		clusterState.addOrphan(machine, { jobId: "j-8", taskIndex: 0, attempt: 1 });
 		const allotments = new Allotments();
-		clusterState.enableAdmission(allotments);
+		clusterState.enableAdmissionControl(allotments);
 		assert.deepEqual(allotments.nodes, ["nobody", "nobody"]);
 		assert.equal(clusterState.quotas.usage("red").cpus, 4, "the leader's own count stays as it was");
 		clusterState.endAttempt(attempt);
@@ -113,7 +113,7 @@
 		const machine = machineOf();
 		clusterState.addMachine(machine);
 		const allotments = new Allotments();
-		clusterState.enableAdmission(allotments);
+		clusterState.enableAdmissionControl(allotments);
 		clusterState.addOrphan(machine, { jobId: "j-9", taskIndex: 0, attempt: 1 });
 		clusterState.resolveDemand("j-9");
 		assert.deepEqual([clusterState.reconciled, allotments.nodes], [false, []]);
@@ -151,7 +151,7 @@
 		const job = clusterState.addJob("j-1", specOf("j-1"), 0, 1);
 		job.resetWaitingTasks();
 		const allotments = new Allotments();
-		clusterState.enableAdmission(allotments);
+		clusterState.enableAdmissionControl(allotments);
 		assert.equal(clusterState.assignNextTask(job, machine)?.charge?.node, "runner-0");
 		assert.equal(clusterState.assignNextTask(job, machine, "runner-2")?.charge?.node, "runner-2");
 		assert.equal(clusterState.assignNextTask(job, machine, "runner-1"), null);
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -42,7 +42,7 @@
 	const leadership = new Leadership({
 		node: "me",
 		incarnation: "inc",
-		others,
+		otherControllers: others,
 		settings: { leaseTtlMs: 3000, marginMs: 300, maxCancellationStalenessMs: unknowingMs },
 		store,
 		clock: time,
@@ -57,7 +57,7 @@
 				if (!service.outage && !copy.stuck) copy.knownAt = time.now();
 				return copy.knownAt;
 			},
-			revision: () => copy.epoch,
+			replicaRevision: () => copy.epoch,
 			since: () => copy.cancelled,
 			record: (cancelled) => learnt.push(...cancelled.map(({ jobId }) => jobId)),
 		},
@@ -80,7 +80,7 @@
 	c.leadership.endStartupHoldoff();
 	await c.run(500);
 	const epoch = c.won[0] as number;
-	assert.equal(c.leadership.authority(), epoch);
+	assert.equal(c.leadership.authorizedTerm(), epoch);
 	c.service.setOutage(true);
 	const answer = async (ms: number, answers: Record<string, Cancellation[] | undefined>) => {
 		for (let t = 0; t < ms; t += 100) {
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -116,7 +116,7 @@
 		this.leadership = new Leadership({
 			node,
 			incarnation,
-			others: others.map((other) => other.node),
+			otherControllers: others.map((other) => other.node),
 			settings: { leaseTtlMs: 800, marginMs: 50, maxCancellationStalenessMs: 60_000 },
 			store: this.store,
 			clock: this.time,
@@ -126,7 +126,12 @@
 			broadcast,
 			onElected: (term) => this.tellParent({ kind: "leads", term, at: machineMs() }),
 			onLeadershipLost: () => this.endTerm(),
-			cancellations: { syncedAt: () => this.time.now(), revision: () => 0, since: () => [], record() {} },
+			cancellations: {
+				syncedAt: () => this.time.now(),
+				replicaRevision: () => 0,
+				since: () => [],
+				record() {},
+			},
 		});
 	}
 
@@ -173,7 +178,7 @@
 
 	private tick(): void {
 		this.leadership.tick(this.leader, this.loaded);
-		const term = this.leadership.authority();
+		const term = this.leadership.authorizedTerm();
 		if (term === null) this.propose([]);
 		else if (this.manager) this.lead(this.manager, term);
 		if (this.config.busy) for (let i = 0; i < 3; i++) this.admitOne();
@@ -196,7 +201,7 @@
 			// Waits for the moment itself, so that all ask within it.
 			while (machineMs() < message.at);
 			this.admit(message);
-		} else if (this.leadership.authority() === message.term) {
+		} else if (this.leadership.authorizedTerm() === message.term) {
 			const manager = this.quota.beginTerm({ key: "r/one/leader", revision: message.term });
 			this.manager = manager;
 			this.drop([...this.sent.keys()]);
@@ -222,7 +227,7 @@
 
 	private proposed(from: string, reply: unknown, tasks: QuotaTask[]): void {
 		const counts = this.quota.heard(from, reply);
-		const term = this.leadership.authority();
+		const term = this.leadership.authorizedTerm();
 		if (term === null || !this.manager || !counts) return;
 		for (const task of tasks)
 			if (this.mayStart(this.manager, from, task)) this.begin(this.manager, term, from, task);
@@ -267,7 +272,7 @@
 		this.made += 1;
 		const id = `${this.config.incarnation}.${this.made}`;
 		const task = { id, team, size, runMs, admittedAt: machineMs() };
-		const term = this.leadership.authority();
+		const term = this.leadership.authorizedTerm();
 		const more = { cpus: size.cpus * 4, gpus: size.gpus * 4 };
 		if (term !== null) {
 			this.manager?.want(this.config.node, team, more);
