--- a/tests/coordination/leadership/leadership.test.ts
+++ b/tests/coordination/leadership/leadership.test.ts
@@ -2,129 +2,129 @@
 import { test } from "node:test";
 import { candidate, inOutage } from "../../support/leadership-candidate.js";
 
-test("a process that starts holds back as long as it may have promised, or until all say that they do not lead", async () => {
-	const waits = candidate(["a", "b"]);
-	await waits.run(2900);
-	assert.deepEqual(waits.won, []);
-	await waits.run(500);
-	assert.equal(waits.won.length, 1);
+test("a started process campaigns once a vote of an earlier process has expired, or all others reply that they do not lead", async () => {
+	const unanswered = candidate(["a", "b"]);
+	await unanswered.run(2900);
+	assert.deepEqual(unanswered.won, []);
+	await unanswered.run(500);
+	assert.equal(unanswered.won.length, 1);
 
-	const told = candidate(["a", "b"]);
-	told.leadership.handleMessage("a", {
+	const answered = candidate(["a", "b"]);
+	answered.leadership.handleMessage("a", {
 		kind: "leader-query-reply",
 		term: 0,
 		isLeader: false,
 		incarnation: "inc",
 	});
-	await told.run(300);
-	assert.deepEqual(told.won, [], "one of two has answered");
-	// A late copy of what an earlier process of this node was told: it may have promised since.
-	told.leadership.handleMessage("b", {
+	await answered.run(300);
+	assert.deepEqual(answered.won, [], "one of two controllers has replied");
+	// A late copy of a reply to an earlier process of this node, which may have voted after the reply.
+	answered.leadership.handleMessage("b", {
 		kind: "leader-query-reply",
 		term: 0,
 		isLeader: false,
 		incarnation: "before",
 	});
-	await told.run(300);
-	assert.deepEqual(told.won, []);
-	told.leadership.handleMessage("b", {
+	await answered.run(300);
+	assert.deepEqual(answered.won, []);
+	answered.leadership.handleMessage("b", {
 		kind: "leader-query-reply",
 		term: 0,
 		isLeader: false,
 		incarnation: "inc",
 	});
-	await told.run(300);
-	assert.equal(told.won.length, 1);
+	await answered.run(300);
+	assert.equal(answered.won.length, 1);
 });
 
-test("a leader that stood still within its lease acts only on an answer asked for since", async () => {
-	const c = candidate(["a", "b"]);
-	c.leadership.endStartupHoldoff();
-	await c.run(500);
-	const epoch = c.won[0] as number;
-	await c.time.advance(2100);
-	assert.equal(c.leadership.authorizedTerm(), epoch, "by its clock nobody else can lead yet");
-	c.leadership.onProcessPause();
-	assert.equal(c.leadership.authorizedTerm(), null);
-	await c.run(200);
-	assert.equal(c.leadership.authorizedTerm(), epoch, "the renewal was answered");
+test("after a process pause a leader has authority only once a renewal or all votes requested since confirm it", async () => {
+	const controller = candidate(["a", "b"]);
+	controller.leadership.endStartupHoldoff();
+	await controller.run(500);
+	const term = controller.won[0] as number;
+	await controller.time.advance(2100);
+	assert.equal(controller.leadership.authorizedTerm(), term, "by its clock its lease is valid");
+	controller.leadership.onProcessPause();
+	assert.equal(controller.leadership.authorizedTerm(), null);
+	await controller.run(200);
+	assert.equal(controller.leadership.authorizedTerm(), term, "a renewal succeeded after the pause");
 
-	// Refused by the store, it needs a promise of every other controller that was asked for since.
-	c.service.setOutage(true);
-	const promise = (from: string, number: number) =>
-		c.leadership.handleMessage(from, {
+	// While the store refuses it, it needs a vote of every other controller that was requested since the pause.
+	controller.service.setOutage(true);
+	const receiveVote = (from: string, number: number) =>
+		controller.leadership.handleMessage(from, {
 			kind: "lease-extension-vote",
-			term: epoch,
+			term,
 			requestNumber: number,
 			cancellations: [],
 		});
-	const asked = () =>
-		Math.max(0, ...c.told.map((m) => (m.kind === "lease-extension-request" ? m.requestNumber : 0)));
-	await c.run(1200);
-	const before = asked();
-	for (const node of ["a", "b"]) promise(node, before);
-	c.leadership.onProcessPause();
-	assert.equal(c.leadership.authorizedTerm(), null, "promises of before the pause");
-	await c.run(200);
-	assert.ok(asked() > before);
-	promise("a", asked());
-	assert.equal(c.leadership.authorizedTerm(), null, "one of two");
-	promise("b", asked());
-	assert.equal(c.leadership.authorizedTerm(), epoch);
+	const latestRequestNumber = () =>
+		Math.max(0, ...controller.told.map((m) => (m.kind === "lease-extension-request" ? m.requestNumber : 0)));
+	await controller.run(1200);
+	const requestBeforePause = latestRequestNumber();
+	for (const node of ["a", "b"]) receiveVote(node, requestBeforePause);
+	controller.leadership.onProcessPause();
+	assert.equal(controller.leadership.authorizedTerm(), null, "both votes were requested before the pause");
+	await controller.run(200);
+	assert.ok(latestRequestNumber() > requestBeforePause);
+	receiveVote("a", latestRequestNumber());
+	assert.equal(controller.leadership.authorizedTerm(), null, "one of two controllers has voted");
+	receiveVote("b", latestRequestNumber());
+	assert.equal(controller.leadership.authorizedTerm(), term);
 });
 
-test("authority without the store ends in bounded time even with all promises", async () => {
-	const c = candidate([]);
-	c.leadership.endStartupHoldoff();
-	await c.run(500);
-	c.service.setOutage(true);
-	await c.run(19_000);
-	assert.notEqual(c.leadership.authorizedTerm(), null);
-	await c.run(2_500);
-	assert.equal(c.leadership.authorizedTerm(), null);
+test("a leader without other controllers loses its authority within the staleness bound of a store outage", async () => {
+	const controller = candidate([]);
+	controller.leadership.endStartupHoldoff();
+	await controller.run(500);
+	controller.service.setOutage(true);
+	await controller.run(19_000);
+	assert.notEqual(controller.leadership.authorizedTerm(), null);
+	await controller.run(2_500);
+	assert.equal(controller.leadership.authorizedTerm(), null);
 });
 
-test("a leader whose watch is stuck while its renewals succeed gives up in time", async () => {
-	const c = candidate(["a"]);
-	c.leadership.endStartupHoldoff();
-	await c.run(500);
-	await c.run(5000);
-	c.copy.stuck = true;
-	await c.run(19_500);
-	assert.notEqual(c.leadership.authorizedTerm(), null);
-	await c.run(1000);
-	assert.equal(c.leadership.authorizedTerm(), null);
-	assert.deepEqual(c.lost, ["store changes do not arrive"]);
+test("a leader whose watch is stuck while its renewals succeed resigns within the staleness bound", async () => {
+	const controller = candidate(["a"]);
+	controller.leadership.endStartupHoldoff();
+	await controller.run(500);
+	await controller.run(5000);
+	controller.copy.stuck = true;
+	await controller.run(19_500);
+	assert.notEqual(controller.leadership.authorizedTerm(), null);
+	await controller.run(1000);
+	assert.equal(controller.leadership.authorizedTerm(), null);
+	assert.deepEqual(controller.lost, ["store changes do not arrive"]);
 });
 
-test("where cancel_s hardly exceeds a lease a leader that is served still leads, and none without the store", async () => {
-	const c = candidate(["a"], 0);
-	const { epoch, answer } = await inOutage(c);
+test("where cancel_s hardly exceeds a worker's lease a leader has authority with the store, and none without it", async () => {
+	const controller = candidate(["a"], 0);
+	const { epoch: term, answer } = await inOutage(controller);
 	await answer(3500, { a: [] });
-	assert.equal(c.leadership.authorizedTerm(), null, "promised or not");
-	c.service.setOutage(false);
-	await c.run(1000);
-	assert.equal(c.leadership.authorizedTerm(), epoch);
-	c.copy.stuck = true;
-	await c.run(8500);
-	assert.equal(c.leadership.authorizedTerm(), null);
+	assert.equal(controller.leadership.authorizedTerm(), null, "in spite of the vote");
+	controller.service.setOutage(false);
+	await controller.run(1000);
+	assert.equal(controller.leadership.authorizedTerm(), term);
+	controller.copy.stuck = true;
+	await controller.run(8500);
+	assert.equal(controller.leadership.authorizedTerm(), null);
 });
 
-test("a campaign without an answer is decided by reading the key back", async () => {
-	const mine = candidate([]);
-	mine.leadership.endStartupHoldoff();
-	mine.faults.loseAnswers = true;
-	await mine.run(300);
-	assert.equal(mine.won[0], mine.service.rows.get("r/one/leader")?.stamp, "the put had been applied");
+test("a campaign whose write got no response is decided by reading the leader key back", async () => {
+	const applied = candidate([]);
+	applied.leadership.endStartupHoldoff();
+	applied.faults.loseAnswers = true;
+	await applied.run(300);
+	assert.equal(applied.won[0], applied.service.rows.get("r/one/leader")?.stamp, "the put had been applied");
 
-	const theirs = candidate([]);
-	theirs.leadership.endStartupHoldoff();
-	theirs.faults.loseAnswers = true;
+	const notApplied = candidate([]);
+	notApplied.leadership.endStartupHoldoff();
+	notApplied.faults.loseAnswers = true;
 	const changes = [{ put: "r/one/leader", v: { node: "a" } }];
 	// biome-ignore lint/suspicious/noThenProperty: the state service's own word for the changes
-	await theirs.service.handle("POST", "/multi", { when: [], then: changes }, "a");
-	theirs.leadership.tick(null, true);
-	await theirs.time.advance(500);
-	assert.deepEqual(theirs.won, [], "the key is another node's");
-	assert.deepEqual(theirs.service.rows.get("r/one/leader")?.v, { node: "a" });
+	await notApplied.service.handle("POST", "/multi", { when: [], then: changes }, "a");
+	notApplied.leadership.tick(null, true);
+	await notApplied.time.advance(500);
+	assert.deepEqual(notApplied.won, [], "another node holds the leader key");
+	assert.deepEqual(notApplied.service.rows.get("r/one/leader")?.v, { node: "a" });
 });
--- a/tests/coordination/replication/chunked-records-large-fleets.test.ts
+++ b/tests/coordination/replication/chunked-records-large-fleets.test.ts
@@ -41,7 +41,7 @@
 				} as never,
 				post: (action) => action(),
 				now: () => clock.now(),
-				onLeaderKeyLost: () => assert.fail("the leader key is ours"),
+				onLeaderKeyLost: () => assert.fail("this term holds the leader key"),
 				onConfirmed() {},
 				onWriteFailed: (error) => assert.fail(String(error)),
 				onChunksRejected: () => assert.fail("a value is too large"),
--- a/tests/coordination/replication/chunked-records.test.ts
+++ b/tests/coordination/replication/chunked-records.test.ts
@@ -10,42 +10,42 @@
 import { FakeTime } from "../../support/fake-time.js";
 import { StateService } from "../../support/state-service.js";
 
-/** Shared records against the stand-in store; `call` may interfere with what reaches it. */
-async function sharedRecords(
+/** Creates chunked records against the simulated store; `interfere` may delay or drop calls and responses. */
+async function createChunkedRecords(
 	interfere: (path: string, handle: () => Promise<HttpResponse>, time: FakeTime) => Promise<HttpResponse> = (
 		_path,
 		handle,
 	) => handle(),
-	mostBytes = 1000,
+	maxChunkBytes = 1000,
 ) {
 	const time = new FakeTime();
 	const service = new StateService(time);
 	await service.handle("POST", "/multi", compareAndSwapBody([], [{ put: "r/one/leader", value: {} }]), "me");
-	const caller = {
+	const http = {
 		call: (method: string, path: string, body: unknown) =>
 			interfere(path, () => service.handle(method, path, body, "me"), time),
 		close() {},
 	};
 	const confirmed: string[] = [];
-	const tooLarge: string[] = [];
+	const rejectedKeys: string[] = [];
 	const records = new ChunkedRecords<string>({
 		prefix: "r/x/",
 		leaderCondition: { key: "r/one/leader", revision: 1 },
-		maxChunkBytes: mostBytes,
+		maxChunkBytes,
 		maxChangesPerWrite: 4,
 		store: new StoreClient({
-			http: caller,
+			http,
 			clock: time,
 			requestsPerS: 1000,
 			writesPerS: 1000,
 			controllers: 1,
 		}),
-		post: (command) => command(),
+		post: (action) => action(),
 		now: () => time.now(),
-		onLeaderKeyLost: () => assert.fail("the key is ours"),
+		onLeaderKeyLost: () => assert.fail("this term holds the leader key"),
 		onConfirmed: (entries) => confirmed.push(...entries.keys()),
 		onWriteFailed() {},
-		onChunksRejected: (keys) => tooLarge.push(...keys),
+		onChunksRejected: (keys) => rejectedKeys.push(...keys),
 		pace: { priority: "normal", minIntervalMs: 100, cleanupIntervalMs: 500 },
 	});
 	const run = async (ms: number) => {
@@ -55,14 +55,14 @@
 		}
 	};
 	const stored = () => [...service.rows].filter(([key]) => key.startsWith("r/x/")).map(([, row]) => row.v);
-	return { records, confirmed, tooLarge, run, stored, service, time };
+	return { records, confirmed, rejectedKeys, run, stored, service, time };
 }
 
-test("a write of shared records that is applied late brings nothing back", async () => {
-	let late = true;
-	const { records, confirmed, run, stored } = await sharedRecords((path, handle, time) => {
-		if (!late || path !== "/multi") return handle();
-		late = false;
+test("a write of chunked records that is applied late does not restore removed or older entries", async () => {
+	let delayNextWrite = true;
+	const { records, confirmed, run, stored } = await createChunkedRecords((path, handle, time) => {
+		if (!delayNextWrite || path !== "/multi") return handle();
+		delayNextWrite = false;
 		time.after(5000, () => void handle());
 		return new Promise((_, reject) =>
 			time.after(1500, () => reject(new CallError("unknown", 0, "no answer in time"))),
@@ -75,19 +75,19 @@
 	assert.deepEqual(confirmed.sort(), ["a", "b"]);
 	assert.deepEqual(stored(), [{ entries: { a: "1", b: "2" } }]);
 	await run(5000);
-	assert.deepEqual(stored(), [{ entries: { a: "1", b: "2" } }], "the first write came late");
+	assert.deepEqual(stored(), [{ entries: { a: "1", b: "2" } }], "the first write arrived late");
 	records.delete("a");
 	records.delete("b");
 	await run(2000);
 	assert.deepEqual(stored(), []);
 });
 
-test("a write of shared records whose answer was lost is found out by reading it back", async () => {
-	let lose = true;
-	const { records, confirmed, run } = await sharedRecords(async (path, handle) => {
-		const answer = await handle();
-		if (!lose || path !== "/multi") return answer;
-		lose = false;
+test("a write of chunked records whose response was lost is confirmed after its chunk is read back", async () => {
+	let loseNextResponse = true;
+	const { records, confirmed, run } = await createChunkedRecords(async (path, handle) => {
+		const response = await handle();
+		if (!loseNextResponse || path !== "/multi") return response;
+		loseNextResponse = false;
 		throw new CallError("unknown", 0, "no answer");
 	});
 	records.set("a", "1");
@@ -95,9 +95,11 @@
 	assert.deepEqual(confirmed, ["a"]);
 });
 
-/** A value as a version without smaller limits wrote it, and what it holds. */
-async function withLargeValue(service: StateService, n = 60) {
-	const entries = Object.fromEntries(Array.from({ length: n }, (_, i) => [`n-${i}`, "x".repeat(60)]));
+/** Stores a chunk larger than the limit, as a version with larger limits wrote it, and returns the names of its entries. */
+async function storeLargeChunk(service: StateService, entryCount = 60) {
+	const entries = Object.fromEntries(
+		Array.from({ length: entryCount }, (_, i) => [`n-${i}`, "x".repeat(60)]),
+	);
 	await service.handle(
 		"POST",
 		"/multi",
@@ -107,8 +109,8 @@
 	return { names: Object.keys(entries), row: service.rows.get("r/x/0-1") as { v: unknown; stamp: number } };
 }
 
-/** What a takeover would read at this moment, the later of two values telling. */
-function readAll(service: StateService): Map<string, string> {
+/** Returns the entries that a new leader would read now; of two copies, the one in the chunk with the later revision. */
+function readAllEntries(service: StateService): Map<string, string> {
 	const rows = [...service.rows]
 		.filter(([key]) => key.startsWith("r/x/"))
 		.sort((a, b) => a[1].stamp - b[1].stamp);
@@ -117,51 +119,59 @@
 	);
 }
 
-test("a value larger than values may be now is split when it is next written; no reader finds less at any moment", async () => {
-	const { records, run, service, time, tooLarge } = await sharedRecords(undefined, 800);
-	const { names, row } = await withLargeValue(service);
+test("a chunk larger than the limit is split when it is next written, and every read meanwhile finds all entries", async () => {
+	const { records, run, service, time, rejectedKeys } = await createChunkedRecords(undefined, 800);
+	const { names, row } = await storeLargeChunk(service);
 	service.limits = { valueBytes: 1000, changes: 4 };
 	records.load([["r/x/0-1", { value: row.v as { entries: Record<string, string> }, revision: row.stamp }]]);
 	await run(2000);
-	assert.equal(service.rows.get("r/x/0-1"), row, "left as it is until something in it changes");
+	assert.equal(service.rows.get("r/x/0-1"), row, "the chunk is unchanged until an entry in it changes");
 	records.set("n-7", "new");
 	records.delete("n-9");
-	let seen = 0;
+	let readsOfNewValue = 0;
 	for (let i = 0; i < 400; i++) {
 		records.flush();
 		await time.advance(10);
-		const all = readAll(service);
-		for (const name of names) assert.ok(all.has(name) || name === "n-9", `${name} at ${time.now()}`);
-		if (all.get("n-7") === "new") seen += 1;
-		else assert.equal(seen, 0, "what was written once is not read older again");
+		const storedEntries = readAllEntries(service);
+		for (const name of names)
+			assert.ok(storedEntries.has(name) || name === "n-9", `${name} at ${time.now()}`);
+		if (storedEntries.get("n-7") === "new") readsOfNewValue += 1;
+		else
+			assert.equal(readsOfNewValue, 0, "a read after one with the new value does not return the old value");
 	}
-	assert.ok(seen > 0);
+	assert.ok(readsOfNewValue > 0);
 	assert.ok(!service.rows.has("r/x/0-1"));
-	assert.ok(!readAll(service).has("n-9"));
-	assert.deepEqual(tooLarge, []);
+	assert.ok(!readAllEntries(service).has("n-9"));
+	assert.deepEqual(rejectedKeys, []);
 });
 
-test("a leader that ends while a value is split leaves nothing that the next one reads wrongly", async () => {
-	const first = await sharedRecords(undefined, 800);
-	const { names, row } = await withLargeValue(first.service);
+test("a leader that ends while a chunk is split leaves chunks from which the next one reads every latest entry", async () => {
+	const first = await createChunkedRecords(undefined, 800);
+	const { names, row } = await storeLargeChunk(first.service);
 	first.service.limits = { valueBytes: 1000, changes: 4 };
 	first.records.load([
 		["r/x/0-1", { value: row.v as { entries: Record<string, string> }, revision: row.stamp }],
 	]);
 	for (const name of names) first.records.set(name, `new ${name}`);
 	await first.run(50);
-	const left = [...first.service.rows].filter(([key]) => key.startsWith("r/x/"));
-	assert.ok(left.length > 1 && first.service.rows.has("r/x/0-1"), "it ended in between");
-	const second = await sharedRecords((path, _handle, _time) => Promise.reject(new Error(path)), 800);
+	const storedChunks = [...first.service.rows].filter(([key]) => key.startsWith("r/x/"));
+	assert.ok(
+		storedChunks.length > 1 && first.service.rows.has("r/x/0-1"),
+		"the first leader ended during the split",
+	);
+	const second = await createChunkedRecords((path, _handle, _time) => Promise.reject(new Error(path)), 800);
 	second.records.load(
-		left.map(([key, r]) => [key, { value: r.v as { entries: Record<string, string> }, revision: r.stamp }]),
+		storedChunks.map(([key, r]) => [
+			key,
+			{ value: r.v as { entries: Record<string, string> }, revision: r.stamp },
+		]),
 	);
 	for (const name of names) assert.ok(second.records.has(name));
 	const replica = new StoreReplica();
-	const pages = { entries: { "j-1/0": "old" } };
+	const olderChunk = { entries: { "j-1/0": "old" } };
 	replica.reset(
 		[
-			{ key: `${keys.progress}9`, value: pages, revision: 3 },
+			{ key: `${keys.progress}9`, value: olderChunk, revision: 3 },
 			{ key: `${keys.progress}1`, value: { entries: { "j-1/0": "newer" } }, revision: 7 },
 		],
 		9,
@@ -171,21 +181,21 @@
 	assert.deepEqual([...replica.donePagesOf("j-1")], [[0, "newer"]]);
 	replica.apply([{ key: `${keys.progress}2`, value: { entries: { "j-1/0": "newer" } }, revision: 12 }], 12);
 	replica.apply([{ key: `${keys.progress}1`, value: undefined, revision: 13 }], 13);
-	assert.deepEqual([...replica.donePagesOf("j-1")], [[0, "newer"]], "a copy of it is still there");
+	assert.deepEqual([...replica.donePagesOf("j-1")], [[0, "newer"]], "another chunk has a copy of the entry");
 });
 
-test("values that the store refuses for their size are made smaller; one that can't be is named and holds up nothing", async () => {
-	const { records, confirmed, run, service, tooLarge } = await sharedRecords(undefined, 1000);
+test("chunks that the store rejects for their size are split; one with a single entry is reported and blocks no other", async () => {
+	const { records, confirmed, run, service, rejectedKeys } = await createChunkedRecords(undefined, 1000);
 	service.limits = { valueBytes: 400, changes: 1 };
 	for (let i = 0; i < 30; i++) records.set(`n-${i}`, "x".repeat(60));
 	records.set("huge", "x".repeat(2000));
 	await run(60_000);
 	assert.equal(new Set(confirmed).size, 30);
 	assert.ok(!confirmed.includes("huge"));
-	const tried = tooLarge.length;
-	assert.ok(tried > 0 && tried < 20, `refused ${tried} times`);
+	const rejectionCount = rejectedKeys.length;
+	assert.ok(rejectionCount > 0 && rejectionCount < 20, `rejected ${rejectionCount} times`);
 	await run(10_000);
-	assert.equal(tooLarge.length, tried, "and not tried again");
+	assert.equal(rejectedKeys.length, rejectionCount, "the rejected chunk is not retried");
 	records.set("n-3", "later");
 	await run(2000);
 	assert.ok(confirmed.filter((name) => name === "n-3").length > 1);
--- a/tests/coordination/replication/replica-sync.test.ts
+++ b/tests/coordination/replication/replica-sync.test.ts
@@ -9,12 +9,12 @@
 import { silentLog } from "../../support/silent-log.js";
 import { StateService } from "../../support/state-service.js";
 
-test("calls that this side gave up in a pause do not make the store silent", async () => {
+test("calls that time out in a process pause do not make the store unresponsive", async () => {
 	const time = new FakeTime();
-	const fail: ((error: Error) => void)[] = [];
+	const pendingRejections: ((error: Error) => void)[] = [];
 	const store = {
 		readPrefix: async () => ({ rows: [], revision: 1 }),
-		watch: () => new Promise<never>((_, reject) => fail.push(reject)),
+		watch: () => new Promise<never>((_, reject) => pendingRejections.push(reject)),
 	} as unknown as KeyValueStore;
 	const sync = new ReplicaSync({
 		replica: new StoreReplica(),
@@ -27,50 +27,50 @@
 	await time.advance(100);
 	await time.advance(9000);
 	sync.onProcessPause();
-	for (const reject of fail) reject(new CallError("unknown", 0, "no answer in time"));
+	for (const reject of pendingRejections) reject(new CallError("unknown", 0, "no answer in time"));
 	await time.advance(100);
 	sync.assertResponsive();
 	await time.advance(5000);
 	assert.throws(
 		() => sync.assertResponsive(),
 		{ outcome: "not executed" },
-		"a store that stays silent is noticed",
+		"a store that stays silent after the pause counts as unresponsive",
 	);
 });
 
-test("a copy's knowledge is as old as the request that brought it, however late the answer comes", async () => {
+test("syncedAt is the sending time of the request that brought the changes, however late its response arrives", async () => {
 	const time = new FakeTime();
 	const service = new StateService(time);
-	let heldMs = 0;
-	const caller = {
+	let responseDelayMs = 0;
+	const http = {
 		call: async (method: string, path: string, body: unknown) => {
-			const answer = await service.handle(method, path, body, "me");
-			if (heldMs > 0) await new Promise<void>((resolve) => time.after(heldMs, resolve));
-			return answer;
+			const response = await service.handle(method, path, body, "me");
+			if (responseDelayMs > 0) await new Promise<void>((resolve) => time.after(responseDelayMs, resolve));
+			return response;
 		},
 		close() {},
 	};
 	const replica = new StoreReplica();
 	const store = new StoreClient({
-		http: caller,
+		http,
 		clock: time,
 		requestsPerS: 1000,
 		writesPerS: 1000,
 		controllers: 1,
 	});
-	const copy = new ReplicaSync({
+	const sync = new ReplicaSync({
 		replica,
 		store,
 		clock: time,
 		log: silentLog,
 		post: (action) => action(),
 	});
-	copy.start();
+	sync.start();
 	await time.advance(8000);
-	assert.ok(time.now() - copy.syncedAt <= 5100, "two waits of a watch at most");
-	heldMs = 5000;
+	assert.ok(time.now() - sync.syncedAt <= 5100, "at most two watch time-outs");
+	responseDelayMs = 5000;
 	await time.advance(10_000);
-	assert.ok(time.now() - copy.lastResponseAt < 10_000, "answers do come");
-	assert.ok(time.now() - copy.syncedAt >= 5000, `known up to ${copy.syncedAt} at ${time.now()}`);
-	copy.stop();
+	assert.ok(time.now() - sync.lastResponseAt < 10_000, "responses do arrive");
+	assert.ok(time.now() - sync.syncedAt >= 5000, `synced up to ${sync.syncedAt} at ${time.now()}`);
+	sync.stop();
 });
--- a/tests/coordination/runtime/pause-detector.test.ts
+++ b/tests/coordination/runtime/pause-detector.test.ts
@@ -3,7 +3,7 @@
 import { PauseDetector } from "../../../src/coordination/runtime/pause-detector.js";
 import { FakeTime } from "../../support/fake-time.js";
 
-test("a pause is measured by the steady clock, and one of the processor's share is none", async () => {
+test("a gap of 6 s on the monotonic clock is reported as a pause once, and one of 1.9 s is none", async () => {
 	const time = new FakeTime();
 	const detector = new PauseDetector(time);
 	await time.advance(1900);
@@ -11,5 +11,5 @@
 	await time.advance(6000);
 	assert.equal(detector.observe(), 6000);
 	await time.advance(100);
-	assert.equal(detector.observe(), null, "said once");
+	assert.equal(detector.observe(), null, "a pause is reported once");
 });
--- a/tests/coordination/sharding/rendezvous-hash.test.ts
+++ b/tests/coordination/sharding/rendezvous-hash.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { ownerOf } from "../../../src/coordination/sharding/rendezvous-hash.js";
 
-test("a team moves only when its own placer goes, and every placer gets some", () => {
+test("the removal of a node moves only the keys that it owned, and every node owns some keys", () => {
 	const teams = Array.from({ length: 50 }, (_, i) => `team-${i}`);
 	const before = teams.map((t) => ownerOf(t, ["a", "b", "c"]));
 	const after = teams.map((t) => ownerOf(t, ["a", "b"]));
--- a/tests/coordination/state/assignment-rules.test.ts
+++ b/tests/coordination/state/assignment-rules.test.ts
@@ -19,11 +19,11 @@
 	job: Job;
 }
 
-/** Two machines with four CPUs each and a job of team red, which may use eight, with what a test wants otherwise. */
-function setUp(more: Partial<JobSpec> = {}): Setup {
+/** Creates two machines with four CPUs each and a job of team red, whose limit is eight CPUs. */
+function setUp(specOverrides: Partial<JobSpec> = {}): Setup {
 	const clusterState = tablesWith(2);
 	const [machine, other] = [...clusterState.machines.values()] as [Machine, Machine];
-	const job = clusterState.addJob("j-1", specOf("j-1", more), 0, 1);
+	const job = clusterState.addJob("j-1", specOf("j-1", specOverrides), 0, 1);
 	job.resetWaitingTasks();
 	return { clusterState, machine, other, job };
 }
@@ -37,120 +37,120 @@
 	release() {},
 };
 
-/** What keeps a start from being allowed that would be allowed otherwise. */
+/** A condition that makes the rules refuse a start that they allow otherwise. */
 interface RefusedStart {
 	refusal: AssignmentRefusal;
-	when: string;
+	condition: string;
 	spec?: Partial<JobSpec>;
-	happens?(setup: Setup): void;
+	prepare?(setup: Setup): void;
 }
 
-function start(clusterState: ClusterState, job: Job, machine: Machine): void {
+function startTask(clusterState: ClusterState, job: Job, machine: Machine): void {
 	assert.notEqual(clusterState.assignNextTask(job, machine), null);
 }
 
 const refusedStarts: RefusedStart[] = [
 	{
 		refusal: "cluster not reconciled",
-		when: "another machine may hold tasks of an earlier leader",
-		happens: ({ clusterState, other }) => clusterState.markUnreconciled(other),
+		condition: "another machine may hold tasks of an earlier leader",
+		prepare: ({ clusterState, other }) => clusterState.markUnreconciled(other),
 	},
 	{
 		refusal: "cluster not reconciled",
-		when: "it is not known what an orphaned task on another machine uses",
-		happens: ({ clusterState, other }) =>
+		condition: "the demand of an orphaned task on another machine is unknown",
+		prepare: ({ clusterState, other }) =>
 			clusterState.addOrphan(other, { jobId: "j-9", taskIndex: 0, attempt: 1 }),
 	},
 	{
 		refusal: "job ended",
-		when: "the record that ends the job is being written",
-		happens: ({ job }) => job.startFinalizing(0),
+		condition: "the record that ends the job is being written",
+		prepare: ({ job }) => job.startFinalizing(0),
 	},
 	{
 		refusal: "job ended",
-		when: "the job has ended in the store",
-		happens: ({ job }) => {
+		condition: "the job has ended in the store",
+		prepare: ({ job }) => {
 			job.end();
 			job.resetWaitingTasks();
 		},
 	},
 	{
 		refusal: "machine not schedulable",
-		when: "the machine is draining",
-		happens: ({ machine }) => machine.lifecycle.startDraining(),
+		condition: "the machine is draining",
+		prepare: ({ machine }) => machine.lifecycle.startDraining(),
 	},
 	{
 		refusal: "machine not schedulable",
-		when: "the machine is quarantined",
-		happens: ({ machine }) => machine.health.quarantine("slow", 0),
+		condition: "the machine is quarantined",
+		prepare: ({ machine }) => machine.health.quarantine("slow", 0),
 	},
 	{
 		refusal: "machine reserved",
-		when: "the machine is kept free for another job",
-		happens: ({ machine }) => machine.capacity.reserveForJob(jobOf("j-2")),
+		condition: "the machine is reserved for another job",
+		prepare: ({ machine }) => machine.capacity.reserveForJob(jobOf("j-2")),
 	},
-	{ refusal: "machine not allowed", when: "the job allows another zone only", spec: { zone: "b" } },
+	{ refusal: "machine not allowed", condition: "the job allows another zone only", spec: { zone: "b" } },
 	{
 		refusal: "machine not allowed",
-		when: "the job allows another type only",
+		condition: "the job allows another type only",
 		spec: { machineTypes: ["large"] },
 	},
-	{ refusal: "machine not allowed", when: "the job allows no spot machine", spec: { allowSpot: false } },
+	{ refusal: "machine not allowed", condition: "the job allows no spot machine", spec: { allowSpot: false } },
 	{
 		refusal: "insufficient capacity on machine",
-		when: "another task of the job leaves too little",
+		condition: "another task of the job leaves too few CPUs",
 		spec: { cpus: 3 },
-		happens: ({ clusterState, machine, job }) => start(clusterState, job, machine),
+		prepare: ({ clusterState, machine, job }) => startTask(clusterState, job, machine),
 	},
 	{
 		refusal: "machine on probation",
-		when: "a task runs there already",
+		condition: "a task already runs on the machine",
 		spec: { cpus: 1 },
-		happens: ({ clusterState, machine, job }) => {
-			start(clusterState, job, machine);
+		prepare: ({ clusterState, machine, job }) => {
+			startTask(clusterState, job, machine);
 			machine.health.startProbation(0);
 		},
 	},
 	{
 		refusal: "team at limit",
-		when: "the team's tasks leave too little of its limit",
-		happens: ({ clusterState }) => clusterState.quotas.allocate({ team: "red", cpus: 7, gpus: 0 }),
+		condition: "the task would exceed the team's limit",
+		prepare: ({ clusterState }) => clusterState.quotas.allocate({ team: "red", cpus: 7, gpus: 0 }),
 	},
-	{ refusal: "team at limit", when: "the platform does not name the team", spec: { team: "unknown" } },
+	{ refusal: "team at limit", condition: "the platform's settings lack the team", spec: { team: "unknown" } },
 	{
 		refusal: "zone constraint",
-		when: "a task of the job runs in another zone than this, and all must run in the same",
+		condition: "a task of the job runs in another zone, and all must run in a single zone",
 		spec: { singleZone: true },
-		happens: ({ clusterState, other, job }) => start(clusterState, job, other),
+		prepare: ({ clusterState, other, job }) => startTask(clusterState, job, other),
 	},
 	{
 		refusal: "zone constraint",
-		when: "half of the job's tasks run in the zone, and they are spread over zones",
+		condition: "half of the job's tasks run in the zone, and they must be spread over zones",
 		spec: { spreadZones: true, taskCount: 2, cpus: 1 },
-		happens: ({ clusterState, machine, job }) => start(clusterState, job, machine),
+		prepare: ({ clusterState, machine, job }) => startTask(clusterState, job, machine),
 	},
 	{
 		refusal: "allotment exhausted",
-		when: "the controller that admitted the task has no allotment left",
-		happens: ({ clusterState }) => clusterState.enableAdmissionControl(noAllotments),
+		condition: "the controller that admitted the task has no allotment left",
+		prepare: ({ clusterState }) => clusterState.enableAdmissionControl(noAllotments),
 	},
 ];
 
 describe("a start is refused", () => {
-	for (const { refusal, when, spec, happens } of refusedStarts)
-		test(`${refusal}: ${when}`, () => {
+	for (const { refusal, condition, spec, prepare } of refusedStarts)
+		test(`${refusal}: ${condition}`, () => {
 			const setup = setUp(spec);
-			happens?.(setup);
+			prepare?.(setup);
 			const { clusterState, job, machine } = setup;
-			const waiting = [...job.waitingTasks];
+			const waitingBefore = [...job.waitingTasks];
 			assert.equal(clusterState.assignmentRefusal(job, machine), refusal);
 			assert.equal(clusterState.assignNextTask(job, machine), null);
-			assert.deepEqual(job.waitingTasks, waiting, "nothing changes");
+			assert.deepEqual(job.waitingTasks, waitingBefore, "the task keeps waiting");
 		});
 });
 
 describe("a start is allowed", () => {
-	test("where no rule forbids it", () => {
+	test("if no rule forbids it", () => {
 		const { clusterState, machine, job } = setUp();
 		assert.equal(clusterState.assignmentRefusal(job, machine), null);
 	});
@@ -161,7 +161,7 @@
 		assert.equal(clusterState.assignmentRefusal(job, machine), null);
 	});
 
-	test("on a machine on probation that is empty", () => {
+	test("on a machine on probation that runs no task", () => {
 		const { clusterState, machine, job } = setUp();
 		machine.health.startProbation(0);
 		assert.equal(clusterState.assignmentRefusal(job, machine), null);
--- a/tests/coordination/state/attempt-numbers.test.ts
+++ b/tests/coordination/state/attempt-numbers.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { AttemptNumbers, attemptsPerTerm } from "../../../src/coordination/state/attempt-numbers.js";
 
-test("attempt numbers grow within their term, whose range ends before that of the next", () => {
+test("attempt numbers increase by one within the range of their term, which ends below the range of the next term", () => {
 	const numbers = new AttemptNumbers(3);
 	let last = 3 * attemptsPerTerm;
 	while (!numbers.exhausted) {
--- a/tests/coordination/state/cluster-state.test.ts
+++ b/tests/coordination/state/cluster-state.test.ts
@@ -9,16 +9,19 @@
 import { tablesWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
-/** The machines of the cluster, of which a test needs so many. */
+/** Returns the machines of the cluster; the type lets a test use the first two without a check. */
 const machinesOf = (clusterState: ClusterState) => [...clusterState.machines.values()] as [Machine, Machine];
 
-function addJob(clusterState: ClusterState, id: string, more: Parameters<typeof specOf>[1] = {}) {
-	const job = clusterState.addJob(id, specOf(id, more), 0, 1);
+function addJob(clusterState: ClusterState, id: string, specOverrides: Parameters<typeof specOf>[1] = {}) {
+	const job = clusterState.addJob(id, specOf(id, specOverrides), 0, 1);
 	job.resetWaitingTasks();
 	return job;
 }
 
-/** No team uses more than its 8 CPUs, by the attempts themselves and by the ledger, and no machine is overfull. */
+/**
+ * Asserts that no team uses more than its limit of 8 CPUs, that the ledger agrees with the attempts, and that no
+ * machine's capacity is exceeded.
+ */
 function assertWithinLimits(clusterState: ClusterState, jobs: readonly Job[]): void {
 	for (const team of ["red", "blue"]) {
 		let used = 0;
@@ -29,10 +32,10 @@
 	for (const machine of clusterState.machines.values()) assert.ok(machine.capacity.freeCpus >= -1e-9);
 }
 
-function assertNewNumber({ number }: Attempt, seen: Set<number>): void {
-	assert.ok(!seen.has(number), "attempt numbers never repeat");
+function assertNewNumber({ number }: Attempt, usedNumbers: Set<number>): void {
+	assert.ok(!usedNumbers.has(number), "attempt numbers are unique");
 	assert.ok(Number.isSafeInteger(number));
-	seen.add(number);
+	usedNumbers.add(number);
 }
 
 describe("the assignment of tasks", () => {
@@ -86,7 +89,7 @@
 });
 
 describe("the end of an attempt", () => {
-	test("frees what it used and lets its task wait again, once", () => {
+	test("releases its resources and quota and requeues its task, once", () => {
 		const clusterState = tablesWith(1);
 		const job = addJob(clusterState, "j-1", { taskCount: 1 });
 		const [machine] = machinesOf(clusterState);
@@ -116,7 +119,7 @@
 		assert.equal(to.capacity.freeCpus, to.type.cpus - job.spec.cpus, "the reservation became the attempt's");
 	});
 
-	test("of a relocated replica whose job is over gives the reservation back", () => {
+	test("of a relocated replica whose job has ended releases the reservation", () => {
 		const clusterState = tablesWith(2);
 		const job = addJob(clusterState, "j-1", { form: "service", taskCount: 1 });
 		const [from, to] = machinesOf(clusterState);
@@ -134,7 +137,7 @@
 });
 
 describe("the machines of the cluster", () => {
-	test("leave with everything that was on them", () => {
+	test("are removed with their attempts, orphaned tasks and exited tasks", () => {
 		const clusterState = tablesWith(1);
 		const job = addJob(clusterState, "j-1");
 		const [machine] = machinesOf(clusterState);
@@ -153,14 +156,14 @@
 		assert.equal(clusterState.reconciled, true);
 	});
 
-	test("count as schedulable CPUs while they take new tasks", () => {
+	test("count as schedulable CPUs while they accept new tasks", () => {
 		const clusterState = tablesWith(2);
 		assert.equal(clusterState.schedulableCpus, 8);
 		machinesOf(clusterState)[0].lifecycle.startDraining();
 		assert.equal(clusterState.schedulableCpus, 4);
 	});
 
-	test("known only from an out-of-date list are dropped, and nothing is placed for that", () => {
+	test("are removed without a placement request if they are known only from an out-of-date cloud list", () => {
 		const clusterState = tablesWith(1);
 		clusterState.clearPlacementRequest();
 		clusterState.removeNonexistentMachine(machinesOf(clusterState)[0]);
--- a/tests/coordination/state/quota-accounting.test.ts
+++ b/tests/coordination/state/quota-accounting.test.ts
@@ -12,7 +12,7 @@
 const teamRed = { name: "red", guaranteed: { cpus: 8, gpus: 0 }, limit: { cpus: 8, gpus: 0 } };
 const demand: TaskDemand = { team: "red", cpus: 2, gpus: 0 };
 
-/** Allotments of this node `runner-0` and others, of which only `runner-1` has none left. */
+/** The allotments of this node, `runner-0`, and of others, of which only that of `runner-1` is exhausted. */
 class Allotments implements AdmissionControl {
 	readonly node = "runner-0";
 	readonly charges = new Set<QuotaCharge>();
@@ -41,7 +41,7 @@
 }
 
 describe("the accounting of quota", () => {
-	test("counts tasks by the ledger alone until team quota is in use", () => {
+	test("counts tasks by the ledger alone until team quota is enabled", () => {
 		const ledger = new QuotaLedger([teamRed]);
 		const accounting = new QuotaAccounting(ledger);
 		assert.equal(accounting.leaderNode, "");
@@ -53,7 +53,7 @@
 		assert.equal(ledger.usage("red").cpus, 2);
 	});
 
-	test("charges each task to the allotment of the controller that has admitted it as well", () => {
+	test("also charges each task to the allotment of the controller that has admitted it once team quota is enabled", () => {
 		const ledger = new QuotaLedger([teamRed]);
 		const accounting = new QuotaAccounting(ledger);
 		const allotments = new Allotments();
@@ -71,7 +71,7 @@
 	});
 });
 
-describe("the cluster state when team quota comes into use", () => {
+describe("the cluster state with team quota", () => {
 	function setUp(): { clusterState: ClusterState; machine: Machine } {
 		const clusterState = new ClusterState({
 			term: 1,
@@ -85,7 +85,7 @@
 		return { clusterState, machine };
 	}
 
-	test("charges what may run already, orphaned tasks included, once each", () => {
+	test("charges each attempt and orphaned task once when team quota is enabled", () => {
 		const { clusterState, machine } = setUp();
 		const job = clusterState.addJob("j-1", specOf("j-1"), 0, 1);
 		job.resetWaitingTasks();
