--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -5,7 +5,7 @@
  * until a heartbeat, or its response to a direct command, carries this leader's fencing token; or until its deletion
  * is confirmed; or until its lease has certainly expired. No task starts while any machine is unreconciled, which
  * `ClusterState` enforces. This module keeps that time short: it probes machines by direct commands, and deletes
- * those that stay silent.
+ * those that stay unresponsive.
  *
  * Traces 02, 03, 18, 21, 24, 45 and 47; `failover.test.ts`; "where the machines that may hold tasks cannot be
  * read ..." in malformed-input.test.ts.
@@ -18,31 +18,34 @@
 import type { DirectCommandResult, WorkerGateway } from "../ports/workers.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
-/** Minimum of machines that are probed in one tick; probing all at once would use up a small share of a core. */
+/**
+ * Minimum number of machines that are probed in one tick. Probing all at once would exhaust the processor time of a
+ * controller that has only a small share of a core.
+ */
 const minProbesPerTick = 12;
 
-/** Machines that are probed in one tick in a large fleet, as a fraction of the fleet. */
+/** Number of machines that are probed in one tick in a large fleet, as a fraction of the fleet. */
 const probedFractionPerTick = 0.01;
 
-/** Machines that are probed in one tick while the process is short of processor time. */
+/** Number of machines that are probed in one tick while the process is short of processor time. */
 const probesPerTickWhenOverloaded = 2;
 
-/** Probes that are sent to one machine at most. */
+/** Maximum number of probes of one machine. */
 const maxProbeAttempts = 3;
 
-/** Machines are deleted only after they were silent for this long. */
-const minSilenceBeforeDeletionMs = 2000;
+/** Machines are deleted only after they were unresponsive for this long. */
+const minUnresponsiveMs = 2000;
 
-/** At first, silent machines are deleted only if they are at most this fraction of the fleet. */
+/** At first, unresponsive machines are deleted only if they are at most this fraction of the fleet. */
 const initialDeletedFraction = 0.01;
 
 /**
- * That fraction doubles each second, up to this maximum: with more machines silent, the fault is more likely in this
- * controller or its network.
+ * The fraction doubles each second, up to this maximum: with more machines unresponsive, the fault is more likely in
+ * this controller or its network.
  */
 const maxDeletedFraction = 1 / 5;
 
-/** Up to this many machines are deleted whatever the size of the fleet. */
+/** Up to this many unresponsive machines are deleted in a fleet of any size. */
 const minDeletionLimit = 2;
 
 /** A request for a machine's tasks by a direct command without commands. */
@@ -75,18 +78,18 @@
 /** Owns the probes of one term, and decides which unreconciled machines are deleted. */
 export class Failover {
 	private readonly probes: Probe[] = [];
-	/** Stands for the machines whose stored records are malformed, until all workers' leases have expired. */
+	/** Represents the machines whose stored records are malformed, until all workers' leases have expired. */
 	private malformedRecordsPlaceholder: Machine | null = null;
-	/** Monotonic time from which the silence of machines counts. */
-	private silenceCountedFrom: number;
+	/** Monotonic time from which machines count as unresponsive until they are reconciled. */
+	private unresponsiveTimeFrom: number;
 
 	constructor(private readonly options: FailoverOptions) {
-		this.silenceCountedFrom = options.termStartedAt;
+		this.unresponsiveTimeFrom = options.termStartedAt;
 	}
 
-	/** Excludes a process pause from the silence of machines, since no heartbeat is received during it. */
+	/** Excludes a process pause from the time without responses, since no response is received during it. */
 	onProcessPause(pauseMs: number): void {
-		this.silenceCountedFrom += pauseMs;
+		this.unresponsiveTimeFrom += pauseMs;
 	}
 
 	/** Records that the machine may run unknown tasks, and queues a probe for the latest known epoch of its worker. */
@@ -116,7 +119,7 @@
 			this.malformedRecordsPlaceholder = null;
 		}
 		this.sendProbes(overloaded);
-		this.deleteSilentMachines(now);
+		this.deleteUnresponsiveMachines(now);
 	}
 
 	/**
@@ -147,7 +150,7 @@
 			const token = fencingTokenOf(clusterState.term);
 			result = await workers.sendCommands(machine.agent.endpoint, token, agentEpoch, []);
 		} catch (error) {
-			// The machine may be unreachable; whether it is deleted depends on the duration of its silence.
+			// The machine may be unreachable; `deleteUnresponsiveMachines` decides whether it is deleted.
 			log.debug({ machineId: machine.id, err: error }, "direct command failed");
 			post(() => this.probeFailed(probe));
 			return;
@@ -175,33 +178,33 @@
 	}
 
 	/**
-	 * Deletes silent machines. A silent machine blocks every start until its lease has expired, and its deletion proves
-	 * at once that its tasks have ended. No machine is deleted while many are silent: then the fault is more likely in
-	 * this controller or its network, and heartbeats of hundreds of machines take some seconds to arrive. A machine
-	 * that the cloud does not list was deleted or reclaimed while its record could not be removed. The list may be out
-	 * of date, so it is no proof; the response to the deletion is.
+	 * Deletes unresponsive machines. Such a machine blocks every start until its lease has expired, and its deletion
+	 * proves at once that its tasks have ended. While many machines are unresponsive, none is deleted: then the fault is
+	 * more likely in this controller or its network, and heartbeats of hundreds of machines take time to arrive. The
+	 * exception is a machine that the cloud does not list, which was deleted or reclaimed while its record could not be
+	 * removed. The list may be out of date, so it is no proof that the machine is gone; the response to the deletion is.
 	 */
-	private deleteSilentMachines(now: number): void {
+	private deleteUnresponsiveMachines(now: number): void {
 		const { clusterState, missingFromCloudList, log } = this.options;
 		const unreconciled = clusterState.unreconciledMachines;
-		const silenceCountedMs = now - this.silenceCountedFrom;
-		if (unreconciled.size === 0 || silenceCountedMs < minSilenceBeforeDeletionMs) return;
+		const elapsedMs = now - this.unresponsiveTimeFrom;
+		if (unreconciled.size === 0 || elapsedMs < minUnresponsiveMs) return;
 		const notMissing = [...unreconciled].filter((machine) => !missingFromCloudList(machine.id));
-		const withinLimit = notMissing.length <= this.deletionLimit(silenceCountedMs);
+		const withinLimit = notMissing.length <= this.deletionLimit(elapsedMs);
 		for (const machine of unreconciled) {
 			if (machine === this.malformedRecordsPlaceholder || machine.lifecycle.deleting) continue;
 			if (!withinLimit && !missingFromCloudList(machine.id)) continue;
 			machine.lifecycle.startDeleting();
-			log.info({ machineId: machine.id }, "deleting silent unreconciled machine");
+			log.info({ machineId: machine.id }, "deleting unresponsive unreconciled machine");
 		}
 	}
 
 	/**
-	 * Returns the largest number of silent machines that are deleted. It grows with time, because with fewer machines
-	 * unreconciled, blocking all starts soon costs more than replacing these machines.
+	 * Returns the maximum number of unresponsive machines at which they are deleted. It grows with time, because the
+	 * fewer machines are unresponsive, the sooner blocking all starts costs more than replacing them.
 	 */
-	private deletionLimit(silenceCountedMs: number): number {
-		const growth = 2 ** ((silenceCountedMs - minSilenceBeforeDeletionMs) / 1000);
+	private deletionLimit(elapsedMs: number): number {
+		const growth = 2 ** ((elapsedMs - minUnresponsiveMs) / 1000);
 		const fraction = Math.min(maxDeletedFraction, initialDeletedFraction * growth);
 		return Math.max(minDeletionLimit, this.options.clusterState.machines.size * fraction);
 	}
--- a/src/coordination/leadership/failure-detector.ts
+++ b/src/coordination/leadership/failure-detector.ts
@@ -32,7 +32,7 @@
 /** Interval between two heartbeats of the leader. */
 const heartbeatIntervalMs = 500;
 
-/** Allowance for the network delay of a message, beside the silence that the operators' settings allow. */
+/** Allowance for the network delay of a message, in addition to the `silent_s` of the operators' settings. */
 const messageDelayAllowanceMs = 500;
 
 /** Dependencies of a failure detector. */
@@ -116,13 +116,13 @@
 		return this.platform.others.every(({ node }) => this.featureSupport.supportsTeamQuota(node));
 	}
 
-	/** Returns this controller, and those that have sent a message within the allowed silence. */
+	/** Returns this controller, and the others whose latest message is recent enough. */
 	liveControllers(now: number): NodeId[] {
-		const maxSilenceMs = this.options.settings.placing.silent_s * 1000 + messageDelayAllowanceMs;
+		const maxMessageAgeMs = this.options.settings.placing.silent_s * 1000 + messageDelayAllowanceMs;
 		const live = [this.platform.node];
 		for (const { node } of this.platform.others) {
 			const lastMessageAt = this.lastMessageAt.get(node) ?? -Infinity;
-			if (now - lastMessageAt <= maxSilenceMs) live.push(node);
+			if (now - lastMessageAt <= maxMessageAgeMs) live.push(node);
 		}
 		return live;
 	}
--- a/src/coordination/replication/replica-sync.ts
+++ b/src/coordination/replication/replica-sync.ts
@@ -111,7 +111,7 @@
 		this.responsiveness.assertResponsive();
 	}
 
-	/** Excludes a process pause from the silence of the store, since no response is received during it. */
+	/** Excludes a process pause from the time without responses, since no response is received during it. */
 	onProcessPause(): void {
 		this.responsiveness.onProcessPause();
 	}
--- a/src/coordination/replication/store-responsiveness.ts
+++ b/src/coordination/replication/store-responsiveness.ts
@@ -2,8 +2,9 @@
  * Tracks whether the store responds to this process.
  *
  * While it does not, requests of users fail at once instead of waiting, and watches do not wait, so that the recovery
- * of the store is detected early. Silence alone is no sign of a failure, since a watch without changes is silent: a
- * call must also have failed since the latest response. Tests: replica-sync.test.ts; traces 26 and 54.
+ * of the store is detected early. The lack of responses alone is no sign of a failure, since a watch without changes
+ * gets none for some time: a call must also have failed since the latest response. Tests: replica-sync.test.ts; traces
+ * 26 and 54.
  */
 
 import { CallError } from "../ports/call-error.js";
@@ -15,7 +16,7 @@
 	private lastFailureAt = -Infinity;
 	private resumedAt = -Infinity;
 
-	/** @param unresponsiveAfterMs Longest silence of a store that responds. */
+	/** @param unresponsiveAfterMs Longest time without a response of a store that works. */
 	constructor(
 		private readonly clock: Clock,
 		private readonly unresponsiveAfterMs: number,
@@ -36,16 +37,16 @@
 		this.lastFailureAt = this.clock.now();
 	}
 
-	/** Excludes the time before the end of a process pause from silence: calls then fail by time-outs of this process. */
+	/** Excludes the time up to the end of a process pause, since calls then fail by time-outs of this process. */
 	onProcessPause(): void {
 		this.resumedAt = this.clock.now();
 	}
 
-	/** True if the store has been silent for longer than a store that responds, and calls fail. */
+	/** True if the store has not responded for longer than `unresponsiveAfterMs`, and calls fail. */
 	get unresponsive(): boolean {
-		const silentSince = Math.max(this.#lastResponseAt, this.resumedAt);
-		const silentForMs = this.clock.now() - silentSince;
-		return silentForMs > this.unresponsiveAfterMs && this.lastFailureAt > this.#lastResponseAt;
+		const noResponseSince = Math.max(this.#lastResponseAt, this.resumedAt);
+		const noResponseForMs = this.clock.now() - noResponseSince;
+		return noResponseForMs > this.unresponsiveAfterMs && this.lastFailureAt > this.#lastResponseAt;
 	}
 
 	/** Throws a CallError while the store is unresponsive, so that the user gets an error at once. */
--- a/src/coordination/state/assignment-rules.ts
+++ b/src/coordination/state/assignment-rules.ts
@@ -1,4 +1,4 @@
-/** The rules for the start of a task on a machine. Every start must satisfy all of them, whichever component proposes it. */
+/** The rules for starts of tasks on machines. Every start must satisfy all of them, proposed by a placer or the leader. */
 
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
@@ -53,8 +53,8 @@
 		// exceed its limit ("the assignment of tasks is refused while a machine of an earlier leader is unreconciled" in
 		// tests/coordination/state/cluster-state.test.ts; traces 18, 21, 47, 49).
 		if (!this.readiness.reconciled) return "cluster not reconciled";
-		// A task of a cancelled job would run for longer than `cancel_s` ("the end of a job withdraws assigned attempts…"
-		// in tests/coordination/workers/worker-commands.test.ts; traces 07, 08).
+		// A task of a cancelled job would run for longer than `cancel_s` ("the end of a job ends its assigned attempts…" in
+		// tests/coordination/workers/worker-commands.test.ts; traces 07, 08).
 		if (job.over || job.finalizing) return "job ended";
 		// If a number were used twice, a late heartbeat could be attributed to the wrong attempt. The leader resigns.
 		if (this.readiness.attemptNumbersExhausted) return "attempt numbers exhausted";
@@ -81,7 +81,7 @@
 	const { capacity, health } = machine;
 	const { spec } = job;
 	// A task could run twice on a machine without a stored record, which a later leader would not reconcile, or on one
-	// whose worker accepts commands of an earlier leader ("no start goes to a machine before…" in
+	// whose worker accepts commands of an earlier leader ("no task is assigned to a machine before…" in
 	// tests/coordination/workers/heartbeat-reconciliation.test.ts).
 	if (!machine.schedulable) return "machine not schedulable";
 	// Without reservations wide tasks would starve beside small ones, which would take all released resources (trace
--- a/src/coordination/state/attempt-numbers.ts
+++ b/src/coordination/state/attempt-numbers.ts
@@ -7,8 +7,9 @@
 
 /**
  * Owns the attempt numbers of one term: the term times 2^22 plus a counter. Later terms thus have larger numbers,
- * and of two attempts of a task that heartbeats list the larger number is the later one ("a late copy that lists
- * an earlier attempt yields to the later one" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
+ * and of two attempts of a task that heartbeats list, the one with the larger number is the later one ("a late copy
+ * that lists an earlier attempt does not replace the later attempt of the task" in
+ * tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
 export class AttemptNumbers {
 	#count = 0;
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -157,7 +157,7 @@
 		this.#machines.set(machine.id, machine);
 	}
 
-	/** Removes a machine whose deletion is confirmed, with its attempts and orphaned tasks. Returns the number of attempts. */
+	/** Removes a machine whose deletion is confirmed, and ends its attempts. Returns their number. */
 	removeMachine(machine: Machine): number {
 		const attempts = this.clearMachine(machine);
 		this.#machines.delete(machine.id);
@@ -305,8 +305,8 @@
 	}
 
 	/**
-	 * Ends an attempt that is confirmed to have ended: releases its resources and quota, and requeues its task unless the task
-	 * is done. The next attempt of a relocated replica is assigned at once to the machine with its reservation.
+	 * Removes an attempt that is confirmed to have ended: releases its resources and quota, and requeues its task unless
+	 * the task is done. The next attempt of a relocated replica is assigned at once to the machine with its reservation.
 	 */
 	endAttempt(attempt: Attempt): void {
 		const { job, machine, charge } = attempt;
--- a/src/coordination/state/orphan-registry.ts
+++ b/src/coordination/state/orphan-registry.ts
@@ -9,10 +9,9 @@
 
 /**
  * Owns the orphaned tasks of all machines. Such a task, for example of a job that was cancelled while there was no
- * leader, uses its team's quota until it is confirmed to have ended. If the leader no longer has the job, its demand is read
- * from the store; until it is known, any team may be at its limit, and no task may start (trace 49; "tasks of a job
- * that is over use their team's quota until they are gone" in
- * tests/coordination/workers/heartbeat-reconciliation.test.ts).
+ * leader, uses its team's quota until it is confirmed to have ended. If the leader no longer has the job, the demand is
+ * read from the store; until it is known, any team may be at its limit, and no task may start (trace 49; "orphaned
+ * tasks use their team's quota until they disappear…" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
 export class OrphanRegistry {
 	/** Number of orphaned tasks of unknown demand on each machine that has any. */
--- a/src/coordination/state/quota-accounting.ts
+++ b/src/coordination/state/quota-accounting.ts
@@ -7,10 +7,10 @@
 
 /**
  * Owns the two counts that enforce the limits of teams. The leader's own ledger counts every task from the decision to
- * start it until it is confirmed to have ended. If team quota is enabled, each task is also charged to an allotment: limits
- * are divided into allotments that controllers hold, and a start counts against the allotment of the controller that
- * has admitted it (`admittedBy`). That is the placer that proposed the start, or this leader for starts that it decides
- * by itself. The two counts are independent, so that each reveals a fault of the other.
+ * start it until it is confirmed to have ended. If team quota is enabled, each task is also charged to an allotment:
+ * limits are divided into allotments that controllers hold, and a start counts against the allotment of the controller
+ * that has admitted it (`admittedBy`). That is the placer that proposed the start, or this leader for starts that it
+ * decides by itself. The two counts are independent, so that each reveals a fault of the other.
  */
 export class QuotaAccounting {
 	#admission: AdmissionControl | null = null;
--- a/tests/coordination/leadership/cancellation-staleness.test.ts
+++ b/tests/coordination/leadership/cancellation-staleness.test.ts
@@ -4,7 +4,7 @@
 import { parsePlatform } from "../../../src/protocol/settings/platform.js";
 import { platformSettingsToml as settings } from "../../support/platform-settings.js";
 
-test("the staleness bound plus a worker's lease and a margin is below cancel_s, or 0 where these exceed cancel_s", () => {
+test("the staleness bound, a worker's lease and a margin fit into cancel_s; the bound is 0 where the others do not", () => {
 	const platform = parsePlatform("s.toml", settings);
 	const { cancel_s, lease_s } = platform.cluster.workers;
 	assert.ok(maxCancellationStalenessMs(platform.cluster.workers) / 1000 + lease_s * 1.001 + 2 < cancel_s);
--- a/tests/coordination/leadership/failover-large-fleets.test.ts
+++ b/tests/coordination/leadership/failover-large-fleets.test.ts
@@ -35,7 +35,7 @@
 			assert.equal(
 				[...clusterState.machines.values()].filter((m) => m.lifecycle.deleting).length,
 				0,
-				"if all machines are silent, the fault is more likely in the leader or its network",
+				"if all machines are unresponsive, the fault is more likely in the leader or its network",
 			);
 		});
 });
--- a/tests/coordination/leadership/failover.test.ts
+++ b/tests/coordination/leadership/failover.test.ts
@@ -5,7 +5,7 @@
 import { fleetOf } from "../../support/running-fleet.js";
 import { silentLog } from "../../support/silent-log.js";
 
-test("a process pause during failover does not count as silence of unreconciled machines", async () => {
+test("a process pause during failover does not count as time without responses of machines", async () => {
 	const clusterState = fleetOf(50);
 	const hooks = {
 		post() {},
--- a/tests/coordination/leadership/failure-detector.test.ts
+++ b/tests/coordination/leadership/failure-detector.test.ts
@@ -7,7 +7,7 @@
 import { fleetOf } from "../../support/running-fleet.js";
 import { silentLog } from "../../support/silent-log.js";
 
-test("after a gap in its ticks a leader gives workers time to reconnect before it resigns because they do not reach it", () => {
+test("a leader that workers do not reach after a gap in its ticks resigns only after their time to reconnect", () => {
 	const resignationReasons: string[] = [];
 	const clusterState = fleetOf(6);
 	const detector = new FailureDetector({
--- a/tests/coordination/leadership/leadership.test.ts
+++ b/tests/coordination/leadership/leadership.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { candidate, inOutage } from "../../support/leadership-candidate.js";
 
-test("a started process campaigns once a vote of an earlier process has expired, or all others reply that they do not lead", async () => {
+test("a new process campaigns once any vote of an earlier one has expired, or all others reply that they do not lead", async () => {
 	const unanswered = candidate(["a", "b"]);
 	await unanswered.run(2900);
 	assert.deepEqual(unanswered.won, []);
@@ -37,7 +37,7 @@
 	assert.equal(answered.won.length, 1);
 });
 
-test("after a process pause a leader has authority only once a renewal or all votes requested since confirm it", async () => {
+test("after a process pause a leader has authority only once a renewal or all votes requested since arrive", async () => {
 	const controller = candidate(["a", "b"]);
 	controller.leadership.endStartupHoldoff();
 	await controller.run(500);
@@ -97,7 +97,7 @@
 	assert.deepEqual(controller.lost, ["store changes do not arrive"]);
 });
 
-test("where cancel_s hardly exceeds a worker's lease a leader has authority with the store, and none without it", async () => {
+test("where cancel_s hardly exceeds a worker's lease authority is possible with the store but not without", async () => {
 	const controller = candidate(["a"], 0);
 	const { epoch: term, answer } = await inOutage(controller);
 	await answer(3500, { a: [] });
--- a/tests/coordination/replication/chunked-records.test.ts
+++ b/tests/coordination/replication/chunked-records.test.ts
@@ -95,7 +95,7 @@
 	assert.deepEqual(confirmed, ["a"]);
 });
 
-/** Stores a chunk larger than the limit, as a version with larger limits wrote it, and returns the names of its entries. */
+/** Stores a chunk larger than the limit, as a version with larger limits wrote it. Returns its row and entry names. */
 async function storeLargeChunk(service: StateService, entryCount = 60) {
 	const entries = Object.fromEntries(
 		Array.from({ length: entryCount }, (_, i) => [`n-${i}`, "x".repeat(60)]),
@@ -109,7 +109,7 @@
 	return { names: Object.keys(entries), row: service.rows.get("r/x/0-1") as { v: unknown; stamp: number } };
 }
 
-/** Returns the entries that a new leader would read now; of two copies, the one in the chunk with the later revision. */
+/** Returns the entries that a new leader would read; of two copies, the one in the chunk with the later revision. */
 function readAllEntries(service: StateService): Map<string, string> {
 	const rows = [...service.rows]
 		.filter(([key]) => key.startsWith("r/x/"))
@@ -119,7 +119,7 @@
 	);
 }
 
-test("a chunk larger than the limit is split when it is next written, and every read meanwhile finds all entries", async () => {
+test("a chunk larger than the limit is split when it is next written; every read meanwhile finds all entries", async () => {
 	const { records, run, service, time, rejectedKeys } = await createChunkedRecords(undefined, 800);
 	const { names, row } = await storeLargeChunk(service);
 	service.limits = { valueBytes: 1000, changes: 4 };
@@ -145,7 +145,7 @@
 	assert.deepEqual(rejectedKeys, []);
 });
 
-test("a leader that ends while a chunk is split leaves chunks from which the next one reads every latest entry", async () => {
+test("a leader that ends while a chunk is split leaves every latest entry for the next leader to read", async () => {
 	const first = await createChunkedRecords(undefined, 800);
 	const { names, row } = await storeLargeChunk(first.service);
 	first.service.limits = { valueBytes: 1000, changes: 4 };
@@ -184,7 +184,7 @@
 	assert.deepEqual([...replica.donePagesOf("j-1")], [[0, "newer"]], "another chunk has a copy of the entry");
 });
 
-test("chunks that the store rejects for their size are split; one with a single entry is reported and blocks no other", async () => {
+test("chunks that the store rejects for their size are split; one with a single entry is reported and not retried", async () => {
 	const { records, confirmed, run, service, rejectedKeys } = await createChunkedRecords(undefined, 1000);
 	service.limits = { valueBytes: 400, changes: 1 };
 	for (let i = 0; i < 30; i++) records.set(`n-${i}`, "x".repeat(60));
--- a/tests/coordination/replication/replica-sync.test.ts
+++ b/tests/coordination/replication/replica-sync.test.ts
@@ -34,11 +34,11 @@
 	assert.throws(
 		() => sync.assertResponsive(),
 		{ outcome: "not executed" },
-		"a store that stays silent after the pause counts as unresponsive",
+		"a store that does not respond after the pause counts as unresponsive",
 	);
 });
 
-test("syncedAt is the sending time of the request that brought the changes, however late its response arrives", async () => {
+test("syncedAt is the sending time of the request that returned the changes, however late it returns", async () => {
 	const time = new FakeTime();
 	const service = new StateService(time);
 	let responseDelayMs = 0;
--- a/tests/coordination/state/attempt-numbers.test.ts
+++ b/tests/coordination/state/attempt-numbers.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { AttemptNumbers, attemptsPerTerm } from "../../../src/coordination/state/attempt-numbers.js";
 
-test("attempt numbers increase by one within the range of their term, which ends below the range of the next term", () => {
+test("attempt numbers increase by one within their term's range, which ends below the next term's range", () => {
 	const numbers = new AttemptNumbers(3);
 	let last = 3 * attemptsPerTerm;
 	while (!numbers.exhausted) {
--- a/tests/coordination/state/quota-accounting.test.ts
+++ b/tests/coordination/state/quota-accounting.test.ts
@@ -53,7 +53,7 @@
 		assert.equal(ledger.usage("red").cpus, 2);
 	});
 
-	test("also charges each task to the allotment of the controller that has admitted it once team quota is enabled", () => {
+	test("with team quota also charges each task to the allotment of the controller that has admitted it", () => {
 		const ledger = new QuotaLedger([teamRed]);
 		const accounting = new QuotaAccounting(ledger);
 		const allotments = new Allotments();
