--- a/src/coordination/leadership/campaign-holdoff.ts
+++ b/src/coordination/leadership/campaign-holdoff.ts
@@ -48,11 +48,11 @@
 	holdOffAfterVote(): void {
 		const until = grantorExpiryAt(this.options.timing, this.options.clock.now());
 		const earlier = this.state.kind === "none" ? -Infinity : this.state.until;
-		// A startup hold-off becomes one after a vote, so that it cannot end early and with it the hold-off for the vote.
+		// This replaces a startup hold-off, since its early end would also end the hold-off for the vote.
 		this.state = { kind: "voted", until: Math.max(earlier, until) };
 	}
 
-	/** Ends the startup hold-off, since no leader can rely on a vote of an earlier process. One after a vote stays. */
+	/** Ends a startup hold-off, when no leader can rely on a vote of an earlier process. Others continue. */
 	endStartupHoldoff(): void {
 		if (this.state.kind === "startup") this.state = { kind: "none" };
 	}
--- a/src/coordination/leadership/cancellation-staleness.ts
+++ b/src/coordination/leadership/cancellation-staleness.ts
@@ -41,7 +41,7 @@
 	return renewedByStore ? Math.max(maxStalenessMs, maxWatchResponseAgeMs) : maxStalenessMs;
 }
 
-/** The cancellations that this process has received, all through its replica of the store or from other controllers. */
+/** The cancellations that this process has received, through its replica of the store or from other controllers. */
 export interface CancellationTracker {
 	/** Monotonic time up to which every change of the store is in the replica. */
 	syncedAt(): number;
--- a/src/coordination/leadership/forwarding-policy.ts
+++ b/src/coordination/leadership/forwarding-policy.ts
@@ -49,12 +49,13 @@
 	update(): void {
 		const { clusterState, platform, settings, log } = this.options;
 		const { workers, resources } = platform.cluster;
-		const maxHeartbeatsPerCore = settings.reports.relay_per_core;
+		const maxHeartbeatsPerSecondPerCore = settings.reports.relay_per_core;
 		// Workers send heartbeats at least this often.
 		const heartbeatsPerSecondPerCore = clusterState.machines.size / workers.report_s / (resources.cores ?? 1);
 		const enabled =
-			maxHeartbeatsPerCore > 0 &&
-			heartbeatsPerSecondPerCore >= (this.#enabled ? maxHeartbeatsPerCore / 2 : maxHeartbeatsPerCore);
+			maxHeartbeatsPerSecondPerCore > 0 &&
+			heartbeatsPerSecondPerCore >=
+				(this.#enabled ? maxHeartbeatsPerSecondPerCore / 2 : maxHeartbeatsPerSecondPerCore);
 		if (enabled === this.#enabled) return;
 		this.#enabled = enabled;
 		const heartbeatsPerCore = Math.round(heartbeatsPerSecondPerCore);
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -186,7 +186,8 @@
 		if (this.role.kind !== "leader") return;
 		const { lease } = this.role;
 		const { clock, settings, jitter, onLeadershipLost } = this.options;
-		// Long enough for another controller to win the key, also when workers do not reach this one.
+		// Long enough for another controller to win the key first, also when this one resigned because workers or store
+		// changes do not reach it.
 		const nextCampaignAt = clock.now() + settings.leaseTtlMs + jitter() * resignationJitterMs;
 		this.role = { kind: "follower", nextCampaignAt };
 		lease.release();
--- a/src/coordination/leadership/worker-reachability.ts
+++ b/src/coordination/leadership/worker-reachability.ts
@@ -57,7 +57,7 @@
 	replies: ReadonlyMap<NodeId, PeerReply>;
 }
 
-/** Owns the checks of one term whether workers reach the leader. */
+/** Owns the results of the checks in one term. */
 export class WorkerReachability {
 	private consecutiveFailedChecks = 0;
 	/** Monotonic time before which the leader does not resign, while workers reconnect. */
@@ -102,7 +102,7 @@
 		this.consecutiveFailedChecks = unreachable ? this.consecutiveFailedChecks + 1 : 0;
 	}
 
-	/** True if at least half of the workers did not reach this leader at the latest check. */
+	/** True if fewer than half of the running workers reached this leader at the latest check. */
 	get lastCheckFailed(): boolean {
 		return this.consecutiveFailedChecks > 0;
 	}
--- a/src/coordination/ports/store.ts
+++ b/src/coordination/ports/store.ts
@@ -22,7 +22,7 @@
 export interface KeyValueStore {
 	/** Reads the row of a key; null: there is none. */
 	read(key: string): Promise<{ row: StoreRow | null }>;
-	/** Reads all rows below a prefix, and a revision that is no later than the reading of any of them. */
+	/** Reads all rows below a prefix, and a revision whose changes they include; they may also include later changes. */
 	readPrefix(prefix: string): Promise<{ rows: StoreRow[]; revision: Revision }>;
 	/** Makes all changes atomically if every key in the conditions has the given revision, and none otherwise. */
 	compareAndSwap(
--- a/src/coordination/replication/read-barriers.ts
+++ b/src/coordination/replication/read-barriers.ts
@@ -40,7 +40,7 @@
 	private waiting: PendingBarrier[] = [];
 	/** The calls that the request in flight serves. */
 	private inFlight: PendingBarrier[] = [];
-	private state: "idle" | "gathering" | "requesting" | "stopped" = "idle";
+	private state: "idle" | "batching" | "requesting" | "stopped" = "idle";
 	private batchWindowTimer: Timer | null = null;
 
 	constructor(private readonly options: ReadBarriersOptions) {}
@@ -69,7 +69,7 @@
 	}
 
 	private openBatchWindow(): void {
-		this.state = "gathering";
+		this.state = "batching";
 		this.batchWindowTimer = this.options.clock.after(batchWindowMs, () =>
 			this.options.post(() => this.request()),
 		);
--- a/src/coordination/replication/record-chunk.ts
+++ b/src/coordination/replication/record-chunk.ts
@@ -112,16 +112,16 @@
 
 	/** Marks the present entries as included in a write, and returns those that are confirmed if it succeeds. */
 	beginWrite(): Map<string, V> {
-		const carried = this.unwritten;
+		const includedEntries = this.unwritten;
 		this.unwritten = new Map();
 		this.stale = false;
-		return carried;
+		return includedEntries;
 	}
 
 	/** Marks the entries of a failed write as unwritten again, unless they were removed or set since. */
-	writeFailed(carried: ReadonlyMap<string, V>): void {
+	writeFailed(includedEntries: ReadonlyMap<string, V>): void {
 		this.stale = true;
-		for (const [name, value] of carried)
+		for (const [name, value] of includedEntries)
 			if (this.#entries.has(name) && !this.unwritten.has(name)) this.unwritten.set(name, value);
 	}
 
--- a/src/coordination/state/assignment-rules.ts
+++ b/src/coordination/state/assignment-rules.ts
@@ -1,4 +1,4 @@
-/** The rules for starts of tasks on machines. Every start must satisfy all of them, proposed by a placer or the leader. */
+/** The rules for starts of tasks on machines. Each start must satisfy all of them, whichever component proposes it. */
 
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
--- a/tests/coordination/replication/chunked-records.test.ts
+++ b/tests/coordination/replication/chunked-records.test.ts
@@ -184,7 +184,7 @@
 	assert.deepEqual([...replica.donePagesOf("j-1")], [[0, "newer"]], "another chunk has a copy of the entry");
 });
 
-test("chunks that the store rejects for their size are split; one with a single entry is reported and not retried", async () => {
+test("chunks that the store rejects for their size are split; one that cannot be split is reported and blocks no other", async () => {
 	const { records, confirmed, run, service, rejectedKeys } = await createChunkedRecords(undefined, 1000);
 	service.limits = { valueBytes: 400, changes: 1 };
 	for (let i = 0; i < 30; i++) records.set(`n-${i}`, "x".repeat(60));
