--- a/src/bookkeeping/attempt.ts
+++ b/src/bookkeeping/attempt.ts
@@ -15,7 +15,7 @@
 
 /** Why the leader wants an attempt to end. */
 export type StopReason =
-	| "job over"
+	| "job ended"
 	| "task done"
 	| "preempted"
 	| "team limit lowered"
@@ -80,7 +80,7 @@
 	}
 
 	/** The decision to end it; null: there is none. Stop commands are repeated until the attempt is over. */
-	get stop(): StopRequest | null {
+	get stopRequest(): StopRequest | null {
 		return this.#stop;
 	}
 
@@ -119,7 +119,7 @@
 	 *
 	 * @returns Whether it is reported running for the first time.
 	 */
-	noteState(state: Exclude<TaskState, "exited">, now: number): boolean {
+	updatePhase(state: Exclude<TaskState, "exited">, now: number): boolean {
 		this.#phase = state;
 		if (state !== "running" || this.#runningSince !== null) return false;
 		this.#runningSince = now;
@@ -161,7 +161,7 @@
 	}
 
 	/** Whether the attempt may not be stopped for other work at this time. */
-	protectedFromPreemption(now: number): boolean {
+	isProtectedFromPreemption(now: number): boolean {
 		return now < this.#protectedUntil;
 	}
 
--- a/src/bookkeeping/capacity-ledger.ts
+++ b/src/bookkeeping/capacity-ledger.ts
@@ -46,17 +46,17 @@
 	}
 
 	/** The machine is kept free of other new work until a task of this job fits; null: it is not reserved. */
-	get reservedFor(): Job | null {
+	get reservedForJob(): Job | null {
 		return this.#reservedFor;
 	}
 
 	/** Images that the machine should have, the least recently used first. */
-	get images(): ReadonlySet<string> {
+	get cachedImages(): ReadonlySet<string> {
 		return this.#images;
 	}
 
 	/** Whether a task with these demands fits into what is free. */
-	hasRoomFor({ cpus, gpus, memoryGb }: TaskResources): boolean {
+	fits({ cpus, gpus, memoryGb }: TaskResources): boolean {
 		return (
 			this.freeCpus + tolerance >= cpus &&
 			this.freeGpus + tolerance >= gpus &&
@@ -108,7 +108,7 @@
 	}
 
 	/** A task that uses the image runs here; the least recently used image beyond the cache's size is forgotten. */
-	noteImage(image: string): void {
+	recordImageUse(image: string): void {
 		this.#images.delete(image);
 		this.#images.add(image);
 		if (this.#images.size <= maxCachedImages) return;
--- a/src/bookkeeping/done-task-pages.ts
+++ b/src/bookkeeping/done-task-pages.ts
@@ -25,14 +25,14 @@
 	}
 
 	/** Pages of a job, in no order. */
-	of(jobId: JobId): Iterable<DonePage> {
+	pagesOf(jobId: JobId): Iterable<DonePage> {
 		return this.pagesByJob.get(jobId) ?? [];
 	}
 
 	/** How many tasks of a job are done. */
-	count(jobId: JobId): number {
+	doneCount(jobId: JobId): number {
 		let done = 0;
-		for (const [, bits] of this.of(jobId)) done += countInPage(bits);
+		for (const [, bits] of this.pagesOf(jobId)) done += countInPage(bits);
 		return done;
 	}
 
--- a/src/bookkeeping/exited-tasks.ts
+++ b/src/bookkeeping/exited-tasks.ts
@@ -40,14 +40,14 @@
 	 * @param isRecorded Whether the attempt's outcome can no longer be lost.
 	 * @param keepTrigger Whether to leave the last of them on the machine as the heartbeat trigger.
 	 */
-	chooseForgettable(isRecorded: (task: ExitedTask) => boolean, keepTrigger: boolean): ExitedTask[] {
+	selectForgettable(isRecorded: (task: ExitedTask) => boolean, keepTrigger: boolean): ExitedTask[] {
 		const forgettable = this.#listed.filter(isRecorded);
 		this.#trigger = keepTrigger ? (forgettable.pop() ?? null) : null;
 		return forgettable;
 	}
 
 	/** Takes the heartbeat trigger, to be forgotten now. */
-	takeHeartbeatTrigger(): AttemptRef | null {
+	consumeHeartbeatTrigger(): AttemptRef | null {
 		const trigger = this.#trigger;
 		this.#trigger = null;
 		return trigger;
--- a/src/bookkeeping/failure-history.ts
+++ b/src/bookkeeping/failure-history.ts
@@ -27,17 +27,17 @@
 	constructor(private readonly isService: boolean) {}
 
 	/** Machines on which tasks of the job failed since one last succeeded. */
-	get machines(): ReadonlySet<Machine> {
+	get failedMachines(): ReadonlySet<Machine> {
 		return this.#machines;
 	}
 
 	/** Tasks of the job that failed since one last succeeded. */
-	get consecutive(): number {
+	get consecutiveFailures(): number {
 		return this.#consecutive;
 	}
 
 	/** Steady time of the last failure; -Infinity: there was none. */
-	get lastAt(): number {
+	get lastFailureAt(): number {
 		return this.#lastAt;
 	}
 
@@ -52,8 +52,8 @@
 	}
 
 	/** The job fails wherever it goes: it is tried again now and then, and kept out of the load. */
-	get everywhere(): boolean {
-		if (this.isService || !this.onSeveralMachines) return false;
+	get failsEverywhere(): boolean {
+		if (this.isService || !this.failedOnSeveralMachines) return false;
 		let machines = 0;
 		// What a faulty machine does to a job says nothing of the job.
 		for (const machine of this.#machines) if (!machine.health.quarantinedForFailures) machines += 1;
@@ -61,19 +61,19 @@
 	}
 
 	/** The job has failed on more than one machine and succeeded on none since: perhaps the fault is its own. */
-	get onSeveralMachines(): boolean {
+	get failedOnSeveralMachines(): boolean {
 		return this.#machines.size > 1;
 	}
 
 	/** A task has failed on the machine. */
-	noteFailure(machine: Machine, now: number): void {
+	recordFailure(machine: Machine, now: number): void {
 		this.#machines.add(machine);
 		this.#consecutive += 1;
 		this.#lastAt = now;
 	}
 
 	/** No task of the job is tried again before this steady time. */
-	pauseUntil(retryNotBefore: number): void {
+	backOffUntil(retryNotBefore: number): void {
 		this.#retryNotBefore = retryNotBefore;
 	}
 
@@ -81,7 +81,7 @@
 	 * A task has succeeded on the machine type: the type suits the job. Types on which the job failed on several
 	 * machines, and never succeeded, do not. Called before the failures are cleared.
 	 */
-	noteSuccess(machineType: string): void {
+	recordSuccess(machineType: string): void {
 		this.#provenTypes.add(machineType);
 		this.#unfitTypes.delete(machineType);
 		const machinesByType = new Map<string, number>();
@@ -92,7 +92,7 @@
 	}
 
 	/** A replica ran well before it failed: the failures before it say nothing of where it starts next. */
-	forgetMachines(): void {
+	clearFailedMachines(): void {
 		this.#machines.clear();
 	}
 
--- a/src/bookkeeping/final-job-cache.ts
+++ b/src/bookkeeping/final-job-cache.ts
@@ -74,7 +74,7 @@
 	}
 
 	/** The replica was loaded as of the revision: from there on every cancellation is remembered. */
-	loadedAt(revision: Revision): void {
+	onReplicaLoaded(revision: Revision): void {
 		this.cancellationsCompleteAfter = Math.min(this.cancellationsCompleteAfter, revision);
 	}
 
--- a/src/bookkeeping/job.ts
+++ b/src/bookkeeping/job.ts
@@ -60,7 +60,7 @@
 	}
 
 	/** The rank of its priority: smaller ranks come first. */
-	get rank(): number {
+	get priorityRank(): number {
 		return priorityRank[this.spec.priority];
 	}
 
@@ -99,7 +99,7 @@
 	}
 
 	/** Pages of the done tasks that have changed since the last call. */
-	takeChangedPages(): ReadonlySet<number> {
+	consumeChangedPages(): ReadonlySet<number> {
 		const pages = this.#changedPages;
 		if (pages.size > 0) this.#changedPages = new Set();
 		return pages;
@@ -131,7 +131,7 @@
 	}
 
 	/** Takes the next waiting task that needs an attempt; undefined: there is none. */
-	takeWaitingTask(): number | undefined {
+	dequeueWaitingTask(): number | undefined {
 		let taskIndex = this.#waitingTasks.pop();
 		while (taskIndex !== undefined && (this.#doneTasks.has(taskIndex) || this.#attempts.has(taskIndex)))
 			taskIndex = this.#waitingTasks.pop();
@@ -162,7 +162,7 @@
 
 	/** The task waits again after its attempt, unless it is done or the job is over. */
 	requeueTask(taskIndex: number): void {
-		if (!this.over && !this.#doneTasks.has(taskIndex)) this.#waitingTasks.push(taskIndex);
+		if (!this.ended && !this.#doneTasks.has(taskIndex)) this.#waitingTasks.push(taskIndex);
 	}
 
 	/** Tasks that run, or save before they end. */
@@ -181,18 +181,18 @@
 	}
 
 	/** Steady time at which writing that record was last tried; -Infinity: never. */
-	get finalizingAt(): number {
+	get lastFinalWriteAt(): number {
 		return this.#stage.kind === "finalizing" ? this.#stage.lastTriedAt : Number.NEGATIVE_INFINITY;
 	}
 
 	/** The job has ended in the store: nothing of it may start. */
-	get over(): boolean {
+	get ended(): boolean {
 		return this.#stage.kind === "over";
 	}
 
 	/** The record that ends the job is being written; repeated for every try. Nothing of the job starts any more. */
 	startFinalizing(now: number): void {
-		if (!this.over) this.#stage = { kind: "finalizing", lastTriedAt: now };
+		if (!this.ended) this.#stage = { kind: "finalizing", lastTriedAt: now };
 	}
 
 	/** The job has ended in the store, by completion or by cancellation. */
@@ -215,7 +215,7 @@
 	}
 
 	/** A run has completed after so many seconds. */
-	noteRun(seconds: number): void {
+	recordRun(seconds: number): void {
 		this.#finishedRuns += 1;
 		this.#finishedSeconds += seconds;
 	}
@@ -223,7 +223,7 @@
 	// --- placement ---
 
 	/** A machine was reserved for the job's first task, which is done once for each job. */
-	get hadReservation(): boolean {
+	get reservationUsed(): boolean {
 		return this.#hadReservation;
 	}
 
--- a/src/bookkeeping/machine-fit.ts
+++ b/src/bookkeeping/machine-fit.ts
@@ -6,7 +6,7 @@
 import type { Machine } from "./machine.js";
 
 /** Tasks of the job that an empty machine of the type holds at once. */
-export function tasksHeld(spec: JobSpec, type: MachineType): number {
+export function maxTasksPerMachine(spec: JobSpec, type: MachineType): number {
 	let tasks = Math.floor(type.cpus / spec.cpus);
 	if (spec.gpus > 0) tasks = Math.min(tasks, Math.floor(type.gpus / spec.gpus));
 	if (spec.memoryGb > 0) tasks = Math.min(tasks, Math.floor(type.memoryGb / spec.memoryGb));
@@ -14,8 +14,8 @@
 }
 
 /** Whether the machine, were it empty, could hold a task of the job. */
-export function couldHold(machine: Machine, job: Job): boolean {
-	return machineAllowed(job.spec, machine) && tasksHeld(job.spec, machine.type) > 0;
+export function fitsEmptyMachine(machine: Machine, job: Job): boolean {
+	return machineAllowed(job.spec, machine) && maxTasksPerMachine(job.spec, machine.type) > 0;
 }
 
 /** Whether the job allows a machine of this type, zone and kind at all, whatever room it has. */
--- a/src/bookkeeping/machine-health.ts
+++ b/src/bookkeeping/machine-health.ts
@@ -41,7 +41,7 @@
 	readonly #failedJobs = new Set<Job>();
 
 	/** Jobs of which tasks failed here since a task last succeeded here; each may be to blame for its failure. */
-	get failedJobs(): ReadonlySet<Job> {
+	get jobsWithFailures(): ReadonlySet<Job> {
 		return this.#failedJobs;
 	}
 
@@ -62,7 +62,7 @@
 	}
 
 	/** Runs that have finished here and were compared with the mean of their jobs. */
-	get runs(): number {
+	get comparedRuns(): number {
 		return this.#runs;
 	}
 
@@ -72,12 +72,12 @@
 	}
 
 	/** A task of the job has failed here, and the fault may be the machine's. */
-	noteFailure(job: Job): void {
+	recordFailure(job: Job): void {
 		this.#failedJobs.add(job);
 	}
 
 	/** The failure of the job here was its own fault. */
-	forgetFailure(job: Job): void {
+	removeFailure(job: Job): void {
 		this.#failedJobs.delete(job);
 	}
 
@@ -106,7 +106,7 @@
 	}
 
 	/** The evidence against the machine has turned out to be weak. */
-	release(): void {
+	liftQuarantine(): void {
 		const state = this.#state;
 		if (state.kind !== "quarantined") return;
 		this.#state = state.probationPending
@@ -115,7 +115,7 @@
 	}
 
 	/** Ends a probation that has lasted long enough; a quarantine is followed by a probation. */
-	endIfOver(now: number): void {
+	applyExpiry(now: number): void {
 		const state = this.#state;
 		if (state.kind === "healthy") return;
 		const elapsedMs = now - state.sinceAt;
@@ -127,7 +127,7 @@
 	}
 
 	/** A run has finished here: how long it took against the mean of its job. */
-	noteRun(seconds: number, meanSeconds: number): void {
+	recordRun(seconds: number, meanSeconds: number): void {
 		this.#runs += 1;
 		this.#slowdown += (seconds / meanSeconds - this.#slowdown) / Math.min(this.#runs, runsToJudgeSpeed);
 	}
@@ -144,12 +144,12 @@
  * mislead: a job's short tasks end first, so while it runs its mean is too low and every slowdown too high.
  */
 export function isMuchSlower(machine: ComparedMachine, all: Iterable<ComparedMachine>): boolean {
-	if (machine.health.runs < runsToJudgeSpeed) return false;
+	if (machine.health.comparedRuns < runsToJudgeSpeed) return false;
 	let others = 0;
 	let sum = 0;
 	for (const other of all) {
 		if (other === machine || other.type.name !== machine.type.name) continue;
-		if (other.health.runs < runsToJudgeSpeed) continue;
+		if (other.health.comparedRuns < runsToJudgeSpeed) continue;
 		others += 1;
 		sum += other.health.slowdown;
 	}
--- a/src/bookkeeping/machine.ts
+++ b/src/bookkeeping/machine.ts
@@ -92,7 +92,7 @@
 	}
 
 	/** It will go away, or ought to: replicas here had better move elsewhere. */
-	get leaving(): boolean {
+	get needsEvacuation(): boolean {
 		const { agent, health, lifecycle } = this;
 		return (
 			lifecycle.reclaimAt !== null ||
@@ -118,13 +118,13 @@
 	}
 
 	/** An attempt was assigned to the machine, or found on it. */
-	hold(attempt: Attempt): void {
+	addAttempt(attempt: Attempt): void {
 		this.#attempts.set(attempt.taskId, attempt);
 		this.capacity.allocate(attempt.job.spec);
 	}
 
 	/** An attempt is proved gone. */
-	release(attempt: Attempt): void {
+	removeAttempt(attempt: Attempt): void {
 		if (this.#attempts.get(attempt.taskId) !== attempt) return;
 		this.#attempts.delete(attempt.taskId);
 		if (this.#attempts.size === 0) this.capacity.releaseAll();
--- a/src/bookkeeping/orphaned-task.ts
+++ b/src/bookkeeping/orphaned-task.ts
@@ -44,7 +44,7 @@
 	}
 
 	/** Whether this is the same attempt. */
-	is({ jobId, taskIndex, attempt }: AttemptRef): boolean {
+	isSameAttempt({ jobId, taskIndex, attempt }: AttemptRef): boolean {
 		return this.attempt === attempt && this.taskIndex === taskIndex && this.jobId === jobId;
 	}
 }
--- a/src/bookkeeping/quota-ledger.ts
+++ b/src/bookkeeping/quota-ledger.ts
@@ -90,7 +90,7 @@
 	 *
 	 * @param promised What else of the quota is about to be used, beside what tasks take now.
 	 */
-	room(
+	taskHeadroom(
 		{ team, cpus, gpus }: TaskDemand,
 		bound: QuotaBound,
 		promised: Readonly<QuotaAmounts> = nothing,
--- a/src/bookkeeping/remaining-work.ts
+++ b/src/bookkeeping/remaining-work.ts
@@ -9,23 +9,28 @@
 const maxPercentDone = 99;
 
 /** CPU seconds that a running task has left. */
-export function remainingOfRunning(cpus: number, elapsedS: number, estimateS: number, capS: number): number {
+export function remainingCpuSecondsOfRunning(
+	cpus: number,
+	elapsedS: number,
+	estimateS: number,
+	capS: number,
+): number {
 	const percent = estimateS > 0 ? Math.min(maxPercentDone, (100 * elapsedS) / estimateS) : maxPercentDone;
 	return cpus * Math.min(capS, (estimateS * (100 - percent)) / 100);
 }
 
 /** CPU seconds of a task that has not begun. */
-export function remainingOfWaiting(cpus: number, estimateS: number, capS: number): number {
+export function remainingCpuSecondsOfWaiting(cpus: number, estimateS: number, capS: number): number {
 	return cpus * Math.min(capS, estimateS);
 }
 
 /** CPU seconds that the attempt has left, by the estimated run time of its job's tasks. */
-export function remainingOfAttempt(
+export function remainingCpuSecondsOfAttempt(
 	attempt: Pick<Attempt, "runningSince" | "job">,
 	now: number,
 	capS: number,
 ): number {
 	const { estimatedRunS, spec } = attempt.job;
-	if (attempt.runningSince === null) return remainingOfWaiting(spec.cpus, estimatedRunS, capS);
-	return remainingOfRunning(spec.cpus, (now - attempt.runningSince) / 1000, estimatedRunS, capS);
+	if (attempt.runningSince === null) return remainingCpuSecondsOfWaiting(spec.cpus, estimatedRunS, capS);
+	return remainingCpuSecondsOfRunning(spec.cpus, (now - attempt.runningSince) / 1000, estimatedRunS, capS);
 }
--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -112,12 +112,12 @@
 
 	/** Pages of a job's bitmap of done tasks. */
 	donePagesOf(jobId: JobId): Iterable<DonePage> {
-		return this.donePages.of(jobId);
+		return this.donePages.pagesOf(jobId);
 	}
 
 	/** How many tasks of a live job are done. */
 	doneCount(jobId: JobId): number {
-		return this.donePages.count(jobId);
+		return this.donePages.doneCount(jobId);
 	}
 
 	/** What a task of a job that is over takes; null: not known without asking the store. */
@@ -131,7 +131,7 @@
 	}
 
 	/** The job is here, live or over, or it has a record that cannot be read. */
-	knows(jobId: JobId): boolean {
+	hasJobRecord(jobId: JobId): boolean {
 		return this.jobs.has(jobId) || this.finalRecords.has(jobId) || this.malformedKeys.has(keys.job(jobId));
 	}
 
@@ -158,7 +158,7 @@
 			this.put(row.key, row.value, row.revision);
 		this.#revision = revision;
 		this.#loaded = true;
-		this.finalJobs.loadedAt(revision);
+		this.finalJobs.onReplicaLoaded(revision);
 		for (const key of quotasBefore) if (!rows.some((row) => row.key === key)) this.remove(key, revision);
 		for (const row of rows) this.notify(row.key);
 		for (const jobId of jobsBefore) if (!this.jobs.has(jobId)) this.notify(keys.job(jobId));
@@ -176,14 +176,14 @@
 	}
 
 	/** Applies a change that is known to be in the store, such as this controller's own, ahead of the watch. */
-	applyOwnWrite(key: string, value: unknown, revision: Revision): void {
+	applyConfirmedWrite(key: string, value: unknown, revision: Revision): void {
 		if (revision <= this.#revision) return;
 		this.put(key, value, revision);
 		this.notify(key);
 	}
 
 	/** The job is over, whoever brought the news, and no longer live: the watch may be stuck from here on. */
-	recordFinal(jobId: JobId, record: FinalJobRecord, revision: Revision): void {
+	addFinalRecord(jobId: JobId, record: FinalJobRecord, revision: Revision): void {
 		this.finalJobs.add(jobId, record, revision);
 		if (this.removeLiveJob(jobId, Number.POSITIVE_INFINITY)) this.notify(keys.job(jobId));
 	}
@@ -233,7 +233,7 @@
 				if (!this.finalRecords.has(record.jobId)) this.liveJobs.put(record.jobId, record.value, revision);
 				break;
 			case "final":
-				this.recordFinal(record.jobId, record.value, revision);
+				this.addFinalRecord(record.jobId, record.value, revision);
 				break;
 			case "progress":
 				this.donePages.putChunk(key, record.value, revision);
--- a/src/bookkeeping/task-set.ts
+++ b/src/bookkeeping/task-set.ts
@@ -13,7 +13,7 @@
 	readonly full: boolean;
 	has(taskIndex: number): boolean;
 	/** One page of the bitmap as text, for a store record. */
-	page(number: number): string;
+	encodePage(number: number): string;
 }
 
 /** A set of task numbers of one job, kept as a bitmap. It only grows. */
@@ -47,7 +47,7 @@
 		return true;
 	}
 
-	page(number: number): string {
+	encodePage(number: number): string {
 		const from = (number * tasksPerPage) >> 3;
 		return Buffer.from(this.bits.subarray(from, from + (tasksPerPage >> 3))).toString("base64");
 	}
--- a/src/bookkeeping/worker-agent.ts
+++ b/src/bookkeeping/worker-agent.ts
@@ -82,17 +82,17 @@
 	}
 
 	/** Steady time of the latest heartbeat. */
-	get heartbeatAt(): number {
+	get lastHeartbeatAt(): number {
 		return this.#heartbeatAt;
 	}
 
 	/** Steady time of the latest response that may have renewed the worker's lease. */
-	get respondedAt(): number {
+	get lastResponseAt(): number {
 		return this.#respondedAt;
 	}
 
 	/** Steady time at which the worker was last redirected to another controller. */
-	get redirectedAt(): number {
+	get lastRedirectAt(): number {
 		return this.#redirectedAt;
 	}
 
@@ -122,17 +122,17 @@
 	}
 
 	/** An address that the cloud's list or a stored record names; heartbeats know better. */
-	endpointLearned(endpoint: string): void {
+	setInitialEndpoint(endpoint: string): void {
 		if (this.#endpoint === "") this.#endpoint = endpoint;
 	}
 
 	/** A response was sent that may renew the worker's lease. */
-	responded(now: number): void {
+	responseSent(now: number): void {
 		this.#respondedAt = now;
 	}
 
 	/** The worker was redirected to another controller. */
-	redirected(now: number): void {
+	redirectSent(now: number): void {
 		this.#redirectedAt = now;
 	}
 
@@ -148,7 +148,7 @@
 	 * then the time since the last response says nothing. It shows by starts that are never listed, and by a lease
 	 * that expires although it was renewed.
 	 */
-	noteResponseEffects(effects: ResponseEffects, leaseMs: number, now: number): void {
+	updateReachability(effects: ResponseEffects, leaseMs: number, now: number): void {
 		const ineffective = effects.leaseExpired || effects.startMissing;
 		if (effects.startListed) this.#ineffectiveResponses = 0;
 		else if (ineffective) this.#ineffectiveResponses += 1;
--- a/src/bookkeeping/zone-rules.ts
+++ b/src/bookkeeping/zone-rules.ts
@@ -15,14 +15,14 @@
 }
 
 /** The same, without attempts that are to leave their machines. */
-export function tasksByZoneWithout(job: Job, leaving: readonly Attempt[]): Record<string, number> {
+export function tasksByZoneExcluding(job: Job, leaving: readonly Attempt[]): Record<string, number> {
 	const zones = tasksByZone(job);
 	for (const { machine } of leaving) zones[machine.zone] = (zones[machine.zone] ?? 1) - 1;
 	return zones;
 }
 
 /** How many more tasks of the job its own zone rules allow in a zone; Infinity: they set no bound. */
-export function zoneRoom(
+export function zoneTaskHeadroom(
 	spec: JobSpec,
 	tasksInZones: Readonly<Record<string, number>>,
 	zone: string,
--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -117,7 +117,7 @@
 		zones: platform.cluster.zones,
 		maxValueBytes: platform.cluster.state.value_kb * 1024,
 		call: (action) => executor.call(action),
-		runningTasks: (jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
+		runningTaskCount: (jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
 	});
 	const controller = new Controller({
 		executor,
@@ -197,7 +197,7 @@
 function applyCancellations(replica: StoreReplica, cancellations: Cancellation[]): void {
 	for (const { jobId, revision, taskCount, doneCount } of cancellations) {
 		const record = encodeFinalRecord({ status: "cancelled", taskCount, doneCount });
-		replica.applyOwnWrite(keys.final(jobId), record, revision);
+		replica.applyConfirmedWrite(keys.final(jobId), record, revision);
 	}
 }
 
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -107,7 +107,7 @@
 	private reconcile(listed: ListedMachine, now: number): void {
 		const machine = this.clusterState.machines.get(listed.id) ?? this.takeIn(listed, now);
 		if (!machine) return;
-		machine.agent.endpointLearned(listed.endpoint);
+		machine.agent.setInitialEndpoint(listed.endpoint);
 		if (listed.status === "failed" && !machine.lifecycle.deleting) {
 			machine.lifecycle.startDeleting();
 			this.log.info({ machine: listed.id }, "machine failed");
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -1,7 +1,7 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import { couldHold, machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { remainingOfAttempt } from "../../bookkeeping/remaining-work.js";
+import { fitsEmptyMachine, machineAllowed } from "../../bookkeeping/machine-fit.js";
+import { remainingCpuSecondsOfAttempt } from "../../bookkeeping/remaining-work.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { FleetSnapshot } from "./fleet-load.js";
@@ -58,7 +58,7 @@
 		return [...this.clusterState.jobs.values()].filter(
 			(job) =>
 				job.isService &&
-				(job.waitingTasks.length > 0 || [...job.attempts.values()].some((a) => a.machine.leaving)),
+				(job.waitingTasks.length > 0 || [...job.attempts.values()].some((a) => a.machine.needsEvacuation)),
 		);
 	}
 
@@ -68,7 +68,7 @@
 		return machines
 			.filter(
 				(machine) =>
-					machine.capacity.reservedFor === null &&
+					machine.capacity.reservedForJob === null &&
 					!unsettled.some((job) => machineAllowed(job.spec, machine)),
 			)
 			.map((machine) => this.candidate(machine, now))
@@ -80,7 +80,7 @@
 		let left = 1;
 		let replicas = false;
 		for (const attempt of machine.attempts.values()) {
-			left += remainingOfAttempt(attempt, now, this.climb.cap_s);
+			left += remainingCpuSecondsOfAttempt(attempt, now, this.climb.cap_s);
 			replicas ||= attempt.job.isService;
 		}
 		return { machine, replicas, worth: left / Math.max(machine.hourlyPrice, 1e-6) };
@@ -90,8 +90,8 @@
 	private keepForWaiting(marked: Set<Machine>, machines: Machine[]): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0) continue;
-			if (machines.some((m) => !marked.has(m) && couldHold(m, job))) continue;
-			const holder = machines.find((m) => couldHold(m, job));
+			if (machines.some((m) => !marked.has(m) && fitsEmptyMachine(m, job))) continue;
+			const holder = machines.find((m) => fitsEmptyMachine(m, job));
 			if (holder) marked.delete(holder);
 		}
 	}
@@ -120,7 +120,7 @@
 	cancelDrainingFor(job: Job): boolean {
 		for (const machine of this.clusterState.machines.values()) {
 			if (!machine.lifecycle.draining || !machine.usable) continue;
-			if (!machineAllowed(job.spec, machine) || !machine.capacity.hasRoomFor(job.spec)) continue;
+			if (!machineAllowed(job.spec, machine) || !machine.capacity.fits(job.spec)) continue;
 			machine.lifecycle.cancelDraining();
 			this.clusterState.requestPlacement();
 			this.log.info({ machines: [machine.id], job: job.id }, "draining cancelled");
@@ -136,7 +136,7 @@
 	cancelDrainingForWaiting(now: number): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0 || job.attempts.size > 0) continue;
-			if (now - Math.max(job.loadedAt, job.failures.lastAt) < waitsBesideMarkedMs) continue;
+			if (now - Math.max(job.loadedAt, job.failures.lastFailureAt) < waitsBesideMarkedMs) continue;
 			if (this.clusterState.hasRunnableTask(job, now) && this.cancelDrainingFor(job)) return;
 		}
 	}
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -1,6 +1,9 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import { remainingOfAttempt, remainingOfWaiting } from "../../bookkeeping/remaining-work.js";
+import {
+	remainingCpuSecondsOfAttempt,
+	remainingCpuSecondsOfWaiting,
+} from "../../bookkeeping/remaining-work.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { HillClimbSettings } from "./hill-climb.js";
 
@@ -15,7 +18,7 @@
 	let cpus = 0;
 	let sum = 0;
 	for (const job of clusterState.jobs.values()) {
-		if (job.failures.everywhere || job.isService) continue;
+		if (job.failures.failsEverywhere || job.isService) continue;
 		const share = (job.waitingTasks.length + job.attempts.size) * job.spec.cpus;
 		cpus += share;
 		sum += share * Math.min(job.estimatedRunS, capS);
@@ -37,7 +40,7 @@
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
 		// Work that fails wherever it goes must not rent machines.
-		if (job.failures.everywhere) continue;
+		if (job.failures.failsEverywhere) continue;
 		const { team } = job.spec;
 		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingOfJob(job, now, secondsLeft, climb.cap_s));
 	}
@@ -55,8 +58,8 @@
  */
 function remainingOfJob(job: Job, now: number, secondsLeft: number, capS: number): number {
 	if (job.isService) return (job.waitingTasks.length + job.attempts.size) * job.spec.cpus * secondsLeft;
-	let work = job.waitingTasks.length * remainingOfWaiting(job.spec.cpus, job.estimatedRunS, capS);
-	for (const attempt of job.attempts.values()) work += remainingOfAttempt(attempt, now, capS);
+	let work = job.waitingTasks.length * remainingCpuSecondsOfWaiting(job.spec.cpus, job.estimatedRunS, capS);
+	for (const attempt of job.attempts.values()) work += remainingCpuSecondsOfAttempt(attempt, now, capS);
 	return work;
 }
 
@@ -64,7 +67,7 @@
 export function usableCpus(clusterState: ClusterState): number {
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
-		if (job.failures.everywhere) continue;
+		if (job.failures.failsEverywhere) continue;
 		const tasks = job.waitingTasks.length + job.attempts.size;
 		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + tasks * job.spec.cpus);
 	}
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -1,6 +1,6 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import { couldHold } from "../../bookkeeping/machine-fit.js";
+import { fitsEmptyMachine } from "../../bookkeeping/machine-fit.js";
 import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
 import type { OperatorSettings } from "../../protocol/settings/operator.js";
 import type { Clock } from "../ports/clock.js";
@@ -202,7 +202,9 @@
 	private waitingByAge(now: number): Job[] {
 		const byDemand = new Map<string, Job>();
 		const before = (a: Job, b: Job) =>
-			a.failures.everywhere === b.failures.everywhere ? a.acceptedAt < b.acceptedAt : b.failures.everywhere;
+			a.failures.failsEverywhere === b.failures.failsEverywhere
+				? a.acceptedAt < b.acceptedAt
+				: b.failures.failsEverywhere;
 		for (const job of this.clusterState.jobs.values()) {
 			// Replicas have machines rented by themselves, and of no other kind than they need.
 			if (job.isService || !this.clusterState.hasRunnableTask(job, now)) continue;
@@ -220,7 +222,7 @@
 	private serveUnheld(look: FleetSnapshot): boolean {
 		for (const job of this.clusterState.jobs.values()) {
 			if (!job.hasReadyTask(look.now)) continue;
-			if (look.machines.some((m) => couldHold(m, job))) continue;
+			if (look.machines.some((m) => fitsEmptyMachine(m, job))) continue;
 			if (this.rentals.pending || this.drain.cancelDrainingFor(job)) return true;
 			if (this.rentFor(job, 0, look) === "asked") return true;
 		}
--- a/src/coordination/fleet/hill-climb.ts
+++ b/src/coordination/fleet/hill-climb.ts
@@ -1,4 +1,4 @@
-import { tasksHeld, typeFits } from "../../bookkeeping/machine-fit.js";
+import { maxTasksPerMachine, typeFits } from "../../bookkeeping/machine-fit.js";
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
 
@@ -131,7 +131,10 @@
  */
 export function rankOffers(offers: MachineOffer[], spec: JobSpec, neededCpus: number): MachineOffer[] {
 	const cost = (offer: MachineOffer) => {
-		const usable = Math.min(tasksHeld(spec, offer.type) * spec.cpus, Math.max(neededCpus, spec.cpus));
+		const usable = Math.min(
+			maxTasksPerMachine(spec, offer.type) * spec.cpus,
+			Math.max(neededCpus, spec.cpus),
+		);
 		return (offer.price * (offer.type.bootS + expectedUseS)) / expectedUseS / usable;
 	};
 	return offers
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -1,6 +1,6 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import { tasksByZone, tasksByZoneWithout, zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { tasksByZone, tasksByZoneExcluding, zoneTaskHeadroom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
 import { FreeCapacity, freeBesideReplicas, freeOn } from "../placement/free-capacity.js";
@@ -83,10 +83,10 @@
 	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
 	private shortageOfLeaving(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
 		const leaving = [...job.attempts.values()].filter(
-			(a) => a.machine.leaving && a.relocationTarget === null,
+			(a) => a.machine.needsEvacuation && a.relocationTarget === null,
 		);
 		if (leaving.length === 0) return null;
-		return shortageOf(job, leaving.length, look, room, tasksByZoneWithout(job, leaving));
+		return shortageOf(job, leaving.length, look, room, tasksByZoneExcluding(job, leaving));
 	}
 
 	/**
@@ -159,7 +159,7 @@
 	}
 
 	private rent({ spec, count, zones }: Shortage, look: FleetSnapshot): boolean {
-		const fullZones = new Set(Object.keys(zones).filter((zone) => zoneRoom(spec, zones, zone) < 1));
+		const fullZones = new Set(Object.keys(zones).filter((zone) => zoneTaskHeadroom(spec, zones, zone) < 1));
 		// More are on their way as a rule, so a machine for many may be worth its price.
 		let comingCpus = count * spec.cpus;
 		for (const expected of this.expected()) comingCpus += expected.taskCount * expected.cpus;
@@ -177,7 +177,7 @@
 		const room = new FreeCapacity(freeOn);
 		for (const attempt of machine.attempts.values()) {
 			if (!attempt.job.isService) continue;
-			const zones = tasksByZoneWithout(attempt.job, [attempt]);
+			const zones = tasksByZoneExcluding(attempt.job, [attempt]);
 			if (room.take(attempt.job.spec, 1, others, zones) > 0) return false;
 		}
 		return true;
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -1,7 +1,7 @@
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { tasksByZoneWithout, zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { tasksByZoneExcluding, zoneTaskHeadroom } from "../../bookkeeping/zone-rules.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "../workers/direct-command-sender.js";
@@ -30,7 +30,7 @@
 		this.nextAt = now + everyMs;
 		const moved: Attempt[] = [];
 		for (const machine of this.clusterState.machines.values())
-			if (machine.leaving && !machine.agent.leaseExpired) moved.push(...this.moveFrom(machine, now));
+			if (machine.needsEvacuation && !machine.agent.leaseExpired) moved.push(...this.moveFrom(machine, now));
 		if (moved.length === 0) return;
 		const replicas = moved.map(({ taskId }) => taskId);
 		this.log.info({ replicas }, "replicas relocating");
@@ -42,7 +42,7 @@
 		const moved: Attempt[] = [];
 		for (const attempt of machine.attempts.values()) {
 			const { job } = attempt;
-			if (!job.isService || attempt.stop !== null || attempt.phase === "assigned") continue;
+			if (!job.isService || attempt.stopRequest !== null || attempt.phase === "assigned") continue;
 			if (!takenSoon && [...job.attempts.values()].some((a) => a.relocationTarget !== null)) continue;
 			const target = this.targetFor(attempt);
 			if (!target) continue;
@@ -56,7 +56,7 @@
 	private targetFor(attempt: Attempt): Machine | null {
 		const { job } = attempt;
 		const { spec } = job;
-		const zones = tasksByZoneWithout(job, [attempt]);
+		const zones = tasksByZoneExcluding(job, [attempt]);
 		const beside = new Set([...job.attempts.values()].map((a) => a.machine));
 		let best: Machine | null = null;
 		let bestWorth = -1;
@@ -64,12 +64,12 @@
 			if (
 				!machine.schedulable ||
 				machine.health.onProbation ||
-				machine.capacity.reservedFor !== null ||
+				machine.capacity.reservedForJob !== null ||
 				!machineAllowed(spec, machine)
 			)
 				continue;
-			if (!machine.capacity.hasRoomFor(spec) || zoneRoom(spec, zones, machine.zone) < 1) continue;
-			const worth = (beside.has(machine) ? 0 : 2) + (machine.capacity.images.has(spec.image) ? 1 : 0);
+			if (!machine.capacity.fits(spec) || zoneTaskHeadroom(spec, zones, machine.zone) < 1) continue;
+			const worth = (beside.has(machine) ? 0 : 2) + (machine.capacity.cachedImages.has(spec.image) ? 1 : 0);
 			if (worth <= bestWorth) continue;
 			best = machine;
 			bestWorth = worth;
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -115,7 +115,7 @@
 		// Most of a zone does not fall silent machine by machine: it is cut off, and what runs
 		// there is worth more when it is heard again than what would have to boot then.
 		const patience = this.cutOff.has(machine.zone) ? zonePatience : 1;
-		if (machine.agent.leaseExpired && now - machine.agent.respondedAt > this.silentMs * patience)
+		if (machine.agent.leaseExpired && now - machine.agent.lastResponseAt > this.silentMs * patience)
 			return "silent";
 		if (!hidden && this.bootTimes.isGivenUp(machine, now)) return "never came up";
 		// Its tasks go on until its lease has run out, unless answers reach it again before.
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -1,5 +1,5 @@
 import { Machine } from "../../bookkeeping/machine.js";
-import { tasksHeld } from "../../bookkeeping/machine-fit.js";
+import { maxTasksPerMachine } from "../../bookkeeping/machine-fit.js";
 import type { ScaleOutRequest } from "../../protocol/http/cloud-api.js";
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
@@ -136,7 +136,7 @@
 			const here = spec.spreadZones
 				? Math.min(replicas.count, Math.ceil(spec.taskCount / 2))
 				: replicas.count;
-			return Math.ceil(here / tasksHeld(spec, type));
+			return Math.ceil(here / maxTasksPerMachine(spec, type));
 		}
 		const highPerCpu = this.climb.high * look.secondsLeft;
 		const count = machinesToCut(work, look.machines.length, look.cpus, type.cpus, highPerCpu, mostPerCall);
--- a/src/coordination/jobs/done-task-records.ts
+++ b/src/coordination/jobs/done-task-records.ts
@@ -65,8 +65,8 @@
 	}
 
 	private setChangedPages(job: Job): void {
-		for (const page of job.takeChangedPages()) {
-			this.pages.set(pageName(job.id, page), job.doneTasks.page(page));
+		for (const page of job.consumeChangedPages()) {
+			this.pages.set(pageName(job.id, page), job.doneTasks.encodePage(page));
 		}
 	}
 
--- a/src/coordination/jobs/job-cancellation.ts
+++ b/src/coordination/jobs/job-cancellation.ts
@@ -8,7 +8,7 @@
 import type { JobRecord } from "../../protocol/records/job-record.js";
 import { keys } from "../../protocol/records/keys.js";
 import type { KeyValueStore } from "../ports/store.js";
-import { type JobLookup, type JobState, unavailableBecause } from "./job-results.js";
+import { type JobLookup, type JobState, unavailableResult } from "./job-results.js";
 import type { JobStateReader } from "./job-state-reader.js";
 
 /** A write that meets a change of the job is tried again on its new state, but only so often. */
@@ -46,7 +46,7 @@
 			}
 			return { kind: "unavailable", reason: "the job is changing too fast" };
 		} catch (error) {
-			return unavailableBecause(error);
+			return unavailableResult(error);
 		}
 	}
 
@@ -64,7 +64,7 @@
 		const changes = [{ delete: keys.job(id) }, { put: keys.final(id), value }];
 		const result = await store.compareAndSwap(unchanged, changes, "user");
 		if (!result.swapped) return false;
-		await call(() => replica.applyOwnWrite(keys.final(id), value, result.revision));
+		await call(() => replica.applyConfirmedWrite(keys.final(id), value, result.revision));
 		return true;
 	}
 }
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -68,8 +68,8 @@
 	}
 
 	/** Begins to write the final record if all tasks of the job are done. */
-	finishIfDone(job: Job): void {
-		if (!job.doneTasks.full || job.finalizing || job.over) return;
+	finalizeIfDone(job: Job): void {
+		if (!job.doneTasks.full || job.finalizing || job.ended) return;
 		this.writeFinalRecord(job);
 	}
 
@@ -78,7 +78,7 @@
 	 * rejects is logged, and tried again by the leader's audit of its jobs, which calls this.
 	 */
 	writeFinalRecord(job: Job): void {
-		if (this.options.termEnded() || job.over) return;
+		if (this.options.termEnded() || job.ended) return;
 		job.startFinalizing(this.options.clock.now());
 		const { spec } = job;
 		const final: FinalJobRecord = {
--- a/src/coordination/jobs/job-results.ts
+++ b/src/coordination/jobs/job-results.ts
@@ -45,7 +45,7 @@
  * What a user is told when an error keeps a request from being answered: a call to the store that failed, or a
  * record that this version cannot read. Any other error is a fault of this process and is thrown on.
  */
-export function unavailableBecause(error: unknown): Unavailable {
+export function unavailableResult(error: unknown): Unavailable {
 	if (error instanceof CallError) {
 		return { kind: "unavailable", reason: "the state service does not answer for now" };
 	}
--- a/src/coordination/jobs/job-service.ts
+++ b/src/coordination/jobs/job-service.ts
@@ -8,7 +8,7 @@
 import type { KeyValueStore } from "../ports/store.js";
 import type { ReplicaSync } from "../replication/replica-sync.js";
 import { JobCancellation } from "./job-cancellation.js";
-import { type JobLookup, type SubmitResult, unavailableBecause } from "./job-results.js";
+import { type JobLookup, type SubmitResult, unavailableResult } from "./job-results.js";
 import { JobStateReader } from "./job-state-reader.js";
 import { JobSubmission } from "./job-submission.js";
 
@@ -27,7 +27,7 @@
 	/** Runs an action in the serial executor, to which the replica belongs, and resolves to its result. */
 	call<T>(action: () => T): Promise<T>;
 	/** Tasks of the job that run, as the leader last said. */
-	runningTasks(id: JobId): number;
+	runningTaskCount(id: JobId): number;
 }
 
 /**
@@ -57,7 +57,7 @@
 			const state = await this.states.read(id);
 			return state ? { kind: "found", ...state } : { kind: "not-found" };
 		} catch (error) {
-			return unavailableBecause(error);
+			return unavailableResult(error);
 		}
 	}
 
--- a/src/coordination/jobs/job-state-reader.ts
+++ b/src/coordination/jobs/job-state-reader.ts
@@ -17,7 +17,7 @@
 	/** Runs an action in the serial executor, to which the replica belongs, and resolves to its result. */
 	call<T>(action: () => T): Promise<T>;
 	/** Tasks of the job that run, as the leader last said. */
-	runningTasks(id: JobId): number;
+	runningTaskCount(id: JobId): number;
 }
 
 /** Answers from the replica where that is certain to be recent enough, and from the store otherwise. */
@@ -54,7 +54,7 @@
 		const { row } = await store.read(keys.final(id));
 		if (!row) return null;
 		const record = decodeFinalRecord(row.value);
-		await call(() => replica.recordFinal(id, record, row.revision));
+		await call(() => replica.addFinalRecord(id, record, row.revision));
 		return stateOfFinal(record);
 	}
 
@@ -66,9 +66,9 @@
 	private replicated(id: JobId): JobState | null {
 		const final = this.replicatedFinal(id);
 		if (final) return final;
-		const { replica, runningTasks } = this.options;
+		const { replica, runningTaskCount } = this.options;
 		if (!replica.jobs.has(id)) return null;
-		const running = runningTasks(id);
+		const running = runningTaskCount(id);
 		return { status: running > 0 ? "running" : "pending", done: replica.doneCount(id), running };
 	}
 }
--- a/src/coordination/jobs/job-submission.ts
+++ b/src/coordination/jobs/job-submission.ts
@@ -11,7 +11,7 @@
 import type { KeyValueStore } from "../ports/store.js";
 import type { ReplicaSync } from "../replication/replica-sync.js";
 import { infeasibilityReason } from "./job-feasibility.js";
-import { type SubmitResult, unavailableBecause } from "./job-results.js";
+import { type SubmitResult, unavailableResult } from "./job-results.js";
 import type { JobStateReader } from "./job-state-reader.js";
 
 /** What submission needs. */
@@ -45,7 +45,7 @@
 			// Before any check of the job: settings may have changed since it was accepted.
 			return known ? await this.duplicate(spec.id) : await this.submitNew(spec);
 		} catch (error) {
-			return unavailableBecause(error);
+			return unavailableResult(error);
 		}
 	}
 
@@ -95,7 +95,7 @@
 		];
 		const result = await store.compareAndSwap(isNew, [{ put: key, value: record }], "user");
 		if (!result.swapped) return this.duplicate(id);
-		await call(() => replica.applyOwnWrite(key, record, result.revision));
+		await call(() => replica.applyConfirmedWrite(key, record, result.revision));
 		return { kind: "accepted", status: "pending" };
 	}
 
--- a/src/coordination/jobs/live-jobs.ts
+++ b/src/coordination/jobs/live-jobs.ts
@@ -71,11 +71,11 @@
 		job.load(replica.donePagesOf(id), clock.now());
 		const { jobClass, team, taskCount, estimatedRunS, deadlineS } = spec;
 		log.debug({ jobId: id, jobClass, team, tasks: taskCount, estimatedRunS, deadlineS }, "job loaded");
-		this.completion.finishIfDone(job);
+		this.completion.finalizeIfDone(job);
 	}
 
 	/** A job appeared in the replica, or left it. */
-	replicaChanged(id: JobId): void {
+	onReplicaChange(id: JobId): void {
 		const { authority, clusterState, replica } = this.options;
 		if (authority.ended) return;
 		const record = replica.jobs.get(id);
@@ -84,8 +84,8 @@
 	}
 
 	/** Ends the job in the store if all its tasks are done. */
-	finishIfDone(job: Job): void {
-		this.completion.finishIfDone(job);
+	finalizeIfDone(job: Job): void {
+		this.completion.finalizeIfDone(job);
 	}
 
 	/** Writes which tasks are done. Called often, with authority. */
@@ -101,15 +101,16 @@
 		if (now < this.nextAuditAt) return;
 		this.nextAuditAt = now + auditEveryMs;
 		const { clusterState, replica } = this.options;
-		for (const id of replica.jobs.keys()) if (!clusterState.jobs.has(id)) this.replicaChanged(id);
+		for (const id of replica.jobs.keys()) if (!clusterState.jobs.has(id)) this.onReplicaChange(id);
 		for (const [id, job] of [...clusterState.jobs]) {
 			if (!replica.jobs.has(id)) this.remove(id);
-			else if (job.finalizing && now - job.finalizingAt > auditEveryMs) this.completion.writeFinalRecord(job);
+			else if (job.finalizing && now - job.lastFinalWriteAt > auditEveryMs)
+				this.completion.writeFinalRecord(job);
 		}
 	}
 
 	private onJobDone(job: Job, final: FinalJobRecord, revision: Revision): void {
-		this.options.replica.applyOwnWrite(keys.final(job.id), encodeFinalRecord(final), revision);
+		this.options.replica.applyConfirmedWrite(keys.final(job.id), encodeFinalRecord(final), revision);
 		this.remove(job.id);
 	}
 
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -108,7 +108,7 @@
 		log,
 		post,
 		active,
-		onFinalRecord: (jobId, record, revision) => replica.recordFinal(jobId, record, revision),
+		onFinalRecord: (jobId, record, revision) => replica.addFinalRecord(jobId, record, revision),
 	});
 	const relocation = new ReplicaRelocation(clusterState, commands, log);
 
@@ -160,7 +160,7 @@
 		commandSender: commands,
 		faultAttribution: faults,
 		orphanCleanup,
-		finishIfDone: (job) => liveJobs.finishIfDone(job),
+		finishIfDone: (job) => liveJobs.finalizeIfDone(job),
 		tickDelay,
 		clock,
 		log,
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -90,7 +90,7 @@
 		const type = clusterState.machineTypes.get(machineType) ?? unknownMachineType(machineType);
 		const machine = new Machine({ id, type, zone, spot, origin: "record" }, beganAt);
 		clusterState.addMachine(machine);
-		machine.agent.endpointLearned(endpoint);
+		machine.agent.setInitialEndpoint(endpoint);
 		failover.markUnreconciled(machine, agentEpoch);
 	}
 
@@ -170,7 +170,7 @@
 
 	/** A job appeared in the replica, or left it. */
 	jobChanged(id: JobId): void {
-		this.parts.liveJobs.replicaChanged(id);
+		this.parts.liveJobs.onReplicaChange(id);
 	}
 
 	/** Tasks of the job that run. */
--- a/src/coordination/leadership/forwarding-policy.ts
+++ b/src/coordination/leadership/forwarding-policy.ts
@@ -65,12 +65,12 @@
 		const { clusterState, replies } = this.options;
 		if (!this.#enabled || !clusterState.reconciled) return null;
 		const machine = clusterState.machines.get(machineId);
-		if (!machine || now - machine.agent.redirectedAt < redirectPauseMs) return null;
+		if (!machine || now - machine.agent.lastRedirectAt < redirectPauseMs) return null;
 		const forwarders: NodeId[] = [];
 		for (const [node, { receivedAt }] of replies)
 			if (now - receivedAt < forwarderSilentMs) forwarders.push(node);
 		const forwarder = ownerOf(machineId, forwarders);
-		if (forwarder !== null) machine.agent.redirected(now);
+		if (forwarder !== null) machine.agent.redirectSent(now);
 		return forwarder;
 	}
 }
--- a/src/coordination/leadership/worker-reachability.ts
+++ b/src/coordination/leadership/worker-reachability.ts
@@ -91,7 +91,7 @@
 		for (const { agent } of clusterState.machines.values()) {
 			if (!agent.running) continue;
 			running += 1;
-			if (agent.heartbeatAt > heardSince && agent.unreachableSince === null) heard += 1;
+			if (agent.lastHeartbeatAt > heardSince && agent.unreachableSince === null) heard += 1;
 		}
 		return { running, heard };
 	}
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -1,6 +1,6 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
-import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { zoneTaskHeadroom } from "../../bookkeeping/zone-rules.js";
 import { isService, type JobSpec } from "../../protocol/model/job.js";
 import type { Grant, MachineCapacity, Placement } from "../../protocol/peer/messages.js";
 
@@ -31,7 +31,7 @@
 	let sum = 0;
 	let most = 0;
 	for (const [zone, n] of byZone) {
-		const room = Math.min(n, zoneRoom(spec, zones, zone));
+		const room = Math.min(n, zoneTaskHeadroom(spec, zones, zone));
 		sum += room;
 		most = Math.max(most, room);
 	}
@@ -97,7 +97,7 @@
 			if (machine.images.includes(spec.image) !== withImage || grant.avoidedMachines.includes(machine.id))
 				continue;
 			if (apart && taken.has(machine.id)) continue;
-			const count = Math.min(left, most, fits(spec, machine), zoneRoom(spec, zones, machine.zone));
+			const count = Math.min(left, most, fits(spec, machine), zoneTaskHeadroom(spec, zones, machine.zone));
 			if (count <= 0) continue;
 			taken.add(machine.id);
 			takeFrom(machine, spec, count);
--- a/src/coordination/placement/free-capacity.ts
+++ b/src/coordination/placement/free-capacity.ts
@@ -1,6 +1,6 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { zoneTaskHeadroom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec } from "../../protocol/model/job.js";
 
 /** Amounts of a machine that tasks take. */
@@ -47,7 +47,7 @@
 			if (need === 0) break;
 			if (!machineAllowed(spec, machine)) continue;
 			const left = this.leftOn(machine);
-			while (need > 0 && holds(left, spec) && zoneRoom(spec, zones, machine.zone) >= 1) {
+			while (need > 0 && holds(left, spec) && zoneTaskHeadroom(spec, zones, machine.zone) >= 1) {
 				left.cpus -= spec.cpus;
 				left.gpus -= spec.gpus;
 				left.memory -= spec.memoryGb;
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -71,10 +71,10 @@
 			const { spec } = job;
 			const team = this.byTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
 			const already = this.counts.get(job) ?? 0;
-			const waiting = Math.min(job.waitingTasks.length, job.failures.everywhere ? 1 : most) - already;
+			const waiting = Math.min(job.waitingTasks.length, job.failures.failsEverywhere ? 1 : most) - already;
 			let count = Math.min(
 				waiting,
-				this.clusterState.quotas.room(spec, bound, team),
+				this.clusterState.quotas.taskHeadroom(spec, bound, team),
 				Math.ceil(this.freeCpus / spec.cpus),
 			);
 			// Room promised to work that cannot use it would be kept from work that can.
@@ -105,9 +105,9 @@
 
 /** For a while only: there may be no others, and what was wrong there may be over. */
 function machinesToAvoid(job: Job, views: MachineCapacity[], now: number): string[] {
-	if (job.failures.everywhere) return [];
-	const sinceMs = now - job.failures.lastAt;
-	const machines = sinceMs <= avoidMs ? [...job.failures.machines].map((machine) => machine.id) : [];
+	if (job.failures.failsEverywhere) return [];
+	const sinceMs = now - job.failures.lastFailureAt;
+	const machines = sinceMs <= avoidMs ? [...job.failures.failedMachines].map((machine) => machine.id) : [];
 	if (job.failures.unfitTypes.size === 0 || sinceMs > avoidTypeMs) return machines;
 	const unfit = views.filter((view) => job.failures.unfitTypes.has(view.type)).map((view) => view.id);
 	return [...new Set([...machines, ...unfit])];
--- a/src/coordination/placement/job-order.ts
+++ b/src/coordination/placement/job-order.ts
@@ -74,13 +74,14 @@
 ): Job[] {
 	return jobs
 		.map((job) => {
-			const urgent = job.rank < 2;
+			const urgent = job.priorityRank < 2;
 			const seconds = remainingSeconds(job, teamOf(job.spec.team), evenCpus);
 			return {
 				job,
-				tier: urgent ? job.rank : 2,
+				tier: urgent ? job.priorityRank : 2,
 				due: urgent ? dueAt(job, date) : 0,
-				seconds: (job.rank > 2 ? seconds * bestEffortFactor : seconds) - ageingWeight * ageS(job, date),
+				seconds:
+					(job.priorityRank > 2 ? seconds * bestEffortFactor : seconds) - ageingWeight * ageS(job, date),
 			};
 		})
 		.sort(
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -1,8 +1,8 @@
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
-import { couldHold } from "../../bookkeeping/machine-fit.js";
-import { remainingOfAttempt } from "../../bookkeeping/remaining-work.js";
+import { fitsEmptyMachine } from "../../bookkeeping/machine-fit.js";
+import { remainingCpuSecondsOfAttempt } from "../../bookkeeping/remaining-work.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
@@ -80,9 +80,7 @@
 
 	/** Jobs whose reserved machine has room by now. */
 	startable(): Job[] {
-		const ready = [...this.reservations].filter(([job, { machine }]) =>
-			machine.capacity.hasRoomFor(job.spec),
-		);
+		const ready = [...this.reservations].filter(([job, { machine }]) => machine.capacity.fits(job.spec));
 		return ready.map(([job]) => job);
 	}
 
@@ -135,7 +133,9 @@
 	}
 
 	private soonest(job: Job, open: Machine[], now: number): Prospect | null {
-		const able = open.filter((machine) => machine.capacity.reservedFor === null && couldHold(machine, job));
+		const able = open.filter(
+			(machine) => machine.capacity.reservedForJob === null && fitsEmptyMachine(machine, job),
+		);
 		let best: Prospect | null = null;
 		for (const machine of this.sample(able, machinesSampled)) {
 			const prospect = this.prospect(machine, job, now);
@@ -155,7 +155,7 @@
 			.filter((attempt) => !attempt.job.isService)
 			.map((attempt) => ({
 				spec: attempt.job.spec,
-				seconds: remainingOfAttempt(attempt, now, this.capS) / attempt.job.spec.cpus,
+				seconds: remainingCpuSecondsOfAttempt(attempt, now, this.capS) / attempt.job.spec.cpus,
 			}))
 			.sort((a, b) => a.seconds - b.seconds);
 		let ends = 0;
@@ -175,7 +175,13 @@
 
 /** Nothing of the job has begun, and nothing but room is in the way. */
 function stillWaits(job: Job): boolean {
-	if (job.hadReservation || job.isService || job.over || job.finalizing || job.failures.onSeveralMachines)
+	if (
+		job.reservationUsed ||
+		job.isService ||
+		job.ended ||
+		job.finalizing ||
+		job.failures.failedOnSeveralMachines
+	)
 		return false;
 	return job.attempts.size === 0 && job.doneTasks.count === 0 && job.waitingTasks.length > 0;
 }
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -149,7 +149,7 @@
 	/** Cheap cores fill first, so that dear machines are the ones to run empty and go back. */
 	private views(): MachineCapacity[] {
 		const open = [...this.clusterState.machines.values()].filter(
-			(m) => m.schedulable && m.capacity.freeCpus > 0 && m.capacity.reservedFor === null,
+			(m) => m.schedulable && m.capacity.freeCpus > 0 && m.capacity.reservedForJob === null,
 		);
 		return sampleOf(open, this.options.sample, this.options.random)
 			.sort((a, b) => pricePerCpu(a) - pricePerCpu(b) || b.capacity.freeCpus - a.capacity.freeCpus)
@@ -256,6 +256,6 @@
 		gpus: machine.capacity.freeGpus,
 		memory: machine.capacity.freeMemoryGb,
 		slots: machine.health.onProbation ? Math.max(0, 1 - machine.attempts.size) : manySlots,
-		images: [...machine.capacity.images],
+		images: [...machine.capacity.cachedImages],
 	};
 }
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -144,7 +144,7 @@
 		const running = [...clusterState.jobs.values()]
 			.filter((job) => job.spec.team === team)
 			.flatMap((job) => [...job.attempts.values()])
-			.sort((a, b) => b.job.rank - a.job.rank || b.number - a.number);
+			.sort((a, b) => b.job.priorityRank - a.job.priorityRank || b.number - a.number);
 		const left = { ...excess };
 		const stopped: Attempt[] = [];
 		for (const attempt of running) {
@@ -152,7 +152,7 @@
 			const { cpus, gpus, checkpointCostS } = attempt.job.spec;
 			left.cpus -= cpus;
 			left.gpus -= gpus;
-			if (attempt.stop !== null) continue;
+			if (attempt.stopRequest !== null) continue;
 			attempt.requestStop("team limit lowered", checkpointCostS);
 			stopped.push(attempt);
 		}
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -44,6 +44,6 @@
 }
 
 function mayPreempt(job: Job, now: number): boolean {
-	if (!job.hasReadyTask(now) || job.finalizing || job.failures.everywhere) return false;
+	if (!job.hasReadyTask(now) || job.finalizing || job.failures.failsEverywhere) return false;
 	return now - job.loadedAt > patienceMs;
 }
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -46,10 +46,10 @@
 }
 
 function stoppable(attempt: Attempt, now: number): boolean {
-	if (attempt.protectedFromPreemption(now)) return false;
+	if (attempt.isProtectedFromPreemption(now)) return false;
 	// A replica that was stopped would only be started elsewhere.
 	return (
-		attempt.stop === null &&
+		attempt.stopRequest === null &&
 		!attempt.job.isService &&
 		attempt.phase !== "assigned" &&
 		attempt.phase !== "checkpointing"
@@ -106,7 +106,7 @@
 		this.open = [...clusterState.machines.values()].filter(takesWork);
 		// What was stopped before and has not ended yet is on its way to being free.
 		for (const machine of clusterState.machines.values()) {
-			for (const attempt of machine.attempts.values()) if (attempt.stop !== null) this.free(attempt);
+			for (const attempt of machine.attempts.values()) if (attempt.stopRequest !== null) this.free(attempt);
 		}
 		for (const m of this.open)
 			if (m.capacity.freeCpus + (this.extra.get(m)?.cpus ?? 0) > slack) this.withRoom.add(m);
@@ -196,7 +196,7 @@
 		if (this.victims.has(a)) return false;
 		const urgent = isUrgent(job);
 		const other = a.job.spec.team;
-		if (other === job.spec.team) return urgent && a.job.rank > job.rank;
+		if (other === job.spec.team) return urgent && a.job.priorityRank > job.priorityRank;
 		// Placing serves guarantees before borrowing. Taking a guaranteed place for borrowed
 		// work would only have it taken back, each time at the cost of what had run.
 		const borrowed = beyondGuarantee(
@@ -204,8 +204,8 @@
 			other,
 			(this.freed.get(other) ?? 0) + a.job.spec.cpus - slack * 2,
 		);
-		if (urgent && a.job.rank > job.rank) return withinGuarantee || borrowed;
-		return withinGuarantee && borrowed && a.job.rank >= job.rank;
+		if (urgent && a.job.priorityRank > job.priorityRank) return withinGuarantee || borrowed;
+		return withinGuarantee && borrowed && a.job.priorityRank >= job.priorityRank;
 	}
 
 	/** What may be stopped on the machine at all, what costs least first. */
@@ -251,12 +251,12 @@
 
 	/** Lower work of the job's own team, what costs least last. */
 	private ownVictims(job: Job): Attempt[] {
-		const key = `${job.rank}/${job.spec.team}`;
+		const key = `${job.priorityRank}/${job.spec.team}`;
 		let own = this.own.get(key);
 		if (!own) {
 			own = [];
 			for (const other of this.clusterState.jobs.values()) {
-				if (other.spec.team !== job.spec.team || other.rank <= job.rank) continue;
+				if (other.spec.team !== job.spec.team || other.priorityRank <= job.priorityRank) continue;
 				for (const a of other.attempts.values())
 					if (stoppable(a, this.now) && cheapToStop(a, this.now)) own.push(a);
 			}
@@ -268,11 +268,11 @@
 }
 
 function isUrgent(job: Job): boolean {
-	return job.rank < priorityRank.normal;
+	return job.priorityRank < priorityRank.normal;
 }
 
 /** Work for which the same can be stopped; null: demands for types, zones and kinds are rare, each by itself. */
-function kindOf({ spec, rank }: Job, withinGuarantee: boolean): string | null {
+function kindOf({ spec, priorityRank: rank }: Job, withinGuarantee: boolean): string | null {
 	if (isRestricted(spec)) return null;
 	return JSON.stringify([spec.team, rank, withinGuarantee, spec.cpus, spec.memoryGb, spec.gpus]);
 }
@@ -283,7 +283,7 @@
 }
 
 function takesWork(machine: Machine): boolean {
-	return machine.schedulable && !machine.health.onProbation && machine.capacity.reservedFor === null;
+	return machine.schedulable && !machine.health.onProbation && machine.capacity.reservedForJob === null;
 }
 
 function enough(room: Amount): boolean {
--- a/src/coordination/replication/replica-audit.ts
+++ b/src/coordination/replication/replica-audit.ts
@@ -83,7 +83,7 @@
 		const { replica, log } = this.options;
 		const stored = new Set(rows.map((row) => row.key.slice(keys.jobs.length)));
 		const differing = new Set<JobId>();
-		for (const jobId of stored) if (!replica.knows(jobId)) differing.add(jobId);
+		for (const jobId of stored) if (!replica.hasJobRecord(jobId)) differing.add(jobId);
 		for (const jobId of replica.jobs.keys()) if (!stored.has(jobId)) differing.add(jobId);
 		const differingTwice = [...differing].filter((jobId) => this.differing.has(jobId));
 		this.differing = differing;
--- a/src/coordination/state/assignment-rules.ts
+++ b/src/coordination/state/assignment-rules.ts
@@ -3,7 +3,7 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { tasksByZone, zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { tasksByZone, zoneTaskHeadroom } from "../../bookkeeping/zone-rules.js";
 import type { NodeId } from "../../protocol/model/identifiers.js";
 import type { QuotaAccounting } from "./quota-accounting.js";
 
@@ -55,7 +55,7 @@
 		if (!this.readiness.reconciled) return "cluster not reconciled";
 		// A cancelled job's task would run on beyond `cancel_s` ("the end of a job withdraws assigned attempts…" in
 		// tests/coordination/workers/worker-commands.test.ts; traces 07, 08).
-		if (job.over || job.finalizing) return "job over";
+		if (job.ended || job.finalizing) return "job over";
 		// A number that was given out twice would let a late heartbeat be taken for another attempt. The leader resigns.
 		if (this.readiness.attemptNumbersExhausted) return "attempt numbers exhausted";
 		return null;
@@ -67,7 +67,7 @@
 		// A team would pass its limit ("the assignment of tasks never exceeds a team's limit…"; traces 15, 47, 49, 56).
 		if (!this.accounting.fitsLimit(spec)) return "team at limit";
 		// The job's tasks would be in several zones, or too many of them in one (trace 16).
-		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, tasksByZone(job), machine.zone) < 1)
+		if ((spec.singleZone || spec.spreadZones) && zoneTaskHeadroom(spec, tasksByZone(job), machine.zone) < 1)
 			return "zone rule";
 		// Controllers that admit tasks at the same time would pass the limit together (tests/team-quota).
 		if (!this.accounting.mayStart(spec, admittedBy)) return "no allotment";
@@ -84,12 +84,12 @@
 	if (!machine.schedulable) return "machine not schedulable";
 	// Wide tasks never started beside small ones: each place that came free was taken by the next small task (trace
 	// 57).
-	if (capacity.reservedFor !== null && capacity.reservedFor !== job) return "machine reserved";
+	if (capacity.reservedForJob !== null && capacity.reservedForJob !== job) return "machine reserved";
 	// A task started on a type, in a zone or on a kind of machine that its job does not allow (trace 16).
 	if (!machineAllowed(spec, machine)) return "machine not allowed";
 	// The worker would refuse the start ("the assignment of tasks never exceeds a team's limit or a machine's
 	// capacity…" in tests/coordination/state/cluster-state.test.ts).
-	if (!capacity.hasRoomFor(spec)) return "no room on machine";
+	if (!capacity.fits(spec)) return "no room on machine";
 	// A faulty machine would fail all the tasks that it has room for (traces 40, 55).
 	if (health.onProbation && machine.attempts.size > 0) return "machine on probation";
 	return null;
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -109,7 +109,7 @@
 		for (const attempt of [...job.attempts.values()]) {
 			if (attempt.phase === "assigned") this.endAttempt(attempt);
 			else {
-				attempt.requestStop("job over", 0);
+				attempt.requestStop("job ended", 0);
 				remaining.push(attempt);
 			}
 		}
@@ -278,7 +278,7 @@
 	assignNextTask(job: Job, machine: Machine, admittedBy: NodeId = this.#accounting.self): Attempt | null {
 		if (job.waitingTasks.length === 0 || this.assignmentRefusal(job, machine, admittedBy) !== null)
 			return null;
-		const taskIndex = job.takeWaitingTask();
+		const taskIndex = job.dequeueWaitingTask();
 		if (taskIndex === undefined) return null;
 		const number = this.#attemptNumbers.next();
 		const attempt = new Attempt({ job, taskIndex, number, machine, phase: "assigned" });
@@ -298,7 +298,7 @@
 
 	private register(attempt: Attempt): void {
 		attempt.job.addAttempt(attempt);
-		attempt.machine.hold(attempt);
+		attempt.machine.addAttempt(attempt);
 	}
 
 	/**
@@ -308,13 +308,13 @@
 	endAttempt(attempt: Attempt): void {
 		const { job, machine, charge } = attempt;
 		if (!job.removeAttempt(attempt)) return;
-		machine.release(attempt);
+		machine.removeAttempt(attempt);
 		const admittedBy = charge?.node;
 		this.#accounting.release(job.spec, charge);
 		job.requeueTask(attempt.taskIndex);
 		this.requestPlacement();
 		const target = attempt.endRelocation();
-		if (target === null || job.over) return;
+		if (target === null || job.ended) return;
 		// Before anything else is placed. The controller that holds the allotment has not been told of the end, so the
 		// place in its allotment is still the replica's.
 		if (this.assignNextTask(job, target, admittedBy)) this.#relocationTargets.add(target);
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -56,11 +56,11 @@
 		machine.health.clearProbation();
 		machine.health.clearFailures();
 		const { failures } = job;
-		failures.noteSuccess(machine.type.name);
+		failures.recordSuccess(machine.type.name);
 		// The job is sound, so what failed before was the machines' fault, unless it does not suit their type.
 		const suspects: Machine[] = [];
-		for (const other of failures.machines) {
-			if (failures.unfitTypes.has(other.type.name)) other.health.forgetFailure(job);
+		for (const other of failures.failedMachines) {
+			if (failures.unfitTypes.has(other.type.name)) other.health.removeFailure(job);
 			else suspects.push(other);
 		}
 		failures.clear();
@@ -70,12 +70,12 @@
 	private recordRun(job: Job, machine: Machine, seconds: number, now: number): void {
 		const { health } = machine;
 		// Enough runs for a mean, mostly on other machines.
-		if (job.finishedRuns >= runsForMean) health.noteRun(seconds, job.estimatedRunS);
+		if (job.finishedRuns >= runsForMean) health.recordRun(seconds, job.estimatedRunS);
 		if (!health.quarantined && isMuchSlower(machine, this.clusterState.machines.values())) {
 			health.quarantine("slow", now);
 			this.log.info({ machineId: machine.id, slowdown: health.slowdown }, "machine quarantined: slow");
 		}
-		job.noteRun(seconds);
+		job.recordRun(seconds);
 	}
 
 	private recordFailure(attempt: Attempt, cause: "error" | "unknown", now: number): void {
@@ -83,20 +83,21 @@
 		this.log.info({ machineId: machine.id, taskId, cause }, "task failed");
 		// A replica that ran for long and failed says little of where it starts next.
 		const ranWell = runningSince !== null && now - runningSince > steadyRunMs;
-		if (job.isService && ranWell) job.failures.forgetMachines();
-		job.failures.noteFailure(machine, now);
-		if (job.isService) job.failures.pauseUntil(now + pauseMs(replicaBackoff, job.failures.machines.size));
-		else if (job.failures.onSeveralMachines)
-			job.failures.pauseUntil(now + pauseMs(severalMachinesBackoff, backoffDoublings(job)));
+		if (job.isService && ranWell) job.failures.clearFailedMachines();
+		job.failures.recordFailure(machine, now);
+		if (job.isService)
+			job.failures.backOffUntil(now + pauseMs(replicaBackoff, job.failures.failedMachines.size));
+		else if (job.failures.failedOnSeveralMachines)
+			job.failures.backOffUntil(now + pauseMs(severalMachinesBackoff, backoffDoublings(job)));
 		// An unknown job or task, or a machine type that does not suit the job, says nothing of the machine.
 		if (cause === "error" && !job.failures.unfitTypes.has(machine.type.name))
 			this.recordEvidence(job, machine, now);
 	}
 
 	private recordEvidence(job: Job, machine: Machine, now: number): void {
-		machine.health.noteFailure(job);
+		machine.health.recordFailure(job);
 		// What was held against other machines for this job may now be the job's fault.
-		if (job.failures.onSeveralMachines) this.releaseOthers(job);
+		if (job.failures.failedOnSeveralMachines) this.releaseOthers(job);
 		else machine.health.startProbation(now);
 		this.quarantineIfFaulty(machine, now);
 	}
@@ -108,8 +109,8 @@
 	 */
 	private evidenceAgainst(machine: Machine): number {
 		let evidence = 0;
-		for (const { failures, doneTasks } of machine.health.failedJobs) {
-			const failedElsewhere = [...failures.machines].some((other) => other !== machine);
+		for (const { failures, doneTasks } of machine.health.jobsWithFailures) {
+			const failedElsewhere = [...failures.failedMachines].some((other) => other !== machine);
 			if (!failedElsewhere) evidence += doneTasks.count > 0 ? 1 : unprovenJobWeight;
 		}
 		return evidence;
@@ -123,13 +124,13 @@
 
 	/** The job has failed on several machines: those against which nothing else stands are not to blame. */
 	private releaseOthers(job: Job): void {
-		for (const machine of job.failures.machines) {
+		for (const machine of job.failures.failedMachines) {
 			const { health, lifecycle } = machine;
 			const evidence = this.evidenceAgainst(machine);
 			if (evidence === 0) health.clearProbation();
 			if (evidence >= this.quarantineEvidence || !health.quarantinedForFailures || lifecycle.deleting)
 				continue;
-			health.release();
+			health.liftQuarantine();
 			this.clusterState.requestPlacement();
 			this.log.info({ machineId: machine.id, jobId: job.id }, "machine released from quarantine");
 		}
@@ -138,8 +139,8 @@
 
 /** With few machines in all, the count of failures stands for that of machines, up to a few seconds. */
 function backoffDoublings({ failures }: Job): number {
-	const byFailures = Math.min(maxDoublingsByFailures, Math.floor(Math.log2(failures.consecutive)));
-	return Math.max(failures.machines.size, byFailures);
+	const byFailures = Math.min(maxDoublingsByFailures, Math.floor(Math.log2(failures.consecutiveFailures)));
+	return Math.max(failures.failedMachines.size, byFailures);
 }
 
 function pauseMs({ firstMs, maxDoublings, maxMs }: Backoff, doublings: number): number {
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -58,13 +58,13 @@
 	const { agent } = machine;
 	const newAgentEpoch = agent.agentEpoch !== 0 && heartbeat.agentEpoch > agent.agentEpoch;
 	// Although it was renewed. Once, the response may just have come too late.
-	const leaseExpired = newAgentEpoch && now - agent.respondedAt < clusterState.workerLeaseExpiryMs / 2;
+	const leaseExpired = newAgentEpoch && now - agent.lastResponseAt < clusterState.workerLeaseExpiryMs / 2;
 	const firstHeartbeat = !agent.running;
 	recordHeartbeat(clusterState, machine, heartbeat, now);
 	const tasks = new TaskReconciliation(clusterState, machine, now);
 	tasks.reconcileListed(heartbeat.tasks);
 	const startMissing = !newAgentEpoch && tasks.startMissing();
-	agent.noteResponseEffects(
+	agent.updateReachability(
 		{ leaseExpired, startMissing, startListed: tasks.startListed },
 		clusterState.workerLeaseExpiryMs,
 		now,
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -105,7 +105,7 @@
 	/** Answers the machine's heartbeat, at once or as soon as there is something to start. */
 	private respond(machine: Machine, now: number): Promise<WorkerCommand[] | null> {
 		const { clusterState, heartbeatIntervalS } = this.options;
-		machine.agent.responded(now);
+		machine.agent.responseSent(now);
 		if (!machine.lifecycle.recorded) this.options.recordMachine(machine);
 		this.pending.supersede(machine.id);
 		const taskReady = this.anyTaskReady(now);
@@ -123,7 +123,7 @@
 	/** null: this process may not answer. The response may renew the worker's lease. */
 	private commandsFor(machine: Machine): WorkerCommand[] | null {
 		if (!this.options.active()) return null;
-		machine.agent.responded(this.options.clock.now());
+		machine.agent.responseSent(this.options.clock.now());
 		this.machinesWithAssignments.delete(machine);
 		return takeCommands(this.options.clusterState, machine);
 	}
@@ -200,8 +200,8 @@
 				this.pending.release(machine.id);
 				continue;
 			}
-			if (tickDelay.overloaded || now - machine.agent.heartbeatAt > recentlyMs) continue;
-			const trigger = machine.exitedTasks.takeHeartbeatTrigger();
+			if (tickDelay.overloaded || now - machine.agent.lastHeartbeatAt > recentlyMs) continue;
+			const trigger = machine.exitedTasks.consumeHeartbeatTrigger();
 			if (trigger === null) continue;
 			const { jobId, taskIndex, attempt } = trigger;
 			commandSender.send(machine, [{ kind: "forget", jobId, taskIndex, attempt }]);
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -30,7 +30,7 @@
 		for (const machine of this.clusterState.machines.values()) {
 			const { agent, health, lifecycle } = machine;
 			if (agent.unreachableSince !== null && !lifecycle.deleting) unreachable.push(machine);
-			if (health.quarantined || health.onProbation) health.endIfOver(now);
+			if (health.quarantined || health.onProbation) health.applyExpiry(now);
 			this.expireIfSilent(machine, now);
 		}
 		if (overloaded) this.disregardIfMany(unreachable);
@@ -63,7 +63,7 @@
 		const { agent } = machine;
 		if (agent.leaseExpired) return;
 		if (!agent.running && !this.clusterState.unreconciledMachines.has(machine)) return;
-		if (now - agent.respondedAt <= this.clusterState.workerLeaseExpiryMs) return;
+		if (now - agent.lastResponseAt <= this.clusterState.workerLeaseExpiryMs) return;
 		const tasks = this.clusterState.expireLease(machine);
 		this.log.info({ machineId: machine.id, tasks }, "worker lease expired");
 	}
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -51,7 +51,7 @@
 	stop(machine: Machine, stoppedBefore: readonly OrphanedTask[]): void {
 		const stops: StopCommand[] = [];
 		for (const orphan of machine.orphans) {
-			if (stoppedBefore.some((before) => before.is(orphan))) continue;
+			if (stoppedBefore.some((before) => before.isSameAttempt(orphan))) continue;
 			const { jobId, taskIndex, attempt } = orphan;
 			stops.push({ kind: "stop", jobId, taskIndex, attempt, graceS: 0 });
 		}
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -23,7 +23,7 @@
 	const stoppedAtOnce: Attempt[] = [];
 	for (const attempt of machine.attempts.values()) {
 		const { job, phase } = attempt;
-		if (attempt.stop !== null || phase === "assigned" || job.isService) continue;
+		if (attempt.stopRequest !== null || phase === "assigned" || job.isService) continue;
 		const { checkpointIntervalS, checkpointCostS } = job.spec;
 		if (checkpointIntervalS > 0 && phase === "running") {
 			if (leftS <= checkpointCostS + heartbeatsUntilStopped * heartbeatIntervalS)
--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -53,7 +53,7 @@
 
 	/** Whether a start command was sent that the heartbeat does not show. Called before `reconcileAbsent`. */
 	startMissing(): boolean {
-		for (const [taskId, { phase, stop }] of this.machine.attempts)
+		for (const [taskId, { phase, stopRequest: stop }] of this.machine.attempts)
 			if (phase === "sent" && stop === null && !this.#listed.has(taskId)) return true;
 		return false;
 	}
@@ -77,7 +77,8 @@
 			// that absence proves nothing ("a heartbeat with an earlier fencing token adds tasks but proves no absence" in
 			// tests/coordination/workers/heartbeat-reconciliation.test.ts).
 			if (!newAgentEpoch && !agent.fenced) continue;
-			if (attempt.phase === "sent" && !newAgentEpoch && attempt.stop === null) this.retryStart(attempt);
+			if (attempt.phase === "sent" && !newAgentEpoch && attempt.stopRequest === null)
+				this.retryStart(attempt);
 			else {
 				this.clusterState.endAttempt(attempt);
 				lost.push(attempt);
@@ -113,8 +114,8 @@
 
 	/** Returns whether the attempt is reported running for the first time. */
 	private noteState(attempt: Attempt, state: Exclude<TaskStatus["state"], "exited">): boolean {
-		if (!attempt.noteState(state, this.now)) return false;
-		attempt.machine.capacity.noteImage(attempt.job.spec.image);
+		if (!attempt.updatePhase(state, this.now)) return false;
+		attempt.machine.capacity.recordImageUse(attempt.job.spec.image);
 		return true;
 	}
 
--- a/src/coordination/workers/worker-commands.ts
+++ b/src/coordination/workers/worker-commands.ts
@@ -22,14 +22,14 @@
 	for (const attempt of [...machine.attempts.values()]) {
 		if (attempt.phase === "assigned") {
 			if (startOrEnd(clusterState, attempt)) starts.push(startCommandFor(attempt));
-		} else if (attempt.stop !== null) commands.push(stopCommandFor(attempt));
+		} else if (attempt.stopRequest !== null) commands.push(stopCommandFor(attempt));
 	}
 	return [...commands, ...starts];
 }
 
 /** One exited attempt stays with a machine that may get work, to be forgotten when a heartbeat is wanted. */
 function addForgets(clusterState: ClusterState, machine: Machine, commands: WorkerCommand[]): void {
-	const forgettable = machine.exitedTasks.chooseForgettable(
+	const forgettable = machine.exitedTasks.selectForgettable(
 		(task) => isRecorded(clusterState, task),
 		machine.schedulable,
 	);
@@ -54,7 +54,7 @@
  * fits nowhere else would be put off again and again (trace 41).
  */
 function startOrEnd(clusterState: ClusterState, attempt: Attempt): boolean {
-	if (!attempt.machine.acceptsAssignedStarts || attempt.stop !== null || attempt.job.over) {
+	if (!attempt.machine.acceptsAssignedStarts || attempt.stopRequest !== null || attempt.job.ended) {
 		clusterState.endAttempt(attempt);
 		return false;
 	}
@@ -67,6 +67,6 @@
 }
 
 /** The command that ends the attempt, with the grace of its stop request. It may be carried out late without harm. */
-export function stopCommandFor({ job, taskIndex, number, stop }: Attempt): StopCommand {
+export function stopCommandFor({ job, taskIndex, number, stopRequest: stop }: Attempt): StopCommand {
 	return { kind: "stop", jobId: job.id, taskIndex, attempt: number, graceS: stop?.graceS ?? 0 };
 }
--- a/tests/bookkeeping/attempt.test.ts
+++ b/tests/bookkeeping/attempt.test.ts
@@ -9,11 +9,11 @@
 		assert.equal(attempt.taskId, "j-1/0");
 		attempt.markSent();
 		assert.equal(attempt.phase, "sent");
-		assert.equal(attempt.noteState("fetching", 100), false);
+		assert.equal(attempt.updatePhase("fetching", 100), false);
 		assert.equal(attempt.phase, "fetching");
-		assert.equal(attempt.noteState("running", 200), true);
+		assert.equal(attempt.updatePhase("running", 200), true);
 		assert.equal(attempt.phase, "running");
-		assert.equal(attempt.noteState("checkpointing", 300), false);
+		assert.equal(attempt.updatePhase("checkpointing", 300), false);
 		assert.equal(attempt.phase, "checkpointing");
 	});
 
@@ -25,7 +25,7 @@
 		attempt.markStartLost();
 		assert.equal(attempt.phase, "assigned");
 		attempt.markSent();
-		attempt.noteState("running", 1);
+		attempt.updatePhase("running", 1);
 		assert.throws(() => attempt.markStartLost(), /phase running/);
 		assert.throws(() => attempt.markSent(), /phase running/);
 		assert.equal(attempt.phase, "running");
@@ -34,10 +34,10 @@
 	test("the run counts from the first heartbeat that reports it running", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
 		assert.equal(attempt.runningSince, null);
-		assert.equal(attempt.noteState("running", 200), true);
-		assert.equal(attempt.noteState("running", 300), false, "it is not the first time");
+		assert.equal(attempt.updatePhase("running", 200), true);
+		assert.equal(attempt.updatePhase("running", 300), false, "it is not the first time");
 		assert.equal(attempt.runningSince, 200);
-		attempt.noteState("checkpointing", 400);
+		attempt.updatePhase("checkpointing", 400);
 		assert.equal(attempt.runningSince, 200);
 	});
 });
@@ -45,14 +45,18 @@
 describe("the stop of an attempt", () => {
 	test("may be wanted in any phase and stays wanted, a later request in place of an earlier one", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
-		assert.equal(attempt.stop, null);
+		assert.equal(attempt.stopRequest, null);
 		attempt.requestStop("preempted", 8);
-		assert.deepEqual(attempt.stop, { reason: "preempted", graceS: 8 });
-		attempt.noteState("running", 1);
-		attempt.requestStop("job over", 0);
-		assert.deepEqual(attempt.stop, { reason: "job over", graceS: 0 }, "nobody needs what it would save");
-		attempt.noteState("checkpointing", 2);
-		assert.deepEqual(attempt.stop, { reason: "job over", graceS: 0 });
+		assert.deepEqual(attempt.stopRequest, { reason: "preempted", graceS: 8 });
+		attempt.updatePhase("running", 1);
+		attempt.requestStop("job ended", 0);
+		assert.deepEqual(
+			attempt.stopRequest,
+			{ reason: "job ended", graceS: 0 },
+			"nobody needs what it would save",
+		);
+		attempt.updatePhase("checkpointing", 2);
+		assert.deepEqual(attempt.stopRequest, { reason: "job ended", graceS: 0 });
 	});
 });
 
@@ -64,7 +68,7 @@
 		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
 		attempt.relocateTo(target);
 		assert.equal(attempt.relocationTarget, target);
-		assert.deepEqual(attempt.stop, { reason: "relocation", graceS: 3 });
+		assert.deepEqual(attempt.stopRequest, { reason: "relocation", graceS: 3 });
 		assert.equal(target.capacity.freeCpus, target.type.cpus - 2);
 	});
 
@@ -94,7 +98,7 @@
 		const target = machineOf({ id: "n-2" });
 		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
 		attempt.relocateTo(target);
-		attempt.requestStop("job over", 0);
+		attempt.requestStop("job ended", 0);
 		assert.equal(attempt.relocationTarget, target);
 		assert.equal(target.capacity.freeCpus, target.type.cpus - 2);
 	});
@@ -103,10 +107,10 @@
 describe("the protection from preemption", () => {
 	test("holds until its time, and there is none at first", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
-		assert.equal(attempt.protectedFromPreemption(0), false);
+		assert.equal(attempt.isProtectedFromPreemption(0), false);
 		attempt.protectFromPreemption(100);
-		assert.equal(attempt.protectedFromPreemption(99), true);
-		assert.equal(attempt.protectedFromPreemption(100), false);
+		assert.equal(attempt.isProtectedFromPreemption(99), true);
+		assert.equal(attempt.isProtectedFromPreemption(100), false);
 	});
 });
 
--- a/tests/bookkeeping/capacity-ledger.test.ts
+++ b/tests/bookkeeping/capacity-ledger.test.ts
@@ -20,19 +20,19 @@
 
 	test("has room for a task if every resource suffices", () => {
 		const capacity = new CapacityLedger(type);
-		assert.equal(capacity.hasRoomFor({ cpus: 8, gpus: 2, memoryGb: 64 }), true);
-		assert.equal(capacity.hasRoomFor({ cpus: 8.1, gpus: 0, memoryGb: 0 }), false);
-		assert.equal(capacity.hasRoomFor({ cpus: 0, gpus: 3, memoryGb: 0 }), false);
-		assert.equal(capacity.hasRoomFor({ cpus: 0, gpus: 0, memoryGb: 65 }), false);
+		assert.equal(capacity.fits({ cpus: 8, gpus: 2, memoryGb: 64 }), true);
+		assert.equal(capacity.fits({ cpus: 8.1, gpus: 0, memoryGb: 0 }), false);
+		assert.equal(capacity.fits({ cpus: 0, gpus: 3, memoryGb: 0 }), false);
+		assert.equal(capacity.fits({ cpus: 0, gpus: 0, memoryGb: 65 }), false);
 	});
 
 	test("bears the drift of sums of decimals, and an empty machine has none", () => {
 		const capacity = new CapacityLedger(type);
 		const small = { cpus: 0.1, gpus: 0, memoryGb: 0.1 };
 		for (let i = 0; i < 79; i++) capacity.allocate(small);
-		assert.equal(capacity.hasRoomFor(small), true);
+		assert.equal(capacity.fits(small), true);
 		capacity.allocate(small);
-		assert.equal(capacity.hasRoomFor(small), false);
+		assert.equal(capacity.fits(small), false);
 		for (let i = 0; i < 80; i++) capacity.release(small);
 		capacity.releaseAll();
 		assert.deepEqual(freeOf(capacity), [8, 2, 64]);
@@ -54,27 +54,27 @@
 	test("for a job keep the machine free of others until they are cancelled, and take nothing", () => {
 		const capacity = new CapacityLedger(type);
 		const [first, second] = [jobOf("j-1"), jobOf("j-2")];
-		assert.equal(capacity.reservedFor, null);
+		assert.equal(capacity.reservedForJob, null);
 		capacity.reserveForJob(first);
-		assert.equal(capacity.reservedFor, first);
+		assert.equal(capacity.reservedForJob, first);
 		assert.deepEqual(freeOf(capacity), [8, 2, 64]);
 		capacity.reserveForJob(second);
-		assert.equal(capacity.reservedFor, second);
+		assert.equal(capacity.reservedForJob, second);
 		capacity.cancelJobReservation();
 		capacity.cancelJobReservation();
-		assert.equal(capacity.reservedFor, null);
+		assert.equal(capacity.reservedForJob, null);
 	});
 });
 
 describe("the images of a machine", () => {
 	test("are kept by their last use, and only so many", () => {
 		const capacity = new CapacityLedger(type);
-		for (let i = 0; i < 12; i++) capacity.noteImage(`image-${i}`);
-		capacity.noteImage("image-0");
-		capacity.noteImage("image-12");
-		assert.equal(capacity.images.size, 12);
-		assert.equal(capacity.images.has("image-0"), true, "it was used again");
-		assert.equal(capacity.images.has("image-1"), false);
-		assert.deepEqual([...capacity.images].slice(-2), ["image-0", "image-12"]);
+		for (let i = 0; i < 12; i++) capacity.recordImageUse(`image-${i}`);
+		capacity.recordImageUse("image-0");
+		capacity.recordImageUse("image-12");
+		assert.equal(capacity.cachedImages.size, 12);
+		assert.equal(capacity.cachedImages.has("image-0"), true, "it was used again");
+		assert.equal(capacity.cachedImages.has("image-1"), false);
+		assert.deepEqual([...capacity.cachedImages].slice(-2), ["image-0", "image-12"]);
 	});
 });
--- a/tests/bookkeeping/job.test.ts
+++ b/tests/bookkeeping/job.test.ts
@@ -10,7 +10,7 @@
 	test("are taken lowest number first, and each once", () => {
 		const job = jobOf("j-1", { taskCount: 3 });
 		assert.deepEqual(
-			[0, 1, 2, 3].map(() => job.takeWaitingTask()),
+			[0, 1, 2, 3].map(() => job.dequeueWaitingTask()),
 			[0, 1, 2, undefined],
 		);
 	});
@@ -19,14 +19,14 @@
 		const job = jobOf("j-1", { taskCount: 3 });
 		job.markTaskDone(1);
 		job.addAttempt(attemptOf(job, machineOf()));
-		assert.equal(job.takeWaitingTask(), 2, "although all three were waiting before");
+		assert.equal(job.dequeueWaitingTask(), 2, "although all three were waiting before");
 		job.resetWaitingTasks();
 		assert.deepEqual(job.waitingTasks, [2]);
 	});
 
 	test("hold a task again after its attempt, unless it is done or the job is over", () => {
 		const job = jobOf("j-1", { taskCount: 3 });
-		for (let i = 0; i < 3; i++) job.takeWaitingTask();
+		for (let i = 0; i < 3; i++) job.dequeueWaitingTask();
 		job.requeueTask(1);
 		assert.deepEqual(job.waitingTasks, [1]);
 		job.markTaskDone(2);
@@ -47,10 +47,10 @@
 	test("are ready to start unless failures make the job pause", () => {
 		const job = jobOf("j-1", { taskCount: 1 });
 		assert.equal(job.hasReadyTask(0), true);
-		job.failures.pauseUntil(100);
+		job.failures.backOffUntil(100);
 		assert.equal(job.hasReadyTask(99), false);
 		assert.equal(job.hasReadyTask(100), true);
-		job.takeWaitingTask();
+		job.dequeueWaitingTask();
 		assert.equal(job.hasReadyTask(100), false);
 	});
 });
@@ -76,7 +76,7 @@
 		job.addAttempt(attempt);
 		const counts = [job.runningCount];
 		for (const state of ["fetching", "running", "checkpointing"] as const) {
-			attempt.noteState(state, 1);
+			attempt.updatePhase(state, 1);
 			counts.push(job.runningCount);
 		}
 		assert.deepEqual(counts, [0, 0, 1, 1]);
@@ -90,17 +90,17 @@
 		assert.equal(job.markTaskDone(1), false);
 		assert.equal(job.markTaskDone(4999), true);
 		assert.equal(job.markTaskDone(5000), false, "the job has no such task");
-		assert.deepEqual([...job.takeChangedPages()], [0, 1]);
-		assert.deepEqual([...job.takeChangedPages()], []);
+		assert.deepEqual([...job.consumeChangedPages()], [0, 1]);
+		assert.deepEqual([...job.consumeChangedPages()], []);
 		job.markTaskDone(2);
-		assert.deepEqual([...job.takeChangedPages()], [0]);
+		assert.deepEqual([...job.consumeChangedPages()], [0]);
 	});
 
 	test("are durable once the store has confirmed their page", () => {
 		const job = jobOf("j-1");
 		job.markTaskDone(1);
 		assert.equal(job.durableDoneTasks.has(1), false);
-		job.markPageDurable(0, job.doneTasks.page(0));
+		job.markPageDurable(0, job.doneTasks.encodePage(0));
 		assert.equal(job.durableDoneTasks.has(1), true);
 		assert.equal(job.durableDoneTasks.has(0), false);
 	});
@@ -109,30 +109,33 @@
 		const job = jobOf("j-1", { form: "service", taskCount: 1 });
 		assert.equal(job.markTaskDone(0), false);
 		assert.equal(job.doneTasks.full, false);
-		assert.deepEqual([...job.takeChangedPages()], []);
+		assert.deepEqual([...job.consumeChangedPages()], []);
 	});
 
 	test("of the store are taken over when a leader loads the job", () => {
 		const stored = new TaskSet(3);
 		stored.add(1);
 		const job = new Job("j-1", specOf("j-1", { taskCount: 3 }), 0, 1);
-		job.load([[0, stored.page(0)]], 700);
+		job.load([[0, stored.encodePage(0)]], 700);
 		assert.equal(job.loadedAt, 700);
 		assert.ok(job.doneTasks.has(1) && job.durableDoneTasks.has(1));
 		assert.deepEqual(job.waitingTasks, [2, 0]);
-		assert.deepEqual([...job.takeChangedPages()], [], "the store has them");
+		assert.deepEqual([...job.consumeChangedPages()], [], "the store has them");
 	});
 });
 
 describe("the end of a job", () => {
 	test("comes after its record is being written, which may be tried again", () => {
 		const job = jobOf("j-1");
-		assert.deepEqual([job.finalizing, job.over, job.finalizingAt], [false, false, Number.NEGATIVE_INFINITY]);
+		assert.deepEqual(
+			[job.finalizing, job.ended, job.lastFinalWriteAt],
+			[false, false, Number.NEGATIVE_INFINITY],
+		);
 		job.startFinalizing(100);
 		job.startFinalizing(200);
-		assert.deepEqual([job.finalizing, job.over, job.finalizingAt], [true, false, 200]);
+		assert.deepEqual([job.finalizing, job.ended, job.lastFinalWriteAt], [true, false, 200]);
 		job.end();
-		assert.deepEqual([job.finalizing, job.over], [false, true]);
+		assert.deepEqual([job.finalizing, job.ended], [false, true]);
 	});
 
 	test("is final: nothing waits any more, and its record is not written again", () => {
@@ -140,7 +143,7 @@
 		job.end();
 		assert.deepEqual(job.waitingTasks, []);
 		job.startFinalizing(300);
-		assert.deepEqual([job.finalizing, job.over], [false, true]);
+		assert.deepEqual([job.finalizing, job.ended], [false, true]);
 	});
 });
 
@@ -148,15 +151,15 @@
 	test("is the owner's estimate until a run has finished, and then the mean", () => {
 		const job = jobOf("j-1", { estimatedRunS: 10 });
 		assert.equal(job.estimatedRunS, 10);
-		job.noteRun(20);
-		job.noteRun(40);
+		job.recordRun(20);
+		job.recordRun(40);
 		assert.equal(job.finishedRuns, 2);
 		assert.equal(job.estimatedRunS, 30);
 	});
 
 	test("is 0 for a service job, whose replicas do not finish", () => {
 		const job = jobOf("j-1", { form: "service", estimatedRunS: 10 });
-		job.noteRun(20);
+		job.recordRun(20);
 		assert.equal(job.estimatedRunS, 0);
 	});
 });
@@ -164,10 +167,10 @@
 describe("what placement notes on a job", () => {
 	test("is whether a reservation was used, and until when the leader places the job", () => {
 		const job = jobOf("j-1");
-		assert.deepEqual([job.hadReservation, job.placedByLeaderUntil], [false, 0]);
+		assert.deepEqual([job.reservationUsed, job.placedByLeaderUntil], [false, 0]);
 		job.markReservationUsed();
 		job.placeByLeaderUntil(5000);
-		assert.deepEqual([job.hadReservation, job.placedByLeaderUntil], [true, 5000]);
+		assert.deepEqual([job.reservationUsed, job.placedByLeaderUntil], [true, 5000]);
 	});
 
 	test("is its demand, which is the same for jobs that make the same demands on machines", () => {
--- a/tests/bookkeeping/machine-health.test.ts
+++ b/tests/bookkeeping/machine-health.test.ts
@@ -31,11 +31,11 @@
 		const health = new MachineHealth();
 		health.startProbation(0);
 		health.startProbation(1000);
-		health.endIfOver(1000 + probationMs);
+		health.applyExpiry(1000 + probationMs);
 		assert.equal(stateOf(health), "on probation");
-		health.endIfOver(1001 + probationMs);
+		health.applyExpiry(1001 + probationMs);
 		assert.equal(stateOf(health), "healthy");
-		health.endIfOver(1_000_000);
+		health.applyExpiry(1_000_000);
 		assert.equal(stateOf(health), "healthy");
 	});
 });
@@ -53,33 +53,33 @@
 
 	test("is followed by a probation, and the evidence before it does not count any more", () => {
 		const health = new MachineHealth();
-		health.noteFailure(jobOf("j-1"));
-		health.noteRun(20, 10);
+		health.recordFailure(jobOf("j-1"));
+		health.recordRun(20, 10);
 		health.quarantine("failures", 0);
-		health.endIfOver(quarantineMs);
+		health.applyExpiry(quarantineMs);
 		assert.equal(stateOf(health), "quarantined");
-		health.endIfOver(quarantineMs + 1);
+		health.applyExpiry(quarantineMs + 1);
 		assert.equal(stateOf(health), "on probation");
-		assert.deepEqual([health.failedJobs.size, health.runs], [0, 0]);
-		health.endIfOver(quarantineMs + 1 + probationMs);
+		assert.deepEqual([health.jobsWithFailures.size, health.comparedRuns], [0, 0]);
+		health.applyExpiry(quarantineMs + 1 + probationMs);
 		assert.equal(stateOf(health), "on probation");
-		health.endIfOver(quarantineMs + 2 + probationMs);
+		health.applyExpiry(quarantineMs + 2 + probationMs);
 		assert.equal(stateOf(health), "healthy");
 	});
 
 	test("that is released leaves the machine as it was, on probation if that was not over", () => {
 		const health = new MachineHealth();
-		health.release();
+		health.liftQuarantine();
 		assert.equal(stateOf(health), "healthy", "there was no quarantine");
 		health.quarantine("failures", 0);
-		health.release();
+		health.liftQuarantine();
 		assert.equal(stateOf(health), "healthy");
 		health.startProbation(0);
-		health.release();
+		health.liftQuarantine();
 		assert.equal(stateOf(health), "on probation", "a release ends no probation");
 		health.quarantine("failures", 0);
 		assert.equal(stateOf(health), "quarantined, probation pending");
-		health.release();
+		health.liftQuarantine();
 		assert.equal(stateOf(health), "on probation");
 	});
 
@@ -90,9 +90,9 @@
 		assert.equal(stateOf(health), "quarantined, probation pending");
 		health.clearProbation();
 		assert.equal(stateOf(health), "quarantined");
-		health.endIfOver(1000 + quarantineMs);
+		health.applyExpiry(1000 + quarantineMs);
 		assert.equal(stateOf(health), "quarantined", "counted from the last failure");
-		health.endIfOver(1001 + quarantineMs);
+		health.applyExpiry(1001 + quarantineMs);
 		assert.equal(stateOf(health), "on probation");
 	});
 
@@ -108,26 +108,26 @@
 	test("is the jobs that failed on it, each once, until one is found to blame or a task succeeds", () => {
 		const health = new MachineHealth();
 		const [first, second] = [jobOf("j-1"), jobOf("j-2")];
-		health.noteFailure(first);
-		health.noteFailure(first);
-		health.noteFailure(second);
-		assert.deepEqual([...health.failedJobs], [first, second]);
-		health.forgetFailure(first);
-		health.forgetFailure(first);
-		assert.deepEqual([...health.failedJobs], [second]);
+		health.recordFailure(first);
+		health.recordFailure(first);
+		health.recordFailure(second);
+		assert.deepEqual([...health.jobsWithFailures], [first, second]);
+		health.removeFailure(first);
+		health.removeFailure(first);
+		assert.deepEqual([...health.jobsWithFailures], [second]);
 		health.clearFailures();
-		assert.equal(health.failedJobs.size, 0);
+		assert.equal(health.jobsWithFailures.size, 0);
 	});
 });
 
 describe("the speed of a machine", () => {
 	test("is the mean of its runs against the means of their jobs, the latest ones weighing more than old ones", () => {
 		const health = new MachineHealth();
-		health.noteRun(20, 10);
-		assert.deepEqual([health.runs, health.slowdown], [1, 2]);
-		health.noteRun(10, 10);
-		assert.deepEqual([health.runs, health.slowdown], [2, 1.5]);
-		for (let i = 0; i < 100; i++) health.noteRun(10, 10);
+		health.recordRun(20, 10);
+		assert.deepEqual([health.comparedRuns, health.slowdown], [1, 2]);
+		health.recordRun(10, 10);
+		assert.deepEqual([health.comparedRuns, health.slowdown], [2, 1.5]);
+		for (let i = 0; i < 100; i++) health.recordRun(10, 10);
 		assert.ok(Math.abs(health.slowdown - 1) < 0.001);
 	});
 
@@ -141,7 +141,7 @@
 			for (const machine of machines) {
 				const factor = 0.6 + uniformInt(random, 0, 80) / 100;
 				// The mean of a job whose long tasks still run is too low, for all alike.
-				machine.health.noteRun((machine === slow ? 75 : 30) * factor, 20);
+				machine.health.recordRun((machine === slow ? 75 : 30) * factor, 20);
 				const noticed = isMuchSlower(machine, machines);
 				if (machine !== slow) assert.equal(noticed, false);
 				else if (noticed && noticedAfter === 0) noticedAfter = i;
--- a/tests/bookkeeping/machine.test.ts
+++ b/tests/bookkeeping/machine.test.ts
@@ -4,12 +4,18 @@
 import { attemptOf, jobOf, machineOf, makeSchedulable } from "../support/machines.js";
 
 /** What the machine can be used for, in the order from new tasks to nothing. */
-const usesOf = ({ schedulable, countsAsCapacity, acceptsAssignedStarts, usable, leaving }: Machine) => ({
+const usesOf = ({
 	schedulable,
 	countsAsCapacity,
 	acceptsAssignedStarts,
 	usable,
-	leaving,
+	needsEvacuation,
+}: Machine) => ({
+	schedulable,
+	countsAsCapacity,
+	acceptsAssignedStarts,
+	usable,
+	needsEvacuation,
 });
 
 function schedulableMachine(): Machine {
@@ -25,7 +31,7 @@
 			countsAsCapacity: true,
 			acceptsAssignedStarts: false,
 			usable: true,
-			leaving: false,
+			needsEvacuation: false,
 		});
 	});
 
@@ -35,7 +41,7 @@
 			countsAsCapacity: true,
 			acceptsAssignedStarts: true,
 			usable: true,
-			leaving: false,
+			needsEvacuation: false,
 		});
 	});
 
@@ -47,7 +53,7 @@
 			countsAsCapacity: false,
 			acceptsAssignedStarts: true,
 			usable: true,
-			leaving: true,
+			needsEvacuation: true,
 		});
 	});
 
@@ -60,23 +66,23 @@
 
 	test("a machine that is quarantined, reclaimed, unreachable, expired or deleting starts nothing", () => {
 		const startMissing = { leaseExpired: false, startMissing: true, startListed: false };
-		const troubles: [string, leaving: boolean, (machine: Machine) => void][] = [
+		const troubles: [string, needsEvacuation: boolean, (machine: Machine) => void][] = [
 			["quarantined", true, ({ health }) => health.quarantine("failures", 0)],
 			["reclaimed", true, ({ lifecycle }) => lifecycle.heartbeatReceived(1000)],
 			[
 				"unreachable",
 				true,
 				({ agent }) => {
-					for (const at of [0, 1]) agent.noteResponseEffects(startMissing, 10_000, at);
+					for (const at of [0, 1]) agent.updateReachability(startMissing, 10_000, at);
 				},
 			],
 			["expired", false, ({ agent }) => agent.expireLease()],
 			["deleting", false, ({ lifecycle }) => lifecycle.startDeleting()],
 		];
-		for (const [trouble, leaving, happens] of troubles) {
+		for (const [trouble, needsEvacuation, happens] of troubles) {
 			const machine = schedulableMachine();
 			happens(machine);
-			assert.deepEqual(usesOf(machine), { ...nothing, leaving }, trouble);
+			assert.deepEqual(usesOf(machine), { ...nothing, needsEvacuation }, trouble);
 		}
 	});
 
@@ -92,13 +98,13 @@
 		const machine = machineOf();
 		const job = jobOf("j-1", { cpus: 3 });
 		const attempt = attemptOf(job, machine);
-		machine.hold(attempt);
+		machine.addAttempt(attempt);
 		assert.equal(machine.attempts.get("j-1/0"), attempt);
 		assert.equal(machine.capacity.freeCpus, 5);
-		machine.release(attemptOf(job, machine, { number: 2 }));
+		machine.removeAttempt(attemptOf(job, machine, { number: 2 }));
 		assert.equal(machine.capacity.freeCpus, 5, "another attempt at the task is not here");
-		machine.release(attempt);
-		machine.release(attempt);
+		machine.removeAttempt(attempt);
+		machine.removeAttempt(attempt);
 		assert.equal(machine.attempts.size, 0);
 		assert.equal(machine.capacity.freeCpus, 8);
 	});
--- a/tests/bookkeeping/orphaned-task.test.ts
+++ b/tests/bookkeeping/orphaned-task.test.ts
@@ -18,9 +18,9 @@
 
 	test("is the same as another with the same job, task and attempt", () => {
 		const task = new OrphanedTask(ref);
-		assert.equal(task.is({ ...ref }), true);
-		assert.equal(task.is({ ...ref, jobId: "j-2" }), false);
-		assert.equal(task.is({ ...ref, taskIndex: 4 }), false);
-		assert.equal(task.is({ ...ref, attempt: 8 }), false);
+		assert.equal(task.isSameAttempt({ ...ref }), true);
+		assert.equal(task.isSameAttempt({ ...ref, jobId: "j-2" }), false);
+		assert.equal(task.isSameAttempt({ ...ref, taskIndex: 4 }), false);
+		assert.equal(task.isSameAttempt({ ...ref, attempt: 8 }), false);
 	});
 });
--- a/tests/bookkeeping/quota-ledger.test.ts
+++ b/tests/bookkeeping/quota-ledger.test.ts
@@ -8,10 +8,10 @@
 describe("the quota of a team", () => {
 	test("has room by the scarcer of CPUs and accelerators", () => {
 		const quotas = new QuotaLedger([quota]);
-		assert.equal(quotas.room(demand(2, 0), "guaranteed"), 4);
-		assert.equal(quotas.room(demand(2, 1), "limit"), 2);
+		assert.equal(quotas.taskHeadroom(demand(2, 0), "guaranteed"), 4);
+		assert.equal(quotas.taskHeadroom(demand(2, 1), "limit"), 2);
 		quotas.allocate(demand(15, 0));
-		assert.equal(quotas.room(demand(2, 0), "limit"), 0);
+		assert.equal(quotas.taskHeadroom(demand(2, 0), "limit"), 0);
 		assert.equal(quotas.fitsLimit(demand(1, 0)), true);
 		assert.equal(quotas.fitsLimit(demand(1.5, 0)), false);
 		assert.equal(quotas.fitsLimit(demand(0, 0, "nobody")), false);
@@ -19,8 +19,8 @@
 
 	test("has less room by what is promised", () => {
 		const quotas = new QuotaLedger([quota]);
-		assert.equal(quotas.room(demand(2, 0), "limit", { cpus: 4, gpus: 0 }), 6);
-		assert.equal(quotas.room(demand(2, 0), "guaranteed", { cpus: 9, gpus: 0 }), 0);
+		assert.equal(quotas.taskHeadroom(demand(2, 0), "limit", { cpus: 4, gpus: 0 }), 6);
+		assert.equal(quotas.taskHeadroom(demand(2, 0), "guaranteed", { cpus: 9, gpus: 0 }), 0);
 	});
 
 	test("without a limit has room without a bound, but not beyond the guarantee within it", () => {
@@ -28,8 +28,8 @@
 		const quotas = new QuotaLedger([{ ...quota, limit: unlimited }]);
 		quotas.allocate(demand(1000, 0));
 		assert.equal(quotas.fitsLimit(demand(1000, 0)), true);
-		assert.equal(quotas.room(demand(1, 0), "limit"), Number.POSITIVE_INFINITY);
-		assert.equal(quotas.room(demand(1, 0), "guaranteed"), 0);
+		assert.equal(quotas.taskHeadroom(demand(1, 0), "limit"), Number.POSITIVE_INFINITY);
+		assert.equal(quotas.taskHeadroom(demand(1, 0), "guaranteed"), 0);
 	});
 
 	test("counts a task until it is given back, and never less than nothing", () => {
--- a/tests/bookkeeping/remaining-work.test.ts
+++ b/tests/bookkeeping/remaining-work.test.ts
@@ -1,26 +1,26 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import {
-	remainingOfAttempt,
-	remainingOfRunning,
-	remainingOfWaiting,
+	remainingCpuSecondsOfAttempt,
+	remainingCpuSecondsOfRunning,
+	remainingCpuSecondsOfWaiting,
 } from "../../src/bookkeeping/remaining-work.js";
 import { loadOf } from "../../src/coordination/fleet/hill-climb.js";
 import { attemptOf, jobOf, machineOf } from "../support/machines.js";
 
 describe("the remaining work of tasks", () => {
 	test("is never less than a hundredth of the estimate, at most the bound, and all of it while a task waits", () => {
-		assert.equal(remainingOfRunning(2, 5, 10, 600), 10);
-		assert.ok(Math.abs(remainingOfRunning(2, 50, 10, 600) - 0.2) < 1e-9);
-		assert.equal(remainingOfRunning(1, 0, 5000, 600), 600);
-		assert.equal(remainingOfWaiting(4, 10, 600), 40);
+		assert.equal(remainingCpuSecondsOfRunning(2, 5, 10, 600), 10);
+		assert.ok(Math.abs(remainingCpuSecondsOfRunning(2, 50, 10, 600) - 0.2) < 1e-9);
+		assert.equal(remainingCpuSecondsOfRunning(1, 0, 5000, 600), 600);
+		assert.equal(remainingCpuSecondsOfWaiting(4, 10, 600), 40);
 		assert.equal(loadOf(30, 2), 20);
 	});
 
 	test("of an attempt counts from its first report as running", () => {
 		const attempt = attemptOf(jobOf("j-1", { cpus: 2, estimatedRunS: 10 }), machineOf());
-		assert.equal(remainingOfAttempt(attempt, 5000, 600), 20);
-		attempt.noteState("running", 5000);
-		assert.equal(remainingOfAttempt(attempt, 10_000, 600), 10);
+		assert.equal(remainingCpuSecondsOfAttempt(attempt, 5000, 600), 20);
+		attempt.updatePhase("running", 5000);
+		assert.equal(remainingCpuSecondsOfAttempt(attempt, 10_000, 600), 10);
 	});
 });
--- a/tests/bookkeeping/store-replica.test.ts
+++ b/tests/bookkeeping/store-replica.test.ts
@@ -18,7 +18,7 @@
 	assert.equal(replica.jobs.has("j-1"), false);
 	assert.equal(replica.finalRecords.get("j-1")?.status, "done");
 	assert.equal(replica.revision, 8);
-	replica.applyOwnWrite(keys.job("j-1"), record, 6);
+	replica.applyConfirmedWrite(keys.job("j-1"), record, 6);
 	assert.equal(replica.jobs.has("j-1"), false);
 	// Made anew from rows that were read before the job ended.
 	replica.reset([{ key: keys.job("j-1"), value: record, revision: 6 }], 7);
@@ -28,7 +28,7 @@
 test("a node names every cancellation since an epoch that it can have told of, or says that it cannot", () => {
 	const replica = new StoreReplica();
 	const cancelled = (id: string, revision: number) =>
-		replica.applyOwnWrite(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
+		replica.applyConfirmedWrite(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
 	assert.equal(replica.cancellationsSince(0), null, "nothing is loaded");
 	const record = encodeJobRecord({ spec: specOf("j-000001"), acceptedAt: 0 });
 	replica.reset([{ key: keys.job("j-000001"), value: record, revision: 8 }], 10);
--- a/tests/bookkeeping/task-set.test.ts
+++ b/tests/bookkeeping/task-set.test.ts
@@ -12,7 +12,7 @@
 		const copy = new TaskSet(100_000);
 		let counted = 0;
 		for (let page = 0; page * tasksPerPage < 100_000; page++) {
-			const text = set.page(page);
+			const text = set.encodePage(page);
 			assert.ok(text.length < 1024, "several pages share a value");
 			counted += countInPage(text);
 			copy.addPage(page, text);
--- a/tests/bookkeeping/worker-agent.test.ts
+++ b/tests/bookkeeping/worker-agent.test.ts
@@ -21,23 +21,23 @@
 		const agent = new WorkerAgent(50);
 		assert.deepEqual([agent.agentEpoch, agent.sequence, agent.endpoint], [0, -1, ""]);
 		assert.deepEqual([agent.running, agent.fenced, agent.leaseExpired], [false, false, false]);
-		assert.equal(agent.heartbeatAt, Number.NEGATIVE_INFINITY);
-		assert.equal(agent.respondedAt, 50, "a lease may have been renewed until then");
+		assert.equal(agent.lastHeartbeatAt, Number.NEGATIVE_INFINITY);
+		assert.equal(agent.lastResponseAt, 50, "a lease may have been renewed until then");
 	});
 
 	test("runs from its first heartbeat on", () => {
 		const agent = runningAgent();
 		assert.deepEqual([agent.agentEpoch, agent.sequence, agent.endpoint], [1, 7, "n-1:9000"]);
-		assert.deepEqual([agent.running, agent.heartbeatAt], [true, 100]);
+		assert.deepEqual([agent.running, agent.lastHeartbeatAt], [true, 100]);
 	});
 
 	test("learns its address from the cloud or a record only as long as no other is known", () => {
 		const agent = new WorkerAgent(0);
-		agent.endpointLearned("listed:9000");
-		agent.endpointLearned("other:9000");
+		agent.setInitialEndpoint("listed:9000");
+		agent.setInitialEndpoint("other:9000");
 		assert.equal(agent.endpoint, "listed:9000");
 		agent.heartbeatReceived(heartbeatOf(machineOf(), { endpoint: "n-1:9000" }), 1);
-		agent.endpointLearned("listed:9000");
+		agent.setInitialEndpoint("listed:9000");
 		assert.equal(agent.endpoint, "n-1:9000");
 	});
 
@@ -53,9 +53,9 @@
 
 	test("notes when it was answered and when it was redirected", () => {
 		const agent = runningAgent();
-		agent.responded(300);
-		agent.redirected(400);
-		assert.deepEqual([agent.respondedAt, agent.redirectedAt], [300, 400]);
+		agent.responseSent(300);
+		agent.redirectSent(400);
+		assert.deepEqual([agent.lastResponseAt, agent.lastRedirectAt], [300, 400]);
 	});
 });
 
@@ -86,54 +86,54 @@
 describe("a worker that responses do not reach", () => {
 	test("is one after two responses in a row without effect", () => {
 		const agent = runningAgent();
-		agent.noteResponseEffects(startMissing, leaseMs, 1000);
+		agent.updateReachability(startMissing, leaseMs, 1000);
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [1, null]);
-		agent.noteResponseEffects({ ...noEffect, leaseExpired: true }, leaseMs, 2000);
+		agent.updateReachability({ ...noEffect, leaseExpired: true }, leaseMs, 2000);
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [2, 2000]);
-		agent.noteResponseEffects(startMissing, leaseMs, 3000);
+		agent.updateReachability(startMissing, leaseMs, 3000);
 		assert.equal(agent.unreachableSince, 2000, "since the second one");
 	});
 
 	test("is not one if a start is listed between the two", () => {
 		const agent = runningAgent();
-		agent.noteResponseEffects(startMissing, leaseMs, 1000);
-		agent.noteResponseEffects(startListed, leaseMs, 2000);
-		agent.noteResponseEffects(startMissing, leaseMs, 3000);
+		agent.updateReachability(startMissing, leaseMs, 1000);
+		agent.updateReachability(startListed, leaseMs, 2000);
+		agent.updateReachability(startMissing, leaseMs, 3000);
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [1, null]);
 	});
 
 	test("is not one by heartbeats that show nothing, and two apart count as in a row", () => {
 		const agent = runningAgent();
-		agent.noteResponseEffects(startMissing, leaseMs, 1000);
-		agent.noteResponseEffects(noEffect, leaseMs, 2000);
+		agent.updateReachability(startMissing, leaseMs, 1000);
+		agent.updateReachability(noEffect, leaseMs, 2000);
 		assert.equal(agent.unreachableSince, null);
-		agent.noteResponseEffects(startMissing, leaseMs, 3000);
+		agent.updateReachability(startMissing, leaseMs, 3000);
 		assert.equal(agent.unreachableSince, 3000);
 	});
 
 	test("hears again when a start is listed", () => {
 		const agent = runningAgent();
-		for (const at of [1000, 2000]) agent.noteResponseEffects(startMissing, leaseMs, at);
-		agent.noteResponseEffects(startListed, leaseMs, 2500);
+		for (const at of [1000, 2000]) agent.updateReachability(startMissing, leaseMs, at);
+		agent.updateReachability(startListed, leaseMs, 2500);
 		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
 	});
 
 	test("hears again when it has kept its lease for half as long again as it lasts", () => {
 		const agent = runningAgent();
-		for (const at of [1000, 2000]) agent.noteResponseEffects(startMissing, leaseMs, at);
-		agent.noteResponseEffects(noEffect, leaseMs, 2000 + 1.5 * leaseMs);
+		for (const at of [1000, 2000]) agent.updateReachability(startMissing, leaseMs, at);
+		agent.updateReachability(noEffect, leaseMs, 2000 + 1.5 * leaseMs);
 		assert.equal(agent.unreachableSince, 2000);
-		agent.noteResponseEffects(noEffect, leaseMs, 2001 + 1.5 * leaseMs);
+		agent.updateReachability(noEffect, leaseMs, 2001 + 1.5 * leaseMs);
 		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
 	});
 
 	test("is assumed to hear where the fault is more likely on the leader's side", () => {
 		const agent = runningAgent();
-		for (const at of [1000, 2000]) agent.noteResponseEffects(startMissing, leaseMs, at);
+		for (const at of [1000, 2000]) agent.updateReachability(startMissing, leaseMs, at);
 		agent.assumeReachable();
 		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
 		agent.assumeReachable();
-		agent.noteResponseEffects(startMissing, leaseMs, 3000);
+		agent.updateReachability(startMissing, leaseMs, 3000);
 		assert.equal(agent.unreachableSince, null, "one response without effect may be lost");
 	});
 });
--- a/tests/bookkeeping/zone-rules.test.ts
+++ b/tests/bookkeeping/zone-rules.test.ts
@@ -1,32 +1,32 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { tasksByZone, tasksByZoneWithout, zoneRoom } from "../../src/bookkeeping/zone-rules.js";
+import { tasksByZone, tasksByZoneExcluding, zoneTaskHeadroom } from "../../src/bookkeeping/zone-rules.js";
 import { attemptOf, jobOf, machineOf } from "../support/machines.js";
 import { specOf } from "../support/specs.js";
 
 describe("the room that zone rules leave", () => {
 	test("has no bound without a rule", () => {
-		assert.equal(zoneRoom(specOf("j-1"), { a: 100 }, "a"), Number.POSITIVE_INFINITY);
+		assert.equal(zoneTaskHeadroom(specOf("j-1"), { a: 100 }, "a"), Number.POSITIVE_INFINITY);
 	});
 
 	test("is in one zone only where all tasks must be in the same", () => {
 		const spec = specOf("j-1", { singleZone: true });
-		assert.equal(zoneRoom(spec, {}, "a"), Number.POSITIVE_INFINITY);
-		assert.equal(zoneRoom(spec, { a: 1, b: 0 }, "a"), Number.POSITIVE_INFINITY);
-		assert.equal(zoneRoom(spec, { a: 1, b: 0 }, "b"), 0);
+		assert.equal(zoneTaskHeadroom(spec, {}, "a"), Number.POSITIVE_INFINITY);
+		assert.equal(zoneTaskHeadroom(spec, { a: 1, b: 0 }, "a"), Number.POSITIVE_INFINITY);
+		assert.equal(zoneTaskHeadroom(spec, { a: 1, b: 0 }, "b"), 0);
 	});
 
 	test("is half of the tasks, rounded up, in each zone where they are spread", () => {
 		const spec = specOf("j-1", { spreadZones: true, taskCount: 9 });
-		assert.equal(zoneRoom(spec, {}, "a"), 5);
-		assert.equal(zoneRoom(spec, { a: 3 }, "a"), 2);
-		assert.equal(zoneRoom(spec, { a: 6 }, "a"), 0, "never less than none");
+		assert.equal(zoneTaskHeadroom(spec, {}, "a"), 5);
+		assert.equal(zoneTaskHeadroom(spec, { a: 3 }, "a"), 2);
+		assert.equal(zoneTaskHeadroom(spec, { a: 6 }, "a"), 0, "never less than none");
 	});
 
 	test("is what both rules leave together", () => {
 		const spec = specOf("j-1", { singleZone: true, spreadZones: true, taskCount: 4 });
-		assert.equal(zoneRoom(spec, { a: 1 }, "a"), 1);
-		assert.equal(zoneRoom(spec, { a: 1 }, "b"), 0);
+		assert.equal(zoneTaskHeadroom(spec, { a: 1 }, "a"), 1);
+		assert.equal(zoneTaskHeadroom(spec, { a: 1 }, "b"), 0);
 	});
 });
 
@@ -37,6 +37,6 @@
 		const attempts = zones.map((zone, taskIndex) => attemptOf(job, machineOf({ zone }), { taskIndex }));
 		for (const attempt of attempts) job.addAttempt(attempt);
 		assert.deepEqual(tasksByZone(job), { a: 1, b: 2 });
-		assert.deepEqual(tasksByZoneWithout(job, attempts.slice(0, 2)), { a: 0, b: 1 });
+		assert.deepEqual(tasksByZoneExcluding(job, attempts.slice(0, 2)), { a: 0, b: 1 });
 	});
 });
--- a/tests/coordination/fleet/drain.test.ts
+++ b/tests/coordination/fleet/drain.test.ts
@@ -18,7 +18,7 @@
 	// What runs is nearly done, so that the load lies between the marks and the counters do nothing.
 	for (const machine of [...clusterState.machines.values()].slice(1)) {
 		const attempt = clusterState.assignNextTask(busy, machine);
-		if (attempt) attempt.noteState("running", -1e6);
+		if (attempt) attempt.updatePhase("running", -1e6);
 	}
 	first.lifecycle.startDraining();
 	const waits = clusterState.addJob(
@@ -47,8 +47,8 @@
 	});
 	// Held: its one task runs, so nothing returns it while it is marked.
 	const running = new Attempt({ job: busy, taskIndex: 99, number: 1, machine: first, phase: "sent" });
-	running.noteState("running", 0);
-	first.hold(running);
+	running.updatePhase("running", 0);
+	first.addAttempt(running);
 	first.capacity.releaseAll();
 	const run = async (ms: number) => {
 		for (let t = 0; t < ms; t += 500) {
--- a/tests/coordination/fleet/replica-capacity.test.ts
+++ b/tests/coordination/fleet/replica-capacity.test.ts
@@ -80,7 +80,7 @@
 		const machine = setup.machine(`n-${i}`, i % 2 ? "a" : "b", true);
 		for (let k = 0; k < 2; k++) {
 			const attempt = setup.clusterState.assignNextTask(job, machine);
-			if (attempt) attempt.noteState("running", 0);
+			if (attempt) attempt.updatePhase("running", 0);
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	const spot = Array.from({ length: 4 }, (_, i) => setup.machine(`n-spot${i}`, "a", true));
 	for (const machine of spot) {
 		const attempt = setup.clusterState.assignNextTask(small, machine);
-		if (attempt) attempt.noteState("running", 0);
+		if (attempt) attempt.updatePhase("running", 0);
 	}
 	await setup.run(10);
 	assert.ok(spot.some((machine) => machine.lifecycle.draining));
--- a/tests/coordination/placement/machine-reservations-large-fleets.test.ts
+++ b/tests/coordination/placement/machine-reservations-large-fleets.test.ts
@@ -28,8 +28,8 @@
 			const reservations = new MachineReservations(clusterState, 600, sample, silentLog);
 
 			reservations.update(100_000, 100_000);
-			const reserved = [...clusterState.machines.values()].filter((m) => m.capacity.reservedFor !== null);
-			assert.ok(reserved.some((m) => m.capacity.reservedFor === wide));
+			const reserved = [...clusterState.machines.values()].filter((m) => m.capacity.reservedForJob !== null);
+			assert.ok(reserved.some((m) => m.capacity.reservedForJob === wide));
 			assert.ok(reserved.length <= size / 20);
 			assert.ok(searches <= reserved.length + 8, `${searches} searches`);
 		});
--- a/tests/coordination/preemption/preemption-planner.test.ts
+++ b/tests/coordination/preemption/preemption-planner.test.ts
@@ -25,7 +25,7 @@
 	batch.resetWaitingTasks();
 	for (const machine of clusterState.machines.values()) {
 		const attempt = clusterState.assignNextTask(batch, machine);
-		if (attempt) attempt.noteState("running", 0);
+		if (attempt) attempt.updatePhase("running", 0);
 	}
 	const live = clusterState.addJob(
 		"j-2",
@@ -56,7 +56,7 @@
 		for (;;) {
 			const attempt = clusterState.assignNextTask(job, machine);
 			if (!attempt) break;
-			attempt.noteState("running", since);
+			attempt.updatePhase("running", since);
 		}
 	}
 	return job;
--- a/tests/coordination/state/cluster-state.test.ts
+++ b/tests/coordination/state/cluster-state.test.ts
@@ -125,7 +125,7 @@
 		attempt.markSent();
 		attempt.relocateTo(to);
 		assert.deepEqual(clusterState.removeJob(job), [attempt]);
-		assert.deepEqual(attempt.stop, { reason: "job over", graceS: 0 });
+		assert.deepEqual(attempt.stopRequest, { reason: "job ended", graceS: 0 });
 		clusterState.endAttempt(attempt);
 		assert.equal(job.attempts.size, 0);
 		assert.equal(to.capacity.freeCpus, to.type.cpus);
@@ -147,7 +147,7 @@
 		assert.equal(job.attempts.size, 0);
 		assert.equal(machine.orphans.length, 0);
 		assert.deepEqual(
-			machine.exitedTasks.chooseForgettable(() => true, false),
+			machine.exitedTasks.selectForgettable(() => true, false),
 			[],
 		);
 		assert.equal(clusterState.reconciled, true);
--- a/tests/coordination/workers/direct-command-sender.test.ts
+++ b/tests/coordination/workers/direct-command-sender.test.ts
@@ -18,7 +18,7 @@
 			for (const machine of clusterState.machines.values()) {
 				const attempt = clusterState.assignNextTask(job, machine);
 				assert.ok(attempt);
-				attempt.noteState("running", 0);
+				attempt.updatePhase("running", 0);
 			}
 			let inFlight = 0;
 			let mostInFlight = 0;
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -49,7 +49,7 @@
 			`${job.id} starts on ${machine.id}: ${this.clusterState.assignmentRefusal(job, machine)}`,
 		);
 		this.now += 1000;
-		attempt.noteState("running", this.now);
+		attempt.updatePhase("running", this.now);
 		return attempt;
 	}
 
@@ -71,7 +71,7 @@
 	/** Machines that placement keeps the job off so long after its last failure. */
 	machinesAvoidedBy(job: Job, sinceMs: number): string[] {
 		const capacities = [...this.clusterState.machines.values()].map(capacityOf);
-		const moment = { now: job.failures.lastAt + sinceMs, date: 0 };
+		const moment = { now: job.failures.lastFailureAt + sinceMs, date: 0 };
 		return grantsFor(this.clusterState, [job], capacities, moment)[0]?.grant.avoidedMachines ?? [];
 	}
 }
@@ -86,9 +86,9 @@
 			assert.equal(machine.health.quarantined, false, machine.id);
 			assert.equal(machine.health.onProbation, false, machine.id);
 		}
-		for (const job of jobs) assert.equal(job.failures.everywhere, true, job.id);
+		for (const job of jobs) assert.equal(job.failures.failsEverywhere, true, job.id);
 		cluster.succeed(jobs[0], machines[0]);
-		assert.equal(jobs[0].failures.everywhere, false, "one good run clears it");
+		assert.equal(jobs[0].failures.failsEverywhere, false, "one good run clears it");
 		assert.equal(jobs[0].failures.retryNotBefore, 0);
 	});
 
@@ -133,7 +133,7 @@
 		const proven = cluster.addJobs("j-1", "j-2");
 		const unlucky = cluster.addJob("j-3");
 		for (const machine of faulty) cluster.fail(unlucky, machine);
-		assert.equal(unlucky.failures.everywhere, true, "so far nothing speaks for it");
+		assert.equal(unlucky.failures.failsEverywhere, true, "so far nothing speaks for it");
 		for (const job of proven) cluster.succeed(job, good);
 		for (const machine of faulty) for (const job of proven) cluster.fail(job, machine);
 		for (const job of proven) cluster.succeed(job, good);
@@ -141,7 +141,7 @@
 			faulty.map((machine) => machine.health.quarantined),
 			[true, true, true],
 		);
-		assert.equal(unlucky.failures.everywhere, false);
+		assert.equal(unlucky.failures.failsEverywhere, false);
 	});
 });
 
@@ -158,7 +158,7 @@
 			[a.health.quarantined, b.health.quarantined, good.health.quarantined],
 			[true, true, false],
 		);
-		assert.equal(first.failures.everywhere, false);
+		assert.equal(first.failures.failsEverywhere, false);
 	});
 
 	test("are quarantined at the second job that succeeded before", () => {
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -123,7 +123,7 @@
 		assert.ok(machine);
 		clusterState.markUnreconciled(machine);
 		for (let at = 3000; at < workerLeaseExpiryMs; at += 3000) {
-			machine.agent.responded(at);
+			machine.agent.responseSent(at);
 			const { kind } = reconcileHeartbeat(clusterState, heartbeat(1 + at, [], earlier), at);
 			assert.equal(kind, "reconciled");
 			assert.equal(job.attempts.size, 1);
--- a/tests/coordination/workers/lease-monitor.test.ts
+++ b/tests/coordination/workers/lease-monitor.test.ts
@@ -17,7 +17,7 @@
 	test("the tasks of a machine start elsewhere only once its lease has certainly expired since the last response", () => {
 		const { clusterState, job, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 1000);
-		machine.agent.responded(1000);
+		machine.agent.responseSent(1000);
 		const monitor = new LeaseMonitor(clusterState, 0, silentLog);
 		monitor.tick(1000 + workerLeaseExpiryMs, false);
 		assert.equal(machine.agent.leaseExpired, false);
@@ -52,7 +52,7 @@
 			reconcileHeartbeat(clusterState, heartbeat(1, [], { machineId }), 0);
 			const machine = clusterState.machines.get(machineId);
 			const ineffective = { leaseExpired: false, startMissing: true, startListed: false };
-			for (let n = 0; n < 2; n++) machine?.agent.noteResponseEffects(ineffective, workerLeaseExpiryMs, 0);
+			for (let n = 0; n < 2; n++) machine?.agent.updateReachability(ineffective, workerLeaseExpiryMs, 0);
 		}
 		const monitor = new LeaseMonitor(clusterState, 0, silentLog);
 		const stillUnreachable = () =>
--- a/tests/coordination/workers/reachability.test.ts
+++ b/tests/coordination/workers/reachability.test.ts
@@ -33,14 +33,14 @@
 
 	test("a lease that expires twice although it was renewed all the time shows that responses do not arrive", () => {
 		const { clusterState, machine } = stateWithSentStart();
-		machine.agent.responded(20_000);
+		machine.agent.responseSent(20_000);
 		reconcileHeartbeat(clusterState, heartbeat(1, [], { agentEpoch: 2 }), 21_000);
 		assert.equal(machine.agent.unreachableSince, null, "the last response may have come too late");
-		machine.agent.responded(33_000);
+		machine.agent.responseSent(33_000);
 		reconcileHeartbeat(clusterState, heartbeat(1, [], { agentEpoch: 3 }), 34_000);
 		assert.equal(machine.agent.unreachableSince, 34_000);
 		const silent = stateWithSentStart();
-		silent.machine.agent.responded(0);
+		silent.machine.agent.responseSent(0);
 		reconcileHeartbeat(silent.clusterState, heartbeat(1, [], { agentEpoch: 2 }), 21_000);
 		assert.equal(silent.machine.agent.ineffectiveResponses, 0, "it was cut off both ways");
 	});
--- a/tests/coordination/workers/spot-reclaim.test.ts
+++ b/tests/coordination/workers/spot-reclaim.test.ts
@@ -15,8 +15,8 @@
 	machine.lifecycle.heartbeatReceived(reclaimInS === null ? null : reclaimInS * 1000);
 	const job = new Job("j-1", specOf("j-1", { estimatedRunS: 20, ...more }), 0, 1);
 	const attempt = new Attempt({ job, taskIndex: 0, number: 1, machine, phase: "sent" });
-	attempt.noteState("running", 0);
-	machine.hold(attempt);
+	attempt.updatePhase("running", 0);
+	machine.addAttempt(attempt);
 	return { machine, attempt };
 }
 
@@ -24,30 +24,30 @@
 	test("run on where no notice was given", () => {
 		const { machine, attempt } = machineWithTask({}, null);
 		assert.deepEqual(stopBeforeReclaim(machine, 0, heartbeatIntervalS), []);
-		assert.equal(attempt.stop, null);
+		assert.equal(attempt.stopRequest, null);
 	});
 
 	test("of a job without checkpoints are stopped at once if they will hardly finish, and run on otherwise", () => {
 		const hopeless = machineWithTask({}, 10);
 		assert.deepEqual(stopBeforeReclaim(hopeless.machine, 0, heartbeatIntervalS), [hopeless.attempt]);
-		assert.deepEqual(hopeless.attempt.stop, { reason: "spot reclaim", graceS: 0 });
+		assert.deepEqual(hopeless.attempt.stopRequest, { reason: "spot reclaim", graceS: 0 });
 		const hopeful = machineWithTask({}, 16);
 		assert.deepEqual(stopBeforeReclaim(hopeful.machine, 0, heartbeatIntervalS), []);
-		assert.equal(hopeful.attempt.stop, null);
+		assert.equal(hopeful.attempt.stopRequest, null);
 	});
 
 	test("of a job with checkpoints are stopped in time to save one, with what is left as grace", () => {
 		const checkpoints = { checkpointIntervalS: 5, checkpointCostS: 4 };
 		const { machine, attempt } = machineWithTask(checkpoints, 10);
 		assert.deepEqual(stopBeforeReclaim(machine, 3999, heartbeatIntervalS), []);
-		assert.equal(attempt.stop, null);
+		assert.equal(attempt.stopRequest, null);
 		assert.deepEqual(stopBeforeReclaim(machine, 4000, heartbeatIntervalS), [], "by the next response");
-		assert.deepEqual(attempt.stop, { reason: "spot reclaim", graceS: 6 });
+		assert.deepEqual(attempt.stopRequest, { reason: "spot reclaim", graceS: 6 });
 	});
 
 	test("that are replicas run on: they are relocated", () => {
 		const { machine, attempt } = machineWithTask({ form: "service", estimatedRunS: 0 }, 1);
 		assert.deepEqual(stopBeforeReclaim(machine, 0, heartbeatIntervalS), []);
-		assert.equal(attempt.stop, null);
+		assert.equal(attempt.stopRequest, null);
 	});
 });
--- a/tests/coordination/workers/worker-commands.test.ts
+++ b/tests/coordination/workers/worker-commands.test.ts
@@ -50,7 +50,7 @@
 		machine.lifecycle.startDraining();
 		assert.deepEqual(takeCommands(clusterState, machine), [], "a failover now would lose it");
 		machine.lifecycle.cancelDraining();
-		job.markPageDurable(0, job.doneTasks.page(0));
+		job.markPageDurable(0, job.doneTasks.encodePage(0));
 		assert.deepEqual(takeCommands(clusterState, machine), [], "the last one is kept as heartbeat trigger");
 		assert.equal(machine.exitedTasks.heartbeatTrigger?.attempt, attempt.number);
 		machine.lifecycle.startDraining();
