--- a/src/bookkeeping/attempt.ts
+++ b/src/bookkeeping/attempt.ts
@@ -1,4 +1,4 @@
-/** One try at one task, from the decision to start it until it is proved over. */
+/** One attempt at a task, from its assignment to a machine until it is confirmed to have ended. */
 
 import { RamphubError } from "../protocol/errors.js";
 import { type TaskId, taskIdOf } from "../protocol/model/identifiers.js";
@@ -8,12 +8,12 @@
 import type { QuotaCharge } from "./quota-ledger.js";
 
 /**
- * Where an attempt is: `assigned`, no start command has left yet; `sent`, a start command may have reached the
- * worker, which has not listed the attempt since; the others as the worker's heartbeats report it.
+ * Phase of an attempt. `assigned`: no start command has been sent. `sent`: a start command may have reached the
+ * worker, which has not listed the attempt since. The other phases are those that the worker's heartbeats report.
  */
 export type AttemptPhase = "assigned" | "sent" | Exclude<TaskState, "exited">;
 
-/** Why the leader wants an attempt to end. */
+/** Reason for which the leader ends an attempt. */
 export type StopReason =
 	| "job ended"
 	| "task done"
@@ -25,14 +25,14 @@
 /** The leader's decision to end an attempt. */
 export interface StopRequest {
 	readonly reason: StopReason;
-	/** Seconds that the task may take to save a checkpoint. */
+	/** Seconds that the task has to save a checkpoint. */
 	readonly graceS: number;
 }
 
-/** A command was taken for sent or lost that cannot have been: a fault of this program. */
+/** A start command was marked as sent or as lost in a phase that rules this out: a programming error. */
 export class IllegalTransitionError extends RamphubError {}
 
-/** What an attempt is from its beginning. */
+/** Initial values of an attempt. */
 export interface AttemptDescription {
 	job: Job;
 	taskIndex: number;
@@ -42,9 +42,9 @@
 }
 
 /**
- * Owns the state of one attempt. What the worker reports (`phase`, `runningSince`) and what the leader wants (`stop`,
- * `relocationTarget`) are independent of each other: a stop may be wanted in any phase, and stays wanted until the
- * attempt is proved over. The cluster state alone creates and ends attempts.
+ * State of one attempt. The worker's reports (`phase`, `runningSince`) and the leader's decisions (`stopRequest`,
+ * `relocationTarget`) are independent of each other: a stop can be requested in any phase, and the request stands
+ * until the attempt is confirmed to have ended. Only the cluster state creates and ends attempts.
  */
 export class Attempt {
 	readonly job: Job;
@@ -55,7 +55,7 @@
 	readonly taskId: TaskId;
 	#phase: AttemptPhase;
 	#runningSince: number | null = null;
-	#stop: StopRequest | null = null;
+	#stopRequest: StopRequest | null = null;
 	#relocationTarget: Machine | null = null;
 	#charge: QuotaCharge | null = null;
 	#protectedUntil = Number.NEGATIVE_INFINITY;
@@ -69,33 +69,33 @@
 		this.#phase = phase;
 	}
 
-	/** Where the attempt is, as far as commands and heartbeats show. */
+	/** Current phase, according to the commands sent and the heartbeats received. */
 	get phase(): AttemptPhase {
 		return this.#phase;
 	}
 
-	/** Steady time at which a heartbeat first reported it running; null: none has. */
+	/** Monotonic time at which a heartbeat first reported the attempt as running; null: none has. */
 	get runningSince(): number | null {
 		return this.#runningSince;
 	}
 
-	/** The decision to end it; null: there is none. Stop commands are repeated until the attempt is over. */
+	/** The decision to end the attempt; null: there is none. Stop commands are repeated until the attempt has ended. */
 	get stopRequest(): StopRequest | null {
-		return this.#stop;
+		return this.#stopRequest;
 	}
 
-	/** The machine that has resources reserved for the task's next attempt; null: it is not being relocated. */
+	/** The machine with resources reserved for the task's next attempt; null: the task is not being relocated. */
 	get relocationTarget(): Machine | null {
 		return this.#relocationTarget;
 	}
 
-	/** What it takes of its team's allotments; null: team quota is not in use. */
+	/** The attempt's charge against its team's allotments; null: team quota is not in use. */
 	get charge(): QuotaCharge | null {
 		return this.#charge;
 	}
 
 	/**
-	 * A start command leaves for the worker.
+	 * Marks the start command as sent to the worker.
 	 *
 	 * @throws IllegalTransitionError unless the attempt is assigned.
 	 */
@@ -105,7 +105,8 @@
 	}
 
 	/**
-	 * The start command was lost and can no longer be carried out: it is to be sent again.
+	 * Marks the start command as lost, so that it is sent again. The caller has made sure that the lost command can no
+	 * longer take effect.
 	 *
 	 * @throws IllegalTransitionError unless the attempt is sent.
 	 */
@@ -115,9 +116,9 @@
 	}
 
 	/**
-	 * A heartbeat lists the attempt in this state.
+	 * Sets the phase to the state that a heartbeat reports.
 	 *
-	 * @returns Whether it is reported running for the first time.
+	 * @returns True if the attempt is reported as running for the first time.
 	 */
 	updatePhase(state: Exclude<TaskState, "exited">, now: number): boolean {
 		this.#phase = state;
@@ -126,14 +127,14 @@
 		return true;
 	}
 
-	/** Asks for the attempt's end. A later request replaces an earlier one, which may have had a longer grace. */
+	/** Requests the end of the attempt. Replaces an earlier request, even one with a longer grace period. */
 	requestStop(reason: StopReason, graceS: number): void {
-		this.#stop = { reason, graceS };
+		this.#stopRequest = { reason, graceS };
 	}
 
 	/**
-	 * Asks for the attempt's end here and reserves resources on another machine, where the task's next attempt
-	 * starts as soon as this one is proved over.
+	 * Requests the end of the attempt and reserves resources on the target machine, where the task's next attempt
+	 * starts as soon as this one is confirmed to have ended.
 	 */
 	relocateTo(target: Machine): void {
 		this.endRelocation();
@@ -142,7 +143,7 @@
 		this.requestStop("relocation", this.job.spec.checkpointCostS);
 	}
 
-	/** Gives up the resources reserved on the target, and returns the target; null: there was none. */
+	/** Releases the resources reserved on the relocation target. Returns the target; null: there was none. */
 	endRelocation(): Machine | null {
 		const target = this.#relocationTarget;
 		target?.capacity.releaseReplicaReservation(this.job.spec);
@@ -150,17 +151,17 @@
 		return target;
 	}
 
-	/** The attempt is charged to an allotment; null: team quota is not in use. */
+	/** Sets the charge against an allotment; null: team quota is not in use. */
 	setCharge(charge: QuotaCharge | null): void {
 		this.#charge = charge;
 	}
 
-	/** Until this steady time the attempt is not stopped for other work. */
+	/** Excludes the attempt from preemption until this monotonic time. */
 	protectFromPreemption(until: number): void {
 		this.#protectedUntil = until;
 	}
 
-	/** Whether the attempt may not be stopped for other work at this time. */
+	/** True if the attempt must not be preempted at this time. */
 	isProtectedFromPreemption(now: number): boolean {
 		return now < this.#protectedUntil;
 	}
--- a/src/bookkeeping/capacity-ledger.ts
+++ b/src/bookkeeping/capacity-ledger.ts
@@ -1,61 +1,64 @@
-/** What of a machine's resources is used, reserved and free, and which images it should have. */
+/** The used, reserved and free resources of a machine, and the container images in its cache. */
 
 import type { JobSpec } from "../protocol/model/job.js";
 import type { MachineType } from "../protocol/model/machine.js";
 import type { Job } from "./job.js";
 
-/** Sums of decimals drift; amounts that differ by less are equal. */
+/** Amounts that differ by less are equal: sums of decimal fractions accumulate rounding errors. */
 const tolerance = 1e-6;
 
-/** Images that a machine is assumed to keep, by the rough size of its cache. */
+/** Number of images that fit into a machine's cache, by the cache's approximate size. */
 const maxCachedImages = 12;
 
-/** What a task takes of its machine. */
+/** Resources that a task uses on its machine. */
 type TaskResources = Pick<JobSpec, "cpus" | "gpus" | "memoryGb">;
 
 /**
- * Owns the resources of one machine. Tasks take resources from the decision to start them until they are proved
- * gone; a replica on its way here has resources reserved.
+ * Accounts for the resources of one machine. A task uses resources from its assignment until it is confirmed to have
+ * ended; a replica that is being relocated to the machine has resources reserved.
  */
 export class CapacityLedger {
 	#used = { cpus: 0, gpus: 0, memoryGb: 0 };
-	#incoming = { cpus: 0, gpus: 0, memoryGb: 0 };
-	#reservedFor: Job | null = null;
-	readonly #images = new Set<string>();
+	#reservedForReplicas = { cpus: 0, gpus: 0, memoryGb: 0 };
+	#reservedForJob: Job | null = null;
+	readonly #cachedImages = new Set<string>();
 
 	constructor(private readonly type: MachineType) {}
 
-	/** CPUs that tasks on the machine take. */
+	/** CPUs that tasks on the machine use. */
 	get usedCpus(): number {
 		return this.#used.cpus;
 	}
 
-	/** CPUs that are neither used nor reserved for replicas on their way here. */
+	/** CPUs that are neither used nor reserved for replicas that are being relocated to the machine. */
 	get freeCpus(): number {
-		return this.type.cpus - this.#used.cpus - this.#incoming.cpus;
+		return this.type.cpus - this.#used.cpus - this.#reservedForReplicas.cpus;
 	}
 
-	/** As `freeCpus`, of accelerators. */
+	/** As `freeCpus`, for accelerators. */
 	get freeGpus(): number {
-		return this.type.gpus - this.#used.gpus - this.#incoming.gpus;
+		return this.type.gpus - this.#used.gpus - this.#reservedForReplicas.gpus;
 	}
 
-	/** As `freeCpus`, of memory in GB. */
+	/** As `freeCpus`, for memory in GB. */
 	get freeMemoryGb(): number {
-		return this.type.memoryGb - this.#used.memoryGb - this.#incoming.memoryGb;
+		return this.type.memoryGb - this.#used.memoryGb - this.#reservedForReplicas.memoryGb;
 	}
 
-	/** The machine is kept free of other new work until a task of this job fits; null: it is not reserved. */
+	/**
+	 * The job for which the machine is reserved; null: none. No other new work is placed on the machine until a task of
+	 * the job fits.
+	 */
 	get reservedForJob(): Job | null {
-		return this.#reservedFor;
+		return this.#reservedForJob;
 	}
 
-	/** Images that the machine should have, the least recently used first. */
+	/** Images expected in the machine's cache, the least recently used first. */
 	get cachedImages(): ReadonlySet<string> {
-		return this.#images;
+		return this.#cachedImages;
 	}
 
-	/** Whether a task with these demands fits into what is free. */
+	/** True if a task with these demands fits into the free resources. */
 	fits({ cpus, gpus, memoryGb }: TaskResources): boolean {
 		return (
 			this.freeCpus + tolerance >= cpus &&
@@ -64,55 +67,55 @@
 		);
 	}
 
-	/** A task has been assigned to the machine. */
+	/** Adds the resources of a task that has been assigned to the machine. */
 	allocate({ cpus, gpus, memoryGb }: TaskResources): void {
 		this.#used.cpus += cpus;
 		this.#used.gpus += gpus;
 		this.#used.memoryGb += memoryGb;
 	}
 
-	/** A task on the machine is gone. */
+	/** Subtracts the resources of a task that has ended. */
 	release({ cpus, gpus, memoryGb }: TaskResources): void {
 		this.#used.cpus -= cpus;
 		this.#used.gpus -= gpus;
 		this.#used.memoryGb -= memoryGb;
 	}
 
-	/** The last task on the machine is gone. Sums of decimals drift; an empty machine uses nothing. */
+	/** Resets the used resources to zero when the last task has ended, so that rounding errors do not accumulate. */
 	releaseAll(): void {
 		this.#used = { cpus: 0, gpus: 0, memoryGb: 0 };
 	}
 
-	/** Keeps resources for a replica that is to move here. */
+	/** Reserves resources for a replica that is being relocated to the machine. */
 	reserveForReplica({ cpus, gpus, memoryGb }: TaskResources): void {
-		this.#incoming.cpus += cpus;
-		this.#incoming.gpus += gpus;
-		this.#incoming.memoryGb += memoryGb;
+		this.#reservedForReplicas.cpus += cpus;
+		this.#reservedForReplicas.gpus += gpus;
+		this.#reservedForReplicas.memoryGb += memoryGb;
 	}
 
-	/** The replica starts here now, or does not come. */
+	/** Releases the resources of `reserveForReplica`, when the replica starts here or its relocation is cancelled. */
 	releaseReplicaReservation({ cpus, gpus, memoryGb }: TaskResources): void {
-		this.#incoming.cpus -= cpus;
-		this.#incoming.gpus -= gpus;
-		this.#incoming.memoryGb -= memoryGb;
+		this.#reservedForReplicas.cpus -= cpus;
+		this.#reservedForReplicas.gpus -= gpus;
+		this.#reservedForReplicas.memoryGb -= memoryGb;
 	}
 
-	/** Keeps the machine free of other new work. */
+	/** Reserves the machine for the job: no other work is placed on it. */
 	reserveForJob(job: Job): void {
-		this.#reservedFor = job;
+		this.#reservedForJob = job;
 	}
 
-	/** The machine is open to other work again. */
+	/** Lifts the reservation for a job, if there is one. */
 	cancelJobReservation(): void {
-		this.#reservedFor = null;
+		this.#reservedForJob = null;
 	}
 
-	/** A task that uses the image runs here; the least recently used image beyond the cache's size is forgotten. */
+	/** Records that a task uses the image. Evicts the least recently used image if the cache is full. */
 	recordImageUse(image: string): void {
-		this.#images.delete(image);
-		this.#images.add(image);
-		if (this.#images.size <= maxCachedImages) return;
-		const oldest = this.#images.values().next().value;
-		if (oldest !== undefined) this.#images.delete(oldest);
+		this.#cachedImages.delete(image);
+		this.#cachedImages.add(image);
+		if (this.#cachedImages.size <= maxCachedImages) return;
+		const leastRecentlyUsed = this.#cachedImages.values().next().value;
+		if (leastRecentlyUsed !== undefined) this.#cachedImages.delete(leastRecentlyUsed);
 	}
 }
--- a/src/bookkeeping/done-task-pages.ts
+++ b/src/bookkeeping/done-task-pages.ts
@@ -1,9 +1,9 @@
 /**
- * The pages of jobs' bitmaps of done tasks, as the store has them.
+ * The stored pages of the jobs' bitmaps of done tasks.
  *
- * A chunk of the store holds pages of many jobs, and a page may be in two chunks at once: when a chunk is split, or
- * when a leader ended while it did that. The page in the chunk with the later revision holds then. Tests: "a leader
- * that ends while a chunk is split ..." in chunked-records.test.ts; trace 50.
+ * A chunk in the store holds pages of many jobs. While a chunk is being split, and after a leader has failed during a
+ * split, a page may be in two chunks at once; the copy in the chunk with the higher revision is valid then. Tests: "a
+ * leader that ends while a chunk is split ..." in chunked-records.test.ts; trace 50.
  */
 
 import type { JobId, Revision } from "../protocol/model/identifiers.js";
@@ -11,10 +11,10 @@
 import { countInPage } from "./task-set.js";
 import { type Versioned, VersionedMap } from "./versioned.js";
 
-/** A page's number within its job, and its bits as text. */
+/** A page's number within its job, and its bits in base64. */
 export type DonePage = [page: number, bits: string];
 
-/** Owns the stored chunks of pages, and the index of their pages by job. */
+/** The stored chunks of pages, and an index of the pages by job. */
 export class DoneTaskPages {
 	private readonly chunksByKey = new VersionedMap<StoredChunk<string>>();
 	private readonly pagesByJob = new Map<JobId, Map<number, string>>();
@@ -24,33 +24,33 @@
 		return this.chunksByKey.entries;
 	}
 
-	/** Pages of a job, in no order. */
+	/** Pages of a job, in no particular order. */
 	pagesOf(jobId: JobId): Iterable<DonePage> {
 		return this.pagesByJob.get(jobId) ?? [];
 	}
 
-	/** How many tasks of a job are done. */
+	/** Number of done tasks of a job. */
 	doneCount(jobId: JobId): number {
-		let done = 0;
-		for (const [, bits] of this.pagesOf(jobId)) done += countInPage(bits);
-		return done;
+		let count = 0;
+		for (const [, bits] of this.pagesOf(jobId)) count += countInPage(bits);
+		return count;
 	}
 
-	/** A chunk was written. */
+	/** Applies the write of a chunk. */
 	putChunk(key: string, chunk: StoredChunk<string>, revision: Revision): void {
-		const before = this.chunks.get(key)?.value;
+		const previous = this.chunks.get(key)?.value;
 		if (!this.chunksByKey.put(key, chunk, revision)) return;
-		this.dropPages(before, chunk);
+		this.removeMissingPages(previous, chunk);
 		for (const [name, bits] of Object.entries(chunk.entries)) this.setPage(name, bits);
 	}
 
-	/** A chunk was removed. */
+	/** Applies the removal of a chunk. */
 	removeChunk(key: string, revision: Revision): void {
-		const before = this.chunks.get(key)?.value;
-		if (this.chunksByKey.remove(key, revision)) this.dropPages(before, { entries: {} });
+		const previous = this.chunks.get(key)?.value;
+		if (this.chunksByKey.remove(key, revision)) this.removeMissingPages(previous, { entries: {} });
 	}
 
-	/** Forgets all chunks and pages. */
+	/** Removes all chunks and pages. */
 	clear(): void {
 		this.chunksByKey.clear();
 		this.pagesByJob.clear();
@@ -63,15 +63,15 @@
 		else this.pagesByJob.set(jobId, new Map([[page, bits]]));
 	}
 
-	/** Only what the chunk held and no longer holds leaves the index: pages may move between chunks. */
-	private dropPages(before: StoredChunk<string> | undefined, after: StoredChunk<string>): void {
-		for (const [name, bits] of Object.entries(before?.entries ?? {})) {
-			if (name in after.entries) continue;
+	/** Removes from the index the pages that the chunk no longer holds, unless another chunk holds them. */
+	private removeMissingPages(previous: StoredChunk<string> | undefined, current: StoredChunk<string>): void {
+		for (const [name, bits] of Object.entries(previous?.entries ?? {})) {
+			if (name in current.entries) continue;
 			const { jobId, page } = parsePageName(name);
 			const pages = this.pagesByJob.get(jobId);
-			// Another chunk has brought a newer state of the page.
+			// Another chunk holds a newer version of the page.
 			if (pages?.get(page) !== bits) continue;
-			// The chunk was split: another one holds a copy.
+			// The chunk was split: another chunk holds a copy.
 			const copy = this.latestCopy(name);
 			if (copy !== undefined) pages.set(page, copy);
 			else pages.delete(page);
@@ -79,7 +79,7 @@
 		}
 	}
 
-	/** The page as the latest chunk that holds it has it. */
+	/** The page's bits in the chunk with the highest revision among those that hold the page. */
 	private latestCopy(name: string): string | undefined {
 		let latest: { bits: string; revision: Revision } | null = null;
 		for (const { value, revision } of this.chunks.values()) {
--- a/src/bookkeeping/exited-tasks.ts
+++ b/src/bookkeeping/exited-tasks.ts
@@ -1,44 +1,45 @@
-/** Exited attempts that a worker still lists, since nobody has told it to forget them. */
+/** Exited attempts that a worker still lists because it has not received a forget command for them. */
 
 import type { AttemptRef } from "../protocol/model/worker.js";
 
 /** An exited attempt that a machine still lists. */
 export interface ExitedTask extends AttemptRef {
-	/** The task has completed, so its result must be recorded before the attempt is forgotten. */
+	/** True if the task has completed: the store must hold this before the worker removes the attempt from its list. */
 	done: boolean;
 }
 
 /**
- * Owns the exited attempts of one machine. Each heartbeat lists them anew.
+ * The exited attempts of one machine. Each heartbeat replaces the list.
  *
- * Starts go only in responses to heartbeats, and a machine without news sends its next heartbeat only after the
- * whole heartbeat interval. A change of its tasks makes a worker send one at once. So one exited attempt is left
- * on a machine that may get work, the heartbeat trigger: forgetting it by direct command brings on a heartbeat.
+ * Start commands are sent only in responses to heartbeats. A worker whose tasks do not change sends its next
+ * heartbeat only after the whole heartbeat interval, but sends one at once when its tasks change. Therefore one exited
+ * attempt, the heartbeat trigger, is left on a machine that may get work: a direct forget command for it makes the
+ * worker send a heartbeat.
  */
 export class ExitedTasks {
 	#listed: ExitedTask[] = [];
 	#trigger: AttemptRef | null = null;
 
-	/** The attempt left on the machine to be forgotten when a heartbeat is wanted; null: there is none. */
+	/** The attempt left on the worker for a forget command when the leader needs a heartbeat; null: there is none. */
 	get heartbeatTrigger(): AttemptRef | null {
 		return this.#trigger;
 	}
 
-	/** A heartbeat lists the attempt. */
+	/** Adds an attempt that the heartbeat lists. */
 	add(task: ExitedTask): void {
 		this.#listed.push(task);
 	}
 
-	/** A new heartbeat lists its attempts anew, or everything on the machine is gone. */
+	/** Empties the list, before the attempts in a new heartbeat are added or when no task is left on the machine. */
 	clear(): void {
 		if (this.#listed.length > 0) this.#listed = [];
 	}
 
 	/**
-	 * The attempts that the worker can be told to forget, in the order in which it listed them.
+	 * Returns the attempts for which a forget command may be sent, in the order in which the worker listed them.
 	 *
-	 * @param isRecorded Whether the attempt's outcome can no longer be lost.
-	 * @param keepTrigger Whether to leave the last of them on the machine as the heartbeat trigger.
+	 * @param isRecorded True if the attempt's outcome is durable.
+	 * @param keepTrigger True to leave out the last of these attempts and keep it as the heartbeat trigger.
 	 */
 	selectForgettable(isRecorded: (task: ExitedTask) => boolean, keepTrigger: boolean): ExitedTask[] {
 		const forgettable = this.#listed.filter(isRecorded);
@@ -46,7 +47,7 @@
 		return forgettable;
 	}
 
-	/** Takes the heartbeat trigger, to be forgotten now. */
+	/** Returns and clears the heartbeat trigger; the caller sends the forget command for it. */
 	consumeHeartbeatTrigger(): AttemptRef | null {
 		const trigger = this.#trigger;
 		this.#trigger = null;
--- a/src/bookkeeping/failure-history.ts
+++ b/src/bookkeeping/failure-history.ts
@@ -1,105 +1,109 @@
 /**
- * Where and how often a job's tasks have failed. Whether the job or the machines are to blame is decided by
+ * The failures of a job's tasks, by machine. Whether the job or a machine is at fault is decided by
  * src/coordination/workers/fault-attribution.ts.
  */
 
 import type { Machine } from "./machine.js";
 
-/** A job that failed on so many machines, and on none succeeded since, is taken to fail on all. */
-const machinesToFailEverywhere = 3;
+/** A job that has failed on this many machines without a success since is assumed to fail on every machine. */
+const everywhereMachineThreshold = 3;
 
-/** The same with so many failures, where there are too few machines to tell. */
-const failuresToFailEverywhere = 8;
+/** The same applies after this many failures in a row, where too few machines are available to the job. */
+const everywhereFailureThreshold = 8;
 
-/** A job that failed on so many machines of a type, and never succeeded there, does not suit the type. */
-const machinesToBeUnfit = 2;
+/** A machine type is unfit for a job that has failed on this many machines of the type and never succeeded on it. */
+const unfitTypeMachineThreshold = 2;
 
-/** Owns the failures of one job's tasks. Outcomes of attempts alone change it. */
+/** Failures of one job's tasks. Only outcomes of attempts change it. */
 export class FailureHistory {
-	readonly #machines = new Set<Machine>();
-	#consecutive = 0;
-	#lastAt = Number.NEGATIVE_INFINITY;
+	readonly #failedMachines = new Set<Machine>();
+	#consecutiveFailures = 0;
+	#lastFailureAt = Number.NEGATIVE_INFINITY;
 	#retryNotBefore = 0;
 	readonly #provenTypes = new Set<string>();
 	readonly #unfitTypes = new Set<string>();
 
-	/** @param isService Replicas are tried again wherever they fail: such a job never fails "everywhere". */
+	/** @param isService True for a service job: its replicas are always retried, so it never fails "everywhere". */
 	constructor(private readonly isService: boolean) {}
 
-	/** Machines on which tasks of the job failed since one last succeeded. */
+	/** Machines on which tasks of the job have failed since the last success. */
 	get failedMachines(): ReadonlySet<Machine> {
-		return this.#machines;
+		return this.#failedMachines;
 	}
 
-	/** Tasks of the job that failed since one last succeeded. */
+	/** Number of failures since the last success. */
 	get consecutiveFailures(): number {
-		return this.#consecutive;
+		return this.#consecutiveFailures;
 	}
 
-	/** Steady time of the last failure; -Infinity: there was none. */
+	/** Monotonic time of the last failure; -Infinity: there was none. */
 	get lastFailureAt(): number {
-		return this.#lastAt;
+		return this.#lastFailureAt;
 	}
 
-	/** Steady time before which no task of the job is tried again. */
+	/** Monotonic time before which no task of the job is retried. */
 	get retryNotBefore(): number {
 		return this.#retryNotBefore;
 	}
 
-	/** Machine types on which the job fails though it succeeds on another: its own fault, not the machines'. */
+	/** Machine types on which the job fails although it succeeds on another: the job is at fault, not the machines. */
 	get unfitTypes(): ReadonlySet<string> {
 		return this.#unfitTypes;
 	}
 
-	/** The job fails wherever it goes: it is tried again now and then, and kept out of the load. */
+	/** True if the job fails on every machine: it is retried occasionally and does not count as load for scale-out. */
 	get failsEverywhere(): boolean {
 		if (this.isService || !this.failedOnSeveralMachines) return false;
 		let machines = 0;
-		// What a faulty machine does to a job says nothing of the job.
-		for (const machine of this.#machines) if (!machine.health.quarantinedForFailures) machines += 1;
-		return machines >= machinesToFailEverywhere || this.#consecutive >= failuresToFailEverywhere;
+		// A failure on a faulty machine is no evidence against the job.
+		for (const machine of this.#failedMachines) if (!machine.health.quarantinedForFailures) machines += 1;
+		return machines >= everywhereMachineThreshold || this.#consecutiveFailures >= everywhereFailureThreshold;
 	}
 
-	/** The job has failed on more than one machine and succeeded on none since: perhaps the fault is its own. */
+	/** True if the job has failed on more than one machine without a success since: the job may be at fault. */
 	get failedOnSeveralMachines(): boolean {
-		return this.#machines.size > 1;
+		return this.#failedMachines.size > 1;
 	}
 
-	/** A task has failed on the machine. */
+	/** Records the failure of a task on the machine. */
 	recordFailure(machine: Machine, now: number): void {
-		this.#machines.add(machine);
-		this.#consecutive += 1;
-		this.#lastAt = now;
+		this.#failedMachines.add(machine);
+		this.#consecutiveFailures += 1;
+		this.#lastFailureAt = now;
 	}
 
-	/** No task of the job is tried again before this steady time. */
+	/** Delays the retries of the job's tasks until this monotonic time. */
 	backOffUntil(retryNotBefore: number): void {
 		this.#retryNotBefore = retryNotBefore;
 	}
 
 	/**
-	 * A task has succeeded on the machine type: the type suits the job. Types on which the job failed on several
-	 * machines, and never succeeded, do not. Called before the failures are cleared.
+	 * Records the success of a task on the machine type, which is fit for the job from then on. Types on several
+	 * machines of which the job has failed, and on which it has never succeeded, become unfit: the success shows that
+	 * the job works elsewhere. Called before the failures are cleared.
 	 */
 	recordSuccess(machineType: string): void {
 		this.#provenTypes.add(machineType);
 		this.#unfitTypes.delete(machineType);
 		const machinesByType = new Map<string, number>();
-		for (const { type } of this.#machines)
+		for (const { type } of this.#failedMachines)
 			machinesByType.set(type.name, (machinesByType.get(type.name) ?? 0) + 1);
 		for (const [name, machines] of machinesByType)
-			if (machines >= machinesToBeUnfit && !this.#provenTypes.has(name)) this.#unfitTypes.add(name);
+			if (machines >= unfitTypeMachineThreshold && !this.#provenTypes.has(name)) this.#unfitTypes.add(name);
 	}
 
-	/** A replica ran well before it failed: the failures before it say nothing of where it starts next. */
+	/**
+	 * Clears the failed machines. Called when a replica has run for long before it failed: the failures before that run
+	 * are no reason to avoid a machine for its next start.
+	 */
 	clearFailedMachines(): void {
-		this.#machines.clear();
+		this.#failedMachines.clear();
 	}
 
-	/** A task has succeeded: the failures before it do not count any more. */
+	/** Clears all failures but the time of the last one. Called when a task has succeeded. */
 	clear(): void {
-		this.#machines.clear();
-		this.#consecutive = 0;
+		this.#failedMachines.clear();
+		this.#consecutiveFailures = 0;
 		this.#retryNotBefore = 0;
 	}
 }
--- a/src/bookkeeping/final-job-cache.ts
+++ b/src/bookkeeping/final-job-cache.ts
@@ -1,22 +1,22 @@
 /**
- * What a controller remembers of jobs that are over: their final records, their cancellations and what their tasks
- * took. All of it is bounded; what is forgotten is read from the store when it is asked for.
+ * A controller's cache of jobs that have ended: their final records, their cancellations and the demands of their
+ * tasks. The cache is bounded; evicted entries are read from the store when they are needed.
  */
 
 import type { JobId, Revision } from "../protocol/model/identifiers.js";
 import type { TaskDemand } from "../protocol/model/job.js";
 import type { FinalJobRecord } from "../protocol/records/final-record.js";
 
-/** Final records, and demands of tasks, that are kept at least. */
+/** Lower bound of the cache's size, for final records and for demands. */
 const minFinalRecords = 5000;
 
-/** Cancellations that are kept at least, for votes that name them. */
+/** Lower bound of the cache's size for cancellations, which lease extension votes list. */
 const minCancellations = 2000;
 
-/** What was learnt within this time is kept in any case, as far as the store's rate of changes tells. */
-const keptForS = 300;
+/** Entries are retained for at least this time, given the maximum write rate of the store. */
+const retentionS = 300;
 
-/** The end of a job is two changes of the store: its live record goes, and its final record comes. */
+/** The end of a job is two changes in the store: its live record is deleted and its final record is written. */
 const changesPerFinalRecord = 2;
 
 /** A job whose cancellation is in the store. */
@@ -27,61 +27,62 @@
 	revision: Revision;
 }
 
-/** Owns what is remembered of jobs that are over. Final records never change. */
+/** Cache of jobs that have ended. Final records never change. */
 export class FinalJobCache {
 	private readonly recordsByJob = new Map<JobId, FinalJobRecord>();
-	/** Cancellations since the first load of the replica, of which a user may have been told here. */
+	/** Cancellations since the first load of the replica, which this controller may have reported to users. */
 	private readonly cancellations = new Map<JobId, CancelledJob>();
-	/** Cancellations up to this revision are not remembered one by one. */
+	/** The revision after which every cancellation is in the cache. */
 	private cancellationsCompleteAfter: Revision = Number.POSITIVE_INFINITY;
-	/** What a task takes, of jobs that were live here and are over. */
+	/** Demand of a task, for ended jobs that were live in this replica. */
 	private readonly demands = new Map<JobId, TaskDemand>();
 	private readonly maxFinalRecords: number;
 	private readonly maxCancellations: number;
 
-	/** @param changesPerS Changes that the store takes in a second, which bounds how many jobs end. */
-	constructor(changesPerS: number) {
-		const finalRecords = (changesPerS * keptForS) / changesPerFinalRecord;
-		this.maxFinalRecords = Math.max(minFinalRecords, finalRecords);
-		this.maxCancellations = Math.max(minCancellations, finalRecords);
+	/** @param maxChangesPerS Maximum number of changes per second in the store, which bounds how many jobs end. */
+	constructor(maxChangesPerS: number) {
+		const recordsInRetention = (maxChangesPerS * retentionS) / changesPerFinalRecord;
+		this.maxFinalRecords = Math.max(minFinalRecords, recordsInRetention);
+		this.maxCancellations = Math.max(minCancellations, recordsInRetention);
 	}
 
-	/** The latest final records that were seen. */
+	/** The most recent final records. */
 	get records(): ReadonlyMap<JobId, FinalJobRecord> {
 		return this.recordsByJob;
 	}
 
-	/** The job is over since the write of that revision. */
+	/** Adds a job that ended with the write of this revision. */
 	add(jobId: JobId, record: FinalJobRecord, revision: Revision): void {
 		this.recordsByJob.set(jobId, record);
-		dropOldestBeyond(this.recordsByJob, this.maxFinalRecords);
+		evictOldestBeyond(this.recordsByJob, this.maxFinalRecords);
 		if (record.status !== "cancelled") return;
 		this.cancellations.set(jobId, { jobId, record, revision });
-		const dropped = dropOldestBeyond(this.cancellations, this.maxCancellations);
-		if (dropped)
-			this.cancellationsCompleteAfter = Math.max(this.cancellationsCompleteAfter, dropped.revision);
+		const evicted = evictOldestBeyond(this.cancellations, this.maxCancellations);
+		if (evicted)
+			this.cancellationsCompleteAfter = Math.max(this.cancellationsCompleteAfter, evicted.revision);
 	}
 
-	/** What a task of a job takes that was live here and is over. */
+	/** Adds the demand of a task of an ended job that was live in this replica. */
 	addDemand(jobId: JobId, demand: TaskDemand): void {
 		this.demands.set(jobId, demand);
-		dropOldestBeyond(this.demands, this.maxFinalRecords);
+		evictOldestBeyond(this.demands, this.maxFinalRecords);
 	}
 
-	/** What a task of a job that is over takes; null: not known without asking the store. */
+	/** Demand of a task of an ended job; null: not in the cache, the store must be read. */
 	demandOf(jobId: JobId): TaskDemand | null {
 		return this.demands.get(jobId) ?? this.recordsByJob.get(jobId)?.demand ?? null;
 	}
 
-	/** The replica was loaded as of the revision: from there on every cancellation is remembered. */
+	/** The replica was loaded as of this revision: every later cancellation is added. */
 	onReplicaLoaded(revision: Revision): void {
 		this.cancellationsCompleteAfter = Math.min(this.cancellationsCompleteAfter, revision);
 	}
 
 	/**
-	 * Every cancellation after the revision of which this node can have told a user. null: it cannot say, because
-	 * too many have been forgotten since, or because an earlier process of the node may have told of some that this
-	 * one never saw. Test: "a node names every cancellation since a revision ..." in store-replica.test.ts.
+	 * Returns every cancellation after the revision that this node may have reported to a user. null: the list would be
+	 * incomplete, because cancellations after the revision were evicted, or because an earlier process of the node may
+	 * have reported some that this process never received. Test: "cancellationsSince returns every cancellation ..."
+	 * in store-replica.test.ts.
 	 */
 	cancellationsSince(revision: Revision): CancelledJob[] | null {
 		if (revision < this.cancellationsCompleteAfter) return null;
@@ -89,9 +90,9 @@
 	}
 }
 
-/** Drops the oldest entry if there are more than so many, and returns its value. */
-function dropOldestBeyond<K, V>(map: Map<K, V>, size: number): V | undefined {
-	if (map.size <= size) return undefined;
+/** Evicts the oldest entry if the map is larger than this size, and returns the evicted value. */
+function evictOldestBeyond<K, V>(map: Map<K, V>, maxSize: number): V | undefined {
+	if (map.size <= maxSize) return undefined;
 	for (const [key, value] of map) {
 		map.delete(key);
 		return value;
--- a/src/bookkeeping/job.ts
+++ b/src/bookkeeping/job.ts
@@ -1,4 +1,4 @@
-/** A live job as its leader sees it: its tasks, its attempts and what is known of its run times and failures. */
+/** The leader's state of a live job: its tasks, its attempts, its run times and its failures. */
 
 import type { JobId, Revision } from "../protocol/model/identifiers.js";
 import { isService, type JobSpec, priorityRank } from "../protocol/model/job.js";
@@ -6,23 +6,23 @@
 import { FailureHistory } from "./failure-history.js";
 import { type ReadonlyTaskSet, TaskSet, tasksPerPage } from "./task-set.js";
 
-/** Where a job is in its life with one leader. */
+/** Stage of a job during the term of one leader. */
 type JobStage =
 	| { kind: "live" }
-	/** All tasks are done, and the record that says so is being written; it was last tried at this steady time. */
-	| { kind: "finalizing"; lastTriedAt: number }
+	/** All tasks are done, and the final record is being written; the last write began at this monotonic time. */
+	| { kind: "finalizing"; lastWriteAt: number }
 	/** The job has ended in the store. */
-	| { kind: "over" };
+	| { kind: "ended" };
 
 /**
- * Owns the state of one job. Each task is done, has one attempt or waits; a task that is done may still have an
- * attempt that ends. The cluster state alone adds and removes attempts.
+ * State of one job. Each task is done, has one attempt or waits; a done task may still have an attempt that has not
+ * ended yet. Only the cluster state adds and removes attempts.
  */
 export class Job {
-	/** What has failed, where and when. */
+	/** The failures of the job's tasks. */
 	readonly failures: FailureHistory;
 
-	/** The same for jobs whose tasks make the same demands on machines. */
+	/** Equal for jobs whose tasks make the same demands on machines. */
 	readonly demandKey: string;
 
 	readonly #doneTasks: TaskSet;
@@ -32,13 +32,13 @@
 	readonly #waitingTasks: number[] = [];
 	#stage: JobStage = { kind: "live" };
 	#finishedRuns = 0;
-	#finishedSeconds = 0;
+	#totalFinishedRunS = 0;
 	#loadedAt = 0;
-	#hadReservation = false;
+	#reservationUsed = false;
 	#placedByLeaderUntil = 0;
 
 	/**
-	 * @param acceptedAt Time of day of the submission, in milliseconds.
+	 * @param acceptedAt Wall-clock time of the submission, in milliseconds.
 	 * @param revision Revision of the job's live record.
 	 */
 	constructor(
@@ -54,22 +54,22 @@
 		this.#durableDoneTasks = new TaskSet(spec.taskCount);
 	}
 
-	/** Its tasks are replicas: they run until the job is cancelled, and none is ever done. */
+	/** True for a service job: its tasks are replicas, which run until the job is cancelled and are never done. */
 	get isService(): boolean {
 		return isService(this.spec);
 	}
 
-	/** The rank of its priority: smaller ranks come first. */
+	/** Rank of the job's priority; a smaller rank is more urgent. */
 	get priorityRank(): number {
 		return priorityRank[this.spec.priority];
 	}
 
-	/** Steady time at which this leader came to know the job. */
+	/** Monotonic time at which this leader loaded the job. */
 	get loadedAt(): number {
 		return this.#loadedAt;
 	}
 
-	/** Takes over the done tasks that the store holds, as pages of the bitmap. */
+	/** Loads the done tasks from the pages of the bitmap that the store holds, and computes the waiting tasks. */
 	load(donePages: Iterable<[page: number, bits: string]>, now: number): void {
 		for (const [page, bits] of donePages) {
 			this.#doneTasks.addPage(page, bits);
@@ -86,38 +86,38 @@
 		return this.#doneTasks;
 	}
 
-	/** The part of the done tasks that the store has confirmed. */
+	/** Done tasks whose record the store has confirmed. */
 	get durableDoneTasks(): ReadonlyTaskSet {
 		return this.#durableDoneTasks;
 	}
 
-	/** The task has completed; false: that was known. A replica is never done, whatever it reports. */
+	/** Marks a task as done and returns true if it was not. A replica is never done, whatever its worker reports. */
 	markTaskDone(taskIndex: number): boolean {
 		if (this.isService || !this.#doneTasks.add(taskIndex)) return false;
 		this.#changedPages.add(Math.floor(taskIndex / tasksPerPage));
 		return true;
 	}
 
-	/** Pages of the done tasks that have changed since the last call. */
+	/** Returns the pages of the done tasks that have changed since the last call. */
 	consumeChangedPages(): ReadonlySet<number> {
 		const pages = this.#changedPages;
 		if (pages.size > 0) this.#changedPages = new Set();
 		return pages;
 	}
 
-	/** The store has confirmed this page of the done tasks. */
+	/** Adds a page of done tasks that the store has confirmed. */
 	markPageDurable(page: number, bits: string): void {
 		this.#durableDoneTasks.addPage(page, bits);
 	}
 
 	// --- waiting tasks and attempts ---
 
-	/** Tasks that are neither done nor have an attempt; the last one starts first. */
+	/** Tasks that are neither done nor have an attempt; the last one of the list starts first. */
 	get waitingTasks(): readonly number[] {
 		return this.#waitingTasks;
 	}
 
-	/** Works out the waiting tasks anew, the lowest number to start first. */
+	/** Recomputes the waiting tasks; the task with the lowest number starts first. */
 	resetWaitingTasks(): void {
 		this.#waitingTasks.length = 0;
 		for (let i = this.spec.taskCount - 1; i >= 0; i--) {
@@ -125,12 +125,12 @@
 		}
 	}
 
-	/** A task waits, and no pause after failures keeps it from being tried. */
+	/** True if a task waits and the job is not in backoff after failures. */
 	hasReadyTask(now: number): boolean {
 		return this.#waitingTasks.length > 0 && this.failures.retryNotBefore <= now;
 	}
 
-	/** Takes the next waiting task that needs an attempt; undefined: there is none. */
+	/** Removes and returns the next waiting task that needs an attempt; undefined: there is none. */
 	dequeueWaitingTask(): number | undefined {
 		let taskIndex = this.#waitingTasks.pop();
 		while (taskIndex !== undefined && (this.#doneTasks.has(taskIndex) || this.#attempts.has(taskIndex)))
@@ -138,34 +138,34 @@
 		return taskIndex;
 	}
 
-	/** Attempts that run or may run, by task. */
+	/** Attempts that run or may run, by task number. */
 	get attempts(): ReadonlyMap<number, Attempt> {
 		return this.#attempts;
 	}
 
-	/** The task has an attempt from now on. */
+	/** Adds the attempt of a task that has none. */
 	addAttempt(attempt: Attempt): void {
 		this.#attempts.set(attempt.taskIndex, attempt);
 	}
 
-	/** The task does not wait any more: an attempt of it was found on a machine. */
+	/** Removes the task from the waiting tasks, because an attempt at it was found on a machine. */
 	removeWaitingTask(taskIndex: number): void {
-		const at = this.#waitingTasks.indexOf(taskIndex);
-		if (at >= 0) this.#waitingTasks.splice(at, 1);
+		const index = this.#waitingTasks.indexOf(taskIndex);
+		if (index >= 0) this.#waitingTasks.splice(index, 1);
 	}
 
-	/** The attempt is proved over; false: the task has another one, or none. */
+	/** Removes an attempt that has ended. Returns false if the task has another attempt, or none. */
 	removeAttempt(attempt: Attempt): boolean {
 		if (this.#attempts.get(attempt.taskIndex) !== attempt) return false;
 		return this.#attempts.delete(attempt.taskIndex);
 	}
 
-	/** The task waits again after its attempt, unless it is done or the job is over. */
+	/** Adds the task to the waiting tasks after the end of its attempt, unless it is done or the job has ended. */
 	requeueTask(taskIndex: number): void {
 		if (!this.ended && !this.#doneTasks.has(taskIndex)) this.#waitingTasks.push(taskIndex);
 	}
 
-	/** Tasks that run, or save before they end. */
+	/** Number of tasks that run, including those that save a checkpoint before they end. */
 	get runningCount(): number {
 		let count = 0;
 		for (const { phase } of this.#attempts.values())
@@ -173,40 +173,40 @@
 		return count;
 	}
 
-	// --- the end ---
+	// --- end of the job ---
 
-	/** All tasks are done, and the record that ends the job is being written. */
+	/** True if all tasks are done and the final record is being written. */
 	get finalizing(): boolean {
 		return this.#stage.kind === "finalizing";
 	}
 
-	/** Steady time at which writing that record was last tried; -Infinity: never. */
+	/** Monotonic time at which the last write of the final record began; -Infinity: the job is not finalizing. */
 	get lastFinalWriteAt(): number {
-		return this.#stage.kind === "finalizing" ? this.#stage.lastTriedAt : Number.NEGATIVE_INFINITY;
+		return this.#stage.kind === "finalizing" ? this.#stage.lastWriteAt : Number.NEGATIVE_INFINITY;
 	}
 
-	/** The job has ended in the store: nothing of it may start. */
+	/** True if the job has ended in the store: none of its tasks may start. */
 	get ended(): boolean {
-		return this.#stage.kind === "over";
+		return this.#stage.kind === "ended";
 	}
 
-	/** The record that ends the job is being written; repeated for every try. Nothing of the job starts any more. */
+	/** Records that a write of the final record begins, also for each retry. No task of the job starts any more. */
 	startFinalizing(now: number): void {
-		if (!this.ended) this.#stage = { kind: "finalizing", lastTriedAt: now };
+		if (!this.ended) this.#stage = { kind: "finalizing", lastWriteAt: now };
 	}
 
-	/** The job has ended in the store, by completion or by cancellation. */
+	/** Marks the job as ended in the store, by completion or by cancellation. */
 	end(): void {
-		this.#stage = { kind: "over" };
+		this.#stage = { kind: "ended" };
 		this.#waitingTasks.length = 0;
 	}
 
 	// --- run times ---
 
-	/** Estimated run time of a task: the mean of those finished, else the owner's estimate. Replicas have none: 0. */
+	/** Estimated run time of a task: the mean of the finished runs, otherwise the user's estimate; 0 for replicas. */
 	get estimatedRunS(): number {
 		if (this.isService) return 0;
-		return this.#finishedRuns > 0 ? this.#finishedSeconds / this.#finishedRuns : this.spec.estimatedRunS;
+		return this.#finishedRuns > 0 ? this.#totalFinishedRunS / this.#finishedRuns : this.spec.estimatedRunS;
 	}
 
 	/** Runs that have completed under this leader. */
@@ -214,30 +214,30 @@
 		return this.#finishedRuns;
 	}
 
-	/** A run has completed after so many seconds. */
+	/** Records the duration of a completed run. */
 	recordRun(seconds: number): void {
 		this.#finishedRuns += 1;
-		this.#finishedSeconds += seconds;
+		this.#totalFinishedRunS += seconds;
 	}
 
 	// --- placement ---
 
-	/** A machine was reserved for the job's first task, which is done once for each job. */
+	/** True if the job has used a machine reservation. Each job gets a reservation once, for its first task. */
 	get reservationUsed(): boolean {
-		return this.#hadReservation;
+		return this.#reservationUsed;
 	}
 
-	/** The task that the machine was reserved for has started. */
+	/** Records that the task for which a machine was reserved has started. */
 	markReservationUsed(): void {
-		this.#hadReservation = true;
+		this.#reservationUsed = true;
 	}
 
-	/** Steady time until which the leader places the job, whoever its team's placer is. */
+	/** Monotonic time until which the leader places the job, even if its team has another placer. */
 	get placedByLeaderUntil(): number {
 		return this.#placedByLeaderUntil;
 	}
 
-	/** The leader places the job until this steady time: the team's placer does not know it. */
+	/** Makes the leader place the job until this monotonic time, because the team's placer does not have the job. */
 	placeByLeaderUntil(until: number): void {
 		this.#placedByLeaderUntil = until;
 	}
--- a/src/bookkeeping/machine-fit.ts
+++ b/src/bookkeeping/machine-fit.ts
@@ -1,11 +1,11 @@
-/** Which machines and machine types the tasks of a job may run on, and how many of them at once. */
+/** Rules for which machines and machine types can run the tasks of a job, and how many of them at once. */
 
 import type { JobSpec } from "../protocol/model/job.js";
 import type { MachineType } from "../protocol/model/machine.js";
 import type { Job } from "./job.js";
 import type { Machine } from "./machine.js";
 
-/** Tasks of the job that an empty machine of the type holds at once. */
+/** Number of the job's tasks that fit at once on an empty machine of the type. */
 export function maxTasksPerMachine(spec: JobSpec, type: MachineType): number {
 	let tasks = Math.floor(type.cpus / spec.cpus);
 	if (spec.gpus > 0) tasks = Math.min(tasks, Math.floor(type.gpus / spec.gpus));
@@ -13,12 +13,12 @@
 	return tasks;
 }
 
-/** Whether the machine, were it empty, could hold a task of the job. */
+/** True if the job allows the machine and a task of the job would fit if the machine were empty. */
 export function fitsEmptyMachine(machine: Machine, job: Job): boolean {
 	return machineAllowed(job.spec, machine) && maxTasksPerMachine(job.spec, machine.type) > 0;
 }
 
-/** Whether the job allows a machine of this type, zone and kind at all, whatever room it has. */
+/** True if the job allows the machine's type and zone, and spot machines if it is one; ignores capacity. */
 export function machineAllowed(spec: JobSpec, machine: Pick<Machine, "type" | "zone" | "spot">): boolean {
 	return (
 		(spec.machineTypes === null || spec.machineTypes.includes(machine.type.name)) &&
@@ -28,8 +28,8 @@
 }
 
 /**
- * Whether a task of the job could ever run on this type, by all of the job's own demands together. A type that is
- * offered in no zone can't be rented.
+ * True if an empty machine of the type meets all demands of a task of the job together. A type that is offered in no
+ * zone does not fit, because it cannot be rented.
  */
 export function typeFits(spec: JobSpec, type: MachineType): boolean {
 	return (
--- a/src/bookkeeping/machine-health.ts
+++ b/src/bookkeeping/machine-health.ts
@@ -1,24 +1,24 @@
 /**
- * Whether a machine can be trusted with tasks. After a failure it is on probation: one task at a time. With
- * enough evidence against it, it is quarantined: it takes nothing new and is deleted once it is empty.
+ * The health of machines. After a task failure a machine is on probation and gets one task at a time. With enough
+ * evidence of a fault it is quarantined: it gets no new tasks and is deleted once it is empty.
  */
 
 import type { Job } from "./job.js";
 
-/** Trouble may be over while tasks still run on the machine, so a quarantine and a probation end by themselves. */
-const quarantineMs = 40_000;
-const probationMs = 20_000;
+/** Quarantine and probation expire, because the fault may be gone before the machine is empty and deleted. */
+const quarantineDurationMs = 40_000;
+const probationDurationMs = 20_000;
 
-/** Fewer runs than this say nothing about a machine's speed: tasks of one job differ by half. */
-const runsToJudgeSpeed = 10;
+/** Runs needed to judge a machine's speed: the run times of one job's tasks differ by half. */
+const minRunsForSpeed = 10;
 
-/** Machines of one type differ by a tenth; one that is this many times slower than the others is faulty. */
-const tooSlowFactor = 1.7;
+/** A machine this many times slower than the mean of others of its type is faulty; sound ones differ by a tenth. */
+const slowFactor = 1.7;
 
-/** At least so many other machines of the type must have enough runs to compare with. */
-const machinesToCompare = 2;
+/** Number of other machines of the type with enough runs that a comparison needs. */
+const minComparedMachines = 2;
 
-/** Why a machine is quarantined. Failures may turn out to be the fault of the jobs. */
+/** Cause of a quarantine. Failures may later be attributed to the jobs. */
 export type QuarantineCause = "failures" | "slow";
 
 type HealthState =
@@ -28,65 +28,65 @@
 			kind: "quarantined";
 			cause: QuarantineCause;
 			sinceAt: number;
-			/** A failure put the machine on probation that is not over, to be served after the quarantine. */
+			/** A probation after a failure has not ended, and continues if the quarantine is lifted. */
 			probationPending: boolean;
 	  };
 
-/** Owns the evidence about one machine and the conclusion drawn from it. */
+/** Health of one machine, and the evidence for it. */
 export class MachineHealth {
 	#state: HealthState = { kind: "healthy" };
-	#runs = 0;
+	#comparedRuns = 0;
 	#slowdown = 0;
 
-	readonly #failedJobs = new Set<Job>();
+	readonly #jobsWithFailures = new Set<Job>();
 
-	/** Jobs of which tasks failed here since a task last succeeded here; each may be to blame for its failure. */
+	/** Jobs whose tasks have failed on the machine since its last success; each may be at fault itself. */
 	get jobsWithFailures(): ReadonlySet<Job> {
-		return this.#failedJobs;
+		return this.#jobsWithFailures;
 	}
 
-	/** Takes nothing new. */
+	/** True if the machine gets no new tasks. */
 	get quarantined(): boolean {
 		return this.#state.kind === "quarantined";
 	}
 
-	/** Quarantined for failures, which may turn out to be the fault of the jobs. */
+	/** True if the cause of the quarantine is failures, which may later be attributed to the jobs. */
 	get quarantinedForFailures(): boolean {
 		return this.#state.kind === "quarantined" && this.#state.cause === "failures";
 	}
 
-	/** Only one task at a time is risked here. */
+	/** True if the machine gets one task at a time, also if it is quarantined as well. */
 	get onProbation(): boolean {
 		const state = this.#state;
 		return state.kind === "probation" || (state.kind === "quarantined" && state.probationPending);
 	}
 
-	/** Runs that have finished here and were compared with the mean of their jobs. */
+	/** Number of finished runs that were compared with the mean run time of their jobs. */
 	get comparedRuns(): number {
-		return this.#runs;
+		return this.#comparedRuns;
 	}
 
-	/** Run times here as a multiple of the mean run times of the same jobs. */
+	/** Mean run time on the machine as a multiple of the mean run times of the same jobs; recent runs weigh more. */
 	get slowdown(): number {
 		return this.#slowdown;
 	}
 
-	/** A task of the job has failed here, and the fault may be the machine's. */
+	/** Records the failure of a task of the job, which may be the machine's fault. */
 	recordFailure(job: Job): void {
-		this.#failedJobs.add(job);
+		this.#jobsWithFailures.add(job);
 	}
 
-	/** The failure of the job here was its own fault. */
+	/** Removes the failure of a job that has turned out to be at fault itself. */
 	removeFailure(job: Job): void {
-		this.#failedJobs.delete(job);
+		this.#jobsWithFailures.delete(job);
 	}
 
-	/** A task has succeeded here: the failures before it do not count any more. */
+	/** Clears the failures, after a task has succeeded on the machine. */
 	clearFailures(): void {
-		this.#failedJobs.clear();
+		this.#jobsWithFailures.clear();
 	}
 
-	/** A task has failed: one task at a time, until one has succeeded or the probation is over. */
+	/** Starts or prolongs the probation after a failure. It ends with a success or by expiry. */
 	startProbation(now: number): void {
 		this.#state =
 			this.#state.kind === "quarantined"
@@ -94,18 +94,18 @@
 				: { kind: "probation", sinceAt: now };
 	}
 
-	/** A task has succeeded, or the failures were the fault of the jobs. */
+	/** Ends the probation, because a task has succeeded or the jobs were at fault. */
 	clearProbation(): void {
 		if (this.#state.kind === "quarantined") this.#state = { ...this.#state, probationPending: false };
 		else this.#state = { kind: "healthy" };
 	}
 
-	/** The evidence against the machine is enough. */
+	/** Quarantines the machine, or changes the cause of its quarantine. */
 	quarantine(cause: QuarantineCause, now: number): void {
 		this.#state = { kind: "quarantined", cause, sinceAt: now, probationPending: this.onProbation };
 	}
 
-	/** The evidence against the machine has turned out to be weak. */
+	/** Ends the quarantine because the evidence has turned out to be insufficient; a pending probation continues. */
 	liftQuarantine(): void {
 		const state = this.#state;
 		if (state.kind !== "quarantined") return;
@@ -114,44 +114,45 @@
 			: { kind: "healthy" };
 	}
 
-	/** Ends a probation that has lasted long enough; a quarantine is followed by a probation. */
+	/** Ends an expired probation, or turns an expired quarantine into a probation and discards its evidence. */
 	applyExpiry(now: number): void {
 		const state = this.#state;
 		if (state.kind === "healthy") return;
 		const elapsedMs = now - state.sinceAt;
-		if (state.kind === "quarantined" && elapsedMs > quarantineMs) {
+		if (state.kind === "quarantined" && elapsedMs > quarantineDurationMs) {
 			this.clearFailures();
-			this.#runs = 0;
+			this.#comparedRuns = 0;
 			this.#state = { kind: "probation", sinceAt: now };
-		} else if (elapsedMs > probationMs) this.clearProbation();
+		} else if (elapsedMs > probationDurationMs) this.clearProbation();
 	}
 
-	/** A run has finished here: how long it took against the mean of its job. */
+	/** Records the duration of a finished run and the mean run time of its job. */
 	recordRun(seconds: number, meanSeconds: number): void {
-		this.#runs += 1;
-		this.#slowdown += (seconds / meanSeconds - this.#slowdown) / Math.min(this.#runs, runsToJudgeSpeed);
+		this.#comparedRuns += 1;
+		this.#slowdown +=
+			(seconds / meanSeconds - this.#slowdown) / Math.min(this.#comparedRuns, minRunsForSpeed);
 	}
 }
 
-/** What a comparison of speeds needs of a machine. */
+/** The properties of a machine that a comparison of speeds needs. */
 interface ComparedMachine {
 	readonly type: { readonly name: string };
 	readonly health: MachineHealth;
 }
 
 /**
- * Whether a machine runs its tasks much slower than others of its type run theirs. The slowdowns alone would
- * mislead: a job's short tasks end first, so while it runs its mean is too low and every slowdown too high.
+ * True if a machine's slowdown is much higher than the mean slowdown of others of its type. The slowdown itself would
+ * mislead: a job's short tasks end first, so its mean is too low and every slowdown too high while the job runs.
  */
-export function isMuchSlower(machine: ComparedMachine, all: Iterable<ComparedMachine>): boolean {
-	if (machine.health.comparedRuns < runsToJudgeSpeed) return false;
-	let others = 0;
+export function isMuchSlower(machine: ComparedMachine, machines: Iterable<ComparedMachine>): boolean {
+	if (machine.health.comparedRuns < minRunsForSpeed) return false;
+	let compared = 0;
 	let sum = 0;
-	for (const other of all) {
+	for (const other of machines) {
 		if (other === machine || other.type.name !== machine.type.name) continue;
-		if (other.health.comparedRuns < runsToJudgeSpeed) continue;
-		others += 1;
+		if (other.health.comparedRuns < minRunsForSpeed) continue;
+		compared += 1;
 		sum += other.health.slowdown;
 	}
-	return others >= machinesToCompare && machine.health.slowdown > (tooSlowFactor * sum) / others;
+	return compared >= minComparedMachines && machine.health.slowdown > (slowFactor * sum) / compared;
 }
--- a/src/bookkeeping/machine-lifecycle.ts
+++ b/src/bookkeeping/machine-lifecycle.ts
@@ -1,19 +1,19 @@
-/** The life of a rented machine, from the request that creates it to its deletion. */
+/** The lifecycle of a rented machine, from the request that creates it to its deletion. */
 
-/** How a leader came to know a machine. */
+/** The first source that named a machine to a leader. */
 export type MachineOrigin =
-	/** This leader had it created, so it knows when that was. */
+	/** This leader requested its creation, so the time of creation is known. */
 	| "created"
-	/** Only the cloud's list names it so far. */
+	/** The cloud's list of machines. */
 	| "listed"
-	/** Its worker sent a heartbeat. */
+	/** A heartbeat of its worker. */
 	| "heartbeat"
-	/** An earlier leader left a record of it. */
+	/** The record of it that an earlier leader stored. */
 	| "record";
 
-/** Owns where one machine is in its life. */
+/** Lifecycle state of one machine. */
 export class MachineLifecycle {
-	#heard: boolean;
+	#hasSentHeartbeat: boolean;
 	#recorded: boolean;
 	#overdue = false;
 	#draining = false;
@@ -21,81 +21,81 @@
 	#reclaimAt: number | null = null;
 
 	/**
-	 * @param origin How this leader came to know the machine.
-	 * @param requestedAt Steady time of the request that created the machine or, where this leader does not know
-	 *   it, since when it knows the machine.
+	 * @param origin The first source that named the machine to this leader.
+	 * @param requestedAt Monotonic time of the request that created the machine or, if another leader sent it, the time
+	 *   at which this leader added the machine.
 	 */
 	constructor(
 		readonly origin: MachineOrigin,
 		readonly requestedAt: number,
 	) {
-		this.#heard = origin === "heartbeat";
+		this.#hasSentHeartbeat = origin === "heartbeat";
 		this.#recorded = origin === "record";
 	}
 
-	/** This leader had the machine created. */
+	/** True if this leader requested the creation of the machine. */
 	get createdByThisLeader(): boolean {
 		return this.origin === "created";
 	}
 
-	/** Known from the cloud's list alone: no request of this leader and no heartbeat names it. */
+	/** True if only the cloud's list names the machine: no request of this leader and no heartbeat does. */
 	get onlyListed(): boolean {
-		return this.origin === "listed" && !this.#heard;
+		return this.origin === "listed" && !this.#hasSentHeartbeat;
 	}
 
-	/** Its record is in the store, so that a later leader knows that tasks may run here. */
+	/** True if the machine's record is in the store, which shows a later leader that tasks may run on the machine. */
 	get recorded(): boolean {
 		return this.#recorded;
 	}
 
-	/** Provisioning for longer than usual: another machine may be created in its place. */
+	/** True if the machine takes longer than usual to boot: another one may be created in its place. */
 	get overdue(): boolean {
 		return this.#overdue;
 	}
 
-	/** The hill climb has chosen it to run empty and be deleted. */
+	/** True if the hill climb has chosen the machine for scale-in: it gets no new tasks and is deleted once empty. */
 	get draining(): boolean {
 		return this.#draining;
 	}
 
-	/** Its deletion was requested, whatever the answer: nothing starts here any more. */
+	/** True if the machine's deletion was requested, even if the cloud refused it: no task starts on it any more. */
 	get deleting(): boolean {
 		return this.#deleting;
 	}
 
-	/** Steady time at which the cloud reclaims a spot machine; null: no notice was given. */
+	/** Monotonic time at which the cloud reclaims the spot machine; null: it has given no notice. */
 	get reclaimAt(): number | null {
 		return this.#reclaimAt;
 	}
 
-	/** The worker has sent a heartbeat. */
+	/** Applies a heartbeat of the worker, with the time of the spot reclaim that it reports. */
 	heartbeatReceived(reclaimAt: number | null): void {
-		this.#heard = true;
+		this.#hasSentHeartbeat = true;
 		this.#overdue = false;
 		this.#reclaimAt = reclaimAt;
 	}
 
-	/** The store has confirmed the machine's record. */
+	/** Records that the store has confirmed the machine's record. */
 	markRecorded(): void {
 		this.#recorded = true;
 	}
 
-	/** Sets whether the machine provisions for longer than usual. */
+	/** Sets whether the machine takes longer than usual to boot. */
 	setOverdue(overdue: boolean): void {
 		this.#overdue = overdue;
 	}
 
-	/** The machine takes no more work and is to be deleted once it is empty. */
+	/** Starts draining: the machine gets no new tasks and is deleted once it is empty. */
 	startDraining(): void {
 		this.#draining = true;
 	}
 
-	/** The machine is wanted again. */
+	/** Cancels draining: the machine gets new tasks again. */
 	cancelDraining(): void {
 		this.#draining = false;
 	}
 
-	/** The machine's deletion is requested; there is no way back. */
+	/** Records that the machine's deletion is requested. This cannot be undone. */
 	startDeleting(): void {
 		this.#deleting = true;
 	}
--- a/src/bookkeeping/machine.ts
+++ b/src/bookkeeping/machine.ts
@@ -1,4 +1,4 @@
-/** A rented machine as its leader sees it. Each part of its state has an owner, which alone changes it. */
+/** The leader's state of a rented machine. Each part of the state is a class, whose methods alone change it. */
 
 import type { MachineId, TaskId } from "../protocol/model/identifiers.js";
 import type { MachineType } from "../protocol/model/machine.js";
@@ -10,7 +10,7 @@
 import type { OrphanedTask } from "./orphaned-task.js";
 import { WorkerAgent } from "./worker-agent.js";
 
-/** What is known of a machine from the beginning. */
+/** Initial values of a machine. */
 export interface MachineDescription {
 	id: MachineId;
 	type: MachineType;
@@ -19,13 +19,13 @@
 	origin: MachineOrigin;
 }
 
-/** A machine with its worker, its health, its place in its life and its capacity. */
+/** A machine with its worker agent, health, lifecycle, capacity and attempts. */
 export class Machine {
 	readonly id: MachineId;
 	readonly type: MachineType;
 	readonly zone: string;
 	readonly spot: boolean;
-	/** Lease, agent epoch and reachability of its worker. */
+	/** Lease, epoch and reachability of the worker agent on the machine. */
 	readonly agent: WorkerAgent;
 	readonly health = new MachineHealth();
 	readonly lifecycle: MachineLifecycle;
@@ -35,43 +35,46 @@
 	readonly exitedTasks = new ExitedTasks();
 	#orphans: OrphanedTask[] = [];
 
-	/** @param since Steady time of the request that created it, or since when this leader knows it. */
-	constructor({ id, type, zone, spot, origin }: MachineDescription, since: number) {
+	/**
+	 * @param requestedAt Monotonic time of the request that created the machine or, if another leader sent it, the time
+	 *   at which this leader added the machine.
+	 */
+	constructor({ id, type, zone, spot, origin }: MachineDescription, requestedAt: number) {
 		this.id = id;
 		this.type = type;
 		this.zone = zone;
 		this.spot = spot;
-		this.agent = new WorkerAgent(since);
-		this.lifecycle = new MachineLifecycle(origin, since);
+		this.agent = new WorkerAgent(requestedAt);
+		this.lifecycle = new MachineLifecycle(origin, requestedAt);
 		this.capacity = new CapacityLedger(type);
 	}
 
-	/** Attempts that run here or may do so, by task. */
+	/** Attempts that run or may run on the machine, by task. */
 	get attempts(): ReadonlyMap<TaskId, Attempt> {
 		return this.#attempts;
 	}
 
-	/** Attempts that the latest heartbeat lists and that nobody wants; each heartbeat makes a new list. */
+	/** Orphaned tasks that the latest heartbeat lists. Each heartbeat replaces the list. */
 	get orphans(): readonly OrphanedTask[] {
 		return this.#orphans;
 	}
 
-	/** New tasks may be placed here. */
+	/** True if new tasks may be placed on the machine. */
 	get schedulable(): boolean {
 		return this.canStartTasks && this.countsAsCapacity;
 	}
 
-	/** Counts as capacity that is there or on its way. */
+	/** True if the machine counts as capacity, now or once it has booted. */
 	get countsAsCapacity(): boolean {
 		return !this.lifecycle.draining && !this.lifecycle.overdue && this.usable;
 	}
 
-	/** Starts that were decided before it was chosen for draining may still be sent. */
+	/** True if start commands may be sent for tasks that are assigned to the machine, even if it is draining. */
 	get acceptsAssignedStarts(): boolean {
 		return this.canStartTasks && this.usable;
 	}
 
-	/** Nothing but draining keeps it from being used. */
+	/** False if the worker's lease has expired or the machine is quarantined, unreachable, reclaimed or deleted. */
 	get usable(): boolean {
 		const { agent, health, lifecycle } = this;
 		return (
@@ -84,14 +87,14 @@
 	}
 
 	/**
-	 * Its worker runs, drops what earlier leaders say, and a later leader would know of the machine. Without all
-	 * three no task may start here.
+	 * True if the worker has sent a heartbeat, rejects commands of earlier leaders, and the machine's record is in the
+	 * store for later leaders. No task may start on the machine unless all three hold.
 	 */
 	private get canStartTasks(): boolean {
 		return this.agent.running && this.agent.fenced && this.lifecycle.recorded;
 	}
 
-	/** It will go away, or ought to: replicas here had better move elsewhere. */
+	/** True if replicas on the machine are to be relocated, because it is about to be removed or may be faulty. */
 	get needsEvacuation(): boolean {
 		const { agent, health, lifecycle } = this;
 		return (
@@ -102,28 +105,28 @@
 		);
 	}
 
-	/** Its present price per hour. */
+	/** Current price per hour: the spot price for a spot machine. */
 	get hourlyPrice(): number {
 		return this.spot ? this.type.spotPrice : this.type.price;
 	}
 
-	/** The worker lists an attempt that nobody wants. Called by the cluster state, which counts what it uses. */
+	/** Adds an orphaned task that the worker lists. Called by the cluster state, which counts its team's usage. */
 	addOrphan(task: OrphanedTask): void {
 		this.#orphans.push(task);
 	}
 
-	/** The orphaned tasks are gone, or listed anew. Called by the cluster state, which counts what they use. */
+	/** Removes all orphaned tasks, which have ended or are listed anew. Called by the cluster state, as `addOrphan`. */
 	clearOrphans(): void {
 		this.#orphans = [];
 	}
 
-	/** An attempt was assigned to the machine, or found on it. */
+	/** Adds an attempt that was assigned to the machine or found on it, and allocates its resources. */
 	addAttempt(attempt: Attempt): void {
 		this.#attempts.set(attempt.taskId, attempt);
 		this.capacity.allocate(attempt.job.spec);
 	}
 
-	/** An attempt is proved gone. */
+	/** Removes an attempt that has ended, and releases its resources. */
 	removeAttempt(attempt: Attempt): void {
 		if (this.#attempts.get(attempt.taskId) !== attempt) return;
 		this.#attempts.delete(attempt.taskId);
@@ -132,7 +135,7 @@
 	}
 }
 
-/** Stands for a type that the cloud no longer names: such a machine can run tasks, but gets no new ones. */
+/** Returns a stand-in for a type that the cloud no longer offers: the machine keeps its tasks but gets no new ones. */
 export function unknownMachineType(name: string): MachineType {
 	return {
 		name,
--- a/src/bookkeeping/quota-ledger.ts
+++ b/src/bookkeeping/quota-ledger.ts
@@ -1,55 +1,55 @@
-/** What the tasks of each team take, against the team's quota. */
+/** The usage of each team's quota by its tasks. */
 
 import type { TaskDemand } from "../protocol/model/job.js";
 import type { QuotaAmounts, TeamQuota } from "../protocol/model/team-quota.js";
 
-/** A task's part of its team's limit, and the controller whose allotment it comes from for now. */
+/** The charge of a task against its team's limit, and the controller whose allotment it currently counts against. */
 export interface QuotaCharge {
 	readonly team: string;
-	/** The controller whose allotment holds it; the charge follows when allotments move. */
+	/** The controller whose allotment is charged; changes when allotments are moved. */
 	node: string;
-	/** In thousandths. */
+	/** In thousandths of a CPU or accelerator. */
 	readonly amount: { readonly cpus: number; readonly gpus: number };
 }
 
-/** A part of a team's quota: what is guaranteed to it, or all that it may use. */
+/** One of the two parts of a team's quota: its guarantee or its limit. */
 export type QuotaBound = "guaranteed" | "limit";
 
-/** Sums of decimals drift; amounts that differ by less are equal. */
+/** Amounts that differ by less are equal: sums of decimal fractions accumulate rounding errors. */
 const tolerance = 1e-6;
 
-const nothing: Readonly<QuotaAmounts> = { cpus: 0, gpus: 0 };
+const zeroAmounts: Readonly<QuotaAmounts> = { cpus: 0, gpus: 0 };
 
 /**
- * Counts what teams' tasks take. A task counts from the moment its start is decided until it is proved gone, so
- * that a lost response can never hide one ("the assignment of tasks never exceeds a team's limit…" in
+ * Counts the usage of each team. A task counts from its assignment until it is confirmed to have ended, so that a lost
+ * response never leaves a running task uncounted ("the assignment of tasks never exceeds a team's limit…" in
  * tests/coordination/state/cluster-state.test.ts).
  */
 export class QuotaLedger {
 	private readonly quotas = new Map<string, TeamQuota>();
 	private readonly usageByTeam = new Map<string, QuotaAmounts>();
 
-	/** @param teams All teams that the platform names. Others have no quota: nothing of theirs fits. */
+	/** @param teams All teams in the platform's settings. No task of another team fits. */
 	constructor(teams: readonly TeamQuota[]) {
 		for (const team of teams) this.quotas.set(team.name, team);
 	}
 
-	/** A team's quota has changed. Teams that the platform does not name get none. */
+	/** Replaces a team's quota. Ignores teams that the platform's settings do not name. */
 	setQuota(quota: TeamQuota): void {
 		if (this.quotas.has(quota.name)) this.quotas.set(quota.name, quota);
 	}
 
-	/** The team's quota; undefined: the platform does not name the team. */
+	/** The team's quota; undefined: the platform's settings do not name the team. */
 	quotaOf(team: string): TeamQuota | undefined {
 		return this.quotas.get(team);
 	}
 
-	/** The names of all teams that the platform names. */
+	/** The names of all teams in the platform's settings. */
 	get teams(): Iterable<string> {
 		return this.quotas.keys();
 	}
 
-	/** What the team's tasks take now. */
+	/** Current usage of the team's tasks. */
 	usage(team: string): Readonly<QuotaAmounts> {
 		return this.mutableUsage(team);
 	}
@@ -63,21 +63,21 @@
 		return usage;
 	}
 
-	/** Counts a task of the demand's team. */
+	/** Adds a task to the usage of its team. */
 	allocate({ team, cpus, gpus }: TaskDemand): void {
 		const usage = this.mutableUsage(team);
 		usage.cpus += cpus;
 		usage.gpus += gpus;
 	}
 
-	/** A task that was counted is proved gone. */
+	/** Subtracts a task that has ended from the usage of its team. */
 	release({ team, cpus, gpus }: TaskDemand): void {
 		const usage = this.mutableUsage(team);
 		usage.cpus = Math.max(0, usage.cpus - cpus);
 		usage.gpus = Math.max(0, usage.gpus - gpus);
 	}
 
-	/** Whether one more task with this demand stays within its team's limit. */
+	/** True if one more task with this demand stays within its team's limit. */
 	fitsLimit({ team, cpus, gpus }: TaskDemand): boolean {
 		const limit = this.quotas.get(team)?.limit;
 		if (!limit) return false;
@@ -86,22 +86,22 @@
 	}
 
 	/**
-	 * How many more tasks with this demand fit within the bound of their team's quota.
+	 * Returns the number of further tasks with this demand that fit within the guarantee or the limit of their team.
 	 *
-	 * @param promised What else of the quota is about to be used, beside what tasks take now.
+	 * @param pending Usage that has been decided on but is not counted yet.
 	 */
 	taskHeadroom(
 		{ team, cpus, gpus }: TaskDemand,
 		bound: QuotaBound,
-		promised: Readonly<QuotaAmounts> = nothing,
+		pending: Readonly<QuotaAmounts> = zeroAmounts,
 	): number {
-		const most = this.quotas.get(team)?.[bound];
-		if (!most) return 0;
+		const max = this.quotas.get(team)?.[bound];
+		if (!max) return 0;
 		const usage = this.usage(team);
-		const byCpus =
-			cpus > 0 ? Math.floor((most.cpus - usage.cpus - promised.cpus + tolerance) / cpus) : Infinity;
-		const byGpus =
-			gpus > 0 ? Math.floor((most.gpus - usage.gpus - promised.gpus + tolerance) / gpus) : Infinity;
-		return Math.max(0, Math.min(byCpus, byGpus));
+		const tasksByCpus =
+			cpus > 0 ? Math.floor((max.cpus - usage.cpus - pending.cpus + tolerance) / cpus) : Infinity;
+		const tasksByGpus =
+			gpus > 0 ? Math.floor((max.gpus - usage.gpus - pending.gpus + tolerance) / gpus) : Infinity;
+		return Math.max(0, Math.min(tasksByCpus, tasksByGpus));
 	}
 }
--- a/src/bookkeeping/remaining-work.ts
+++ b/src/bookkeeping/remaining-work.ts
@@ -1,14 +1,14 @@
 /**
- * How much work tasks still are, in CPU seconds: what the hill climb weighs against the machines. The estimates
- * behind it are often wrong, so no task counts for more than a bound (`capS`, in seconds).
+ * The remaining work of tasks in CPU seconds, from which the hill climb computes the load on the machines. Run time
+ * estimates are often wrong, so the remaining run time of a task is capped (`capS`, in seconds).
  */
 
 import type { Attempt } from "./attempt.js";
 
-/** A running task counts as at most this much done, however long it has run beyond its estimate. */
+/** Upper bound of the progress of a running task, for tasks that run longer than their estimate. */
 const maxPercentDone = 99;
 
-/** CPU seconds that a running task has left. */
+/** Remaining CPU seconds of a running task. */
 export function remainingCpuSecondsOfRunning(
 	cpus: number,
 	elapsedS: number,
@@ -19,12 +19,12 @@
 	return cpus * Math.min(capS, (estimateS * (100 - percent)) / 100);
 }
 
-/** CPU seconds of a task that has not begun. */
+/** CPU seconds of a task that has not started to run. */
 export function remainingCpuSecondsOfWaiting(cpus: number, estimateS: number, capS: number): number {
 	return cpus * Math.min(capS, estimateS);
 }
 
-/** CPU seconds that the attempt has left, by the estimated run time of its job's tasks. */
+/** Remaining CPU seconds of an attempt, by the estimated run time of its job's tasks. */
 export function remainingCpuSecondsOfAttempt(
 	attempt: Pick<Attempt, "runningSince" | "job">,
 	now: number,
--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -1,10 +1,10 @@
 /**
- * A controller's replica of the store: all live records, as of a revision.
+ * A controller's in-memory replica of the store: all live records, as of a revision.
  *
- * News arrives from the watch, from loads and from this controller's own writes, and answers of overlapping watches
- * may arrive in any order. So a change at or before the replica's revision is never applied again, and of two states
- * of one key the later revision holds: otherwise a job could come back that has ended since. Tests:
- * store-replica.test.ts; traces 07, 08 and 13.
+ * Changes arrive from the watch, from loads and from this controller's own writes, and responses of overlapping
+ * watches may arrive in any order. Therefore a change at or before the replica's revision is never applied again, and
+ * of two values of one key the one with the higher revision is valid: otherwise a job that has ended could reappear.
+ * Tests: store-replica.test.ts; traces 07, 08 and 13.
  */
 
 import { MalformedMessageError } from "../protocol/errors.js";
@@ -23,10 +23,10 @@
 import { type CancelledJob, FinalJobCache } from "./final-job-cache.js";
 import { isNewer, type Versioned, VersionedMap } from "./versioned.js";
 
-/** Stands for the holder of a leader key that cannot be read. No controller has this name. */
-const unknownLeader: LeaderRecord = { node: "", incarnation: "" };
+/** Stand-in for the leader if the leader key cannot be decoded. No controller has this name. */
+const undecodableLeader: LeaderRecord = { node: "", incarnation: "" };
 
-/** Owns the replica. Only `ReplicaSync` and this controller's own confirmed writes change it. */
+/** The replica. Only `ReplicaSync` and this controller's confirmed writes change it. */
 export class StoreReplica {
 	#revision: Revision = -1;
 	#loaded = false;
@@ -38,39 +38,39 @@
 	private readonly donePages = new DoneTaskPages();
 	private readonly machines = new VersionedMap<StoredChunk<StoredMachineRecord>>();
 	private readonly quotas = new Map<string, Versioned<unknown>>();
-	/** Keys of values that cannot be read. */
+	/** Keys whose values cannot be decoded. */
 	private readonly malformedKeys = new Set<string>();
 	private readonly listeners: ((key: string) => void)[] = [];
 
 	/**
-	 * @param onMalformed Called once for each key whose value cannot be read.
-	 * @param changesPerS Changes that the store takes in a second.
+	 * @param onMalformed Called once for each key whose value cannot be decoded.
+	 * @param maxChangesPerS Maximum number of changes per second in the store.
 	 */
 	constructor(
 		private readonly onMalformed: (key: string, error: MalformedMessageError) => void = () => {},
-		changesPerS = 0,
+		maxChangesPerS = 0,
 	) {
-		this.finalJobs = new FinalJobCache(changesPerS);
+		this.finalJobs = new FinalJobCache(maxChangesPerS);
 	}
 
-	/** Calls the listener with the key after each change, and after each key that a load brought. */
+	/** Calls the listener with the key after each change has been applied; a load counts as a change of all its keys. */
 	onChange(listener: (key: string) => void): void {
 		this.listeners.push(listener);
 	}
 
-	// --- what it holds ---
+	// --- contents ---
 
-	/** Every change up to this revision is in the replica; -1: it was never loaded. */
+	/** The replica holds every change up to this revision; -1: it was never loaded. */
 	get revision(): Revision {
 		return this.#revision;
 	}
 
-	/** The replica holds every live record. false: it must be loaded first. */
+	/** True if the replica holds every live record; otherwise it must be loaded. */
 	get loaded(): boolean {
 		return this.#loaded;
 	}
 
-	/** The leader key; null: there is none. The node of one that cannot be read is empty. */
+	/** The leader key; null: there is none. If it cannot be decoded, its node is the empty string. */
 	get leader(): Versioned<LeaderRecord> | null {
 		return this.#leader;
 	}
@@ -80,32 +80,32 @@
 		return this.#machineTypes;
 	}
 
-	/** What every controller has said it supports. */
+	/** Features that every controller supports. */
 	get features(): FeatureSet {
 		return this.#features;
 	}
 
-	/** Live jobs. A job whose end is known is not among them, whoever brought the news. */
+	/** Live jobs, without those whose final record has been added. */
 	get jobs(): ReadonlyMap<JobId, Versioned<JobRecord>> {
 		return this.liveJobs.entries;
 	}
 
-	/** Jobs that are over, the latest of them. */
+	/** Final records of the jobs that ended last. */
 	get finalRecords(): ReadonlyMap<JobId, FinalJobRecord> {
 		return this.finalJobs.records;
 	}
 
-	/** Chunks of pages of done tasks, by their keys. */
+	/** Chunks of pages of done tasks, by key. */
 	get progressChunks(): ReadonlyMap<string, Versioned<StoredChunk<string>>> {
 		return this.donePages.chunks;
 	}
 
-	/** Chunks of machines that may run tasks, by their keys. */
+	/** Chunks of records of machines that may run tasks, by key. */
 	get machineChunks(): ReadonlyMap<string, Versioned<StoredChunk<StoredMachineRecord>>> {
 		return this.machines.entries;
 	}
 
-	/** Team quota's records by their keys, undecoded; undefined: the record was removed. */
+	/** Records of team quota by key, not decoded; value undefined: the record was removed. */
 	get quotaRecords(): ReadonlyMap<string, Versioned<unknown>> {
 		return this.quotas;
 	}
@@ -115,56 +115,56 @@
 		return this.donePages.pagesOf(jobId);
 	}
 
-	/** How many tasks of a live job are done. */
+	/** Number of done tasks of a live job. */
 	doneCount(jobId: JobId): number {
 		return this.donePages.doneCount(jobId);
 	}
 
-	/** What a task of a job that is over takes; null: not known without asking the store. */
+	/** Demand of a task of an ended job; null: not in the cache, the store must be read. */
 	demandOf(jobId: JobId): TaskDemand | null {
 		return this.finalJobs.demandOf(jobId);
 	}
 
-	/** Every cancellation after the revision of which this node can have told a user; null: it cannot say. */
+	/** Cancellations after the revision that this node may have reported to users; null: the cache may lack some. */
 	cancellationsSince(revision: Revision): CancelledJob[] | null {
 		return this.finalJobs.cancellationsSince(revision);
 	}
 
-	/** The job is here, live or over, or it has a record that cannot be read. */
+	/** True if the replica holds a live or final record of the job, or its live record cannot be decoded. */
 	hasJobRecord(jobId: JobId): boolean {
 		return this.jobs.has(jobId) || this.finalRecords.has(jobId) || this.malformedKeys.has(keys.job(jobId));
 	}
 
-	/** There are records of machines that may run tasks, and they cannot be read. */
+	/** True if a record of machines that may run tasks cannot be decoded. */
 	get machineRecordsMalformed(): boolean {
 		for (const key of this.malformedKeys) if (key.startsWith(keys.machines)) return true;
 		return false;
 	}
 
-	// --- what changes it ---
+	// --- changes ---
 
-	/** The changes since its revision are not to be had any more: it must be loaded anew. */
+	/** Requires a new load, because the store no longer provides the changes since the replica's revision. */
 	invalidate(): void {
 		this.#loaded = false;
 	}
 
-	/** Takes over a load: all live records, which hold every change up to the revision. */
+	/** Replaces the contents by a load: all live records, with every change up to the revision. */
 	reset(rows: readonly StoreRow[], revision: Revision): void {
-		const jobsBefore = [...this.jobs.keys()];
-		const quotasBefore = [...this.quotas.keys()];
+		const previousJobIds = [...this.jobs.keys()];
+		const previousQuotaKeys = [...this.quotas.keys()];
 		this.clearLiveRecords();
-		// Of two chunks that hold the same entry the later holds: a leader may have ended while it split one.
+		// If two chunks hold the same entry, the later one is valid: a leader may have failed while it split a chunk.
 		for (const row of [...rows].sort((a, b) => a.revision - b.revision))
 			this.put(row.key, row.value, row.revision);
 		this.#revision = revision;
 		this.#loaded = true;
 		this.finalJobs.onReplicaLoaded(revision);
-		for (const key of quotasBefore) if (!rows.some((row) => row.key === key)) this.remove(key, revision);
+		for (const key of previousQuotaKeys) if (!rows.some((row) => row.key === key)) this.remove(key, revision);
 		for (const row of rows) this.notify(row.key);
-		for (const jobId of jobsBefore) if (!this.jobs.has(jobId)) this.notify(keys.job(jobId));
+		for (const jobId of previousJobIds) if (!this.jobs.has(jobId)) this.notify(keys.job(jobId));
 	}
 
-	/** Applies changes that are complete up to the revision; those that it holds already are left out. */
+	/** Applies the changes up to the revision, except those that the replica holds already. */
 	apply(events: readonly StoreEvent[], revision: Revision): void {
 		for (const event of events) {
 			if (event.revision <= this.#revision) continue;
@@ -175,14 +175,14 @@
 		if (revision > this.#revision) this.#revision = revision;
 	}
 
-	/** Applies a change that is known to be in the store, such as this controller's own, ahead of the watch. */
+	/** Applies a change that the store has confirmed, such as this controller's write, before the watch reports it. */
 	applyConfirmedWrite(key: string, value: unknown, revision: Revision): void {
 		if (revision <= this.#revision) return;
 		this.put(key, value, revision);
 		this.notify(key);
 	}
 
-	/** The job is over, whoever brought the news, and no longer live: the watch may be stuck from here on. */
+	/** Adds a final record and removes the live job, without waiting for the watch, which may have stopped. */
 	addFinalRecord(jobId: JobId, record: FinalJobRecord, revision: Revision): void {
 		this.finalJobs.add(jobId, record, revision);
 		if (this.removeLiveJob(jobId, Number.POSITIVE_INFINITY)) this.notify(keys.job(jobId));
@@ -192,7 +192,7 @@
 		for (const listener of this.listeners) listener(key);
 	}
 
-	/** Team quota's records are not part of a load, and what is over stays over. */
+	/** Clears the live records. Final records are kept, and those of team quota, which are not part of a load. */
 	private clearLiveRecords(): void {
 		this.liveJobs.clear();
 		this.donePages.clear();
@@ -217,19 +217,19 @@
 	}
 
 	/**
-	 * A value that cannot be read is kept out, and what depends on it must know that it is there: a job is not
-	 * unknown, a leader is not absent, and machines may hold tasks. Tests: malformed-input.test.ts.
+	 * Records that a value cannot be decoded. The value is not applied, but its existence matters: a job with such a
+	 * record exists, a leader key is not absent, and machines may run tasks. Tests: malformed-input.test.ts.
 	 */
 	private putMalformed(key: string, revision: Revision, error: MalformedMessageError): void {
 		if (!this.malformedKeys.has(key)) this.onMalformed(key, error);
 		this.malformedKeys.add(key);
-		if (key === keys.leader) this.#leader = { value: unknownLeader, revision };
+		if (key === keys.leader) this.#leader = { value: undecodableLeader, revision };
 	}
 
 	private putRecord(key: string, record: StoredRecord, revision: Revision): void {
 		switch (record.kind) {
 			case "job":
-				// Final states never change: the live record of such a job was read before it ended.
+				// Final records never change: the live record of such a job was read before the job ended.
 				if (!this.finalRecords.has(record.jobId)) this.liveJobs.put(record.jobId, record.value, revision);
 				break;
 			case "final":
@@ -268,9 +268,9 @@
 	}
 
 	private removeQuota(key: string, revision: Revision): void {
-		const known = this.quotas.get(key);
-		// Kept as removed, so that its owner can be told.
-		if (known && known.revision <= revision) this.quotas.set(key, { value: undefined, revision });
+		const current = this.quotas.get(key);
+		// The key stays, without a value, so that team quota is notified of the removal.
+		if (current && current.revision <= revision) this.quotas.set(key, { value: undefined, revision });
 	}
 
 	private removeSingleton(key: string, revision: Revision): void {
@@ -280,7 +280,7 @@
 			this.#machineTypes = null;
 	}
 
-	/** Returns whether the job was live. What its tasks take is kept, for those that are still found running. */
+	/** Returns true if the job was live. Keeps the demand of its tasks, for those that are found running later. */
 	private removeLiveJob(jobId: JobId, revision: Revision): boolean {
 		const live = this.jobs.get(jobId);
 		if (!live || !this.liveJobs.remove(jobId, revision)) return false;
--- a/src/bookkeeping/task-set.ts
+++ b/src/bookkeeping/task-set.ts
@@ -1,22 +1,22 @@
-/** Sets of task numbers as bitmaps, which are stored in pages. */
+/** Sets of task numbers as bitmaps that are stored in pages. */
 
-/** Multiple of eight so that pages begin on a byte; as text a page takes some 700 characters. */
+/** Multiple of eight so that pages begin on a byte boundary; a page takes some 700 characters in base64. */
 export const tasksPerPage = 4096;
 
-/** A set of task numbers that the holder may not change. */
+/** Read-only view of a set of task numbers. */
 export interface ReadonlyTaskSet {
-	/** Number of tasks of the job; members are smaller. */
+	/** Number of tasks of the job; all members are smaller. */
 	readonly size: number;
 	/** Number of members. */
 	readonly count: number;
-	/** Every task is a member. */
+	/** True if every task is a member. */
 	readonly full: boolean;
 	has(taskIndex: number): boolean;
-	/** One page of the bitmap as text, for a store record. */
-	encodePage(number: number): string;
+	/** Returns a page of the bitmap in base64, for a store record. */
+	encodePage(page: number): string;
 }
 
-/** A set of task numbers of one job, kept as a bitmap. It only grows. */
+/** A set of task numbers of one job. Members are never removed. */
 export class TaskSet implements ReadonlyTaskSet {
 	private readonly bits: Uint8Array;
 	private members = 0;
@@ -39,7 +39,7 @@
 		return (this.byteOf(taskIndex) & bitOf(taskIndex)) !== 0;
 	}
 
-	/** Adds a task; false: it was a member, or the job has no such task. */
+	/** Adds a task. Returns false if it was a member already, or if the job has no such task. */
 	add(taskIndex: number): boolean {
 		if (taskIndex < 0 || taskIndex >= this.size || this.has(taskIndex)) return false;
 		this.bits[taskIndex >> 3] = this.byteOf(taskIndex) | bitOf(taskIndex);
@@ -47,17 +47,17 @@
 		return true;
 	}
 
-	encodePage(number: number): string {
-		const from = (number * tasksPerPage) >> 3;
-		return Buffer.from(this.bits.subarray(from, from + (tasksPerPage >> 3))).toString("base64");
+	encodePage(page: number): string {
+		const firstByte = (page * tasksPerPage) >> 3;
+		return Buffer.from(this.bits.subarray(firstByte, firstByte + (tasksPerPage >> 3))).toString("base64");
 	}
 
-	/** Adds the members of a page that `page` has made, of this set or of another one for the same job. */
-	addPage(number: number, text: string): void {
+	/** Adds the members of a page that `encodePage` returned for this job. */
+	addPage(page: number, text: string): void {
 		const bytes = Buffer.from(text, "base64");
-		const from = number * tasksPerPage;
+		const firstTask = page * tasksPerPage;
 		for (let i = 0; i < bytes.length * 8; i++) {
-			if (((bytes[i >> 3] ?? 0) & bitOf(i)) !== 0) this.add(from + i);
+			if (((bytes[i >> 3] ?? 0) & bitOf(i)) !== 0) this.add(firstTask + i);
 		}
 	}
 
@@ -71,7 +71,7 @@
 	return 1 << (taskIndex & 7);
 }
 
-/** Number of members in a page. */
+/** Returns the number of members in a page. */
 export function countInPage(text: string): number {
 	let members = 0;
 	for (const byte of Buffer.from(text, "base64")) {
--- a/src/bookkeeping/versioned.ts
+++ b/src/bookkeeping/versioned.ts
@@ -1,4 +1,4 @@
-/** Values with the revision that they have in the store, so that news that arrives out of order does no harm. */
+/** Values with their revision in the store, so that changes can arrive in any order. */
 
 import type { Revision } from "../protocol/model/identifiers.js";
 
@@ -8,35 +8,35 @@
 	revision: Revision;
 }
 
-/** Whether a change of that revision comes after what is known. */
-export function isNewer(revision: Revision, known: Versioned<unknown> | null | undefined): boolean {
-	return !known || known.revision < revision;
+/** True if a change of this revision is later than the current value. */
+export function isNewer(revision: Revision, current: Versioned<unknown> | null | undefined): boolean {
+	return !current || current.revision < revision;
 }
 
-/** Values by key. A change never replaces or removes the result of a later one. */
+/** Values by key. A change never replaces or removes a value with a higher revision. */
 export class VersionedMap<T> {
 	readonly #entries = new Map<string, Versioned<T>>();
 
-	/** The values as they are now and will be. */
+	/** Live view of the values. */
 	get entries(): ReadonlyMap<string, Versioned<T>> {
 		return this.#entries;
 	}
 
-	/** Takes over a value, unless a later one is known. Returns whether it was taken over. */
+	/** Sets a value unless the current one is at least as recent. Returns true if the value was set. */
 	put(key: string, value: T, revision: Revision): boolean {
 		if (!isNewer(revision, this.#entries.get(key))) return false;
 		this.#entries.set(key, { value, revision });
 		return true;
 	}
 
-	/** Removes a value, unless it is later than the removal. Returns whether there was one to remove. */
+	/** Removes a value unless it is later than the removal. Returns true if a value was removed. */
 	remove(key: string, revision: Revision): boolean {
-		const known = this.#entries.get(key);
-		if (!known || known.revision > revision) return false;
+		const current = this.#entries.get(key);
+		if (!current || current.revision > revision) return false;
 		return this.#entries.delete(key);
 	}
 
-	/** Forgets all values. */
+	/** Removes all values. */
 	clear(): void {
 		this.#entries.clear();
 	}
--- a/src/bookkeeping/worker-agent.ts
+++ b/src/bookkeeping/worker-agent.ts
@@ -1,152 +1,149 @@
-/** The worker on a machine as its leader sees it: its lease, its agent epoch and whether responses reach it. */
+/** The leader's state of the worker on a machine: its lease, its agent epoch and whether responses reach it. */
 
 import type { AgentEpoch } from "../protocol/model/identifiers.js";
 import type { WorkerHeartbeat } from "../protocol/model/worker.js";
 
-/** Responses in a row without effect after which the worker counts as unreachable: one may get lost. */
-const unreachableAfterResponses = 2;
+/** Number of ineffective responses in a row after which the worker counts as unreachable: a single one may be lost. */
+const unreachableResponseThreshold = 2;
 
 /**
- * A worker that has kept its lease for this many times its duration must have received responses: without them
- * the lease would have expired.
+ * A worker whose lease has not expired for this many lease durations must have received responses: without them the
+ * lease would have expired.
  */
-const leasesThatShowReachability = 1.5;
+const reachableLeaseFactor = 1.5;
 
-/** What a heartbeat shows of the effect that earlier responses had. */
+/** Evidence in a heartbeat for whether earlier responses reached the worker. */
 export interface ResponseEffects {
-	/** The worker's lease expired although it was answered lately. */
+	/** The worker's lease expired although its heartbeats have been answered recently. */
 	leaseExpired: boolean;
-	/** A start command was sent, and the heartbeat after it does not list the attempt. */
+	/** A start command was sent, and the following heartbeat does not list the attempt. */
 	startMissing: boolean;
-	/** A start command that was sent shows in the heartbeat. */
+	/** The heartbeat lists an attempt for which a start command was sent. */
 	startListed: boolean;
 }
 
-/**
- * Owns what one leader knows of a worker. Only heartbeats, responses and the expiry of the worker's lease change
- * it, by the methods here.
- */
+/** One leader's state of a worker. Only heartbeats, responses and the expiry of the worker's lease change it. */
 export class WorkerAgent {
 	#endpoint = "";
 	#epoch: AgentEpoch = 0;
-	#leastEpoch: AgentEpoch = 0;
+	#minEpoch: AgentEpoch = 0;
 	#sequence = -1;
 	#running = false;
 	#fenced = false;
 	#leaseExpired = false;
-	#heartbeatAt = Number.NEGATIVE_INFINITY;
-	#respondedAt: number;
-	#redirectedAt = Number.NEGATIVE_INFINITY;
+	#lastHeartbeatAt = Number.NEGATIVE_INFINITY;
+	#lastResponseAt: number;
+	#lastRedirectAt = Number.NEGATIVE_INFINITY;
 	#ineffectiveResponses = 0;
 	#lastIneffectiveAt = Number.NEGATIVE_INFINITY;
 	#unreachableSince: number | null = null;
 
-	/** @param now Steady time since when a lease of the worker may have been renewed. */
+	/** @param now Monotonic time until which a response of an earlier leader may have renewed the worker's lease. */
 	constructor(now: number) {
-		this.#respondedAt = now;
+		this.#lastResponseAt = now;
 	}
 
-	/** Address of the worker, `host:port`; empty: not known yet. */
+	/** Address of the worker, `host:port`; empty: not known. */
 	get endpoint(): string {
 		return this.#endpoint;
 	}
 
-	/** The worker's epoch as of its latest heartbeat; 0: it has sent none to this leader. */
+	/** Agent epoch in the latest heartbeat; 0: the worker has sent none to this leader. */
 	get agentEpoch(): AgentEpoch {
 		return this.#epoch;
 	}
 
-	/** Heartbeats of earlier epochs belong to a lease that has certainly expired. */
+	/** The lowest valid agent epoch: the lease of every lower epoch has certainly expired. */
 	get minAgentEpoch(): AgentEpoch {
-		return this.#leastEpoch;
+		return this.#minEpoch;
 	}
 
-	/** Sequence of the latest heartbeat; -1: there was none. */
+	/** Sequence number of the latest heartbeat; -1: there was none. */
 	get sequence(): number {
 		return this.#sequence;
 	}
 
-	/** The worker has sent a heartbeat to this leader. */
+	/** True if the worker has sent a heartbeat to this leader. */
 	get running(): boolean {
 		return this.#running;
 	}
 
-	/** The worker has shown this leader's fencing token: responses of earlier leaders have no effect any more. */
+	/** True if the worker has reported this leader's fencing token: it rejects responses of earlier leaders now. */
 	get fenced(): boolean {
 		return this.#fenced;
 	}
 
-	/** The worker's lease has certainly expired, and nothing was heard of it since. */
+	/** True if the worker's lease has certainly expired and no heartbeat has arrived since. */
 	get leaseExpired(): boolean {
 		return this.#leaseExpired;
 	}
 
-	/** Steady time of the latest heartbeat. */
+	/** Monotonic time of the latest heartbeat. */
 	get lastHeartbeatAt(): number {
-		return this.#heartbeatAt;
+		return this.#lastHeartbeatAt;
 	}
 
-	/** Steady time of the latest response that may have renewed the worker's lease. */
+	/** Monotonic time of the latest response that may have renewed the worker's lease. */
 	get lastResponseAt(): number {
-		return this.#respondedAt;
+		return this.#lastResponseAt;
 	}
 
-	/** Steady time at which the worker was last redirected to another controller. */
+	/** Monotonic time at which the worker was last redirected to another controller. */
 	get lastRedirectAt(): number {
-		return this.#redirectedAt;
+		return this.#lastRedirectAt;
 	}
 
-	/** Responses in a row that heartbeats show to have had no effect. */
+	/** Number of responses in a row that had no effect, according to the heartbeats after them. */
 	get ineffectiveResponses(): number {
 		return this.#ineffectiveResponses;
 	}
 
-	/** Steady time since which heartbeats arrive while responses do not; null: responses arrive. */
+	/** Monotonic time since which heartbeats arrive but responses do not reach the worker; null: responses reach it. */
 	get unreachableSince(): number | null {
 		return this.#unreachableSince;
 	}
 
-	/** Takes over a heartbeat that is newer than the latest. */
+	/** Applies a heartbeat that is newer than the latest one. */
 	heartbeatReceived(heartbeat: WorkerHeartbeat, now: number): void {
 		this.#epoch = heartbeat.agentEpoch;
 		this.#sequence = heartbeat.sequence;
 		this.#endpoint = heartbeat.endpoint;
-		this.#heartbeatAt = now;
+		this.#lastHeartbeatAt = now;
 		this.#running = true;
 		this.#leaseExpired = false;
 	}
 
-	/** The worker has shown the leader's fencing token. */
+	/** Records that the worker has reported the leader's fencing token. */
 	fencingConfirmed(): void {
 		this.#fenced = true;
 	}
 
-	/** An address that the cloud's list or a stored record names; heartbeats know better. */
+	/** Sets the address from the cloud's list or from a stored record, unless one is known; a heartbeat replaces it. */
 	setInitialEndpoint(endpoint: string): void {
 		if (this.#endpoint === "") this.#endpoint = endpoint;
 	}
 
-	/** A response was sent that may renew the worker's lease. */
+	/** Records that a response was sent, which may renew the worker's lease. */
 	responseSent(now: number): void {
-		this.#respondedAt = now;
+		this.#lastResponseAt = now;
 	}
 
-	/** The worker was redirected to another controller. */
+	/** Records that the worker was redirected to another controller. */
 	redirectSent(now: number): void {
-		this.#redirectedAt = now;
+		this.#lastRedirectAt = now;
 	}
 
-	/** The worker's lease has certainly expired; the worker may come back, but only with a later epoch. */
+	/** Marks the worker's lease as certainly expired. Heartbeats are accepted again only with a higher epoch. */
 	expireLease(): void {
 		this.#leaseExpired = true;
 		this.#fenced = false;
-		if (this.#epoch > 0) this.#leastEpoch = this.#epoch + 1;
+		if (this.#epoch > 0) this.#minEpoch = this.#epoch + 1;
 	}
 
 	/**
-	 * Judges by a heartbeat whether responses reach the worker. Heartbeats may arrive while responses do not, and
-	 * then the time since the last response says nothing. It shows by starts that are never listed, and by a lease
-	 * that expires although it was renewed.
+	 * Updates by a heartbeat whether responses reach the worker. If heartbeats arrive but responses are lost, the time
+	 * of the last response is no evidence. Attempts that are never listed after their start command, and a lease that
+	 * expires although it was renewed, show the loss.
 	 */
 	updateReachability(effects: ResponseEffects, leaseMs: number, now: number): void {
 		const ineffective = effects.leaseExpired || effects.startMissing;
@@ -154,15 +151,15 @@
 		else if (ineffective) this.#ineffectiveResponses += 1;
 		if (ineffective) {
 			this.#lastIneffectiveAt = now;
-			if (this.#ineffectiveResponses >= unreachableAfterResponses) this.#unreachableSince ??= now;
+			if (this.#ineffectiveResponses >= unreachableResponseThreshold) this.#unreachableSince ??= now;
 			return;
 		}
 		if (this.#unreachableSince === null) return;
-		const leaseHeld = now - this.#lastIneffectiveAt > leasesThatShowReachability * leaseMs;
+		const leaseHeld = now - this.#lastIneffectiveAt > reachableLeaseFactor * leaseMs;
 		if (effects.startListed || leaseHeld) this.assumeReachable();
 	}
 
-	/** Forgets what spoke against the worker's being reachable. */
+	/** Discards the evidence that responses do not reach the worker. */
 	assumeReachable(): void {
 		this.#unreachableSince = null;
 		this.#ineffectiveResponses = 0;
--- a/src/coordination/jobs/done-task-records.ts
+++ b/src/coordination/jobs/done-task-records.ts
@@ -1,4 +1,4 @@
-/** The stored record of which tasks of live jobs are done. */
+/** The stored records of the done tasks of live jobs. */
 
 import type { Job } from "../../bookkeeping/job.js";
 import { tasksPerPage } from "../../bookkeeping/task-set.js";
@@ -8,28 +8,28 @@
 import { keys } from "../../protocol/records/keys.js";
 import { ChunkedRecords, type ChunkedRecordsEnvironment } from "../replication/chunked-records.js";
 
-/** How often the done tasks are written: a few may run again after a failover, so it need not be at once. */
-const writeEveryMs = 1000;
+/** Writes are batched, because it is acceptable that a few done tasks run again after a failover. */
+const writeIntervalMs = 1000;
 
-/** How long pages of jobs that are over may stay in the store. */
-const shrinkEveryMs = 5000;
+/** Upper bound of the time for which pages of ended jobs stay in the store. */
+const pageCleanupIntervalMs = 5000;
 
-/** What the records need. */
+/** Dependencies of the records. */
 export interface DoneTaskRecordsOptions {
 	chunkedRecords: ChunkedRecordsEnvironment;
 	/** All live jobs. */
 	jobs(): Iterable<Job>;
-	/** A live job. */
+	/** Returns a live job; undefined: there is none with this id. */
 	jobById(id: JobId): Job | undefined;
 }
 
 /**
- * Writes the bitmaps of done tasks of the live jobs, in pages that share values of the store. Only what the
- * store has confirmed is in `Job.durableDoneTasks`.
+ * Writes the bitmaps of done tasks of the live jobs, in pages, several of which share a value in the store.
+ * `Job.durableDoneTasks` holds only what the store has confirmed.
  */
 export class DoneTaskRecords {
 	private readonly pages: ChunkedRecords<string>;
-	/** Steady time of the next write. */
+	/** Monotonic time of the next write. */
 	private nextWriteAt = 0;
 
 	constructor(private readonly options: DoneTaskRecordsOptions) {
@@ -37,28 +37,32 @@
 			...options.chunkedRecords,
 			prefix: keys.progress,
 			onConfirmed: (entries) => this.onConfirmed(entries),
-			pace: { priority: "background", minIntervalMs: writeEveryMs, cleanupIntervalMs: shrinkEveryMs },
+			pace: {
+				priority: "background",
+				minIntervalMs: writeIntervalMs,
+				cleanupIntervalMs: pageCleanupIntervalMs,
+			},
 		});
 	}
 
-	/** Takes over what the store held when the term began. */
+	/** Loads the chunks that the store holds at the beginning of the term. */
 	load(values: Iterable<[string, Versioned<StoredChunk<string>>]>): void {
 		this.pages.load(values);
 	}
 
-	/** Writes the pages that have changed, once it is time. Called often, while this process may act. */
+	/** Writes the changed pages at the write interval. Called often, only while the leader has authority. */
 	tick(now: number): void {
 		if (now < this.nextWriteAt) return;
-		this.nextWriteAt = now + writeEveryMs;
+		this.nextWriteAt = now + writeIntervalMs;
 		for (const job of this.options.jobs()) {
-			// The final record says more than the pages could.
+			// The final record makes the pages obsolete.
 			if (!job.finalizing) this.setChangedPages(job);
 		}
 		this.pages.flush();
 	}
 
-	/** Deletes the pages of a job that is over. */
-	delete(job: Job): void {
+	/** Deletes the pages of a job that has ended. */
+	deletePages(job: Job): void {
 		for (let page = 0; page * tasksPerPage < job.spec.taskCount; page++) {
 			this.pages.delete(pageName(job.id, page));
 		}
--- a/src/coordination/jobs/job-cancellation.ts
+++ b/src/coordination/jobs/job-cancellation.ts
@@ -1,4 +1,4 @@
-/** Cancels jobs: replaces the record of a live job by a final one. */
+/** Cancels jobs by replacing the live record by a final one. */
 
 import type { StoreReplica } from "../../bookkeeping/store-replica.js";
 import type { Versioned } from "../../bookkeeping/versioned.js";
@@ -11,32 +11,32 @@
 import { type JobLookup, type JobState, unavailableResult } from "./job-results.js";
 import type { JobStateReader } from "./job-state-reader.js";
 
-/** A write that meets a change of the job is tried again on its new state, but only so often. */
-const maxAttempts = 4;
+/** Maximum number of writes: one that fails because the job has changed is repeated on the job's new state. */
+const maxWrites = 4;
 
-/** What cancellation needs. */
+/** Dependencies of the cancellation. */
 export interface JobCancellationOptions {
 	replica: StoreReplica;
 	store: KeyValueStore;
-	states: JobStateReader;
+	stateReader: JobStateReader;
 	/** Runs an action in the serial executor, to which the replica belongs, and resolves to its result. */
 	call<T>(action: () => T): Promise<T>;
 }
 
 /**
- * Cancels a job by a write on the condition that its live record has not changed, so that a job ends once:
- * cancelled or done. The leader learns of it from the store and stops the tasks. Tests of the races are in
+ * Cancels a job by a write on the condition that its live record has not changed, so that a job ends only once, either
+ * cancelled or done. The leader receives the change from the store and stops the tasks. Tests of the races are in
  * `tests/service/cancellation-races.test.ts`.
  */
 export class JobCancellation {
 	constructor(private readonly options: JobCancellationOptions) {}
 
-	/** Never rejects because of the store: what is uncertain is answered as unavailable, at once. */
+	/** Cancels the job. Does not reject on errors of the store: reports an uncertain result as unavailable at once. */
 	async cancel(id: JobId): Promise<JobLookup> {
-		const { replica, states, call } = this.options;
+		const { replica, stateReader, call } = this.options;
 		try {
-			for (let attempt = 0; attempt < maxAttempts; attempt++) {
-				const state = await states.read(id);
+			for (let write = 0; write < maxWrites; write++) {
+				const state = await stateReader.read(id);
 				if (!state) return { kind: "not-found" };
 				if (state.status === "done" || state.status === "cancelled") return { kind: "found", ...state };
 				const record = await call(() => replica.jobs.get(id));
@@ -50,7 +50,7 @@
 		}
 	}
 
-	/** Returns whether the job is cancelled now; otherwise its record has changed meanwhile. */
+	/** Returns true if the job is cancelled now, and false if its live record has changed in the meantime. */
 	private async writeFinal(id: JobId, live: Versioned<JobRecord>, state: JobState): Promise<boolean> {
 		const { replica, store, call } = this.options;
 		const { spec } = live.value;
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -1,4 +1,4 @@
-/** The progress and the end of jobs in the store, as the leader writes them. */
+/** The leader's writes of the progress and the completion of jobs. */
 
 import type { Job } from "../../bookkeeping/job.js";
 import type { Versioned } from "../../bookkeeping/versioned.js";
@@ -15,11 +15,11 @@
 import type { ChunkedRecordsEnvironment } from "../replication/chunked-records.js";
 import { DoneTaskRecords } from "./done-task-records.js";
 
-const retryMs = 300;
+const retryDelayMs = 300;
 
-/** What completion needs. All functions are called in the serial executor. */
+/** Dependencies of the completion. All functions are called in the serial executor. */
 export interface JobCompletionOptions {
-	/** The leader key is that of the term: nothing is written after it has changed. */
+	/** Condition that the leader key is that of the term: a write fails once it has changed. */
 	leaderCondition: StoreCondition;
 	store: KeyValueStore;
 	clock: Clock;
@@ -27,22 +27,22 @@
 	chunkedRecords: ChunkedRecordsEnvironment;
 	/** Runs an action in the serial executor. */
 	post(action: () => void): void;
-	/** Whether the term is over, so that nothing more is written. */
+	/** Returns true if the term has ended, so that nothing more is written. */
 	termEnded(): boolean;
 	/** All live jobs. */
 	jobs(): Iterable<Job>;
-	/** A live job. */
+	/** Returns a live job; undefined: there is none with this id. */
 	jobById(id: JobId): Job | undefined;
-	/** The final record is in the store since this revision. */
+	/** Called when the final record has been written, with the revision of the write. */
 	onJobDone(job: Job, final: FinalJobRecord, revision: Revision): void;
-	/** A write was refused because the leader key has changed. */
+	/** Called when a write has failed because the leader key has changed. */
 	onLeaderKeyChanged(): void;
 }
 
 /**
- * Writes which tasks of live jobs are done, and replaces the record of a job all of whose tasks are done by a
- * final one. The latter is conditional on the job's live record, so that a job which its user cancels at the
- * same time ends once; tests of that are in `tests/service/cancellation-races.test.ts`.
+ * Writes the done tasks of live jobs, and replaces the live record of a job by a final one when all its tasks are
+ * done. The replacement is conditional on the live record, so that a job that a user cancels at the same time ends
+ * only once; tests of that are in `tests/service/cancellation-races.test.ts`.
  */
 export class JobCompletion {
 	private readonly doneTasks: DoneTaskRecords;
@@ -52,30 +52,30 @@
 		this.doneTasks = new DoneTaskRecords({ chunkedRecords, jobs, jobById });
 	}
 
-	/** Takes over what the store held when the term began. */
+	/** Loads the chunks of done tasks that the store holds at the beginning of the term. */
 	load(values: Iterable<[string, Versioned<StoredChunk<string>>]>): void {
 		this.doneTasks.load(values);
 	}
 
-	/** Writes what has changed, once it is time. Called often, while this process may act. */
+	/** Writes the changed done tasks at the write interval. Called often, only while the leader has authority. */
 	tick(now: number): void {
 		this.doneTasks.tick(now);
 	}
 
-	/** Deletes the record of which tasks were done of a job that is over. */
+	/** Deletes the pages of done tasks of a job that has ended. */
 	deleteProgress(job: Job): void {
-		this.doneTasks.delete(job);
+		this.doneTasks.deletePages(job);
 	}
 
-	/** Begins to write the final record if all tasks of the job are done. */
+	/** Starts to write the final record if all tasks of the job are done. */
 	finalizeIfDone(job: Job): void {
 		if (!job.doneTasks.full || job.finalizing || job.ended) return;
 		this.writeFinalRecord(job);
 	}
 
 	/**
-	 * Writes the final record, and tries again for as long as the store does not answer. A record that the store
-	 * rejects is logged, and tried again by the leader's audit of its jobs, which calls this.
+	 * Writes the final record, with retries until the store responds. A rejection by the store is logged; the leader's
+	 * audit of its jobs calls this method again later.
 	 */
 	writeFinalRecord(job: Job): void {
 		if (this.options.termEnded() || job.ended) return;
@@ -87,10 +87,10 @@
 			doneCount: spec.taskCount,
 			demand: taskDemandOf(spec),
 		};
-		void this.send(job, final);
+		void this.sendFinalRecord(job, final);
 	}
 
-	private async send(job: Job, final: FinalJobRecord): Promise<void> {
+	private async sendFinalRecord(job: Job, final: FinalJobRecord): Promise<void> {
 		const { leaderCondition, store, post } = this.options;
 		const conditions = [leaderCondition, { key: keys.job(job.id), revision: job.revision }];
 		const changes: StoreChange[] = [
@@ -99,20 +99,20 @@
 		];
 		try {
 			const result = await store.compareAndSwap(conditions, changes, "user");
-			post(() => this.onAnswered(job, final, result));
+			post(() => this.onResponse(job, final, result));
 		} catch (error) {
-			this.onFailed(job, error);
+			this.onWriteError(job, error);
 		}
 	}
 
-	private onAnswered(job: Job, final: FinalJobRecord, result: CompareAndSwapResult): void {
+	private onResponse(job: Job, final: FinalJobRecord, result: CompareAndSwapResult): void {
 		if (result.swapped) {
 			this.logDone(job);
 			this.options.onJobDone(job, final, result.revision);
 		} else if (result.conflicts.includes(keys.leader)) {
 			this.options.onLeaderKeyChanged();
 		}
-		// Otherwise the job was cancelled first. The store's watch tells the leader of that.
+		// Otherwise the job was cancelled first, and the leader receives the cancellation by the store's watch.
 	}
 
 	private logDone(job: Job): void {
@@ -122,12 +122,12 @@
 		log.info({ jobId: job.id, jobClass, tookS, deadlineS }, "job done");
 	}
 
-	private onFailed(job: Job, err: unknown): void {
+	private onWriteError(job: Job, err: unknown): void {
 		const { clock, post, log } = this.options;
 		if (err instanceof CallError && err.outcome === "rejected") {
 			log.error({ key: keys.final(job.id), err }, "record rejected by the store");
 			return;
 		}
-		clock.after(retryMs, () => post(() => this.writeFinalRecord(job)));
+		clock.after(retryDelayMs, () => post(() => this.writeFinalRecord(job)));
 	}
 }
--- a/src/coordination/jobs/job-feasibility.ts
+++ b/src/coordination/jobs/job-feasibility.ts
@@ -1,4 +1,4 @@
-/** Whether a job can ever run with the teams' limits and the machine types there are. */
+/** Checks whether a job can ever run with its team's limit and the machine types on offer. */
 
 import { typeFits } from "../../bookkeeping/machine-fit.js";
 import { isService, type JobSpec } from "../../protocol/model/job.js";
@@ -6,9 +6,9 @@
 import type { TeamQuota } from "../../protocol/model/team-quota.js";
 
 /**
- * Returns why a job can never run, in words for its user; null: it can.
+ * Returns the reason why a job can never run, as a message for its user; null: it can run.
  *
- * Zone rules alone never keep an array from running: its tasks need not run at the same time, so that one zone
+ * Zone rules alone never prevent an array job from running: its tasks need not run at the same time, so a single zone
  * can run one half of them after the other. The test is in `tests/coordination/jobs/job-feasibility.test.ts`.
  *
  * @param team The quota of the job's team; undefined: there is no such team.
@@ -28,7 +28,7 @@
 	return isService(spec) ? serviceInfeasibilityReason(spec, team, fitting) : null;
 }
 
-/** The replicas of a service run at the same time: quota and zone rules hold for all of them together. */
+/** The replicas of a service job run at the same time: quota and zone rules apply to all of them together. */
 function serviceInfeasibilityReason(
 	spec: JobSpec,
 	team: TeamQuota,
--- a/src/coordination/jobs/job-results.ts
+++ b/src/coordination/jobs/job-results.ts
@@ -1,49 +1,49 @@
-/** What users' requests about jobs result in. */
+/** Results of users' requests about jobs. */
 
 import { MalformedMessageError } from "../../protocol/errors.js";
 import type { JobStatus } from "../../protocol/model/job.js";
 import type { FinalJobRecord } from "../../protocol/records/final-record.js";
 import { CallError } from "../ports/call-error.js";
 
-/** A job's state as its user sees it. */
+/** State of a job as reported to its user. */
 export interface JobState {
 	status: JobStatus;
-	/** Tasks that are done. */
+	/** Number of done tasks. */
 	done: number;
-	/** Tasks that run; for display. */
+	/** Number of running tasks as last reported by the leader; for display only. */
 	running: number;
 }
 
-/** The request cannot be answered with certainty now. It may succeed when it is repeated. */
+/** The result of the request is uncertain at present. The user may repeat the request. */
 export interface Unavailable {
 	kind: "unavailable";
 	/** Shown to the user. */
 	reason: string;
 }
 
-/** What became of a submission. */
+/** Result of a submission. */
 export type SubmitResult =
 	/** The job is in the store now. */
 	| { kind: "accepted"; status: JobStatus }
-	/** The job was accepted earlier: a submission is idempotent, whatever else it says. */
+	/** A job with this id was accepted earlier: submission is idempotent by id, other fields are ignored. */
 	| { kind: "duplicate"; status: JobStatus }
-	/** The job can never run here. */
+	/** The job can never run on this platform. */
 	| { kind: "rejected"; reason: string }
-	/** A field names something that does not exist. */
+	/** A field names something that does not exist, such as a zone. */
 	| { kind: "malformed"; reason: string }
 	| Unavailable;
 
-/** What is known of a job. */
+/** Result of a status request or a cancellation. */
 export type JobLookup = ({ kind: "found" } & JobState) | { kind: "not-found" } | Unavailable;
 
-/** The state of a job that is over. */
+/** Returns the state of a job that has ended. */
 export function stateOfFinal(final: FinalJobRecord): JobState {
 	return { status: final.status, done: final.doneCount, running: 0 };
 }
 
 /**
- * What a user is told when an error keeps a request from being answered: a call to the store that failed, or a
- * record that this version cannot read. Any other error is a fault of this process and is thrown on.
+ * Converts an error to a result for the user: a failed call to the store, or a record that this version cannot decode.
+ * Any other error is a programming error and is rethrown.
  */
 export function unavailableResult(error: unknown): Unavailable {
 	if (error instanceof CallError) {
--- a/src/coordination/jobs/job-service.ts
+++ b/src/coordination/jobs/job-service.ts
@@ -12,56 +12,56 @@
 import { JobStateReader } from "./job-state-reader.js";
 import { JobSubmission } from "./job-submission.js";
 
-/** What the service needs. */
+/** Dependencies of the service. */
 export interface JobServiceOptions {
 	replica: StoreReplica;
 	replicaSync: ReplicaSync;
 	store: KeyValueStore;
 	clock: Clock;
-	/** The quota of a team; undefined: there is no such team. */
+	/** Returns the quota of a team; undefined: there is no such team. */
 	quotaOf(team: string): TeamQuota | undefined;
-	/** The zones of the platform's settings; empty: the settings do not say. */
+	/** The zones in the platform's settings; empty: the settings do not list them. */
 	zones: readonly string[];
-	/** Largest value that the store takes. */
+	/** Size limit of a value in the store. */
 	maxValueBytes: number;
 	/** Runs an action in the serial executor, to which the replica belongs, and resolves to its result. */
 	call<T>(action: () => T): Promise<T>;
-	/** Tasks of the job that run, as the leader last said. */
+	/** Returns the number of running tasks of the job, as last reported by the leader. */
 	runningTaskCount(id: JobId): number;
 }
 
 /**
- * Serves users on every controller, by the store alone, so that they need no leader: the leader learns of new
- * and cancelled jobs from the store. What cannot be answered with certainty is answered as unavailable at once,
- * since users turn to another controller then.
+ * Serves users' requests on every controller. It uses only the store, so that it works without a leader: the leader
+ * receives new and cancelled jobs from the store. A request with an uncertain result is answered as unavailable at
+ * once, so that the user turns to another controller.
  */
 export class JobService {
-	private readonly states: JobStateReader;
+	private readonly stateReader: JobStateReader;
 	private readonly submission: JobSubmission;
 	private readonly cancellation: JobCancellation;
 
 	constructor(options: JobServiceOptions) {
-		this.states = new JobStateReader(options);
-		this.submission = new JobSubmission({ ...options, states: this.states });
-		this.cancellation = new JobCancellation({ ...options, states: this.states });
+		this.stateReader = new JobStateReader(options);
+		this.submission = new JobSubmission({ ...options, stateReader: this.stateReader });
+		this.cancellation = new JobCancellation({ ...options, stateReader: this.stateReader });
 	}
 
-	/** Accepts a job, or says why not. */
+	/** Accepts a job, or returns the reason why not. */
 	submit(spec: JobSpec): Promise<SubmitResult> {
 		return this.submission.submit(spec);
 	}
 
-	/** The job's state as of some moment after the call. */
+	/** Resolves to the job's state at a time between the call and its result. */
 	async status(id: JobId): Promise<JobLookup> {
 		try {
-			const state = await this.states.read(id);
+			const state = await this.stateReader.read(id);
 			return state ? { kind: "found", ...state } : { kind: "not-found" };
 		} catch (error) {
 			return unavailableResult(error);
 		}
 	}
 
-	/** Cancels the job, unless it is over. Resolves to its state afterwards. */
+	/** Cancels the job, unless it has ended. Resolves to its state afterwards. */
 	cancel(id: JobId): Promise<JobLookup> {
 		return this.cancellation.cancel(id);
 	}
--- a/src/coordination/jobs/job-state-reader.ts
+++ b/src/coordination/jobs/job-state-reader.ts
@@ -1,4 +1,4 @@
-/** Reads the state of jobs so that no answer is older than one that any controller has given before. */
+/** Linearizable reads of job states: no answer is older than one that any controller has given before. */
 
 import type { StoreReplica } from "../../bookkeeping/store-replica.js";
 import type { JobId } from "../../protocol/model/identifiers.js";
@@ -9,43 +9,43 @@
 import type { ReplicaSync } from "../replication/replica-sync.js";
 import { type JobState, stateOfFinal } from "./job-results.js";
 
-/** What the reader needs. */
+/** Dependencies of the reader. */
 export interface JobStateReaderOptions {
 	replica: StoreReplica;
 	replicaSync: ReplicaSync;
 	store: KeyValueStore;
 	/** Runs an action in the serial executor, to which the replica belongs, and resolves to its result. */
 	call<T>(action: () => T): Promise<T>;
-	/** Tasks of the job that run, as the leader last said. */
+	/** Returns the number of running tasks of the job, as last reported by the leader. */
 	runningTaskCount(id: JobId): number;
 }
 
-/** Answers from the replica where that is certain to be recent enough, and from the store otherwise. */
+/** Reads from the replica if it is certainly recent enough, and from the store otherwise. */
 export class JobStateReader {
 	constructor(private readonly options: JobStateReaderOptions) {}
 
 	/**
-	 * The job's state as of some moment after the call; null: there is no such job. Rejects with a CallError when
-	 * that is not certain, and with a MalformedMessageError when the job's record cannot be read.
+	 * Resolves to the job's state at a time between the call and its result; null: there is no such job. Rejects with a
+	 * CallError if the state is uncertain, and with a MalformedMessageError if the job's record cannot be decoded.
 	 */
 	async read(id: JobId): Promise<JobState | null> {
 		const { replicaSync, call } = this.options;
-		const final = await call(() => this.replicatedFinal(id));
-		// A final state never changes, so it needs no check.
+		const final = await call(() => this.replicaFinalState(id));
+		// A final state never changes, so an old one is valid.
 		if (final) return final;
 		await replicaSync.readBarrier();
-		return (await call(() => this.replicated(id))) ?? this.readStore(id);
+		return (await call(() => this.replicaState(id))) ?? this.readStore(id);
 	}
 
-	/** The job's state in the replica, however old that is; null: the replica has no such job. */
+	/** Resolves to the job's state in the replica, which may be outdated; null: the replica has no such job. */
 	readReplica(id: JobId): Promise<JobState | null> {
-		return this.options.call(() => this.replicated(id));
+		return this.options.call(() => this.replicaState(id));
 	}
 
 	/**
-	 * Of a job that the replica lacks. The replica may have been reloaded, from rows that were read earlier, since
-	 * it was asked. That there is no such job is said only when the store has neither of its keys; the key of the
-	 * live job is looked up first, since a job moves from there to the final one.
+	 * Reads from the store the state of a job that the replica lacks. The replica may lack it because it was reloaded
+	 * after the read barrier, from rows that were read before. Resolves to null only if the store has neither of the
+	 * job's keys. The live key is read first, because a job moves from the live key to the final one.
 	 */
 	private async readStore(id: JobId): Promise<JobState | null> {
 		const { store, replica, call } = this.options;
@@ -58,13 +58,13 @@
 		return stateOfFinal(record);
 	}
 
-	private replicatedFinal(id: JobId): JobState | null {
+	private replicaFinalState(id: JobId): JobState | null {
 		const final = this.options.replica.finalRecords.get(id);
 		return final ? stateOfFinal(final) : null;
 	}
 
-	private replicated(id: JobId): JobState | null {
-		const final = this.replicatedFinal(id);
+	private replicaState(id: JobId): JobState | null {
+		const final = this.replicaFinalState(id);
 		if (final) return final;
 		const { replica, runningTaskCount } = this.options;
 		if (!replica.jobs.has(id)) return null;
--- a/src/coordination/jobs/job-submission.ts
+++ b/src/coordination/jobs/job-submission.ts
@@ -1,4 +1,4 @@
-/** Accepts jobs: checks them and writes them to the store. */
+/** Accepts jobs: validates them and writes them to the store. */
 
 import type { StoreReplica } from "../../bookkeeping/store-replica.js";
 import type { JobId } from "../../protocol/model/identifiers.js";
@@ -14,42 +14,42 @@
 import { type SubmitResult, unavailableResult } from "./job-results.js";
 import type { JobStateReader } from "./job-state-reader.js";
 
-/** What submission needs. */
+/** Dependencies of the submission. */
 export interface JobSubmissionOptions {
 	replica: StoreReplica;
 	replicaSync: ReplicaSync;
 	store: KeyValueStore;
 	clock: Clock;
-	states: JobStateReader;
-	/** The quota of a team; undefined: there is no such team. */
+	stateReader: JobStateReader;
+	/** Returns the quota of a team; undefined: there is no such team. */
 	quotaOf(team: string): TeamQuota | undefined;
-	/** The zones of the platform's settings; empty: the settings do not say. */
+	/** The zones in the platform's settings; empty: the settings do not list them. */
 	zones: readonly string[];
-	/** Largest value that the store takes. */
+	/** Size limit of a value in the store. */
 	maxValueBytes: number;
 	/** Runs an action in the serial executor, to which the replica belongs, and resolves to its result. */
 	call<T>(action: () => T): Promise<T>;
 }
 
 /**
- * Accepts a job by creating its record, on the condition that neither a live nor a final record of that id is
- * there. So the same job submitted to several controllers at once is accepted by one of them.
+ * Accepts a job by creating its record, on the condition that the store has neither a live nor a final record with its
+ * id. So a job that is submitted to several controllers at the same time is accepted by only one of them.
  */
 export class JobSubmission {
 	constructor(private readonly options: JobSubmissionOptions) {}
 
-	/** Never rejects because of the store: what is uncertain is answered as unavailable, at once. */
+	/** Submits a job. Does not reject on errors of the store: reports an uncertain result as unavailable at once. */
 	async submit(spec: JobSpec): Promise<SubmitResult> {
 		try {
-			const known = await this.options.states.readReplica(spec.id);
-			// Before any check of the job: settings may have changed since it was accepted.
-			return known ? await this.duplicate(spec.id) : await this.submitNew(spec);
+			const replicaState = await this.options.stateReader.readReplica(spec.id);
+			// Checked before the job is validated: settings may have changed since it was accepted.
+			return replicaState ? await this.duplicateResult(spec.id) : await this.submitNew(spec);
 		} catch (error) {
 			return unavailableResult(error);
 		}
 	}
 
-	/** Submits a job that the replica does not know, which another controller may have accepted nevertheless. */
+	/** Submits a job that is not in the replica; another controller may have accepted it already. */
 	private async submitNew(spec: JobSpec): Promise<SubmitResult> {
 		const { replica, replicaSync, clock } = this.options;
 		replicaSync.assertResponsive();
@@ -57,18 +57,18 @@
 		if (!replica.loaded || !types) {
 			return { kind: "unavailable", reason: "the machine types are not known yet" };
 		}
-		// A controller that does not know services would run their replicas to an end, like tasks of an array.
+		// A controller without support for service jobs would treat their replicas as tasks of an array job, which end.
 		if (isService(spec) && !replica.features.serviceJobs) {
 			return { kind: "unavailable", reason: "not all controllers are known to serve standing jobs yet" };
 		}
 		const record = encodeJobRecord({ spec, acceptedAt: clock.date().getTime() });
-		const refusal = this.refusalOf(spec, record, types);
+		const refusal = this.validate(spec, record, types);
 		return refusal ? this.refuse(spec.id, refusal) : this.accept(spec.id, record);
 	}
 
-	private refusalOf(spec: JobSpec, record: StoredJobRecord, types: MachineType[]): SubmitResult | null {
+	private validate(spec: JobSpec, record: StoredJobRecord, types: MachineType[]): SubmitResult | null {
 		const { zones, quotaOf, maxValueBytes } = this.options;
-		// A zone that does not exist is a mistake in the field; one that offers no fitting type is not.
+		// An unknown zone is a malformed field; an existing zone without a fitting machine type is a rejection.
 		if (spec.zone !== null && zones.length > 0 && !zones.includes(spec.zone)) {
 			return { kind: "malformed", reason: `field "hall": there is no zone "${spec.zone}"` };
 		}
@@ -80,27 +80,27 @@
 		return null;
 	}
 
-	/** Refuses a job, unless it is certain that it was accepted earlier: that may not be taken back. */
+	/** Refuses a job, unless it was accepted earlier: an accepted job must not be refused later. */
 	private async refuse(id: JobId, refusal: SubmitResult): Promise<SubmitResult> {
-		const known = await this.options.states.read(id);
-		return known ? { kind: "duplicate", status: known.status } : refusal;
+		const existing = await this.options.stateReader.read(id);
+		return existing ? { kind: "duplicate", status: existing.status } : refusal;
 	}
 
 	private async accept(id: JobId, record: StoredJobRecord): Promise<SubmitResult> {
 		const { store, replica, call } = this.options;
 		const key = keys.job(id);
-		const isNew = [
+		const noRecord = [
 			{ key, revision: 0 },
 			{ key: keys.final(id), revision: 0 },
 		];
-		const result = await store.compareAndSwap(isNew, [{ put: key, value: record }], "user");
-		if (!result.swapped) return this.duplicate(id);
+		const result = await store.compareAndSwap(noRecord, [{ put: key, value: record }], "user");
+		if (!result.swapped) return this.duplicateResult(id);
 		await call(() => replica.applyConfirmedWrite(key, record, result.revision));
 		return { kind: "accepted", status: "pending" };
 	}
 
-	private async duplicate(id: JobId): Promise<SubmitResult> {
-		const state = await this.options.states.read(id);
+	private async duplicateResult(id: JobId): Promise<SubmitResult> {
+		const state = await this.options.stateReader.read(id);
 		if (!state) return { kind: "unavailable", reason: "the job's state is not certain for now" };
 		return { kind: "duplicate", status: state.status };
 	}
--- a/src/coordination/jobs/live-jobs.ts
+++ b/src/coordination/jobs/live-jobs.ts
@@ -1,4 +1,4 @@
-/** Keeps the jobs that a leader works on in step with the jobs in its replica of the store. */
+/** Keeps the jobs in a leader's cluster state consistent with the live jobs in its store replica. */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
@@ -16,26 +16,26 @@
 import type { TermAuthority } from "../state/term-authority.js";
 import { JobCompletion } from "./job-completion.js";
 
-const auditEveryMs = 10_000;
+const auditIntervalMs = 10_000;
 
-/** What the live jobs of a term need. */
+/** Dependencies of the live jobs of a term. */
 export interface LiveJobsOptions {
 	authority: TermAuthority;
 	clusterState: ClusterState;
 	replica: StoreReplica;
 	store: KeyValueStore;
-	/** What all chunked records of the term have in common. */
+	/** Dependencies that all chunked records of the term share. */
 	chunkedRecords: ChunkedRecordsEnvironment;
 	clock: Clock;
 	log: Log;
 	post(action: () => void): void;
-	/** Sends the stop commands of attempts whose stop was decided. */
+	/** Sends stop commands for attempts whose stop is requested. */
 	stopAttempts(attempts: Attempt[]): void;
 }
 
 /**
- * Loads jobs into the cluster state when they appear in the replica, and removes them when they are over. Owns the
- * writing of progress and of final records.
+ * Loads jobs into the cluster state when they appear in the replica, and removes them when they have ended. Also
+ * writes the progress of jobs and their final records.
  */
 export class LiveJobs {
 	private readonly completion: JobCompletion;
@@ -58,7 +58,7 @@
 		});
 	}
 
-	/** Loads all that the replica holds when the term begins. */
+	/** Loads all live jobs of the replica, at the beginning of the term. */
 	loadAll(): void {
 		const { replica } = this.options;
 		this.completion.load(replica.progressChunks);
@@ -74,7 +74,7 @@
 		this.completion.finalizeIfDone(job);
 	}
 
-	/** A job appeared in the replica, or left it. */
+	/** Loads or removes a job that was added to the replica or removed from it. */
 	onReplicaChange(id: JobId): void {
 		const { authority, clusterState, replica } = this.options;
 		if (authority.ended) return;
@@ -83,28 +83,29 @@
 		else if (!clusterState.jobs.has(id)) this.load(id, record);
 	}
 
-	/** Ends the job in the store if all its tasks are done. */
+	/** Starts to write the job's final record if all its tasks are done. */
 	finalizeIfDone(job: Job): void {
 		this.completion.finalizeIfDone(job);
 	}
 
-	/** Writes which tasks are done. Called often, with authority. */
+	/** Writes the done tasks. Called often, only while the leader has authority. */
 	writeProgress(now: number): void {
 		this.completion.tick(now);
 	}
 
 	/**
-	 * The replica and the cluster state must hold the same jobs. Should a change ever be missed, or the writing of a
-	 * final record get stuck, this mends it (tests/service/replica-repair.test.ts). Called often, with authority.
+	 * Compares the jobs of the replica and of the cluster state, and repairs differences after a missed change. Also
+	 * repeats the write of a final record that has not completed (tests/service/replica-repair.test.ts). Called often,
+	 * only while the leader has authority.
 	 */
 	audit(now: number): void {
 		if (now < this.nextAuditAt) return;
-		this.nextAuditAt = now + auditEveryMs;
+		this.nextAuditAt = now + auditIntervalMs;
 		const { clusterState, replica } = this.options;
 		for (const id of replica.jobs.keys()) if (!clusterState.jobs.has(id)) this.onReplicaChange(id);
 		for (const [id, job] of [...clusterState.jobs]) {
 			if (!replica.jobs.has(id)) this.remove(id);
-			else if (job.finalizing && now - job.lastFinalWriteAt > auditEveryMs)
+			else if (job.finalizing && now - job.lastFinalWriteAt > auditIntervalMs)
 				this.completion.writeFinalRecord(job);
 		}
 	}
@@ -114,14 +115,14 @@
 		this.remove(job.id);
 	}
 
-	/** The job is over: nothing of it may start, and what still runs is stopped. */
+	/** Removes a job that has ended: none of its tasks may start, and its running tasks are stopped. */
 	private remove(id: JobId): void {
 		const { authority, clusterState, log, stopAttempts } = this.options;
 		const job = clusterState.jobs.get(id);
 		if (!job) return;
 		this.completion.deleteProgress(job);
 		const running = clusterState.removeJob(job);
-		if (running.length > 0) log.info({ jobId: id, tasks: running.length }, "job over: stopping tasks");
+		if (running.length > 0) log.info({ jobId: id, tasks: running.length }, "job ended: stopping tasks");
 		if (authority.active) stopAttempts(running);
 	}
 }
