--- a/tests/bookkeeping/attempt.test.ts
+++ b/tests/bookkeeping/attempt.test.ts
@@ -2,8 +2,8 @@
 import { describe, test } from "node:test";
 import { attemptOf, jobOf, machineOf } from "../support/machines.js";
 
-describe("the phases of an attempt", () => {
-	test("are assigned, sent, and then what heartbeats report", () => {
+describe("the phase of an attempt", () => {
+	test("is assigned at first, then sent, and then the state that heartbeats report", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
 		assert.equal(attempt.phase, "assigned");
 		assert.equal(attempt.taskId, "j-1/0");
@@ -17,7 +17,7 @@
 		assert.equal(attempt.phase, "checkpointing");
 	});
 
-	test("a start is sent once, unless it was lost", () => {
+	test("allows a start command to be sent only once, unless it was lost", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
 		assert.throws(() => attempt.markStartLost(), /start of j-1\/0\/1 was lost in phase assigned/);
 		attempt.markSent();
@@ -31,19 +31,19 @@
 		assert.equal(attempt.phase, "running");
 	});
 
-	test("the run counts from the first heartbeat that reports it running", () => {
+	test("runningSince is the time of the first heartbeat that reports the attempt as running", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
 		assert.equal(attempt.runningSince, null);
 		assert.equal(attempt.updatePhase("running", 200), true);
-		assert.equal(attempt.updatePhase("running", 300), false, "it is not the first time");
+		assert.equal(attempt.updatePhase("running", 300), false, "it was reported as running before");
 		assert.equal(attempt.runningSince, 200);
 		attempt.updatePhase("checkpointing", 400);
 		assert.equal(attempt.runningSince, 200);
 	});
 });
 
-describe("the stop of an attempt", () => {
-	test("may be wanted in any phase and stays wanted, a later request in place of an earlier one", () => {
+describe("the stop request of an attempt", () => {
+	test("can be made in any phase and stands until a later request replaces it", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
 		assert.equal(attempt.stopRequest, null);
 		attempt.requestStop("preempted", 8);
@@ -53,7 +53,7 @@
 		assert.deepEqual(
 			attempt.stopRequest,
 			{ reason: "job ended", graceS: 0 },
-			"nobody needs what it would save",
+			"the checkpoint of an ended job has no use",
 		);
 		attempt.updatePhase("checkpointing", 2);
 		assert.deepEqual(attempt.stopRequest, { reason: "job ended", graceS: 0 });
@@ -63,7 +63,7 @@
 describe("the relocation of a replica", () => {
 	const demand = { form: "service", cpus: 2, memoryGb: 4, checkpointCostS: 3 } as const;
 
-	test("reserves resources on the target and asks for the end here", () => {
+	test("reserves resources on the target and requests the stop of the attempt", () => {
 		const target = machineOf({ id: "n-2" });
 		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
 		attempt.relocateTo(target);
@@ -72,10 +72,10 @@
 		assert.equal(target.capacity.freeCpus, target.type.cpus - 2);
 	});
 
-	test("ends once, which gives back the reservation", () => {
+	test("releases the reservation when it ends, and ends only once", () => {
 		const target = machineOf({ id: "n-2" });
 		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
-		assert.equal(attempt.endRelocation(), null, "there is none");
+		assert.equal(attempt.endRelocation(), null, "the attempt is not being relocated");
 		attempt.relocateTo(target);
 		assert.equal(attempt.endRelocation(), target);
 		assert.equal(attempt.endRelocation(), null);
@@ -84,7 +84,7 @@
 		assert.equal(target.capacity.freeMemoryGb, target.type.memoryGb);
 	});
 
-	test("to another target gives back the reservation on the one before", () => {
+	test("to another target releases the reservation on the previous target", () => {
 		const [first, second] = [machineOf({ id: "n-2" }), machineOf({ id: "n-3" })];
 		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
 		attempt.relocateTo(first);
@@ -94,7 +94,7 @@
 		assert.equal(attempt.relocationTarget, second);
 	});
 
-	test("keeps its reservation when another stop takes the place of its own", () => {
+	test("keeps its reservation when another stop request replaces its own", () => {
 		const target = machineOf({ id: "n-2" });
 		const attempt = attemptOf(jobOf("j-1", demand), machineOf());
 		attempt.relocateTo(target);
@@ -104,8 +104,8 @@
 	});
 });
 
-describe("the protection from preemption", () => {
-	test("holds until its time, and there is none at first", () => {
+describe("the protection of an attempt from preemption", () => {
+	test("is absent at first, and ends at the given time", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
 		assert.equal(attempt.isProtectedFromPreemption(0), false);
 		attempt.protectFromPreemption(100);
@@ -115,7 +115,7 @@
 });
 
 describe("the charge of an attempt", () => {
-	test("is none until it is charged to an allotment", () => {
+	test("is null until it is charged to an allotment", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
 		assert.equal(attempt.charge, null);
 		const charge = { team: "red", node: "runner-0", amount: { cpus: 2000, gpus: 0 } };
--- a/tests/bookkeeping/cancellation-retention.test.ts
+++ b/tests/bookkeeping/cancellation-retention.test.ts
@@ -5,29 +5,29 @@
 import { encodeFrame } from "../../src/transport/peers/frame.js";
 import { maxLinkBytes } from "../support/large-fleets.js";
 
-test("final records are kept as long as the store's write rate asks, and a vote with all of them is a message that links take", () => {
-	const changesPerS = 400;
-	const replica = new StoreReplica(() => assert.fail("malformed"), changesPerS);
+test("cancellations of five minutes at the store's maximum write rate are retained, and a vote that lists those of 30 s fits into a peer message", () => {
+	const maxChangesPerS = 400;
+	const replica = new StoreReplica(() => assert.fail("malformed"), maxChangesPerS);
 	replica.reset([], 1);
-	const finalRecords = (changesPerS / 2) * 300;
-	for (let i = 0; i < finalRecords; i++) {
+	const cancellationCount = (maxChangesPerS / 2) * 300;
+	for (let i = 0; i < cancellationCount; i++) {
 		const value = { status: "cancelled", tasks: 1, done: 0, demand: { team: "red", cpus: 1, gpus: 0 } };
 		replica.apply([{ key: `r/fin/j-${String(i).padStart(6, "0")}`, value, revision: i + 2 }], i + 2);
 	}
 	assert.equal(
 		replica.cancellationsSince(1)?.length,
-		finalRecords,
-		"five minutes of nothing but cancellations",
+		cancellationCount,
+		"five minutes in which every write is a cancellation",
 	);
-	// A leader asks for what came after the revision that it knows, which is seconds old.
-	const recent = replica.cancellationsSince(finalRecords + 1 - (changesPerS / 2) * 30) ?? [];
+	// A leader requests the cancellations after the revision of its own replica, which is a few seconds old.
+	const recent = replica.cancellationsSince(cancellationCount + 1 - (maxChangesPerS / 2) * 30) ?? [];
 	const cancellations = recent.map(({ jobId, record, revision }) => ({
 		jobId,
 		revision,
 		taskCount: record.taskCount,
 		doneCount: record.doneCount,
 	}));
-	assert.equal(cancellations.length, (changesPerS / 2) * 30);
+	assert.equal(cancellations.length, (maxChangesPerS / 2) * 30);
 	const vote = { kind: "lease-extension-vote", term: 1, requestNumber: 1, cancellations } as const;
 	assert.ok(encodeFrame(encodePeerMessage(vote)).length < maxLinkBytes / 4);
 });
--- a/tests/bookkeeping/capacity-ledger.test.ts
+++ b/tests/bookkeeping/capacity-ledger.test.ts
@@ -8,7 +8,7 @@
 const freeOf = ({ freeCpus, freeGpus, freeMemoryGb }: CapacityLedger) => [freeCpus, freeGpus, freeMemoryGb];
 
 describe("the capacity of a machine", () => {
-	test("is taken by tasks and given back by them", () => {
+	test("is reduced by the resources of allocated tasks until they are released", () => {
 		const capacity = new CapacityLedger(type);
 		assert.deepEqual([...freeOf(capacity), capacity.usedCpus], [8, 2, 64, 0]);
 		capacity.allocate({ cpus: 3, gpus: 1, memoryGb: 10 });
@@ -18,7 +18,7 @@
 		assert.deepEqual([...freeOf(capacity), capacity.usedCpus], [5, 2, 54, 3]);
 	});
 
-	test("has room for a task if every resource suffices", () => {
+	test("fits a task if every resource suffices", () => {
 		const capacity = new CapacityLedger(type);
 		assert.equal(capacity.fits({ cpus: 8, gpus: 2, memoryGb: 64 }), true);
 		assert.equal(capacity.fits({ cpus: 8.1, gpus: 0, memoryGb: 0 }), false);
@@ -26,7 +26,7 @@
 		assert.equal(capacity.fits({ cpus: 0, gpus: 0, memoryGb: 65 }), false);
 	});
 
-	test("bears the drift of sums of decimals, and an empty machine has none", () => {
+	test("tolerates rounding errors in sums of decimal fractions, and has none once all tasks are released", () => {
 		const capacity = new CapacityLedger(type);
 		const small = { cpus: 0.1, gpus: 0, memoryGb: 0.1 };
 		for (let i = 0; i < 79; i++) capacity.allocate(small);
@@ -40,18 +40,18 @@
 });
 
 describe("reservations on a machine", () => {
-	test("for a replica on its way count as used, but not as used CPUs", () => {
+	test("for a replica that is being relocated reduce the free resources, but do not count as used CPUs", () => {
 		const capacity = new CapacityLedger(type);
 		const demand = { cpus: 3, gpus: 1, memoryGb: 10 };
 		capacity.reserveForReplica(demand);
 		assert.deepEqual([...freeOf(capacity), capacity.usedCpus], [5, 1, 54, 0]);
 		capacity.releaseAll();
-		assert.deepEqual(freeOf(capacity), [5, 1, 54], "the end of the last task leaves the reservation");
+		assert.deepEqual(freeOf(capacity), [5, 1, 54], "releaseAll keeps the reservation");
 		capacity.releaseReplicaReservation(demand);
 		assert.deepEqual(freeOf(capacity), [8, 2, 64]);
 	});
 
-	test("for a job keep the machine free of others until they are cancelled, and take nothing", () => {
+	test("for a job stand until replaced or cancelled, and do not reduce the free resources", () => {
 		const capacity = new CapacityLedger(type);
 		const [first, second] = [jobOf("j-1"), jobOf("j-2")];
 		assert.equal(capacity.reservedForJob, null);
@@ -66,8 +66,8 @@
 	});
 });
 
-describe("the images of a machine", () => {
-	test("are kept by their last use, and only so many", () => {
+describe("the cached images of a machine", () => {
+	test("are evicted in the order of their last use beyond the size of the cache", () => {
 		const capacity = new CapacityLedger(type);
 		for (let i = 0; i < 12; i++) capacity.recordImageUse(`image-${i}`);
 		capacity.recordImageUse("image-0");
--- a/tests/bookkeeping/exited-tasks.test.ts
+++ b/tests/bookkeeping/exited-tasks.test.ts
@@ -11,14 +11,14 @@
 const isRecorded = ({ done }: ExitedTask) => !done;
 
 describe("the exited tasks that a machine lists", () => {
-	test("can be forgotten once their outcome is recorded, in their order", () => {
+	test("are selected for forget commands once their outcome is recorded, in the order of the list", () => {
 		const tasks = new ExitedTasks();
 		for (const task of [exited(0), exited(1, true), exited(2)]) tasks.add(task);
 		assert.deepEqual(tasks.selectForgettable(isRecorded, false), [exited(0), exited(2)]);
 		assert.equal(tasks.heartbeatTrigger, null);
 	});
 
-	test("leave their last one that can be forgotten as heartbeat trigger, to be taken once", () => {
+	test("leave the last one of those selected as the heartbeat trigger, which is consumed once", () => {
 		const tasks = new ExitedTasks();
 		for (const task of [exited(0), exited(1), exited(2, true)]) tasks.add(task);
 		assert.deepEqual(tasks.selectForgettable(isRecorded, true), [exited(0)]);
@@ -27,7 +27,7 @@
 		assert.equal(tasks.consumeHeartbeatTrigger(), null);
 	});
 
-	test("leave none where none can be forgotten or none is to be left", () => {
+	test("leave no heartbeat trigger if no outcome is recorded or no trigger is requested", () => {
 		const tasks = new ExitedTasks();
 		tasks.add(exited(0, true));
 		assert.deepEqual(tasks.selectForgettable(isRecorded, true), []);
@@ -39,7 +39,7 @@
 		assert.equal(tasks.heartbeatTrigger, null);
 	});
 
-	test("are listed anew by each heartbeat", () => {
+	test("are only those of the latest heartbeat after the list was cleared", () => {
 		const tasks = new ExitedTasks();
 		tasks.add(exited(0));
 		tasks.clear();
--- a/tests/bookkeeping/failure-history.test.ts
+++ b/tests/bookkeeping/failure-history.test.ts
@@ -8,7 +8,7 @@
 	Array.from({ length: count }, (_, i) => machineOf({ id: `${type.name}-${i}`, type }));
 
 describe("the failures of a job", () => {
-	test("count by machine, in a row, and by the time of the last one", () => {
+	test("are recorded with their machines, their number in a row and the time of the last one", () => {
 		const failures = new FailureHistory(false);
 		const [machine, other] = machinesOf(2);
 		assert.ok(machine && other);
@@ -41,7 +41,7 @@
 		assert.equal(failures.failsEverywhere, false);
 	});
 
-	test("of a replica that ran well before do not count against machines", () => {
+	test("keep their number when the failed machines are cleared after a long run of a replica", () => {
 		const failures = new FailureHistory(true);
 		for (const machine of machinesOf(2)) failures.recordFailure(machine, 100);
 		failures.clearFailedMachines();
@@ -49,8 +49,8 @@
 	});
 });
 
-describe("a job that fails everywhere", () => {
-	test("has failed on three machines that are not quarantined for failures", () => {
+describe("a job counts as failing everywhere", () => {
+	test("after failures on three machines that are not quarantined for failures", () => {
 		const failures = new FailureHistory(false);
 		const [a, b, c, d] = machinesOf(4);
 		assert.ok(a && b && c && d);
@@ -63,13 +63,13 @@
 		assert.equal(
 			failures.failsEverywhere,
 			false,
-			"what a faulty machine does to a job says nothing of the job",
+			"a failure on a faulty machine is no evidence against the job",
 		);
 		failures.recordFailure(d, 5);
 		assert.equal(failures.failsEverywhere, true);
 	});
 
-	test("has failed eight times, where there are too few machines to tell", () => {
+	test("after eight failures in a row on fewer machines", () => {
 		const failures = new FailureHistory(false);
 		const [a, b] = machinesOf(2);
 		assert.ok(a && b);
@@ -79,7 +79,7 @@
 		assert.equal(failures.failsEverywhere, true);
 	});
 
-	test("has not failed on one machine only, however often", () => {
+	test("never if it failed on one machine only, however often", () => {
 		const failures = new FailureHistory(false);
 		const [machine] = machinesOf(1);
 		assert.ok(machine);
@@ -87,38 +87,38 @@
 		assert.equal(failures.failsEverywhere, false);
 	});
 
-	test("is never a service job: its replicas are tried all along", () => {
+	test("never if it is a service job, whose replicas are always retried", () => {
 		const failures = new FailureHistory(true);
 		for (const machine of machinesOf(9)) failures.recordFailure(machine, 1);
 		assert.equal(failures.failsEverywhere, false);
 	});
 });
 
-describe("machine types that do not suit a job", () => {
+describe("machine types that are unfit for a job", () => {
 	const narrow = { ...mediumType, name: "narrow" };
 
-	test("are those on several machines of which it failed, while it succeeds on another type", () => {
+	test("are those on several machines of which it failed, once it succeeds on another type", () => {
 		const failures = new FailureHistory(false);
 		for (const machine of machinesOf(2, narrow)) failures.recordFailure(machine, 1);
-		assert.deepEqual([...failures.unfitTypes], [], "so far nothing speaks for the job");
+		assert.deepEqual([...failures.unfitTypes], [], "the job has succeeded nowhere yet");
 		failures.recordSuccess("medium");
 		assert.deepEqual([...failures.unfitTypes], ["narrow"]);
 	});
 
-	test("are not those of which a single machine failed", () => {
+	test("do not include a type on a single machine of which it failed", () => {
 		const failures = new FailureHistory(false);
 		for (const machine of machinesOf(1, narrow)) failures.recordFailure(machine, 1);
 		failures.recordSuccess("medium");
 		assert.deepEqual([...failures.unfitTypes], []);
 	});
 
-	test("suit it from its first success there on", () => {
+	test("are fit again after the job's first success on them", () => {
 		const failures = new FailureHistory(false);
 		for (const machine of machinesOf(2, narrow)) failures.recordFailure(machine, 1);
 		failures.recordSuccess("medium");
 		failures.recordSuccess("narrow");
 		assert.deepEqual([...failures.unfitTypes], []);
 		failures.recordSuccess("medium");
-		assert.deepEqual([...failures.unfitTypes], [], "the type is proven");
+		assert.deepEqual([...failures.unfitTypes], [], "a type with a success stays fit");
 	});
 });
--- a/tests/bookkeeping/job.test.ts
+++ b/tests/bookkeeping/job.test.ts
@@ -7,7 +7,7 @@
 import { specOf } from "../support/specs.js";
 
 describe("the waiting tasks of a job", () => {
-	test("are taken lowest number first, and each once", () => {
+	test("are dequeued in ascending order, each once", () => {
 		const job = jobOf("j-1", { taskCount: 3 });
 		assert.deepEqual(
 			[0, 1, 2, 3].map(() => job.dequeueWaitingTask()),
@@ -15,36 +15,36 @@
 		);
 	});
 
-	test("are not those that are done or have an attempt", () => {
+	test("do not include tasks that are done or have an attempt", () => {
 		const job = jobOf("j-1", { taskCount: 3 });
 		job.markTaskDone(1);
 		job.addAttempt(attemptOf(job, machineOf()));
-		assert.equal(job.dequeueWaitingTask(), 2, "although all three were waiting before");
+		assert.equal(job.dequeueWaitingTask(), 2, "tasks 0 and 1 are skipped");
 		job.resetWaitingTasks();
 		assert.deepEqual(job.waitingTasks, [2]);
 	});
 
-	test("hold a task again after its attempt, unless it is done or the job is over", () => {
+	test("include a requeued task, unless it is done or the job has ended", () => {
 		const job = jobOf("j-1", { taskCount: 3 });
 		for (let i = 0; i < 3; i++) job.dequeueWaitingTask();
 		job.requeueTask(1);
 		assert.deepEqual(job.waitingTasks, [1]);
 		job.markTaskDone(2);
 		job.requeueTask(2);
-		assert.deepEqual(job.waitingTasks, [1], "it is done");
+		assert.deepEqual(job.waitingTasks, [1], "task 2 is done");
 		job.end();
 		job.requeueTask(0);
-		assert.deepEqual(job.waitingTasks, [], "the job is over");
+		assert.deepEqual(job.waitingTasks, [], "the job has ended");
 	});
 
-	test("do not hold a task of which an attempt was found on a machine", () => {
+	test("do not include a task of which an attempt was found on a machine", () => {
 		const job = jobOf("j-1", { taskCount: 3 });
 		job.removeWaitingTask(1);
 		job.removeWaitingTask(1);
 		assert.deepEqual(job.waitingTasks, [2, 0]);
 	});
 
-	test("are ready to start unless failures make the job pause", () => {
+	test("are ready to start unless the job is in backoff after failures", () => {
 		const job = jobOf("j-1", { taskCount: 1 });
 		assert.equal(job.hasReadyTask(0), true);
 		job.failures.backOffUntil(100);
@@ -56,7 +56,7 @@
 });
 
 describe("the attempts of a job", () => {
-	test("are removed once, and never in place of a later attempt at the task", () => {
+	test("are removed only once, and the removal of an old attempt leaves a later one of the same task", () => {
 		const job = jobOf("j-1");
 		const [first, second] = [1, 2].map((number) => attemptOf(job, machineOf(), { number })) as [
 			Attempt,
@@ -84,7 +84,7 @@
 });
 
 describe("the done tasks of a job", () => {
-	test("are marked once, and their page is to be written until it is taken", () => {
+	test("are marked once, and their pages are returned once as changed", () => {
 		const job = jobOf("j-1", { taskCount: 5000 });
 		assert.equal(job.markTaskDone(1), true);
 		assert.equal(job.markTaskDone(1), false);
@@ -105,14 +105,14 @@
 		assert.equal(job.durableDoneTasks.has(0), false);
 	});
 
-	test("do not exist for a service job, whatever a replica reports", () => {
+	test("are never marked for a service job, even if a replica reports its completion", () => {
 		const job = jobOf("j-1", { form: "service", taskCount: 1 });
 		assert.equal(job.markTaskDone(0), false);
 		assert.equal(job.doneTasks.full, false);
 		assert.deepEqual([...job.consumeChangedPages()], []);
 	});
 
-	test("of the store are taken over when a leader loads the job", () => {
+	test("are loaded from the pages in the store, and are not returned as changed", () => {
 		const stored = new TaskSet(3);
 		stored.add(1);
 		const job = new Job("j-1", specOf("j-1", { taskCount: 3 }), 0, 1);
@@ -120,12 +120,12 @@
 		assert.equal(job.loadedAt, 700);
 		assert.ok(job.doneTasks.has(1) && job.durableDoneTasks.has(1));
 		assert.deepEqual(job.waitingTasks, [2, 0]);
-		assert.deepEqual([...job.consumeChangedPages()], [], "the store has them");
+		assert.deepEqual([...job.consumeChangedPages()], [], "the store has these pages");
 	});
 });
 
 describe("the end of a job", () => {
-	test("comes after its record is being written, which may be tried again", () => {
+	test("follows finalizing, during which the final record may be written repeatedly", () => {
 		const job = jobOf("j-1");
 		assert.deepEqual(
 			[job.finalizing, job.ended, job.lastFinalWriteAt],
@@ -138,7 +138,7 @@
 		assert.deepEqual([job.finalizing, job.ended], [false, true]);
 	});
 
-	test("is final: nothing waits any more, and its record is not written again", () => {
+	test("leaves no waiting tasks and cannot be followed by finalizing", () => {
 		const job = jobOf("j-1");
 		job.end();
 		assert.deepEqual(job.waitingTasks, []);
@@ -148,7 +148,7 @@
 });
 
 describe("the estimated run time of a job's tasks", () => {
-	test("is the owner's estimate until a run has finished, and then the mean", () => {
+	test("is the user's estimate until a run has finished, and then the mean of the finished runs", () => {
 		const job = jobOf("j-1", { estimatedRunS: 10 });
 		assert.equal(job.estimatedRunS, 10);
 		job.recordRun(20);
@@ -157,15 +157,15 @@
 		assert.equal(job.estimatedRunS, 30);
 	});
 
-	test("is 0 for a service job, whose replicas do not finish", () => {
+	test("is 0 for a service job, because its replicas run until the job is cancelled", () => {
 		const job = jobOf("j-1", { form: "service", estimatedRunS: 10 });
 		job.recordRun(20);
 		assert.equal(job.estimatedRunS, 0);
 	});
 });
 
-describe("what placement notes on a job", () => {
-	test("is whether a reservation was used, and until when the leader places the job", () => {
+describe("the placement state of a job", () => {
+	test("records whether a reservation was used, and until when the leader places the job", () => {
 		const job = jobOf("j-1");
 		assert.deepEqual([job.reservationUsed, job.placedByLeaderUntil], [false, 0]);
 		job.markReservationUsed();
@@ -173,7 +173,7 @@
 		assert.deepEqual([job.reservationUsed, job.placedByLeaderUntil], [true, 5000]);
 	});
 
-	test("is its demand, which is the same for jobs that make the same demands on machines", () => {
+	test("has a demand key that is equal for jobs that make the same demands on machines", () => {
 		assert.equal(jobOf("j-1", { team: "red" }).demandKey, jobOf("j-2", { team: "blue" }).demandKey);
 		assert.notEqual(jobOf("j-1").demandKey, jobOf("j-2", { zone: "a" }).demandKey);
 	});
--- a/tests/bookkeeping/machine-health.test.ts
+++ b/tests/bookkeeping/machine-health.test.ts
@@ -5,8 +5,8 @@
 import { isMuchSlower, MachineHealth } from "../../src/bookkeeping/machine-health.js";
 import { jobOf, machineOf } from "../support/machines.js";
 
-const probationMs = 20_000;
-const quarantineMs = 40_000;
+const probationDurationMs = 20_000;
+const quarantineDurationMs = 40_000;
 
 const stateOf = (health: MachineHealth) =>
 	health.quarantined
@@ -16,7 +16,7 @@
 			: "healthy";
 
 describe("the probation of a machine", () => {
-	test("starts with a failure, and a success ends it", () => {
+	test("starts with a failure and ends with a success", () => {
 		const health = new MachineHealth();
 		assert.equal(stateOf(health), "healthy");
 		health.clearProbation();
@@ -27,13 +27,13 @@
 		assert.equal(stateOf(health), "healthy");
 	});
 
-	test("ends by itself, counted from the last failure", () => {
+	test("expires 20 s after the last failure", () => {
 		const health = new MachineHealth();
 		health.startProbation(0);
 		health.startProbation(1000);
-		health.applyExpiry(1000 + probationMs);
+		health.applyExpiry(1000 + probationDurationMs);
 		assert.equal(stateOf(health), "on probation");
-		health.applyExpiry(1001 + probationMs);
+		health.applyExpiry(1001 + probationDurationMs);
 		assert.equal(stateOf(health), "healthy");
 		health.applyExpiry(1_000_000);
 		assert.equal(stateOf(health), "healthy");
@@ -41,7 +41,7 @@
 });
 
 describe("the quarantine of a machine", () => {
-	test("has a cause, since failures may turn out to be the fault of jobs", () => {
+	test("has a cause, because failures may later be attributed to jobs", () => {
 		for (const cause of ["failures", "slow"] as const) {
 			const health = new MachineHealth();
 			assert.equal(health.quarantinedForFailures, false);
@@ -51,23 +51,23 @@
 		}
 	});
 
-	test("is followed by a probation, and the evidence before it does not count any more", () => {
+	test("is followed by a probation when it expires, and its evidence is discarded", () => {
 		const health = new MachineHealth();
 		health.recordFailure(jobOf("j-1"));
 		health.recordRun(20, 10);
 		health.quarantine("failures", 0);
-		health.applyExpiry(quarantineMs);
+		health.applyExpiry(quarantineDurationMs);
 		assert.equal(stateOf(health), "quarantined");
-		health.applyExpiry(quarantineMs + 1);
+		health.applyExpiry(quarantineDurationMs + 1);
 		assert.equal(stateOf(health), "on probation");
 		assert.deepEqual([health.jobsWithFailures.size, health.comparedRuns], [0, 0]);
-		health.applyExpiry(quarantineMs + 1 + probationMs);
+		health.applyExpiry(quarantineDurationMs + 1 + probationDurationMs);
 		assert.equal(stateOf(health), "on probation");
-		health.applyExpiry(quarantineMs + 2 + probationMs);
+		health.applyExpiry(quarantineDurationMs + 2 + probationDurationMs);
 		assert.equal(stateOf(health), "healthy");
 	});
 
-	test("that is released leaves the machine as it was, on probation if that was not over", () => {
+	test("returns the machine to its state before when lifted, on probation if one is pending", () => {
 		const health = new MachineHealth();
 		health.liftQuarantine();
 		assert.equal(stateOf(health), "healthy", "there was no quarantine");
@@ -76,27 +76,27 @@
 		assert.equal(stateOf(health), "healthy");
 		health.startProbation(0);
 		health.liftQuarantine();
-		assert.equal(stateOf(health), "on probation", "a release ends no probation");
+		assert.equal(stateOf(health), "on probation", "lifting a quarantine ends no probation");
 		health.quarantine("failures", 0);
 		assert.equal(stateOf(health), "quarantined, probation pending");
 		health.liftQuarantine();
 		assert.equal(stateOf(health), "on probation");
 	});
 
-	test("goes on when a task fails or succeeds, which changes only the probation after it", () => {
+	test("stays when a task fails or succeeds, which changes only the pending probation", () => {
 		const health = new MachineHealth();
 		health.quarantine("failures", 0);
 		health.startProbation(1000);
 		assert.equal(stateOf(health), "quarantined, probation pending");
 		health.clearProbation();
 		assert.equal(stateOf(health), "quarantined");
-		health.applyExpiry(1000 + quarantineMs);
-		assert.equal(stateOf(health), "quarantined", "counted from the last failure");
-		health.applyExpiry(1001 + quarantineMs);
+		health.applyExpiry(1000 + quarantineDurationMs);
+		assert.equal(stateOf(health), "quarantined", "it expires 40 s after the last failure");
+		health.applyExpiry(1001 + quarantineDurationMs);
 		assert.equal(stateOf(health), "on probation");
 	});
 
-	test("takes the latest cause", () => {
+	test("has the cause of the latest call", () => {
 		const health = new MachineHealth();
 		health.quarantine("failures", 0);
 		health.quarantine("slow", 10);
@@ -105,7 +105,7 @@
 });
 
 describe("the evidence against a machine", () => {
-	test("is the jobs that failed on it, each once, until one is found to blame or a task succeeds", () => {
+	test("is the set of jobs that failed on it, until a failure is removed or all are cleared", () => {
 		const health = new MachineHealth();
 		const [first, second] = [jobOf("j-1"), jobOf("j-2")];
 		health.recordFailure(first);
@@ -121,7 +121,7 @@
 });
 
 describe("the speed of a machine", () => {
-	test("is the mean of its runs against the means of their jobs, the latest ones weighing more than old ones", () => {
+	test("is the mean of its run times relative to the means of their jobs, with more weight on recent runs", () => {
 		const health = new MachineHealth();
 		health.recordRun(20, 10);
 		assert.deepEqual([health.comparedRuns, health.slowdown], [1, 2]);
@@ -131,7 +131,7 @@
 		assert.ok(Math.abs(health.slowdown - 1) < 0.001);
 	});
 
-	test("is noticed if it is much lower than that of others with the same work; ordinary spread is not", () => {
+	test("counts as much slower within 20 runs if it is far below that of others with the same work, and not for ordinary variance", () => {
 		const random = xoroshiro128plus(21);
 		const machines = ["n-1", "n-2", "n-3", "n-slow"].map((id) => machineOf({ id }));
 		const [first, , , slow] = machines;
@@ -140,7 +140,7 @@
 		for (let i = 1; i <= 60; i++) {
 			for (const machine of machines) {
 				const factor = 0.6 + uniformInt(random, 0, 80) / 100;
-				// The mean of a job whose long tasks still run is too low, for all alike.
+				// The mean of 20 s is too low for all machines alike, as if the long tasks of the job were still running.
 				machine.health.recordRun((machine === slow ? 75 : 30) * factor, 20);
 				const noticed = isMuchSlower(machine, machines);
 				if (machine !== slow) assert.equal(noticed, false);
@@ -148,6 +148,6 @@
 			}
 		}
 		assert.ok(noticedAfter >= 10 && noticedAfter <= 20, `after ${noticedAfter} runs`);
-		assert.equal(isMuchSlower(slow, [first]), false, "one other machine is no measure");
+		assert.equal(isMuchSlower(slow, [first]), false, "a comparison needs two other machines");
 	});
 });
--- a/tests/bookkeeping/machine-lifecycle.test.ts
+++ b/tests/bookkeeping/machine-lifecycle.test.ts
@@ -3,7 +3,7 @@
 import { MachineLifecycle } from "../../src/bookkeeping/machine-lifecycle.js";
 
 describe("the origin of a machine", () => {
-	test("says whether this leader had it created, and whether its record is stored", () => {
+	test("determines whether this leader created the machine and whether its record is stored", () => {
 		const origins = ["created", "listed", "heartbeat", "record"] as const;
 		const lifecycles = origins.map((origin) => new MachineLifecycle(origin, 100));
 		assert.deepEqual(
@@ -17,7 +17,7 @@
 		for (const lifecycle of lifecycles) assert.equal(lifecycle.requestedAt, 100);
 	});
 
-	test("is the cloud's list alone until the worker sends a heartbeat", () => {
+	test("of a listed machine is the cloud's list alone until the worker sends a heartbeat", () => {
 		const listed = new MachineLifecycle("listed", 0);
 		assert.equal(listed.onlyListed, true);
 		listed.heartbeatReceived(null);
@@ -27,15 +27,15 @@
 	});
 });
 
-describe("the life of a machine", () => {
-	test("is recorded once the store has confirmed it, and stays so", () => {
+describe("the lifecycle of a machine", () => {
+	test("has a stored record once the store has confirmed it", () => {
 		const lifecycle = new MachineLifecycle("created", 0);
 		lifecycle.markRecorded();
 		lifecycle.markRecorded();
 		assert.equal(lifecycle.recorded, true);
 	});
 
-	test("is overdue until the machine's first heartbeat", () => {
+	test("can be overdue, until a heartbeat arrives or the overdue flag is cleared", () => {
 		const lifecycle = new MachineLifecycle("created", 0);
 		lifecycle.setOverdue(true);
 		lifecycle.setOverdue(true);
@@ -47,7 +47,7 @@
 		assert.equal(lifecycle.overdue, false);
 	});
 
-	test("may begin to drain and be wanted again, any number of times", () => {
+	test("can start and cancel draining any number of times", () => {
 		const lifecycle = new MachineLifecycle("created", 0);
 		lifecycle.cancelDraining();
 		assert.equal(lifecycle.draining, false);
@@ -60,7 +60,7 @@
 		}
 	});
 
-	test("ends with the request to delete it, and there is no way back", () => {
+	test("stays deleting once the deletion is requested", () => {
 		const lifecycle = new MachineLifecycle("created", 0);
 		lifecycle.startDeleting();
 		lifecycle.startDeleting();
@@ -70,7 +70,7 @@
 		assert.equal(lifecycle.deleting, true);
 	});
 
-	test("has the time at which the cloud reclaims it as the latest heartbeat says", () => {
+	test("has the reclaim time of the latest heartbeat", () => {
 		const lifecycle = new MachineLifecycle("created", 0);
 		assert.equal(lifecycle.reclaimAt, null);
 		lifecycle.heartbeatReceived(5000);
--- a/tests/bookkeeping/machine.test.ts
+++ b/tests/bookkeeping/machine.test.ts
@@ -3,7 +3,7 @@
 import type { Machine } from "../../src/bookkeeping/machine.js";
 import { attemptOf, jobOf, machineOf, makeSchedulable } from "../support/machines.js";
 
-/** What the machine can be used for, in the order from new tasks to nothing. */
+/** Uses that the state of the machine allows, in the order from new tasks to none. */
 const usesOf = ({
 	schedulable,
 	countsAsCapacity,
@@ -24,8 +24,8 @@
 	return machine;
 }
 
-describe("what a machine can be used for", () => {
-	test("a machine that is provisioning counts as capacity on its way", () => {
+describe("the uses of a machine", () => {
+	test("a machine that is booting counts as capacity but takes no tasks", () => {
 		assert.deepEqual(usesOf(machineOf()), {
 			schedulable: false,
 			countsAsCapacity: true,
@@ -35,7 +35,7 @@
 		});
 	});
 
-	test("a machine that runs, is fenced and recorded takes new tasks", () => {
+	test("a machine that is running, fenced and recorded takes new tasks", () => {
 		assert.deepEqual(usesOf(schedulableMachine()), {
 			schedulable: true,
 			countsAsCapacity: true,
@@ -45,7 +45,7 @@
 		});
 	});
 
-	test("a draining machine takes no new tasks but starts those assigned before", () => {
+	test("a draining machine takes no new tasks but starts those that are assigned", () => {
 		const machine = schedulableMachine();
 		machine.lifecycle.startDraining();
 		assert.deepEqual(usesOf(machine), {
@@ -57,16 +57,16 @@
 		});
 	});
 
-	const nothing = {
+	const noUses = {
 		schedulable: false,
 		countsAsCapacity: false,
 		acceptsAssignedStarts: false,
 		usable: false,
 	};
 
-	test("a machine that is quarantined, reclaimed, unreachable, expired or deleting starts nothing", () => {
+	test("a machine that is quarantined, being reclaimed, unreachable, expired or deleting starts no tasks", () => {
 		const startMissing = { leaseExpired: false, startMissing: true, startListed: false };
-		const troubles: [string, needsEvacuation: boolean, (machine: Machine) => void][] = [
+		const cases: [string, needsEvacuation: boolean, (machine: Machine) => void][] = [
 			["quarantined", true, ({ health }) => health.quarantine("failures", 0)],
 			["reclaimed", true, ({ lifecycle }) => lifecycle.heartbeatReceived(1000)],
 			[
@@ -79,14 +79,14 @@
 			["expired", false, ({ agent }) => agent.expireLease()],
 			["deleting", false, ({ lifecycle }) => lifecycle.startDeleting()],
 		];
-		for (const [trouble, needsEvacuation, happens] of troubles) {
+		for (const [condition, needsEvacuation, apply] of cases) {
 			const machine = schedulableMachine();
-			happens(machine);
-			assert.deepEqual(usesOf(machine), { ...nothing, needsEvacuation }, trouble);
+			apply(machine);
+			assert.deepEqual(usesOf(machine), { ...noUses, needsEvacuation }, condition);
 		}
 	});
 
-	test("an overdue machine is no capacity that can be counted on", () => {
+	test("an overdue machine does not count as capacity but is usable", () => {
 		const machine = machineOf();
 		machine.lifecycle.setOverdue(true);
 		assert.deepEqual([machine.countsAsCapacity, machine.usable], [false, true]);
@@ -94,7 +94,7 @@
 });
 
 describe("the attempts on a machine", () => {
-	test("take capacity until they are released, each once", () => {
+	test("use capacity until they are removed, and are removed only once", () => {
 		const machine = machineOf();
 		const job = jobOf("j-1", { cpus: 3 });
 		const attempt = attemptOf(job, machine);
@@ -102,7 +102,7 @@
 		assert.equal(machine.attempts.get("j-1/0"), attempt);
 		assert.equal(machine.capacity.freeCpus, 5);
 		machine.removeAttempt(attemptOf(job, machine, { number: 2 }));
-		assert.equal(machine.capacity.freeCpus, 5, "another attempt at the task is not here");
+		assert.equal(machine.capacity.freeCpus, 5, "another attempt at the task is not on the machine");
 		machine.removeAttempt(attempt);
 		machine.removeAttempt(attempt);
 		assert.equal(machine.attempts.size, 0);
@@ -111,7 +111,7 @@
 });
 
 describe("the price of a machine", () => {
-	test("is the present price of its kind", () => {
+	test("is the spot price for a spot machine and the regular price otherwise", () => {
 		assert.equal(machineOf({ spot: true }).hourlyPrice, 0.1);
 		assert.equal(machineOf({ spot: false }).hourlyPrice, 0.4);
 	});
--- a/tests/bookkeeping/orphaned-task.test.ts
+++ b/tests/bookkeeping/orphaned-task.test.ts
@@ -5,7 +5,7 @@
 const ref = { jobId: "j-1", taskIndex: 3, attempt: 7 };
 
 describe("an orphaned task", () => {
-	test("uses what is known of it, and is charged only where its demand is known", () => {
+	test("has no demand and no charge until they are set", () => {
 		const task = new OrphanedTask(ref);
 		assert.deepEqual([task.demand, task.charge], [null, null]);
 		const demand = { team: "red", cpus: 2, gpus: 0 };
@@ -16,7 +16,7 @@
 		assert.deepEqual([task.demand, task.charge], [demand, charge]);
 	});
 
-	test("is the same as another with the same job, task and attempt", () => {
+	test("is the same attempt as a reference with the same job, task and attempt number", () => {
 		const task = new OrphanedTask(ref);
 		assert.equal(task.isSameAttempt({ ...ref }), true);
 		assert.equal(task.isSameAttempt({ ...ref, jobId: "j-2" }), false);
--- a/tests/bookkeeping/quota-ledger.test.ts
+++ b/tests/bookkeeping/quota-ledger.test.ts
@@ -6,7 +6,7 @@
 const demand = (cpus: number, gpus: number, team = "t") => ({ team, cpus, gpus });
 
 describe("the quota of a team", () => {
-	test("has room by the scarcer of CPUs and accelerators", () => {
+	test("has headroom for as many tasks as the scarcer of CPUs and accelerators allows", () => {
 		const quotas = new QuotaLedger([quota]);
 		assert.equal(quotas.taskHeadroom(demand(2, 0), "guaranteed"), 4);
 		assert.equal(quotas.taskHeadroom(demand(2, 1), "limit"), 2);
@@ -17,13 +17,13 @@
 		assert.equal(quotas.fitsLimit(demand(0, 0, "nobody")), false);
 	});
 
-	test("has less room by what is promised", () => {
+	test("has less headroom by the pending usage", () => {
 		const quotas = new QuotaLedger([quota]);
 		assert.equal(quotas.taskHeadroom(demand(2, 0), "limit", { cpus: 4, gpus: 0 }), 6);
 		assert.equal(quotas.taskHeadroom(demand(2, 0), "guaranteed", { cpus: 9, gpus: 0 }), 0);
 	});
 
-	test("without a limit has room without a bound, but not beyond the guarantee within it", () => {
+	test("with an infinite limit has infinite headroom within the limit but a bounded one within the guarantee", () => {
 		const unlimited = { cpus: Number.POSITIVE_INFINITY, gpus: Number.POSITIVE_INFINITY };
 		const quotas = new QuotaLedger([{ ...quota, limit: unlimited }]);
 		quotas.allocate(demand(1000, 0));
@@ -32,7 +32,7 @@
 		assert.equal(quotas.taskHeadroom(demand(1, 0), "guaranteed"), 0);
 	});
 
-	test("counts a task until it is given back, and never less than nothing", () => {
+	test("counts a task until it is released, and the usage never becomes negative", () => {
 		const quotas = new QuotaLedger([quota]);
 		quotas.allocate(demand(3, 1));
 		quotas.allocate(demand(4, 0));
@@ -43,7 +43,7 @@
 		assert.deepEqual(quotas.usage("t"), { cpus: 0, gpus: 0 });
 	});
 
-	test("changes for teams that the platform names, and for no others", () => {
+	test("can be replaced for teams in the platform's settings, and is ignored for others", () => {
 		const quotas = new QuotaLedger([quota]);
 		const lower = { ...quota, limit: { cpus: 8, gpus: 2 } };
 		quotas.setQuota(lower);
--- a/tests/bookkeeping/remaining-work.test.ts
+++ b/tests/bookkeeping/remaining-work.test.ts
@@ -9,7 +9,7 @@
 import { attemptOf, jobOf, machineOf } from "../support/machines.js";
 
 describe("the remaining work of tasks", () => {
-	test("is never less than a hundredth of the estimate, at most the bound, and all of it while a task waits", () => {
+	test("is at least a hundredth of the estimate, at most the cap, and the whole estimate while a task waits", () => {
 		assert.equal(remainingCpuSecondsOfRunning(2, 5, 10, 600), 10);
 		assert.ok(Math.abs(remainingCpuSecondsOfRunning(2, 50, 10, 600) - 0.2) < 1e-9);
 		assert.equal(remainingCpuSecondsOfRunning(1, 0, 5000, 600), 600);
@@ -17,7 +17,7 @@
 		assert.equal(loadOf(30, 2), 20);
 	});
 
-	test("of an attempt counts from its first report as running", () => {
+	test("of an attempt decreases from the first heartbeat that reports it as running", () => {
 		const attempt = attemptOf(jobOf("j-1", { cpus: 2, estimatedRunS: 10 }), machineOf());
 		assert.equal(remainingCpuSecondsOfAttempt(attempt, 5000, 600), 20);
 		attempt.updatePhase("running", 5000);
--- a/tests/bookkeeping/task-set.test.ts
+++ b/tests/bookkeeping/task-set.test.ts
@@ -5,7 +5,7 @@
 import { countInPage, TaskSet, tasksPerPage } from "../../src/bookkeeping/task-set.js";
 
 describe("a set of tasks", () => {
-	test("survives its pages, also one of 100,000 tasks in a store of small values", () => {
+	test("of 100,000 tasks is restored from its pages, each of which is smaller than 1 KB", () => {
 		const set = new TaskSet(100_000);
 		const random = xoroshiro128plus(9);
 		for (let i = 0; i < 60_000; i++) set.add(uniformInt(random, 0, 99_999));
@@ -13,7 +13,7 @@
 		let counted = 0;
 		for (let page = 0; page * tasksPerPage < 100_000; page++) {
 			const text = set.encodePage(page);
-			assert.ok(text.length < 1024, "several pages share a value");
+			assert.ok(text.length < 1024, "a value of the store holds several pages");
 			counted += countInPage(text);
 			copy.addPage(page, text);
 		}
@@ -23,7 +23,7 @@
 		assert.equal(set.add(100_000), false);
 	});
 
-	test("holds each task once, and none that the job does not have", () => {
+	test("holds each task once, and rejects numbers that the job does not have", () => {
 		const set = new TaskSet(3);
 		assert.deepEqual([set.add(2), set.add(2), set.add(3), set.add(-1)], [true, false, false, false]);
 		assert.deepEqual(
--- a/tests/bookkeeping/worker-agent.test.ts
+++ b/tests/bookkeeping/worker-agent.test.ts
@@ -16,7 +16,7 @@
 	return agent;
 }
 
-describe("a worker agent and its heartbeats", () => {
+describe("a worker agent", () => {
 	test("has no epoch, sequence or address before its first heartbeat", () => {
 		const agent = new WorkerAgent(50);
 		assert.deepEqual([agent.agentEpoch, agent.sequence, agent.endpoint], [0, -1, ""]);
@@ -25,13 +25,13 @@
 		assert.equal(agent.lastResponseAt, 50, "a lease may have been renewed until then");
 	});
 
-	test("runs from its first heartbeat on", () => {
+	test("is running from its first heartbeat on", () => {
 		const agent = runningAgent();
 		assert.deepEqual([agent.agentEpoch, agent.sequence, agent.endpoint], [1, 7, "n-1:9000"]);
 		assert.deepEqual([agent.running, agent.lastHeartbeatAt], [true, 100]);
 	});
 
-	test("learns its address from the cloud or a record only as long as no other is known", () => {
+	test("gets its address from the cloud or a record only if none is known, and from each heartbeat", () => {
 		const agent = new WorkerAgent(0);
 		agent.setInitialEndpoint("listed:9000");
 		agent.setInitialEndpoint("other:9000");
@@ -48,10 +48,10 @@
 		agent.fencingConfirmed();
 		assert.equal(agent.fenced, true);
 		agent.expireLease();
-		assert.equal(agent.fenced, false, "it comes back with a later epoch and must show the token again");
+		assert.equal(agent.fenced, false, "with a later epoch it must report the token again");
 	});
 
-	test("notes when it was answered and when it was redirected", () => {
+	test("records the times of its last response and of its last redirect", () => {
 		const agent = runningAgent();
 		agent.responseSent(300);
 		agent.redirectSent(400);
@@ -60,22 +60,22 @@
 });
 
 describe("the expiry of a worker's lease", () => {
-	test("refuses heartbeats of the epoch that has expired", () => {
+	test("raises the lowest valid epoch above the expired one", () => {
 		const agent = runningAgent(3);
 		assert.equal(agent.minAgentEpoch, 0);
 		agent.expireLease();
 		assert.deepEqual([agent.leaseExpired, agent.minAgentEpoch], [true, 4]);
 		agent.expireLease();
-		assert.equal(agent.minAgentEpoch, 4, "to expire again changes nothing");
+		assert.equal(agent.minAgentEpoch, 4, "a second expiry changes nothing");
 	});
 
-	test("refuses no heartbeat of a worker that has sent none", () => {
+	test("leaves every epoch valid if the worker has sent no heartbeat", () => {
 		const agent = new WorkerAgent(0);
 		agent.expireLease();
 		assert.deepEqual([agent.leaseExpired, agent.minAgentEpoch], [true, 0]);
 	});
 
-	test("is over with the first heartbeat of a later epoch", () => {
+	test("is cleared by the first heartbeat with a later epoch", () => {
 		const agent = runningAgent(3);
 		agent.expireLease();
 		agent.heartbeatReceived(heartbeatOf(machineOf(), { agentEpoch: 4, sequence: 1 }), 20_000);
@@ -83,18 +83,18 @@
 	});
 });
 
-describe("a worker that responses do not reach", () => {
-	test("is one after two responses in a row without effect", () => {
+describe("a worker agent is unreachable", () => {
+	test("after two ineffective responses in a row", () => {
 		const agent = runningAgent();
 		agent.updateReachability(startMissing, leaseMs, 1000);
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [1, null]);
 		agent.updateReachability({ ...noEffect, leaseExpired: true }, leaseMs, 2000);
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [2, 2000]);
 		agent.updateReachability(startMissing, leaseMs, 3000);
-		assert.equal(agent.unreachableSince, 2000, "since the second one");
+		assert.equal(agent.unreachableSince, 2000, "unreachable since the second response");
 	});
 
-	test("is not one if a start is listed between the two", () => {
+	test("not if a start is listed between the two ineffective responses", () => {
 		const agent = runningAgent();
 		agent.updateReachability(startMissing, leaseMs, 1000);
 		agent.updateReachability(startListed, leaseMs, 2000);
@@ -102,7 +102,7 @@
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [1, null]);
 	});
 
-	test("is not one by heartbeats that show nothing, and two apart count as in a row", () => {
+	test("also if a heartbeat without evidence comes between the two, which itself does not count", () => {
 		const agent = runningAgent();
 		agent.updateReachability(startMissing, leaseMs, 1000);
 		agent.updateReachability(noEffect, leaseMs, 2000);
@@ -111,14 +111,14 @@
 		assert.equal(agent.unreachableSince, 3000);
 	});
 
-	test("hears again when a start is listed", () => {
+	test("until a start is listed", () => {
 		const agent = runningAgent();
 		for (const at of [1000, 2000]) agent.updateReachability(startMissing, leaseMs, at);
 		agent.updateReachability(startListed, leaseMs, 2500);
 		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
 	});
 
-	test("hears again when it has kept its lease for half as long again as it lasts", () => {
+	test("until its lease has held for 1.5 times the lease duration", () => {
 		const agent = runningAgent();
 		for (const at of [1000, 2000]) agent.updateReachability(startMissing, leaseMs, at);
 		agent.updateReachability(noEffect, leaseMs, 2000 + 1.5 * leaseMs);
@@ -127,13 +127,13 @@
 		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
 	});
 
-	test("is assumed to hear where the fault is more likely on the leader's side", () => {
+	test("until assumeReachable is called, when the fault is more likely on the leader's side", () => {
 		const agent = runningAgent();
 		for (const at of [1000, 2000]) agent.updateReachability(startMissing, leaseMs, at);
 		agent.assumeReachable();
 		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
 		agent.assumeReachable();
 		agent.updateReachability(startMissing, leaseMs, 3000);
-		assert.equal(agent.unreachableSince, null, "one response without effect may be lost");
+		assert.equal(agent.unreachableSince, null, "a single response may be lost");
 	});
 });
--- a/tests/bookkeeping/zone-rules.test.ts
+++ b/tests/bookkeeping/zone-rules.test.ts
@@ -4,26 +4,26 @@
 import { attemptOf, jobOf, machineOf } from "../support/machines.js";
 import { specOf } from "../support/specs.js";
 
-describe("the room that zone rules leave", () => {
-	test("has no bound without a rule", () => {
+describe("the number of further tasks that zone rules allow", () => {
+	test("is infinite without a rule", () => {
 		assert.equal(zoneTaskHeadroom(specOf("j-1"), { a: 100 }, "a"), Number.POSITIVE_INFINITY);
 	});
 
-	test("is in one zone only where all tasks must be in the same", () => {
+	test("is 0 in all zones but one if all tasks must be in a single zone", () => {
 		const spec = specOf("j-1", { singleZone: true });
 		assert.equal(zoneTaskHeadroom(spec, {}, "a"), Number.POSITIVE_INFINITY);
 		assert.equal(zoneTaskHeadroom(spec, { a: 1, b: 0 }, "a"), Number.POSITIVE_INFINITY);
 		assert.equal(zoneTaskHeadroom(spec, { a: 1, b: 0 }, "b"), 0);
 	});
 
-	test("is half of the tasks, rounded up, in each zone where they are spread", () => {
+	test("is half of the tasks, rounded up, less those in the zone, if the tasks are spread", () => {
 		const spec = specOf("j-1", { spreadZones: true, taskCount: 9 });
 		assert.equal(zoneTaskHeadroom(spec, {}, "a"), 5);
 		assert.equal(zoneTaskHeadroom(spec, { a: 3 }, "a"), 2);
-		assert.equal(zoneTaskHeadroom(spec, { a: 6 }, "a"), 0, "never less than none");
+		assert.equal(zoneTaskHeadroom(spec, { a: 6 }, "a"), 0, "never negative");
 	});
 
-	test("is what both rules leave together", () => {
+	test("is the minimum over both rules if both apply", () => {
 		const spec = specOf("j-1", { singleZone: true, spreadZones: true, taskCount: 4 });
 		assert.equal(zoneTaskHeadroom(spec, { a: 1 }, "a"), 1);
 		assert.equal(zoneTaskHeadroom(spec, { a: 1 }, "b"), 0);
@@ -31,7 +31,7 @@
 });
 
 describe("the tasks of a job by zone", () => {
-	test("count every attempt, or all but those that leave", () => {
+	test("count every attempt except those excluded", () => {
 		const job = jobOf("j-1");
 		const zones = ["a", "b", "b"];
 		const attempts = zones.map((zone, taskIndex) => attemptOf(job, machineOf({ zone }), { taskIndex }));
--- a/tests/coordination/jobs/job-feasibility.test.ts
+++ b/tests/coordination/jobs/job-feasibility.test.ts
@@ -13,18 +13,18 @@
 
 const team = { name: "red", guaranteed: { cpus: 4, gpus: 0 }, limit: { cpus: 20, gpus: 4 } };
 
-/** Why a job of team red that needs 2 cores for each task, and what is given, can never run. */
+/** The reason why a job of team red with 2 CPUs per task and the given fields can never run; null: it can. */
 const reasonFor = (fields: Partial<JobSpec>) =>
 	infeasibilityReason(specOf("j-1", { cpus: 2, ...fields }), team, types);
 
 describe("a job can run", () => {
-	test("if a task fits a machine type", () => {
+	test("if a task fits on a machine type", () => {
 		assert.equal(reasonFor({}), null);
 		assert.equal(reasonFor({ cpus: 16, zone: "a" }), null);
 	});
 
-	test("as an array under any zone rules, since its tasks need not run at the same time", () => {
-		// The tasks run half by half in the one zone: trace 47 plays such a job.
+	test("as an array job under any zone rules, since its tasks need not run at the same time", () => {
+		// The tasks run in two halves in the single zone; trace 47 has such a job.
 		assert.equal(reasonFor({ zone: "a", spreadZones: true, singleZone: true }), null);
 	});
 });
@@ -35,12 +35,12 @@
 		assert.match(String(reasonFor({ gpus: 1, machineTypes: ["wide"] })), /fits no/);
 	});
 
-	test("if the types that would fit are not offered in its zone, or in none", () => {
+	test("if the types that fit are not offered in its zone, or in no zone at all", () => {
 		assert.match(String(reasonFor({ cpus: 16, zone: "b" })), /fits no/);
 		assert.match(String(reasonFor({ machineTypes: ["nowhere"] })), /fits no/);
 	});
 
-	test("if one task takes more than the team's limit", () => {
+	test("if one task needs more than the team's limit", () => {
 		assert.match(String(reasonFor({ cpus: 21 })), /more than the limit/);
 	});
 
@@ -48,12 +48,12 @@
 		assert.match(String(infeasibilityReason(specOf("j-1"), undefined, types)), /no team "red"/);
 	});
 
-	test("as a service, if its replicas together take more than the team's limit", () => {
+	test("as a service job, if all its replicas together need more than the team's limit", () => {
 		assert.equal(reasonFor({ form: "service", taskCount: 10 }), null);
 		assert.match(String(reasonFor({ form: "service", taskCount: 11 })), /all replicas together need more/);
 	});
 
-	test("as a service, if its replicas are to be spread over zones and only one is allowed", () => {
+	test("as a service job, if its replicas must be spread over zones and only one zone is allowed", () => {
 		const spread: Partial<JobSpec> = { form: "service", spreadZones: true };
 		assert.equal(reasonFor({ ...spread, taskCount: 2 }), null);
 		assert.equal(reasonFor({ ...spread, taskCount: 1, zone: "a" }), null);
