--- a/src/coordination/leadership/worker-reachability.ts
+++ b/src/coordination/leadership/worker-reachability.ts
@@ -91,7 +91,7 @@
 		for (const { agent } of clusterState.machines.values()) {
 			if (!agent.running) continue;
 			running += 1;
-			if (agent.heartbeatAt > reachableSince && agent.unreachableSince === null) reachable += 1;
+			if (agent.lastHeartbeatAt > reachableSince && agent.unreachableSince === null) reachable += 1;
 		}
 		return { running, reachable };
 	}
--- a/src/coordination/state/assignment-rules.ts
+++ b/src/coordination/state/assignment-rules.ts
@@ -3,7 +3,7 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 import { machineAllowed } from "../../bookkeeping/machine-fit.js";
-import { tasksByZone, zoneRoom } from "../../bookkeeping/zone-rules.js";
+import { tasksByZone, zoneTaskHeadroom } from "../../bookkeeping/zone-rules.js";
 import type { NodeId } from "../../protocol/model/identifiers.js";
 import type { QuotaAccounting } from "./quota-accounting.js";
 
@@ -55,7 +55,7 @@
 		if (!this.readiness.reconciled) return "cluster not reconciled";
 		// A task of a cancelled job would run for longer than `cancel_s` ("the end of a job ends its assigned attempts…" in
 		// tests/coordination/workers/worker-commands.test.ts; traces 07, 08).
-		if (job.over || job.finalizing) return "job ended";
+		if (job.ended || job.finalizing) return "job ended";
 		// If a number were used twice, a late heartbeat could be attributed to the wrong attempt. The leader resigns.
 		if (this.readiness.attemptNumbersExhausted) return "attempt numbers exhausted";
 		return null;
@@ -68,7 +68,7 @@
 		// 56).
 		if (!this.accounting.fitsLimit(spec)) return "team at limit";
 		// The job's tasks would be in several zones, or too many of them in one (trace 16).
-		if ((spec.singleZone || spec.spreadZones) && zoneRoom(spec, tasksByZone(job), machine.zone) < 1)
+		if ((spec.singleZone || spec.spreadZones) && zoneTaskHeadroom(spec, tasksByZone(job), machine.zone) < 1)
 			return "zone constraint";
 		// Controllers that admit tasks at the same time would together exceed the limit (tests/team-quota).
 		if (!this.accounting.mayStart(spec, admittedBy)) return "allotment exhausted";
@@ -86,12 +86,12 @@
 	if (!machine.schedulable) return "machine not schedulable";
 	// Without reservations wide tasks would starve beside small ones, which would take all released resources (trace
 	// 57).
-	if (capacity.reservedFor !== null && capacity.reservedFor !== job) return "machine reserved";
+	if (capacity.reservedForJob !== null && capacity.reservedForJob !== job) return "machine reserved";
 	// The task would run on a machine type, in a zone or on a spot machine that its job does not allow (trace 16).
 	if (!machineAllowed(spec, machine)) return "machine not allowed";
 	// The worker would refuse the start ("the assignment of tasks never exceeds a team's limit or a machine's
 	// capacity…" in tests/coordination/state/cluster-state.test.ts).
-	if (!capacity.hasRoomFor(spec)) return "insufficient capacity on machine";
+	if (!capacity.fits(spec)) return "insufficient capacity on machine";
 	// A faulty machine would fail as many tasks as fit on it (traces 40, 55).
 	if (health.onProbation && machine.attempts.size > 0) return "machine on probation";
 	return null;
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -109,7 +109,7 @@
 		for (const attempt of [...job.attempts.values()]) {
 			if (attempt.phase === "assigned") this.endAttempt(attempt);
 			else {
-				attempt.requestStop("job over", 0);
+				attempt.requestStop("job ended", 0);
 				remaining.push(attempt);
 			}
 		}
@@ -281,7 +281,7 @@
 	): Attempt | null {
 		if (job.waitingTasks.length === 0 || this.assignmentRefusal(job, machine, admittedBy) !== null)
 			return null;
-		const taskIndex = job.takeWaitingTask();
+		const taskIndex = job.dequeueWaitingTask();
 		if (taskIndex === undefined) return null;
 		const number = this.#attemptNumbers.next();
 		const attempt = new Attempt({ job, taskIndex, number, machine, phase: "assigned" });
@@ -301,7 +301,7 @@
 
 	private register(attempt: Attempt): void {
 		attempt.job.addAttempt(attempt);
-		attempt.machine.hold(attempt);
+		attempt.machine.addAttempt(attempt);
 	}
 
 	/**
@@ -311,13 +311,13 @@
 	endAttempt(attempt: Attempt): void {
 		const { job, machine, charge } = attempt;
 		if (!job.removeAttempt(attempt)) return;
-		machine.release(attempt);
+		machine.removeAttempt(attempt);
 		const admittedBy = charge?.node;
 		this.#accounting.release(job.spec, charge);
 		job.requeueTask(attempt.taskIndex);
 		this.requestPlacement();
 		const target = attempt.endRelocation();
-		if (target === null || job.over) return;
+		if (target === null || job.ended) return;
 		// This precedes any other placement. The controller that holds the allotment has not received the end of the
 		// attempt yet, so it cannot have admitted another task in place of the replica.
 		if (this.assignNextTask(job, target, admittedBy)) this.#relocationTargets.add(target);
