--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -1,4 +1,4 @@
-/** Builds a controller and its parts. */
+/** Builds a controller and its components. */
 
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
@@ -32,7 +32,7 @@
 import { TermSupervisor } from "./term-supervisor.js";
 import { HeartbeatRouter } from "./workers/heartbeat-router.js";
 
-/** What a controller needs of the world outside. */
+/** The external systems and the environment that a controller uses. */
 export interface ControllerPorts {
 	store: KeyValueStore;
 	cloud: CloudProvider;
@@ -41,22 +41,22 @@
 	clock: Clock;
 	log: Log;
 	random: RandomGenerator;
-	/** Runs a batch of actions soon, after the events that are being handled. */
+	/** Schedules a batch of actions to run after the events that are being handled. */
 	schedule(run: () => void): void;
-	/** Makes team quota for this process; null or left out: it is off. */
+	/** Creates team quota for this process; team quota is off if this is omitted or returns null. */
 	teamQuota?(post: (action: () => void) => void): TeamQuotaPort | null;
 }
 
-/** What a controller is built from. */
+/** The settings, the identity and the ports of a controller. */
 export interface ControllerOptions {
 	platform: PlatformSettings;
 	operator: OperatorSettings;
-	/** Names this process; no other process of any controller has the same. */
+	/** Identifier of this process, unique among all processes of all controllers. */
 	incarnation: Incarnation;
 	ports: ControllerPorts;
 }
 
-/** Builds a controller. Nothing happens before it is started. */
+/** Builds a controller, which does nothing until it is started. */
 export function createController(options: ControllerOptions): Controller {
 	const { platform, operator, incarnation, ports } = options;
 	const { store, clock, log } = ports;
@@ -147,7 +147,7 @@
 	post(action: () => void): void;
 }
 
-/** `terms` is asked for when a term begins or ends, which is after all parts are built. */
+/** `termSupervisor` is called only when a term begins or ends, which is after all components have been built. */
 function createLeadership(
 	{ platform, operator, incarnation, ports }: ControllerOptions,
 	{ replica, replicaSync, peers, post }: LeadershipParts,
@@ -201,7 +201,7 @@
 	}
 }
 
-/** The quota of a team that the platform names: what its record says, else the platform's settings. */
+/** Returns the quota of a team in the platform settings; its stored quota record takes precedence over the settings. */
 function quotaOf(
 	platform: PlatformSettings,
 	teamQuota: TeamQuotaPort | null,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,4 +1,4 @@
-/** One controller process: the owner of its state, between the world outside and the parts that decide. */
+/** One controller process: receives all external input and dispatches it to the components that decide on it. */
 
 import type { StoreReplica } from "../bookkeeping/store-replica.js";
 import type { NodeId, Term } from "../protocol/model/identifiers.js";
@@ -22,7 +22,7 @@
 import type { TermSupervisor } from "./term-supervisor.js";
 import type { HeartbeatResponse, HeartbeatRouter } from "./workers/heartbeat-router.js";
 
-/** The parts of a controller; `controller-composition.ts` builds them. */
+/** The components of a controller; `controller-composition.ts` builds them. */
 export interface ControllerParts {
 	executor: SerialExecutor;
 	replica: StoreReplica;
@@ -44,8 +44,8 @@
 }
 
 /**
- * Receives requests, heartbeats, messages and ticks, and runs each as an action of the serial executor, which is the
- * one owner of all state of the process.
+ * Receives requests, heartbeats, messages and ticks, and runs each as an action of the serial executor. Only actions of
+ * that executor change the state of the process.
  */
 export class Controller {
 	private stopped = false;
@@ -62,35 +62,35 @@
 		return this.parts.jobs;
 	}
 
-	/** This process's copy of the store. */
+	/** This process's replica of the store. */
 	get replica(): StoreReplica {
 		return this.parts.replica;
 	}
 
-	/** Begins to follow the store and to tick. */
+	/** Starts the synchronization with the store and the ticks. */
 	start(): void {
 		this.parts.replicaSync.start();
 		this.scheduleTick();
 	}
 
-	/** Gives up leadership and stops; a running request may still be answered. */
+	/** Resigns leadership and stops; requests in progress may still be answered. */
 	stop(): void {
 		this.stopped = true;
 		this.parts.replicaSync.stop();
 		this.parts.executor.post(() => this.parts.leadership.resign("controller stopping"));
 	}
 
-	/** This controller should receive users' connections. */
+	/** True if this controller should receive users' connections. */
 	ready(): boolean {
 		return this.parts.readiness.ready;
 	}
 
-	/** The commands for a worker, or the controller that it should turn to. */
+	/** Returns the commands for a worker, or the controller to which it must send its heartbeats. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<HeartbeatResponse> {
 		return this.parts.executor.call(() => this.parts.heartbeatRouter.handle(heartbeat));
 	}
 
-	/** A message of another controller, as it came over the link. */
+	/** Receives an encoded message from another controller. */
 	peerMessage(from: NodeId, encoded: unknown): void {
 		const message = this.parts.peers.read(from, encoded);
 		if (message) this.parts.executor.post(() => this.handlePeerMessage(from, message));
@@ -108,7 +108,7 @@
 
 	private tick(): void {
 		const { replica, leadership, machineTypes, terms, heartbeatRouter } = this.parts;
-		// Machine types are the first thing that a first leader writes: without them there was no leader before.
+		// The first leader's first write is the machine types. If they are absent, there has been no leader before.
 		if (replica.loaded && replica.machineTypes === null) leadership.endStartupHoldoff();
 		leadership.tick(replica.leader, replica.loaded);
 		if (leadership.authority() !== null) machineTypes.tick();
@@ -122,10 +122,10 @@
 	}
 
 	/**
-	 * The process stood still while its clocks ran on, and others may have acted since. Nothing that was known,
-	 * decided or half done before counts until it is confirmed: authority by a fresh answer of the store or of every
-	 * other controller, and the silence of the store, the workers and the other controllers by a fresh wait
-	 * (trace 54, tests/service/process-pauses.test.ts).
+	 * Handles a process pause: the process did not run while its clocks advanced, and other processes may have acted since.
+	 * State, decisions and operations from before the pause are not relied on until confirmed: authority requires a new
+	 * response of the store or of every other controller, and timeouts of the store, the workers and the other controllers
+	 * start anew (trace 54, tests/service/process-pauses.test.ts).
 	 */
 	private onProcessPause(pausedMs: number): void {
 		const { log, leadership, replicaSync, heartbeatRouter, terms } = this.parts;
@@ -181,7 +181,7 @@
 
 	private handleLeaderHeartbeat(from: NodeId, message: LeaderHeartbeat, now: number): void {
 		const { replica, readiness, runningTasks, teamQuota } = this.parts;
-		// A late copy from an earlier leader: what users are told must not go back.
+		// Ignores late copies from earlier leaders, so that the task counts shown to users do not go back in time.
 		if (message.term < (replica.leader?.revision ?? 0)) return;
 		if (message.storeReachable) readiness.storeServesPeer(now);
 		runningTasks.replace(message.runningTasks);
@@ -189,7 +189,7 @@
 		this.replyToLeader(from, message.term);
 	}
 
-	/** Tells the leader how many workers turn to this controller, and what this version supports. */
+	/** Sends the leader the number of misdirected workers at this controller, and the features that it supports. */
 	replyToLeader(leader: NodeId, term: Term): void {
 		const { peers, heartbeatRouter, teamQuota } = this.parts;
 		const reply: LeaderHeartbeatReply = {
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -1,4 +1,4 @@
-/** Builds a leader and the parts that work for it in its term. */
+/** Builds the leader of a term and its components. */
 
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Machine } from "../bookkeeping/machine.js";
@@ -38,18 +38,18 @@
 import { MachineRecords } from "./workers/machine-records.js";
 import { OrphanCleanup } from "./workers/orphan-cleanup.js";
 
-/** How often a controller ticks. */
+/** Interval between the ticks of a controller. */
 export const tickMs = 100;
 
-/** Waited for beyond a worker's lease, drift included, before the lease has certainly expired. */
+/** Margin added to a worker's lease and its clock drift before the leader treats the lease as expired. */
 const leaseExpiryMarginMs = 500;
-/** Values of the store are written up to this part of the largest allowed. */
+/** Maximum size of the values that are written, as a fraction of the store's limit. */
 const valueSizePart = 0.8;
-/** Of the sockets that the process may have, this part is for direct commands to workers. */
+/** Fraction of the process's file descriptors that direct commands to workers may use. */
 const directCommandSocketsPart = 0.1;
 const leastDirectCommandsInFlight = 8;
 
-/** What a leader needs of the world outside. */
+/** The external systems and the environment that a leader uses. */
 export interface LeaderPorts {
 	store: KeyValueStore;
 	cloud: CloudProvider;
@@ -62,7 +62,7 @@
 	random: RandomGenerator;
 }
 
-/** What a leader needs to begin its term. */
+/** The settings, state and ports of the leader of a term. */
 export interface LeaderOptions {
 	term: Term;
 	platform: PlatformSettings;
@@ -70,19 +70,19 @@
 	replica: StoreReplica;
 	machineTypes: MachineType[];
 	ports: LeaderPorts;
-	/** This process may act for the controllers in the term now. */
+	/** True if this process is authorized to act as the leader of the term now. */
 	mayAct(): boolean;
-	/** The store answers this controller. */
+	/** True if the store answers this controller. */
 	storeReachable(): boolean;
-	/** Gives up leadership. */
+	/** Resigns leadership. */
 	resign(reason: ResignationReason): void;
-	/** null: team quota is off, and this leader's own check of limits stands alone. */
+	/** null: team quota is off, and only the leader itself checks team limits. */
 	teamQuota: TeamQuotaPort | null;
-	/** Begins the names of scale-out requests; no other term or process ever uses it. */
+	/** Prefix of the names of scale-out requests, unique to this term and process. */
 	requestPrefix: string;
 }
 
-/** Builds the leader of a term. Nothing happens before it is told to begin. */
+/** Builds the leader of a term, which does nothing until `begin` is called. */
 export function createLeader(options: LeaderOptions): Leader {
 	return new Leader(composeParts(options));
 }
@@ -152,7 +152,7 @@
 		term,
 		heartbeatIntervalS: cluster.workers.report_s,
 		clusterState,
-		// Only heartbeats that come later are told to the fleet, which in turn tells of deleted machines.
+		// `fleet` is built below; these functions are called only when heartbeats arrive, which is later.
 		fleet: {
 			isDeleted: (machine) => fleet.isDeleted(machine),
 			onMachineRunning: (machine) => fleet.onMachineRunning(machine),
@@ -298,8 +298,8 @@
 		post,
 		now: () => clock.now(),
 		onLeaderKeyLost: () => authority.leaderKeyLost(),
-		onWriteFailed: (error) => log.debug({ err: error }, "records not written"),
+		onWriteFailed: (error) => log.debug({ err: error }, "writing records failed"),
 		onChunksRejected: (keys, maxBytes) =>
-			log.error({ keys, maxBytes }, "store rejected values: splitting them"),
+			log.error({ keys, maxBytes }, "store rejected oversized values; splitting them"),
 	};
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -1,4 +1,4 @@
-/** One term of leadership, from its beginning to its end. */
+/** The leader of one term. */
 
 import { Machine, unknownMachineType } from "../bookkeeping/machine.js";
 import type { StoreReplica } from "../bookkeeping/store-replica.js";
@@ -27,10 +27,10 @@
 import type { LeaseMonitor } from "./workers/lease-monitor.js";
 import type { MachineRecords } from "./workers/machine-records.js";
 
-/** The parts that work for a leader in its term; `leader-composition.ts` builds them. */
+/** The components of a leader; `leader-composition.ts` builds them. */
 export interface LeaderParts {
 	authority: TermAuthority;
-	/** Steady time at which the term began. */
+	/** Monotonic time at which the term began. */
 	beganAt: number;
 	clusterState: ClusterState;
 	replica: StoreReplica;
@@ -45,7 +45,7 @@
 	placement: PlacementCycle;
 	preemption: PreemptionCycle;
 	relocation: ReplicaRelocation;
-	/** Team quota; null: this leader's own check of limits stands alone. */
+	/** null: team quota is off, and only the leader itself checks team limits. */
 	leaderQuota: LeaderQuotaPort | null;
 	quotaAdmission: QuotaAdmission | null;
 	tickDelay: TickDelay;
@@ -54,20 +54,20 @@
 }
 
 /**
- * The leader of one term. It reconciles with the machines of the leader before, answers workers' heartbeats, and
- * lets its parts decide about placement, preemption, relocation and the fleet. All of it runs in the process's
+ * The leader of one term. It reconciles the machines of the previous leader, answers workers' heartbeats, and drives the
+ * components that decide about placement, preemption, relocation and the fleet. All of its methods run in the process's
  * serial executor.
  */
 export class Leader implements HeartbeatHandler {
 	constructor(private readonly parts: LeaderParts) {}
 
-	/** What this leader knows of jobs, machines and attempts. */
+	/** This leader's state of jobs, machines and attempts. */
 	get clusterState(): ClusterState {
 		return this.parts.clusterState;
 	}
 
 	/**
-	 * Begins the term. Jobs come from the store. Machines with a record may run tasks of an earlier leader: nothing
+	 * Begins the term. Jobs are loaded from the store. Machines with a record may run tasks of an earlier leader: no task
 	 * starts before each of them has sent a heartbeat or its lease has expired.
 	 */
 	begin(): void {
@@ -94,7 +94,7 @@
 		failover.markUnreconciled(machine, agentEpoch);
 	}
 
-	/** Ends the term: nothing is decided or answered any more. */
+	/** Ends the term: this leader makes no more decisions and sends no more responses. */
 	end(): void {
 		this.parts.authority.end();
 		this.parts.leaderQuota?.end();
@@ -122,7 +122,7 @@
 		if (parts.clusterState.attemptNumbersExhausted) parts.authority.resign("attempt numbers exhausted");
 	}
 
-	/** Places what waits, and sends what was decided. Called after each batch of actions. */
+	/** Runs placement, and sends the starts that it assigned. Called after each batch of actions. */
 	place(): void {
 		const { authority, clusterState, heartbeats, placement, clock } = this.parts;
 		if (!authority.active) return;
@@ -137,9 +137,9 @@
 	}
 
 	/**
-	 * The process stood still while its clocks ran on: see `Controller.onProcessPause`.
+	 * Handles a process pause; see `Controller.onProcessPause`.
 	 *
-	 * @param pausedMs How long it stood still.
+	 * @param pausedMs Duration of the pause.
 	 */
 	onProcessPause(pausedMs: number): void {
 		const { tickDelay, heartbeats, failover, placement, clock } = this.parts;
@@ -151,34 +151,34 @@
 
 	// --- workers ---
 
-	/** The commands for a worker; null: this process may not answer for the controllers. */
+	/** Returns the commands for a worker; null: this process may not answer as the leader. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
 		return this.parts.heartbeats.handle(heartbeat);
 	}
 
-	/** The controller that receives the machine's heartbeats, or null for this one. */
+	/** Returns the controller that forwards the machine's heartbeats; null: the machine sends them to this one. */
 	forwarderFor(machine: MachineId): NodeId | null {
 		return this.parts.failureDetector.forwarderFor(machine, this.parts.clock.now());
 	}
 
-	/** The cloud has named its machine types: prices change, and types come and go. */
+	/** Applies the cloud's current machine types, whose prices may have changed and which may be added or removed. */
 	machineTypesRefreshed(types: MachineType[]): void {
 		this.parts.clusterState.updateMachineTypes(types);
 	}
 
 	// --- jobs ---
 
-	/** A job appeared in the replica, or left it. */
+	/** Called when a job was added to the store replica or removed from it. */
 	jobChanged(id: JobId): void {
 		this.parts.liveJobs.replicaChanged(id);
 	}
 
-	/** Tasks of the job that run. */
+	/** Returns the number of running tasks of the job. */
 	runningCount(id: JobId): number {
 		return this.parts.clusterState.jobs.get(id)?.runningCount ?? 0;
 	}
 
-	/** Running tasks by job, for users who ask other controllers. */
+	/** Returns the running tasks by job, for status requests that users send to other controllers. */
 	private runningTaskCounts(): RunningTaskCount[] {
 		const counts: RunningTaskCount[] = [];
 		for (const job of this.parts.clusterState.jobs.values())
@@ -188,7 +188,7 @@
 
 	// --- other controllers ---
 
-	/** A message of another controller to the leader of a term. */
+	/** Handles a message of another controller to the leader of the message's term. */
 	peerMessage(from: NodeId, message: PeerMessage): void {
 		const { authority, failureDetector, placement, leaderQuota, clock } = this.parts;
 		if (authority.ended || message.term !== authority.term) return;
@@ -201,7 +201,7 @@
 		if (authority.active) this.recordFeatures();
 	}
 
-	/** Records what every controller supports by now, for good. */
+	/** Permanently records the features that all controllers support. */
 	private recordFeatures(): void {
 		const { featureGate, failureDetector, leaderQuota, replica } = this.parts;
 		featureGate.recordSupport(replica.features, {
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -1,41 +1,42 @@
-/** Whether a controller should receive users' connections. */
+/** Determines whether a controller should receive users' connections. */
 
 import type { StoreReplica } from "../bookkeeping/store-replica.js";
 import type { Clock } from "./ports/clock.js";
 import type { ReplicaSync } from "./replication/replica-sync.js";
 
-/** Other controllers unheard for this long are taken to be out of reach. */
+/** A controller without any message from other controllers for longer than this counts as isolated. */
 const isolatedMs = 3000;
 
-/** What readiness is judged by. */
+/** The inputs of the readiness check. */
 export interface ReadinessOptions {
 	replica: StoreReplica;
 	replicaSync: ReplicaSync;
-	/** There are other controllers. */
+	/** True if there are other controllers. */
 	hasPeers: boolean;
 	clock: Clock;
 }
 
-/** Judges readiness by the store and by what the other controllers say about it. */
+/** Determines readiness from the state of the store and from the messages of the other controllers about it. */
 export class Readiness {
 	private peerHeardAt = Number.NEGATIVE_INFINITY;
 	private storeServesPeerAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly options: ReadinessOptions) {}
 
-	/** Another controller has sent a message. */
+	/** Records a message from another controller. */
 	peerHeard(now: number): void {
 		this.peerHeardAt = now;
 	}
 
-	/** The leader has said that the store answers it. */
+	/** Records that the leader has reported the store reachable. */
 	storeServesPeer(now: number): void {
 		this.storeServesPeerAt = now;
 	}
 
 	/**
-	 * A controller that the store does not answer can only respond 503. If the store serves others, users are better
-	 * off there; if it serves nobody, a controller that is taken out of rotation would come back late.
+	 * True if users' connections should go to this controller. If the store does not answer it, it can only respond 503.
+	 * It is then not ready if the store answers others, since users should connect to these. If the store answers no
+	 * controller, it stays ready, because a controller taken out of rotation would return to it late.
 	 */
 	get ready(): boolean {
 		const { replica, replicaSync, hasPeers, clock } = this.options;
--- a/src/coordination/running-task-counts.ts
+++ b/src/coordination/running-task-counts.ts
@@ -1,18 +1,18 @@
-/** How many tasks of each job run, as the leader has last told this controller. */
+/** Running tasks of each job, as last reported by the leader. */
 
 import type { JobId } from "../protocol/model/identifiers.js";
 import type { RunningTaskCount } from "../protocol/peer/messages.js";
 
-/** Counts for users who ask a controller that does not lead. They are for display and may lag. */
+/** Owns a follower's counts of running tasks, which are displayed to users and may lag behind the leader's. */
 export class RunningTaskCounts {
 	private counts: ReadonlyMap<JobId, number> = new Map();
 
-	/** The leader has sent the counts of all jobs with running tasks. */
+	/** Replaces all counts by those that the leader has sent, which include every job with running tasks. */
 	replace(counts: readonly RunningTaskCount[]): void {
 		this.counts = new Map(counts);
 	}
 
-	/** Tasks of the job that run. */
+	/** Returns the number of running tasks of the job. */
 	of(jobId: JobId): number {
 		return this.counts.get(jobId) ?? 0;
 	}
--- a/src/coordination/term-supervisor.ts
+++ b/src/coordination/term-supervisor.ts
@@ -13,12 +13,12 @@
 import type { ResignationReason } from "./state/resignation-reason.js";
 import type { ActiveLeader } from "./workers/heartbeat-router.js";
 
-/** Waited for before machine types are looked for again. */
+/** Delay before the beginning of a term is retried because no machine types are available. */
 const machineTypesRetryMs = 50;
-/** Waited for before the store is asked again whether the replica is up to date. */
+/** Delay before the beginning of a term is retried because the read barrier failed. */
 const readBarrierRetryMs = 100;
 
-/** What the supervisor needs. */
+/** The dependencies of the term supervisor. */
 export interface TermSupervisorOptions {
 	platform: PlatformSettings;
 	operator: OperatorSettings;
@@ -29,40 +29,41 @@
 	machineTypes: MachineTypeCatalog;
 	teamQuota: TeamQuotaPort | null;
 	ports: LeaderPorts;
-	/** A leader has begun its term in this process. */
+	/** Called when a leader has begun its term in this process. */
 	onTermBegun(term: Term): void;
 }
 
 /**
- * A term begins in three steps: the leader key is won; machine types are known; and the replica holds everything
- * that was in the store when the key was won. Only then is there a leader. It ends when leadership is lost.
+ * Owns the leader of this process. A term begins in three steps: this process wins the leader key; the machine types are
+ * available; and the store replica contains everything that was in the store when the key was won. Only then is the
+ * leader created. It ends when leadership is lost.
  */
 export class TermSupervisor {
 	private current: Leader | null = null;
-	/** The term that was won and has not begun. */
+	/** The term whose leader key was won and that has not begun yet. */
 	private beginning: Term | null = null;
 
 	constructor(private readonly options: TermSupervisorOptions) {}
 
-	/** The leader of the term that has begun here, whether it may act or not; null: there is none. */
+	/** The leader whose term has begun in this process, whether or not it may act; null: there is none. */
 	get leader(): Leader | null {
 		return this.current;
 	}
 
-	/** The leader, as long as this process may act for the controllers. */
+	/** The leader in this process and its term, if it is authorized to act; null otherwise. */
 	get activeLeader(): ActiveLeader | null {
 		const term = this.options.leadership.authority();
 		return term !== null && this.current ? { term, leader: this.current } : null;
 	}
 
-	/** The leader key was won. */
+	/** Begins the term for which the leader key was won. */
 	onElected(term: Term): void {
 		this.options.ports.log.info({ term }, "leadership acquired");
 		this.beginning = term;
 		this.begin(term);
 	}
 
-	/** Leadership has ended, whatever the step it was at. */
+	/** Ends the term, or abandons it if it has not begun yet. */
 	onLeadershipLost(term: Term, reason: ResignationReason): void {
 		this.options.ports.log.info({ term, reason }, "leadership lost");
 		this.beginning = null;
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -1,4 +1,4 @@
-/** Commands that are sent straight to workers, without waiting for their heartbeats. */
+/** Sends direct commands to workers, independently of their heartbeats. */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
@@ -8,22 +8,22 @@
 import type { WorkerGateway } from "../ports/workers.js";
 import { stopCommandFor } from "./worker-commands.js";
 
-/** Commands that may be carried out minutes late without harm. Starts are not among them. */
+/** The kinds of command that a worker may safely execute minutes late. Start commands are not among them. */
 export type DirectCommand = StopCommand | ForgetCommand;
 
-/** Commands for one worker that wait to be sent. */
+/** Commands for one worker that are queued for sending. */
 interface QueuedCommands {
 	machine: Machine;
 	commands: DirectCommand[];
 }
 
-/** What the sender of a term works with. */
+/** The dependencies of the direct command sender of one term. */
 export interface DirectCommandSenderOptions {
 	term: Term;
-	/** Most calls to workers at a time. */
+	/** Maximum number of concurrent calls to workers. */
 	maxInFlight: number;
 	workers: WorkerGateway;
-	/** The leader may act. */
+	/** True if the leader is authorized to act. */
 	active(): boolean;
 	/** Runs an action in the process's serial executor. */
 	post(action: () => void): void;
@@ -31,9 +31,9 @@
 }
 
 /**
- * Owns the calls of one term to workers. Each takes a connection of its own, and the end of one large job concerns
- * thousands of machines, so calls beyond a bound wait ("the end of a job that runs on all of them takes only so many
- * sockets" in tests/coordination/workers/direct-command-sender.test.ts).
+ * Owns the direct commands of one term. Each call uses a connection of its own, and ending one large job sends commands
+ * to thousands of machines, so calls beyond `maxInFlight` are queued ("ending a job that runs on all of them opens at
+ * most maxInFlight connections at a time" in tests/coordination/workers/direct-command-sender.test.ts).
  */
 export class DirectCommandSender {
 	private readonly fencingToken: FencingToken;
@@ -44,7 +44,7 @@
 		this.fencingToken = fencingTokenOf(options.term);
 	}
 
-	/** Tells the workers to stop these attempts. Every response repeats it until the attempts are over. */
+	/** Sends stop commands for the attempts. Every heartbeat response repeats them until the attempts have ended. */
 	stop(attempts: readonly Attempt[]): void {
 		if (attempts.length === 0) return;
 		const byMachine = new Map<Machine, StopCommand[]>();
@@ -56,13 +56,13 @@
 		for (const [machine, commands] of byMachine) this.send(machine, commands);
 	}
 
-	/** Sends the commands to the machine's worker, once; a call that fails is not repeated. */
+	/** Sends the commands to the machine's worker once; a failed call is not retried. */
 	send(machine: Machine, commands: DirectCommand[]): void {
 		this.queue.push({ machine, commands });
 		this.sendQueued();
 	}
 
-	/** Authority is tested when commands leave, however long they have waited. */
+	/** Checks the leader's authority at the time of sending, since commands may have been queued under it earlier. */
 	private sendQueued(): void {
 		if (!this.options.active()) this.queue = [];
 		while (this.inFlight < this.options.maxInFlight) {
@@ -80,7 +80,7 @@
 		try {
 			await workers.sendCommands(endpoint, this.fencingToken, agentEpoch, commands);
 		} catch (error) {
-			// The next response to the worker's heartbeat carries the commands as well.
+			// The response to the worker's next heartbeat contains the commands too.
 			log.debug({ machineId: machine.id, err: error }, "direct command failed");
 		}
 		this.inFlight -= 1;
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -1,7 +1,6 @@
 /**
- * Whether jobs or machines are to blame for tasks that fail. A job with a mistake fails wherever it runs; a faulty
- * machine fails whatever runs there. The evidence is kept by FailureHistory for a job and by MachineHealth for a
- * machine; the conclusions are drawn here.
+ * Attributes task failures to jobs or to machines. A faulty job fails on every machine; on a faulty machine every job
+ * fails. FailureHistory records the failures of a job and MachineHealth those on a machine; this module evaluates them.
  */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
@@ -12,13 +11,13 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { AttemptOutcome } from "./task-reconciliation.js";
 
-/** Runs of a job after which their mean says something of its other tasks. */
+/** Number of finished runs of a job from which their mean duration is used to estimate its other tasks. */
 const runsForMean = 4;
 
-/** A replica that has run for so long has started well. */
+/** A replica that has run for longer than this counts as started successfully. */
 const steadyRunMs = 30_000;
 
-/** A growing pause before a failed task is tried again. */
+/** An exponential backoff before a failed task is retried. */
 interface Backoff {
 	firstMs: number;
 	maxDoublings: number;
@@ -27,25 +26,25 @@
 
 const replicaBackoff: Backoff = { firstMs: 250, maxDoublings: 6, maxMs: 10_000 };
 
-/** For jobs that have failed on several machines, and perhaps fail everywhere. */
+/** For jobs that have failed on several machines and may fail on every machine. */
 const severalMachinesBackoff: Backoff = { firstMs: 250, maxDoublings: 8, maxMs: 60_000 };
 
-/** Doublings of the pause by the number of failures, where there are too few machines to go by theirs. */
+/** Limit of the doublings that derive from the number of failures instead of the number of machines with failures. */
 const maxDoublingsByFailures = 4;
 
-/** Weight of a failure against its machine if no task of the job has ever succeeded; otherwise it is 1. */
+/** Weight of a failure as evidence against its machine if no task of the job has ever succeeded; otherwise it is 1. */
 const unprovenJobWeight = 0.5;
 
-/** Draws conclusions about jobs and machines from attempts that have ended. */
+/** Evaluates the outcomes of attempts: holds off failing jobs, and quarantines and releases machines. */
 export class FaultAttribution {
-	/** @param quarantineEvidence Failures of different jobs after which a machine is quarantined. */
+	/** @param quarantineThreshold Weighted number of jobs with failures on a machine at which it is quarantined. */
 	constructor(
 		private readonly clusterState: ClusterState,
 		private readonly quarantineEvidence: number,
 		private readonly log: Log,
 	) {}
 
-	/** Takes note of how an attempt has ended. Stops and starts that were refused for lack of room tell nothing. */
+	/** Records the outcome of an attempt. Stopped attempts and starts refused for lack of capacity are no evidence. */
 	record({ attempt, cause }: AttemptOutcome, now: number): void {
 		if (cause === "done") this.recordSuccess(attempt, now);
 		else if (cause === "error" || cause === "unknown") this.recordFailure(attempt, cause, now);
@@ -57,7 +56,7 @@
 		machine.health.clearFailures();
 		const { failures } = job;
 		failures.noteSuccess(machine.type.name);
-		// The job is sound, so what failed before was the machines' fault, unless it does not suit their type.
+		// The job can succeed, so its earlier failures count against their machines, except those of unsuitable types.
 		const suspects: Machine[] = [];
 		for (const other of failures.machines) {
 			if (failures.unfitTypes.has(other.type.name)) other.health.forgetFailure(job);
@@ -69,7 +68,7 @@
 
 	private recordRun(job: Job, machine: Machine, seconds: number, now: number): void {
 		const { health } = machine;
-		// Enough runs for a mean, mostly on other machines.
+		// The mean of this many runs is reliable, and most of them were on other machines.
 		if (job.finishedRuns >= runsForMean) health.noteRun(seconds, job.estimatedRunS);
 		if (!health.quarantined && isMuchSlower(machine, this.clusterState.machines.values())) {
 			health.quarantine("slow", now);
@@ -81,30 +80,32 @@
 	private recordFailure(attempt: Attempt, cause: "error" | "unknown", now: number): void {
 		const { job, machine, taskId, runningSince } = attempt;
 		this.log.info({ machineId: machine.id, taskId, cause }, "task failed");
-		// A replica that ran for long and failed says little of where it starts next.
+		// A long run shows that the replica can start, so the machines of earlier failed starts no longer count.
 		const ranWell = runningSince !== null && now - runningSince > steadyRunMs;
 		if (job.isService && ranWell) job.failures.forgetMachines();
 		job.failures.noteFailure(machine, now);
 		if (job.isService) job.failures.pauseUntil(now + pauseMs(replicaBackoff, job.failures.machines.size));
 		else if (job.failures.onSeveralMachines)
 			job.failures.pauseUntil(now + pauseMs(severalMachinesBackoff, backoffDoublings(job)));
-		// An unknown job or task, or a machine type that does not suit the job, says nothing of the machine.
+		// An exit because the job or task is unknown, or on a machine type unsuitable for the job, is no evidence
+		// against the machine.
 		if (cause === "error" && !job.failures.unfitTypes.has(machine.type.name))
 			this.recordEvidence(job, machine, now);
 	}
 
 	private recordEvidence(job: Job, machine: Machine, now: number): void {
 		machine.health.noteFailure(job);
-		// What was held against other machines for this job may now be the job's fault.
+		// Earlier failures of this job, counted against other machines, may be the job's own fault.
 		if (job.failures.onSeveralMachines) this.releaseOthers(job);
 		else machine.health.startProbation(now);
 		this.quarantineIfFaulty(machine, now);
 	}
 
 	/**
-	 * Weighs the failures on a machine. Each counts only as long as its job has failed nowhere else since it last
-	 * succeeded, and for less if it never did: faulty jobs that come together must not cost a machine ("jobs that fail
-	 * wherever they run cost no machine" in tests/coordination/workers/fault-attribution.test.ts; trace 55).
+	 * Returns the weighted number of jobs with failures on the machine. A job counts only while it has failed on no
+	 * other machine since its last success, and counts less if it has never succeeded: several faulty jobs at the same
+	 * time must not get a machine quarantined ("jobs that fail on every machine cause no quarantine" in
+	 * tests/coordination/workers/fault-attribution.test.ts; trace 55).
 	 */
 	private evidenceAgainst(machine: Machine): number {
 		let evidence = 0;
@@ -121,7 +122,7 @@
 		this.log.info({ machineId: machine.id }, "machine quarantined: faulty");
 	}
 
-	/** The job has failed on several machines: those against which nothing else stands are not to blame. */
+	/** Releases machines that were suspected only because of this job, which has since failed on several machines. */
 	private releaseOthers(job: Job): void {
 		for (const machine of job.failures.machines) {
 			const { health, lifecycle } = machine;
@@ -136,7 +137,10 @@
 	}
 }
 
-/** With few machines in all, the count of failures stands for that of machines, up to a few seconds. */
+/**
+ * Returns the number of doublings: the number of machines on which the job has failed. In a small cluster that number
+ * stays low, so the number of failures is used instead, limited to a backoff of a few seconds.
+ */
 function backoffDoublings({ failures }: Job): number {
 	const byFailures = Math.min(maxDoublingsByFailures, Math.floor(Math.log2(failures.consecutive)));
 	return Math.max(failures.machines.size, byFailures);
--- a/src/coordination/workers/forwarded-response-batches.ts
+++ b/src/coordination/workers/forwarded-response-batches.ts
@@ -1,4 +1,4 @@
-/** The leader's side of forwarding: responses to heartbeats that other controllers have forwarded. */
+/** The leader's side of heartbeat forwarding: batches the responses to forwarded heartbeats. */
 
 import type { NodeId, Term } from "../../protocol/model/identifiers.js";
 import type { ForwardedResponse } from "../../protocol/peer/messages.js";
@@ -6,14 +6,14 @@
 import type { PeerMessenger } from "../ports/peers.js";
 import { forwardingBatchMs } from "./heartbeat-forwarder.js";
 
-/** Responses to one controller that go out as one message. */
+/** Responses for one controller that are sent as one message. */
 interface ResponseBatch {
-	/** The term in which all of them were decided. */
+	/** The term of the leader that issued all of the responses. */
 	term: Term;
 	responses: ForwardedResponse[];
 }
 
-/** Owns the responses that wait for a moment so that those to one controller go together. */
+/** Owns the responses that are held for `forwardingBatchMs`, so that those for one controller share a message. */
 export class ForwardedResponseBatches {
 	private readonly batches = new Map<NodeId, ResponseBatch>();
 
@@ -22,7 +22,7 @@
 		private readonly clock: Clock,
 	) {}
 
-	/** Adds a response for the controller. A batch holds responses of one term, so one of another term goes out first. */
+	/** Adds a response for the controller. A batch holds responses of one term; a batch of another term is sent first. */
 	add(to: NodeId, term: Term, response: ForwardedResponse): void {
 		const batch = this.batches.get(to);
 		if (batch?.term === term) {
@@ -34,7 +34,7 @@
 		this.clock.after(forwardingBatchMs, () => this.send(to));
 	}
 
-	/** The process stood still: commands that were decided before are out of date. */
+	/** Discards the batches after a process pause, since their commands were issued before it and are out of date. */
 	onProcessPause(): void {
 		this.batches.clear();
 	}
--- a/src/coordination/workers/heartbeat-forwarder.ts
+++ b/src/coordination/workers/heartbeat-forwarder.ts
@@ -1,4 +1,4 @@
-/** A controller's side of forwarding: it receives workers' heartbeats in the leader's stead and passes them on. */
+/** A follower's side of heartbeat forwarding: passes workers' heartbeats to the leader and returns its responses. */
 
 import type { NodeId, Term } from "../../protocol/model/identifiers.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../../protocol/model/worker.js";
@@ -6,36 +6,36 @@
 import type { Clock } from "../ports/clock.js";
 import type { PeerMessenger } from "../ports/peers.js";
 
-/** Heartbeats that arrive within this time, and responses, pass between controllers as one message. */
+/** Forwarded heartbeats that arrive within this interval share one message; so do the responses to them. */
 export const forwardingBatchMs = 20;
 
-/** A worker waits 4 s for its response; one that has not come from the leader by now is given up. */
+/** Timeout for the leader's response; it is shorter than the 4 s for which a worker waits. */
 const responseTimeoutMs = 3000;
 
-/** After a timeout the link to the leader is taken to be broken for this long. */
+/** Period after a timeout in which nothing is forwarded, because the link to the leader is presumed broken. */
 const pauseAfterTimeoutMs = 3000;
 
-/** A forwarded heartbeat that waits for the leader's response. */
+/** A forwarded heartbeat that awaits the leader's response. */
 interface ForwardingRequest {
-	/** Steady time. */
+	/** Monotonic time at which the heartbeat was accepted for forwarding. */
 	sentAt: number;
-	/** null: the leader may not answer, or has not in time. */
+	/** Called with null if the leader may not answer, or has not answered in time. */
 	respond(commands: WorkerCommand[] | null): void;
 }
 
 /**
- * Owns the heartbeats that are on their way to the leader. A forwarder decides nothing and keeps nothing else: the
- * leader answers each heartbeat, and its response goes to the worker under the leader's fencing token. To the worker
- * and to the leader it is a slower network (docs/safety.md; traces 33 to 38).
+ * Owns the heartbeats forwarded to the leader that have no response yet. A forwarder makes no decisions and holds no
+ * other state: the leader answers each heartbeat, and its response goes to the worker under the leader's fencing token.
+ * For the worker and the leader, forwarding is equivalent to a slower network (docs/safety.md; traces 33 to 38).
  */
 export class HeartbeatForwarder {
 	private leader: NodeId = "";
 	private term: Term = 0;
 	private lastRequestId = 0;
-	/** Steady time until which nothing is forwarded. */
+	/** Monotonic time until which nothing is forwarded. */
 	private pausedUntil = Number.NEGATIVE_INFINITY;
 	private batch: ForwardedHeartbeat[] = [];
-	/** By request id, the oldest first. */
+	/** Requests by id, the oldest first. */
 	private readonly requests = new Map<number, ForwardingRequest>();
 
 	constructor(
@@ -43,7 +43,7 @@
 		private readonly clock: Clock,
 	) {}
 
-	/** Another leader: requests to the one before are given up, and may be forwarded anew. */
+	/** Switches to another leader. Requests to the previous one are abandoned; callers may forward them again. */
 	followLeader(leader: NodeId, term: Term): void {
 		this.leader = leader;
 		this.term = term;
@@ -54,8 +54,8 @@
 	/**
 	 * Forwards a heartbeat to the leader.
 	 *
-	 * @returns null: heartbeats cannot be forwarded for now. Otherwise the leader's commands, or null if the leader may
-	 *   not answer or has not in time.
+	 * @returns null during the backoff after a timeout. Otherwise the leader's commands, or null if the leader may not
+	 *   answer or has not answered in time.
 	 */
 	forward(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> | null {
 		const now = this.clock.now();
@@ -74,7 +74,7 @@
 			this.peers.send(this.leader, { kind: "forwarded-heartbeats", term: this.term, heartbeats });
 	}
 
-	/** The leader's responses. Those of a controller that is not the leader asked are dropped. */
+	/** Completes requests with the leader's responses. Responses from any other controller or term are dropped. */
 	handleResponses(from: NodeId, term: Term, responses: readonly ForwardedResponse[]): void {
 		if (from !== this.leader || term !== this.term) return;
 		for (const { requestId, commands } of responses) {
@@ -83,7 +83,7 @@
 		}
 	}
 
-	/** The process stood still: workers have given up what waits here, and the link to the leader is not to blame. */
+	/** Abandons all requests after a process pause: their workers have timed out, which is no sign of a broken link. */
 	onProcessPause(): void {
 		this.dropAll();
 	}
@@ -93,14 +93,14 @@
 		this.giveUp(Number.POSITIVE_INFINITY);
 	}
 
-	/** Gives up requests without a response. Called ten times a second. */
+	/** Abandons requests that have timed out. Called ten times a second. */
 	tick(): void {
 		if (this.requests.size === 0) return;
 		const now = this.clock.now();
 		if (this.giveUp(now - responseTimeoutMs)) this.pausedUntil = now + pauseAfterTimeoutMs;
 	}
 
-	/** Gives up requests that were sent at this steady time or before; false: there are none. */
+	/** Abandons the requests sent at or before this monotonic time. Returns false if there were none. */
 	private giveUp(sentBefore: number): boolean {
 		let any = false;
 		for (const [requestId, { sentAt, respond }] of this.requests) {
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -1,9 +1,9 @@
 /**
- * Squares a worker's heartbeat with the cluster state.
+ * Reconciles a worker's heartbeat with the cluster state.
  *
- * A worker has one heartbeat in flight. So one with a larger (agent epoch, sequence) was sent after the response to
- * the one before was carried out or can no longer be, and what it does not list is not there. Late copies of earlier
- * heartbeats change nothing.
+ * A worker has at most one heartbeat in flight. When it sends one with a larger (agent epoch, sequence), the response
+ * to the previous one has been executed or can no longer be executed, so a task that the new heartbeat does not list is
+ * not on the machine. Late copies of earlier heartbeats are ignored.
  */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
@@ -14,37 +14,37 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import { type AttemptOutcome, TaskReconciliation } from "./task-reconciliation.js";
 
-/** What a heartbeat has told, for those who log and decide on it. */
+/** The effects of a heartbeat on the cluster state, as input for logging and further decisions. */
 export interface ReconciledHeartbeat {
 	kind: "reconciled";
 	machine: Machine;
-	/** Attempts that have exited since the heartbeat before. */
+	/** Attempts that have exited since the previous heartbeat. */
 	outcomes: readonly AttemptOutcome[];
-	/** Jobs of which tasks are listed as done, under this leader's attempts or those of earlier ones. */
+	/** Jobs with tasks that the heartbeat lists as done, under attempts of this leader or of earlier leaders. */
 	jobsWithDoneTasks: ReadonlySet<Job>;
-	/** Attempts that were on the machine and are gone without an exit. */
+	/** Attempts that were on the machine and have disappeared without a reported exit. */
 	lostAttempts: readonly Attempt[];
 	/** Replicas that are reported running for the first time. */
 	startedReplicas: readonly Attempt[];
-	/** The machine was not known before. */
+	/** True if the cluster state did not contain the machine. */
 	newMachine: boolean;
-	/** It is the worker's first heartbeat to this leader. */
+	/** True if this is the worker's first heartbeat to this leader. */
 	firstHeartbeat: boolean;
 }
 
-/** Why a heartbeat changes nothing. */
+/** The reason why a heartbeat is rejected without effect. */
 export type HeartbeatRefusal =
-	/** It is older than the latest, or a copy of it. */
+	/** The heartbeat is older than the latest one, or a copy of it. */
 	| "outdated"
-	/** It belongs to a lease that has expired, and must not be answered in a way that renews it. */
+	/** The heartbeat belongs to a lease that has expired, and a response must not renew that lease. */
 	| "lease expired"
-	/** The cloud does not name the machine's type, so nothing is known of the machine's capacity. */
+	/** The cloud does not list the machine's type, so the machine's capacity is unknown. */
 	| "unknown machine type";
 
-/** What has become of a heartbeat. */
+/** The result of reconciling a heartbeat. */
 export type ReconciliationResult = ReconciledHeartbeat | { kind: HeartbeatRefusal };
 
-/** Takes over a worker's heartbeat at the steady time `now`. */
+/** Applies a worker's heartbeat, received at the monotonic time `now`, to the cluster state. */
 export function reconcileHeartbeat(
 	clusterState: ClusterState,
 	heartbeat: WorkerHeartbeat,
@@ -57,7 +57,8 @@
 	if (refusal) return { kind: refusal };
 	const { agent } = machine;
 	const newAgentEpoch = agent.agentEpoch !== 0 && heartbeat.agentEpoch > agent.agentEpoch;
-	// Although it was renewed. Once, the response may just have come too late.
+	// The lease expired although a response was sent recently. If this happens once, that response may merely have
+	// arrived too late.
 	const leaseExpired = newAgentEpoch && now - agent.respondedAt < clusterState.workerLeaseExpiryMs / 2;
 	const firstHeartbeat = !agent.running;
 	recordHeartbeat(clusterState, machine, heartbeat, now);
@@ -83,7 +84,7 @@
 	};
 }
 
-/** Adds the machine that the heartbeat comes from; null: nothing is known of its type. */
+/** Adds the machine that sent the heartbeat. Returns null if its type is unknown. */
 function addMachineOf(clusterState: ClusterState, heartbeat: WorkerHeartbeat, now: number): Machine | null {
 	const { machineId: id, machineType, zone, spot } = heartbeat;
 	const type = clusterState.machineTypes.get(machineType);
@@ -93,7 +94,7 @@
 	return machine;
 }
 
-/** Why the heartbeat changes nothing; null: it is to be taken over. */
+/** Returns the reason to reject the heartbeat, or null if it is accepted. */
 function refusalOf(
 	clusterState: ClusterState,
 	machine: Machine,
@@ -105,17 +106,17 @@
 	if (agentEpoch < agent.agentEpoch) return "outdated";
 	if (agentEpoch > agent.agentEpoch) return null;
 	if (sequence <= agent.sequence) return "outdated";
-	// A heartbeat that shows an earlier token was sent without the responses before it, and these can no longer arrive:
-	// they have renewed nothing. Its lease rests on what is older than this term, however often we have responded
-	// ("responses to a worker that never shows the leader's token renew nothing" in
-	// tests/coordination/workers/heartbeat-reconciliation.test.ts; trace 24).
+	// A heartbeat with an earlier fencing token shows that the worker has received none of this leader's responses. Those
+	// sent so far can no longer arrive and have not renewed the lease, so it still dates from before this term, however
+	// often this leader has responded ("responses to a worker that never shows the leader's token do not renew its lease"
+	// in tests/coordination/workers/heartbeat-reconciliation.test.ts; trace 24).
 	const renewed = agent.fenced || fencingToken >= fencingTokenOf(clusterState.term);
 	if (renewed || now - lifecycle.requestedAt <= clusterState.workerLeaseExpiryMs) return null;
 	clusterState.expireLease(machine);
 	return "lease expired";
 }
 
-/** The worker and its machine, apart from the tasks. A worker that shows this leader's token is fenced. */
+/** Updates the worker and its machine, but not their tasks. A worker that shows this leader's token is fenced. */
 function recordHeartbeat(
 	clusterState: ClusterState,
 	machine: Machine,
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Brings each worker's heartbeat to the leader: here, by forwarding it, or by redirecting the worker. */
+/** Routes workers' heartbeats to the leader: handles them locally, forwards them or redirects the worker. */
 
 import {
 	type FencingToken,
@@ -20,70 +20,70 @@
 import { ForwardedResponseBatches } from "./forwarded-response-batches.js";
 import { HeartbeatForwarder } from "./heartbeat-forwarder.js";
 
-/** What a controller tells a worker that has sent a heartbeat. */
+/** A controller's response to a worker's heartbeat. */
 export type HeartbeatResponse =
 	/** The leader's commands, under its fencing token. */
 	| { kind: "commands"; fencingToken: FencingToken; commands: WorkerCommand[] }
-	/** Another controller receives the worker's heartbeats; null: not known which. */
+	/** The worker must send its heartbeats to another controller; null: it must try the others itself. */
 	| { kind: "redirect"; node: NodeId | null };
 
-/** What the router needs of a leader. */
+/** The part of a leader that the router uses. */
 export interface HeartbeatHandler {
-	/** Takes over a heartbeat and answers it; null: this process may not answer for the controllers. */
+	/** Applies a heartbeat and returns the response's commands; null: this process may not answer as the leader. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null>;
-	/** The controller that receives the machine's heartbeats; null: this one. */
+	/** Returns the controller that forwards the machine's heartbeats; null: the machine sends them to this one. */
 	forwarderFor(machineId: MachineId): NodeId | null;
 }
 
-/** The leader of a term, as far as this process acts for it. */
+/** The leader in this process, with the term in which it is authorized to act. */
 export interface ActiveLeader {
 	term: Term;
 	leader: HeartbeatHandler;
 }
 
-/** What the router of a process works with. */
+/** The dependencies of a controller's router. */
 export interface HeartbeatRouterOptions {
 	/** This node. */
 	self: NodeId;
 	peers: PeerMessenger;
 	clock: Clock;
-	/** The leader in this process; null: it does not lead, or may not act. */
+	/** Returns the leader in this process; null: it does not lead, or may not act. */
 	activeLeader(): ActiveLeader | null;
-	/** The node in the leader key, as this process's replica of the store has it; null: there is none. */
+	/** Returns the node in the leader key according to this process's store replica; null: the key is absent. */
 	leaderInStore(): NodeId | null;
-	/** Tells the leader how many misdirected workers turn to this node. */
+	/** Sends the leader the number of misdirected workers at this node. */
 	reportMisdirectedWorkers(leader: NodeId, term: Term): void;
 }
 
 /**
- * A worker that cannot reach the leader comes to another controller about once in this time: it waits 4 s for a
- * response, and a second before it tries the next.
+ * Period within which a worker that cannot reach the leader sends a heartbeat to each other controller about once: it
+ * waits 4 s for a response, and 1 s before it tries the next controller.
  */
 const misdirectedWindowMs = 6000;
 
-/** Least time between two reports of misdirected workers to a leader that most workers do not reach. */
+/** Minimum interval between reports of misdirected workers to a leader that most workers cannot reach. */
 const misdirectedReportIntervalMs = 100;
 
-/** A leader unheard for longer than this is not named to workers, and gets no heartbeats forwarded. */
+/** A leader that has sent no message for longer than this is neither a redirect target nor forwarded heartbeats. */
 const leaderSilenceMs = 1200;
 
-/** What this process knows of the leader that it follows. */
+/** State of the leader that this process follows, from that leader's messages. */
 interface FollowedLeader {
 	node: NodeId;
 	term: Term;
-	/** Steady time of its latest message. */
+	/** Monotonic time of its latest message. */
 	heardAt: number;
-	/** It says that most workers reach it. */
+	/** True if it reports that most workers can reach it. */
 	workersReachable: boolean;
-	/** It wants heartbeats forwarded to it. */
+	/** True if it requests that heartbeats be forwarded to it. */
 	forwardHeartbeats: boolean;
 }
 
-/** Owns which leader this process follows, and the workers that come to it though it does not lead. */
+/** Owns the state of the leader that this process follows, and of workers whose heartbeats reach it as a follower. */
 export class HeartbeatRouter {
 	private readonly forwarder: HeartbeatForwarder;
 	private readonly responses: ForwardedResponseBatches;
-	/** Steady time of the latest heartbeat of each machine that came here though this node does not lead. */
+	/** Monotonic time of each machine's latest heartbeat that reached this node while it was not the leader. */
 	private readonly misdirected = new Map<MachineId, number>();
 	private misdirectedReportedAt = Number.NEGATIVE_INFINITY;
 	private followed: FollowedLeader = newLeader("", 0);
@@ -93,7 +93,7 @@
 		this.responses = new ForwardedResponseBatches(options.peers, options.clock);
 	}
 
-	/** Answers a worker's heartbeat that has come to this node. */
+	/** Answers a worker's heartbeat sent to this node. */
 	async handle(heartbeat: WorkerHeartbeat): Promise<HeartbeatResponse> {
 		const active = this.options.activeLeader();
 		if (active) {
@@ -107,7 +107,7 @@
 		return { kind: "redirect", node: this.redirectTarget() };
 	}
 
-	/** null: this node may not answer. Authority may have ended while the response was held. */
+	/** Handles the heartbeat as the leader; null: this node may not answer, e.g. its authority ended during the hold. */
 	private async askLeader(
 		{ leader, term }: ActiveLeader,
 		heartbeat: WorkerHeartbeat,
@@ -118,11 +118,11 @@
 
 	// --- forwarding ---
 
-	/** Forwards the heartbeat, where the leader wants that; null: the worker must be redirected. */
+	/** Forwards the heartbeat if the leader requests that. Returns null if the worker must be redirected. */
 	private forward(heartbeat: WorkerHeartbeat): Promise<HeartbeatResponse> | null {
 		const { term, heardAt, forwardHeartbeats } = this.followed;
 		if (!forwardHeartbeats || this.options.clock.now() - heardAt > leaderSilenceMs) return null;
-		// The worker has seen a later leader, and would drop the response.
+		// The worker has received a later leader's token, and would drop the response.
 		if (heartbeat.fencingToken > fencingTokenOf(term)) return null;
 		const commands = this.forwarder.forward(heartbeat);
 		return commands && this.forwardedResponse(heartbeat, term, commands);
@@ -134,12 +134,12 @@
 		forwarded: Promise<WorkerCommand[] | null>,
 	): Promise<HeartbeatResponse> {
 		const commands = await forwarded;
-		// Where the leader has changed while the worker waits, this is still its latest heartbeat.
+		// The leader has changed. The worker is still waiting, so this is its latest heartbeat and can be routed again.
 		if (commands === null && this.followed.term > term) return this.handle(heartbeat);
 		return responseOf(term, commands);
 	}
 
-	/** Heartbeats that another node forwards to this one as the leader. */
+	/** Handles heartbeats that another node has forwarded to this one as the leader. */
 	handleForwarded(from: NodeId, { term, heartbeats }: ForwardedHeartbeats): void {
 		const active = this.options.activeLeader();
 		for (const forwarded of heartbeats) {
@@ -157,7 +157,7 @@
 		this.responses.add(from, active.term, { requestId, commands });
 	}
 
-	/** The leader's responses to heartbeats that this node has forwarded. */
+	/** Handles the leader's responses to heartbeats that this node has forwarded. */
 	handleForwardedResponses(from: NodeId, { term, responses }: ForwardedResponses): void {
 		this.forwarder.handleResponses(from, term, responses);
 	}
@@ -172,7 +172,7 @@
 		this.options.reportMisdirectedWorkers(node, term);
 	}
 
-	/** Workers whose heartbeats have come here lately though this node does not lead. */
+	/** Returns the number of workers that have sent this follower a heartbeat within `misdirectedWindowMs`. */
 	countMisdirectedWorkers(): number {
 		const since = this.options.clock.now() - misdirectedWindowMs;
 		for (const [machineId, at] of this.misdirected) if (at < since) this.misdirected.delete(machineId);
@@ -180,9 +180,9 @@
 	}
 
 	/**
-	 * The leader, if a worker can be sent there. The leader key outlives a leader that crashed, and a worker sent
-	 * to that one would hang there while the next leader waits to hear of every machine. So a silent leader is not
-	 * named, nor one that says itself that workers do not reach it (trace 31).
+	 * Returns the leader if a worker can be redirected to it. The leader key outlives a crashed leader, and a worker
+	 * redirected there would wait for its timeout while the next leader needs a heartbeat from every machine. So a leader
+	 * that has stopped sending messages is not a target, nor one that reports that workers cannot reach it (trace 31).
 	 */
 	private redirectTarget(): NodeId | null {
 		const leader = this.options.leaderInStore();
@@ -194,7 +194,7 @@
 
 	// --- the leader that this process follows ---
 
-	/** A leader was heard at the steady time `now`. A late copy of an earlier leader's message tells nothing of now. */
+	/** Handles a leader's message received at the monotonic time `now`. Late copies of earlier terms are ignored. */
 	noteLeader(from: NodeId, message: LeaderHeartbeat | PlacementRequest, now: number): void {
 		const { term } = message;
 		if (term < this.followed.term) return;
@@ -204,13 +204,13 @@
 		this.followed = { node: from, term, heardAt: now, workersReachable, forwardHeartbeats };
 	}
 
-	/** This node leads from now on. */
+	/** Records this node as the leader of the term. */
 	startLeading(term: Term): void {
 		this.followed = newLeader(this.options.self, term);
 		this.forwarder.followLeader(this.options.self, term);
 	}
 
-	/** The process stood still: what was under way is out of date. */
+	/** Discards forwarded heartbeats and batched responses after a process pause, since they are out of date. */
 	onProcessPause(): void {
 		this.forwarder.onProcessPause();
 		this.responses.onProcessPause();
@@ -222,7 +222,7 @@
 	}
 }
 
-/** A leader of which nothing was heard yet. */
+/** Returns the state of a leader that has not sent a message yet. */
 function newLeader(node: NodeId, term: Term): FollowedLeader {
 	return {
 		node,
@@ -233,7 +233,7 @@
 	};
 }
 
-/** The response of the term's leader; null: it may not answer, so the worker is to try another controller. */
+/** Returns the response of the term's leader. If it may not answer, the worker must try another controller. */
 function responseOf(term: Term, commands: WorkerCommand[] | null): HeartbeatResponse {
 	if (commands === null) return { kind: "redirect", node: null };
 	return { kind: "commands", fencingToken: fencingTokenOf(term), commands };
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -1,4 +1,4 @@
-/** The leader's side of heartbeats: takes them over, acts on what they tell and answers them. */
+/** The leader's side of heartbeats: reconciles them, acts on the results and sends the responses. */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
@@ -23,27 +23,30 @@
 import type { AttemptOutcome } from "./task-reconciliation.js";
 import { takeCommands } from "./worker-commands.js";
 
-/** How long a response waits for a placement, so that freed capacity is filled by the same response. */
+/** Maximum time that a response is held for a placement, so that the same response fills the freed capacity. */
 const placementHoldMs = 150;
 
-/** How long the response to a machine without tasks waits for work at most. */
+/** Maximum time that the response to a machine without tasks is held until there is a task for it. */
 const idleHoldMs = 1500;
 
-/** The same, as a part of a heartbeat interval; the shorter one holds. */
+/** The same limit as a fraction of the heartbeat interval; the shorter of the two applies. */
 const idleHoldIntervals = 0.6;
 
-/** A machine heard within this part of a heartbeat interval is worth being asked for its next heartbeat. */
+/**
+ * A machine's next heartbeat is triggered early only if its last one is at most this fraction of the heartbeat interval
+ * old; otherwise the next one is due soon anyway.
+ */
 const recentlyHeardIntervals = 0.6;
 
-/** What heartbeats tell the fleet, and what the fleet knows of machines. */
+/** The part of the fleet that the heartbeat service uses. */
 export interface MachineLifecycleListener {
-	/** The cloud has confirmed that the machine is deleted: a late heartbeat of it must not be answered. */
+	/** True if the cloud has confirmed the machine's deletion: late heartbeats of it must not be answered. */
 	isDeleted(machineId: MachineId): boolean;
-	/** The machine has sent its first heartbeat to this leader. */
+	/** Called when the machine has sent its first heartbeat to this leader. */
 	onMachineRunning(machine: Machine): void;
 }
 
-/** What the heartbeat service of a term works with. */
+/** The dependencies of the heartbeat service of one term. */
 export interface HeartbeatServiceOptions {
 	term: Term;
 	/** Seconds between a worker's heartbeats. */
@@ -60,21 +63,21 @@
 	log: Log;
 	/** Runs an action in the process's serial executor. */
 	post(action: () => void): void;
-	/** The leader may act. */
+	/** True if the leader is authorized to act. */
 	active(): boolean;
-	/** The machine's record is to be written before anything starts there. */
+	/** Writes the machine's record, which must be stored before a task starts there. */
 	recordMachine(machine: Machine): void;
 }
 
 /**
- * Owns the responses of one term to workers. What a heartbeat tells is taken over at once; the response is held back
- * for a moment where something may be placed, since a start goes only in a response.
+ * Owns the responses of one term to workers. A heartbeat is reconciled at once. Its response is held for a limited time
+ * if a task may be placed on the machine, since start commands are sent only in responses.
  */
 export class HeartbeatService {
 	private readonly pending: PendingHeartbeats;
 	/** Machines with assigned attempts that have not been sent. */
 	private readonly machinesWithAssignments = new Set<Machine>();
-	/** Whether a task is ready to start, worked out once a batch; null: not yet in this batch. */
+	/** True if a task is ready to start; computed once per batch of actions; null: not computed in this batch yet. */
 	private taskReady: boolean | null = null;
 
 	constructor(private readonly options: HeartbeatServiceOptions) {
@@ -82,16 +85,17 @@
 		this.pending = new PendingHeartbeats({ clock, post, commandsFor: (id) => this.commandsById(id) });
 	}
 
-	/** Takes over a heartbeat and answers it; null: this process may not answer for the controllers. */
+	/** Reconciles a heartbeat and returns the response's commands; null: this process may not answer as the leader. */
 	handle(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
 		const { term, fleet, clock } = this.options;
-		// A worker that has seen a later token drops our response, and would wait here while its lease expires.
+		// A worker that has received a later token drops this leader's response, and its lease would expire while it
+		// waits for one.
 		if (!this.options.active() || heartbeat.fencingToken > fencingTokenOf(term)) return refused;
 		if (fleet.isDeleted(heartbeat.machineId)) return refused;
 		const now = clock.now();
 		const result = this.reconcile(heartbeat);
 		switch (result.kind) {
-			// A response would renew a lease that counts as expired, or keep tasks alive of which nothing is known.
+			// A response would renew a lease that counts as expired, or keep unrecorded tasks alive on an unknown machine.
 			case "lease expired":
 			case "unknown machine type":
 				return refused;
@@ -102,7 +106,7 @@
 		}
 	}
 
-	/** Answers the machine's heartbeat, at once or as soon as there is something to start. */
+	/** Returns the response's commands, at once or when a task can start, up to the maximum hold time. */
 	private respond(machine: Machine, now: number): Promise<WorkerCommand[] | null> {
 		const { clusterState, heartbeatIntervalS } = this.options;
 		machine.agent.responded(now);
@@ -113,14 +117,14 @@
 		if (!machine.schedulable || machine.capacity.freeCpus <= 0 || !(taskReady || idle))
 			return Promise.resolve(this.commandsFor(machine));
 		if (taskReady) clusterState.requestPlacement();
-		// Freed capacity is filled by the same response: the next one is a heartbeat interval away. A machine without
-		// tasks has nothing to tell meanwhile, and is answered when work comes.
+		// The same response fills freed capacity, since the next one is a heartbeat interval away. A machine without tasks
+		// has no changes to report meanwhile, so its response can be held longer.
 		if (!idle) return this.pending.hold(machine.id, now + placementHoldMs, "placement");
 		const holdMs = Math.min(idleHoldMs, heartbeatIntervalS * 1000 * idleHoldIntervals);
 		return this.pending.hold(machine.id, now + holdMs, "idle");
 	}
 
-	/** null: this process may not answer. The response may renew the worker's lease. */
+	/** Returns the commands for a response sent now, which may renew the lease; null: this process may not answer. */
 	private commandsFor(machine: Machine): WorkerCommand[] | null {
 		if (!this.options.active()) return null;
 		machine.agent.responded(this.options.clock.now());
@@ -133,7 +137,7 @@
 		return machine ? this.commandsFor(machine) : null;
 	}
 
-	/** Takes over what a worker tells, without a response: also where it was asked directly. */
+	/** Reconciles a heartbeat without responding to it. Also used for heartbeats returned by direct calls to workers. */
 	reconcile(heartbeat: WorkerHeartbeat): ReconciliationResult {
 		const { clusterState, clock } = this.options;
 		const now = clock.now();
@@ -151,7 +155,7 @@
 		if (result.newMachine)
 			log.info({ machineId: machine.id, machineType: machine.type.name }, "machine running");
 		for (const outcome of result.outcomes) this.noteOutcome(outcome, now);
-		// Not only by outcomes: a job's last tasks may have ended while nobody led (trace 33).
+		// Outcomes alone do not suffice: a job's last tasks may have ended while there was no leader (trace 33).
 		for (const job of result.jobsWithDoneTasks) this.options.finishIfDone(job);
 		for (const replica of result.startedReplicas) log.debug(replicaFields(replica), "replica running");
 		for (const { taskId } of result.lostAttempts) log.info({ machineId: machine.id, taskId }, "task lost");
@@ -164,33 +168,33 @@
 		this.options.faultAttribution.record(outcome, now);
 	}
 
-	/** Whether a task of any job is ready to start, worked out once a batch, however many heartbeats it holds. */
+	/** True if a task of any job is ready to start. Computed once per batch, however many heartbeats the batch contains. */
 	anyTaskReady(now: number): boolean {
 		this.taskReady ??= [...this.options.clusterState.jobs.values()].some((job) => job.hasReadyTask(now));
 		return this.taskReady;
 	}
 
-	/** A batch of actions has ended. */
+	/** Called at the end of a batch of actions. */
 	onBatchEnd(): void {
 		this.taskReady = null;
 	}
 
-	/** An attempt was assigned; its start goes out with the response to the machine's heartbeat. */
+	/** Records that an attempt was assigned; its start is sent in the response to a heartbeat of the machine. */
 	onAssigned(attempt: Attempt): void {
 		this.machinesWithAssignments.add(attempt.machine);
 		if (attempt.job.isService) this.options.log.debug(replicaFields(attempt), "replica assigned");
 	}
 
-	/** An attempt was assigned to the machine apart from placement. */
+	/** Records that replica relocation, not placement, assigned an attempt to the machine. */
 	onRelocatedTo(machine: Machine): void {
 		this.machinesWithAssignments.add(machine);
 	}
 
 	/**
-	 * Sends the starts of assigned attempts, to machines whose heartbeat waits for its response. The others get
-	 * theirs with the next heartbeat, which is brought on where that costs little: one exited attempt is left with
-	 * each machine, and forgetting it by direct command makes the worker send a heartbeat. When the process is
-	 * short of processor time, a connection for each start is too much.
+	 * Sends the starts of assigned attempts to machines whose heartbeats await their responses. Other machines get theirs
+	 * with the next heartbeat, which is triggered early if that is cheap: one exited attempt is left in each worker's
+	 * list, and a direct command to forget it makes the worker send a heartbeat at once. This is skipped while the process
+	 * is overloaded, because a connection for each start would cost too much processor time.
 	 */
 	sendAssigned(now: number): void {
 		const { heartbeatIntervalS, tickDelay, commandSender } = this.options;
@@ -209,23 +213,23 @@
 		this.machinesWithAssignments.clear();
 	}
 
-	/** No placement is under way any more: answers all machines that waited for one. */
+	/** Sends the responses that were held for a placement, when none is in progress any more. */
 	releaseForPlacement(): void {
 		this.pending.releaseForPlacement();
 	}
 
-	/** Nobody is answered any more by this leader, or not by what was known before. */
+	/** Refuses all pending heartbeats, because the term has ended or a process pause has made the state out of date. */
 	refuseAll(): void {
 		this.pending.refuseAll();
 	}
 
-	/** The machine is deleted. */
+	/** Discards unsent starts for a deleted machine. */
 	onMachineDeleted(machine: Machine): void {
 		this.machinesWithAssignments.delete(machine);
 	}
 }
 
-/** This process may not answer for the controllers. */
+/** The result for a heartbeat that this process may not answer. */
 const refused: Promise<null> = Promise.resolve(null);
 
 function replicaFields({ taskId, machine }: Attempt): object {
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -1,18 +1,21 @@
-/** Expires the leases of silent workers, and ends quarantines and probations that have lasted long enough. */
+/** Expires the leases of workers without recent responses, and ends quarantines and probations after their periods. */
 
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
-/** With more unreachable machines than this number and this part of all, the fault is more likely on this side. */
+/**
+ * If more machines than this number and this fraction of all appear unreachable while the process is overloaded, the
+ * fault is more likely in this process than in the machines.
+ */
 const fewUnreachable = 2;
 const fewUnreachablePart = 1 / 5;
 
-/** Looks at all machines of a term in each tick. */
+/** Checks the leases and the health states of all machines of a term on each tick. */
 export class LeaseMonitor {
 	private reconciledLogged = false;
 
-	/** @param termStartedAt Steady time at which the term began. */
+	/** @param termStartedAt Monotonic time at which the term began. */
 	constructor(
 		private readonly clusterState: ClusterState,
 		private readonly termStartedAt: number,
@@ -20,9 +23,9 @@
 	) {}
 
 	/**
-	 * Called ten times a second, with authority.
+	 * Called ten times a second while the leader is authorized to act.
 	 *
-	 * @param overloaded The process is short of processor time.
+	 * @param overloaded True if the process is short of processor time.
 	 */
 	tick(now: number, overloaded: boolean): void {
 		this.logReconciled(now);
@@ -37,17 +40,17 @@
 	}
 
 	/**
-	 * Where many machines seem unreachable while this process is short of processor time, its responses come too late.
-	 * Deleting the machines would cost all their work (trace 23).
+	 * If many machines appear unreachable while this process is short of processor time, the cause is that its responses
+	 * are late. Deleting the machines would lose all the work on them (trace 23).
 	 */
 	private disregardIfMany(unreachable: readonly Machine[]): void {
 		const few = Math.max(fewUnreachable, this.clusterState.machines.size * fewUnreachablePart);
 		if (unreachable.length <= few) return;
-		this.log.info({ machines: unreachable.length }, "many machines unreachable while overloaded: ignored");
+		this.log.info({ machines: unreachable.length }, "many machines unreachable while overloaded; assumed reachable");
 		for (const { agent } of unreachable) agent.assumeReachable();
 	}
 
-	/** Nothing starts before all tasks of earlier leaders are known; the operators see how long that has taken. */
+	/** Logs once how long the failover took: starts were blocked until all tasks of earlier leaders were reconciled. */
 	private logReconciled(now: number): void {
 		if (this.reconciledLogged || !this.clusterState.reconciled) return;
 		this.reconciledLogged = true;
@@ -56,8 +59,9 @@
 	}
 
 	/**
-	 * Counted from the latest response to the worker, drift and margin included, so the worker has killed its tasks by
-	 * now ("the tasks of a machine…" in tests/coordination/workers/lease-monitor.test.ts; traces 02, 09, 18).
+	 * The expiry period starts at the latest response to the worker and includes clock drift and a margin, so that the
+	 * worker has killed its tasks when it ends ("a machine's tasks restart elsewhere only once…" in
+	 * tests/coordination/workers/lease-monitor.test.ts; traces 02, 09, 18).
 	 */
 	private expireIfSilent(machine: Machine, now: number): void {
 		const { agent } = machine;
--- a/src/coordination/workers/machine-records.ts
+++ b/src/coordination/workers/machine-records.ts
@@ -1,4 +1,4 @@
-/** Records in the store of the machines that may run tasks, for the next leader. */
+/** Stores records of the machines that may run tasks, for the next leader. */
 
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { Versioned } from "../../bookkeeping/versioned.js";
@@ -9,14 +9,14 @@
 import { ChunkedRecords, type ChunkedRecordsEnvironment } from "../replication/chunked-records.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
-/** Least time between writes. */
+/** Minimum interval between writes. */
 const writeEveryMs = 150;
-/** How long the record of a machine that is gone may stay. */
+/** Maximum time until the record of a deleted machine is removed from the store. */
 const removeWithinMs = 3000;
 
 /**
- * Owns the records of machines of one term. A machine's record is durable before the first task starts there, so
- * that a later leader knows of every machine that may run tasks.
+ * Owns the machine records of one term. A machine's record is durable before the first task starts there, so that a
+ * later leader finds every machine that may run tasks.
  */
 export class MachineRecords {
 	private readonly records: ChunkedRecords<StoredMachineRecord>;
@@ -33,12 +33,12 @@
 		});
 	}
 
-	/** Takes over what the store held when the term began. */
+	/** Loads the records that were in the store when the term began. */
 	load(chunks: Iterable<[string, Versioned<StoredChunk<StoredMachineRecord>>]>): void {
 		this.records.load(chunks);
 	}
 
-	/** Writes a record of the machine unless there is one. The machine counts as recorded once it is confirmed. */
+	/** Writes a record of the machine unless there is one. The machine counts as recorded once the write is confirmed. */
 	record(machine: Machine): void {
 		if (this.records.has(machine.id)) return;
 		const { agent, type, zone, spot } = machine;
@@ -48,12 +48,12 @@
 		this.records.flush();
 	}
 
-	/** The machine is gone. A record left behind would only make a later leader wait for it. */
+	/** Removes the record of a deleted machine; a later leader would needlessly wait for a machine with a record. */
 	delete(machine: Machine): void {
 		this.records.delete(machine.id);
 	}
 
-	/** Called often, with authority. */
+	/** Writes pending changes, subject to the write intervals. Called while the leader is authorized to act. */
 	flush(): void {
 		this.records.flush();
 	}
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -1,4 +1,4 @@
-/** Stops tasks that nobody wants, and finds out what they use of their teams' quotas. */
+/** Stops orphaned tasks, and determines how much of their teams' quotas they use. */
 
 import type { Machine } from "../../bookkeeping/machine.js";
 import type { OrphanedTask } from "../../bookkeeping/orphaned-task.js";
@@ -13,10 +13,10 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "./direct-command-sender.js";
 
-/** Pause before a job's final record is read again. */
+/** Delay before a failed read of a job's final record is retried. */
 const retryMs = 500;
 
-/** What the cleanup needs of a term of leadership. */
+/** The dependencies of the orphan cleanup of one term. */
 export interface OrphanCleanupOptions {
 	clusterState: ClusterState;
 	store: KeyValueStore;
@@ -25,28 +25,28 @@
 	log: Log;
 	/** Runs an action in the process's serial executor. */
 	post(action: () => void): void;
-	/** The leader may act. */
+	/** True if the leader is authorized to act. */
 	active(): boolean;
-	/** The end of a job was read from the store. */
+	/** Called when the final record of a job was read from the store. */
 	onFinalRecord(jobId: JobId, record: FinalJobRecord, revision: Revision): void;
 }
 
 /**
- * Cleans up after jobs that ended while nobody led. Until an orphaned task is gone it uses its team's quota.
- * Where the job was over before this process knew of it, its final record says what it uses, and nothing starts
- * until that is read (trace 49).
+ * Cleans up after jobs that ended while there was no leader. An orphaned task uses its team's quota until it has ended.
+ * If this process has no record of the job, the job's final record states the tasks' demand, and no task starts until
+ * that record has been read (trace 49).
  */
 export class OrphanCleanup {
-	/** Jobs whose final record is being read, or was. */
+	/** Jobs whose final record is being read or has been read. */
 	private readonly requested = new Set<JobId>();
 
 	constructor(private readonly options: OrphanCleanupOptions) {}
 
 	/**
-	 * Stops the machine's orphaned tasks by direct command: no response may go to it, for example where it was asked
-	 * directly during a failover.
+	 * Stops the machine's orphaned tasks by direct command. A heartbeat response may never carry the stops: for example,
+	 * a probe during a failover returns a heartbeat that is not answered.
 	 *
-	 * @param stoppedBefore The orphaned tasks as of the heartbeat before, which have been stopped already.
+	 * @param stoppedBefore The orphaned tasks as of the previous heartbeat, for which stops have been sent.
 	 */
 	stop(machine: Machine, stoppedBefore: readonly OrphanedTask[]): void {
 		const stops: StopCommand[] = [];
@@ -71,8 +71,8 @@
 		try {
 			({ row } = await store.read(keys.final(jobId)));
 		} catch (error) {
-			// Whatever went wrong, nothing starts before the record has been read: it is tried again.
-			log.debug({ jobId, err: error }, "final record not read");
+			// Starts remain blocked until the record has been read, so the read is retried after any error.
+			log.debug({ jobId, err: error }, "reading the final record failed");
 			clock.after(retryMs, () => post(() => this.retry(jobId)));
 			return;
 		}
--- a/src/coordination/workers/pending-heartbeats.ts
+++ b/src/coordination/workers/pending-heartbeats.ts
@@ -1,46 +1,46 @@
-/** Heartbeats whose responses are held back for a moment, since a start goes only in a response (long polling). */
+/** Holds the responses to heartbeats (long polling), since start commands are sent only in responses. */
 
 import type { MachineId } from "../../protocol/model/identifiers.js";
 import type { WorkerCommand } from "../../protocol/model/worker.js";
 import type { Clock } from "../ports/clock.js";
 
-/** How often it is looked for responses that are due. */
+/** Interval at which responses that are due are sent. */
 const sweepIntervalMs = 30;
 
-/** What a response waits for: a placement that is under way, or any work for a machine without tasks. */
+/** The event that a response is held for: the placement in progress, or a task for a machine without tasks. */
 export type PendingReason = "placement" | "idle";
 
-/** A heartbeat whose response is held back. */
+/** A heartbeat whose response is held. */
 interface PendingHeartbeat {
-	/** Steady time at which it is answered at the latest. */
+	/** Monotonic time at which it is answered at the latest. */
 	dueAt: number;
 	reason: PendingReason;
-	/** null: this process may not answer for the controllers. */
+	/** Called with null if this process may not answer as the leader. */
 	respond(commands: WorkerCommand[] | null): void;
 }
 
-/** What the pending heartbeats of a term work with. */
+/** The dependencies of the pending heartbeats of one term. */
 export interface PendingHeartbeatsOptions {
 	clock: Clock;
 	/** Runs an action in the process's serial executor. */
 	post(action: () => void): void;
-	/** The commands for the machine, as of now; null: this process may not answer. */
+	/** Returns the commands for a response to the machine sent now; null: this process may not answer. */
 	commandsFor(machineId: MachineId): WorkerCommand[] | null;
 }
 
-/** Owns the held responses of one term, one for each machine: a worker has one heartbeat in flight. */
+/** Owns the held responses of one term, at most one per machine, since a worker has one heartbeat in flight. */
 export class PendingHeartbeats {
 	private readonly pending = new Map<MachineId, PendingHeartbeat>();
 	private sweepScheduled = false;
 
 	constructor(private readonly options: PendingHeartbeatsOptions) {}
 
-	/** A heartbeat of the machine waits for its response. */
+	/** True if the response to a heartbeat of the machine is held. */
 	has(machineId: MachineId): boolean {
 		return this.pending.has(machineId);
 	}
 
-	/** Holds the response to the machine's heartbeat until it is released, at the latest at the steady time `dueAt`. */
+	/** Holds the response to the machine's heartbeat until it is released, at the latest at the monotonic time `dueAt`. */
 	hold(machineId: MachineId, dueAt: number, reason: PendingReason): Promise<WorkerCommand[] | null> {
 		return new Promise((respond) => {
 			this.pending.set(machineId, { dueAt, reason, respond });
@@ -48,13 +48,13 @@
 		});
 	}
 
-	/** A later heartbeat has come, so an earlier one is out of date: it is answered without commands. */
+	/** Answers the machine's pending heartbeat without commands, because a later one has arrived. */
 	supersede(machineId: MachineId): void {
 		this.pending.get(machineId)?.respond([]);
 		this.pending.delete(machineId);
 	}
 
-	/** Answers the machine's heartbeat now. */
+	/** Answers the machine's pending heartbeat now. */
 	release(machineId: MachineId): void {
 		const heartbeat = this.pending.get(machineId);
 		if (!heartbeat) return;
@@ -62,18 +62,18 @@
 		heartbeat.respond(this.options.commandsFor(machineId));
 	}
 
-	/** No placement is under way any more: answers all that waited for one. */
+	/** Answers all heartbeats whose responses are held for a placement. */
 	releaseForPlacement(): void {
 		for (const [machineId, { reason }] of this.pending) if (reason === "placement") this.release(machineId);
 	}
 
-	/** This process may not answer any more. */
+	/** Completes all pending heartbeats with null, because this process may no longer answer them. */
 	refuseAll(): void {
 		for (const { respond } of this.pending.values()) respond(null);
 		this.pending.clear();
 	}
 
-	/** One timer for all, since there can be hundreds. */
+	/** Schedules one timer for all pending heartbeats, since there can be hundreds. */
 	private scheduleSweep(): void {
 		if (this.sweepScheduled || this.pending.size === 0) return;
 		this.sweepScheduled = true;
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -1,20 +1,20 @@
-/** What happens to the tasks on a spot machine that the cloud is about to reclaim. */
+/** Decides which attempts to stop on a spot machine that the cloud is about to reclaim. */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Machine } from "../../bookkeeping/machine.js";
 
-/** A task is given up on a machine about to be reclaimed if it needs this many times what is left. */
+/** A task is stopped early if its estimated remaining time exceeds the time until the reclaim by this factor. */
 const hopelessFactor = 1.3;
 
-/** A stop command may go out with the response to the next heartbeat or the one after. */
+/** Maximum number of heartbeat intervals until a response contains a requested stop. */
 const heartbeatsUntilStopped = 2;
 
 /**
- * Asks for the end of attempts on a machine that will be reclaimed. A task that can save a checkpoint is stopped in
- * time for that. One that cannot, and will hardly finish, is stopped at once: its work is lost in any case, and
- * elsewhere it begins so much earlier. Replicas are relocated, and run until then.
+ * Requests stops of attempts on a machine that will be reclaimed. A task that saves checkpoints is stopped in time to
+ * save one. A task that cannot save one and is unlikely to finish is stopped at once: its work is lost in any case, and
+ * it can restart elsewhere sooner. Replicas are not stopped here; they run until they are relocated.
  *
- * @returns The attempts to be stopped by direct command; the others are stopped by the next response.
+ * @returns The attempts to stop by direct command; the next response contains the stops of the others.
  */
 export function stopBeforeReclaim(machine: Machine, now: number, heartbeatIntervalS: number): Attempt[] {
 	const { reclaimAt } = machine.lifecycle;
@@ -36,7 +36,7 @@
 	return stoppedAtOnce;
 }
 
-/** Seconds that the attempt still needs, by the estimated run time of its job's tasks. */
+/** Returns the seconds that the attempt still needs according to the estimated run time of its job's tasks. */
 function remainingS({ job, runningSince }: Attempt, now: number): number {
 	const elapsedS = runningSince === null ? 0 : (now - runningSince) / 1000;
 	return job.estimatedRunS - elapsedS;
--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -1,4 +1,4 @@
-/** Squares the tasks that one heartbeat lists with the attempts that the leader knows on the machine. */
+/** Reconciles the tasks that one heartbeat lists with the attempts that the leader has recorded on the machine. */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
@@ -7,21 +7,21 @@
 import type { ExitCause, TaskStatus } from "../../protocol/model/worker.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
-/** How an attempt of this leader has ended. */
+/** The exit of an attempt of this leader. */
 export interface AttemptOutcome {
 	attempt: Attempt;
 	cause: ExitCause;
 }
 
-/** The reconciliation of one machine's tasks with one heartbeat; made anew for each heartbeat. */
+/** Reconciles one machine's tasks with one heartbeat; each heartbeat needs a new instance. */
 export class TaskReconciliation {
-	/** Attempts that have exited since the heartbeat before. */
+	/** Attempts that have exited since the previous heartbeat. */
 	readonly outcomes: AttemptOutcome[] = [];
-	/** Jobs of which tasks are listed as done, under this leader's attempts or those of earlier ones. */
+	/** Jobs with tasks that the heartbeat lists as done, under attempts of this leader or of earlier leaders. */
 	readonly jobsWithDoneTasks = new Set<Job>();
 	/** Replicas that are reported running for the first time. */
 	readonly startedReplicas: Attempt[] = [];
-	/** Tasks of which the machine has an attempt of this leader. */
+	/** Tasks that the heartbeat lists under an attempt of this leader, adopted attempts included. */
 	readonly #listed = new Set<TaskId>();
 	#startListed = false;
 
@@ -31,12 +31,12 @@
 		private readonly now: number,
 	) {}
 
-	/** A start command that was sent shows in the heartbeat. */
+	/** True if the heartbeat lists an attempt whose start command had been sent and not yet been confirmed. */
 	get startListed(): boolean {
 		return this.#startListed;
 	}
 
-	/** Takes over the state of every task that the heartbeat lists. */
+	/** Applies the state of every task that the heartbeat lists. */
 	reconcileListed(tasks: readonly TaskStatus[]): void {
 		this.machine.exitedTasks.clear();
 		this.clusterState.clearOrphans(this.machine);
@@ -51,7 +51,7 @@
 		}
 	}
 
-	/** Whether a start command was sent that the heartbeat does not show. Called before `reconcileAbsent`. */
+	/** True if the heartbeat lacks an attempt whose start command was sent. Called before `reconcileAbsent`. */
 	startMissing(): boolean {
 		for (const [taskId, { phase, stop }] of this.machine.attempts)
 			if (phase === "sent" && stop === null && !this.#listed.has(taskId)) return true;
@@ -59,10 +59,10 @@
 	}
 
 	/**
-	 * Judges the attempts that the heartbeat does not list.
+	 * Ends or retries the attempts that the heartbeat does not list.
 	 *
-	 * @param newAgentEpoch The worker's lease expired since the heartbeat before, so it has killed all its tasks.
-	 * @returns Attempts that are gone though they were on the machine.
+	 * @param newAgentEpoch The worker's lease expired since the previous heartbeat, so it has killed all its tasks.
+	 * @returns Attempts that were on the machine and have disappeared.
 	 */
 	reconcileAbsent(newAgentEpoch: boolean): Attempt[] {
 		const { agent } = this.machine;
@@ -73,9 +73,9 @@
 				if (agent.unreachableSince !== null) this.clusterState.endAttempt(attempt);
 				continue;
 			}
-			// Responses of earlier leaders may still start tasks until the worker has shown this leader's token, so before
-			// that absence proves nothing ("a heartbeat with an earlier fencing token adds tasks but proves no absence" in
-			// tests/coordination/workers/heartbeat-reconciliation.test.ts).
+			// Until the worker has shown this leader's token, responses of earlier leaders may still start tasks, so absence
+			// from the list proves nothing ("a heartbeat with an earlier fencing token adds the tasks that it lists but does
+			// not prove others absent" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
 			if (!newAgentEpoch && !agent.fenced) continue;
 			if (attempt.phase === "sent" && !newAgentEpoch && attempt.stop === null) this.retryStart(attempt);
 			else {
@@ -87,8 +87,8 @@
 	}
 
 	/**
-	 * The response with the start was lost and can no longer be carried out, since the worker has sent a heartbeat
-	 * after it. The start is sent again with the same number or, where responses do not arrive at all, given up.
+	 * Handles a start whose response was lost. It can no longer be executed, since the worker has sent a later heartbeat.
+	 * The start is sent again with the same attempt number; if the machine is unreachable, the attempt ends.
 	 */
 	private retryStart(attempt: Attempt): void {
 		if (this.machine.agent.unreachableSince === null) attempt.markStartLost();
@@ -111,7 +111,7 @@
 		this.outcomes.push({ attempt, cause });
 	}
 
-	/** Returns whether the attempt is reported running for the first time. */
+	/** Records the reported state. Returns true if the attempt is reported running for the first time. */
 	private noteState(attempt: Attempt, state: Exclude<TaskStatus["state"], "exited">): boolean {
 		if (!attempt.noteState(state, this.now)) return false;
 		attempt.machine.capacity.noteImage(attempt.job.spec.image);
@@ -119,12 +119,12 @@
 	}
 
 	private addExited({ jobId, taskIndex, attempt, exitCause }: TaskStatus): void {
-		// What a replica reports as done is not recorded, so nothing is lost with it.
+		// The completion of a replica is not recorded, so it need not be stored before the worker forgets the attempt.
 		const done = exitCause === "done" && this.clusterState.jobs.get(jobId)?.isService === false;
 		this.machine.exitedTasks.add({ jobId, taskIndex, attempt, done });
 	}
 
-	/** An attempt has exited that this leader does not know. A result counts all the same. */
+	/** Handles the exit of an attempt that this leader has no record of. A completion counts nevertheless. */
 	private reconcileUnknownExit(task: TaskStatus): void {
 		this.addExited(task);
 		const job = this.clusterState.jobs.get(task.jobId);
@@ -133,7 +133,7 @@
 		this.jobsWithDoneTasks.add(job);
 	}
 
-	/** The task has completed under an attempt of an earlier leader: another attempt of it is not needed any more. */
+	/** Marks a task as done that completed under an attempt of an earlier leader, and ends or stops its current attempt. */
 	private markFoundDone(job: Job, taskIndex: number): void {
 		if (job.isService) return;
 		this.clusterState.markTaskDone(job, taskIndex);
@@ -143,7 +143,10 @@
 		else other.requestStop("task done", 0);
 	}
 
-	/** A task runs that this leader does not know here. Returns whether it is this machine's from now on. */
+	/**
+	 * Adopts a running task that this leader has not recorded on the machine, or records it as orphaned. Returns true if
+	 * it was adopted.
+	 */
 	private adoptOrOrphan(task: TaskStatus, state: Exclude<TaskStatus["state"], "exited">): boolean {
 		const job = this.clusterState.jobs.get(task.jobId);
 		if (!job || !isWanted(job, task)) {
@@ -160,9 +163,9 @@
 }
 
 /**
- * Whether a listed task is to run on. Of two attempts the one with the larger number is real: an attempt is assigned
- * only when the one before is proved over, which a late copy of a heartbeat may list again after a failover ("a late
- * copy that lists an earlier attempt yields to the later one" in
+ * True if a listed task should continue to run. Of two attempts the one with the larger number is current: an attempt is
+ * assigned only when the previous one is proved to have ended, but after a failover a late copy of a heartbeat may list
+ * the previous one again ("a late copy that lists an earlier attempt does not replace the later attempt of the task" in
  * tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
 function isWanted(job: Job, { taskIndex, attempt }: TaskStatus): boolean {
--- a/src/coordination/workers/worker-commands.ts
+++ b/src/coordination/workers/worker-commands.ts
@@ -1,4 +1,4 @@
-/** The commands that a worker is given: in responses to its heartbeats, or directly. */
+/** Creates the commands for workers, in heartbeat responses and for direct sending. */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { ExitedTask } from "../../bookkeeping/exited-tasks.js";
@@ -7,11 +7,11 @@
 import type { ClusterState } from "../state/cluster-state.js";
 
 /**
- * Takes the commands for the response to a heartbeat of the machine's worker: forgets, stops, then starts. Attempts
- * that were assigned to the machine count as sent from now on, or end where they may not start any more.
+ * Issues the commands for the response to a heartbeat of the machine's worker: forgets, stops, then starts. Attempts
+ * assigned to the machine are marked as sent, or end if they may not start any more.
  *
- * Starts leave only here, never as direct commands. A direct command may be carried out minutes late, when the task
- * may run elsewhere, while a worker drops a response that comes later than 4 s (trace 36).
+ * Starts are sent only in these responses, never as direct commands: a direct command may be executed minutes late, when
+ * the task may run elsewhere, whereas a worker drops a response that arrives after more than 4 s (trace 36).
  */
 export function takeCommands(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
 	const commands: WorkerCommand[] = [];
@@ -27,7 +27,7 @@
 	return [...commands, ...starts];
 }
 
-/** One exited attempt stays with a machine that may get work, to be forgotten when a heartbeat is wanted. */
+/** Adds forget commands. A schedulable machine keeps one exited attempt, which can be forgotten to trigger a heartbeat. */
 function addForgets(clusterState: ClusterState, machine: Machine, commands: WorkerCommand[]): void {
 	const forgettable = machine.exitedTasks.chooseForgettable(
 		(task) => isRecorded(clusterState, task),
@@ -38,9 +38,9 @@
 }
 
 /**
- * Whether the outcome of an exited attempt can no longer be lost with the worker's list. A task that was forgotten
- * before its completion is in the store would run once more after a failover ("a completed task is forgotten only
- * when its completion is stored" in tests/coordination/workers/worker-commands.test.ts).
+ * True if the outcome of an exited attempt is not lost when the worker forgets the attempt. A task forgotten before its
+ * completion is stored would run again after a failover ("a completed task is forgotten only after its completion is
+ * stored" in tests/coordination/workers/worker-commands.test.ts).
  */
 function isRecorded(clusterState: ClusterState, task: ExitedTask): boolean {
 	if (!task.done) return true;
@@ -49,9 +49,9 @@
 }
 
 /**
- * Decides whether an assigned attempt is still to start. Since the assignment its job may have ended or the
- * machine may have become unusable. A machine that began to drain meanwhile runs the attempt first: work that
- * fits nowhere else would be put off again and again (trace 41).
+ * Marks an assigned attempt as sent and returns true, or ends it if its job has ended or the machine has become unusable
+ * since the assignment. A machine that has started draining since then still runs the attempt: otherwise a task that
+ * fits on no other machine could be deferred repeatedly (trace 41).
  */
 function startOrEnd(clusterState: ClusterState, attempt: Attempt): boolean {
 	if (!attempt.machine.acceptsAssignedStarts || attempt.stop !== null || attempt.job.over) {
@@ -66,7 +66,7 @@
 	return { kind: "start", jobId: job.id, taskIndex, attempt: number };
 }
 
-/** The command that ends the attempt, with the grace of its stop request. It may be carried out late without harm. */
+/** Returns the command that stops the attempt, with the grace of its stop request. It may safely be executed late. */
 export function stopCommandFor({ job, taskIndex, number, stop }: Attempt): StopCommand {
 	return { kind: "stop", jobId: job.id, taskIndex, attempt: number, graceS: stop?.graceS ?? 0 };
 }
--- a/tests/command-line.test.ts
+++ b/tests/command-line.test.ts
@@ -45,29 +45,29 @@
 		assert.deepEqual(await run(["--version"]), { code: 0, out: `${packageVersion}\n`, err: "" });
 	});
 
-	test("--check accepts good settings", async () => {
+	test("--check accepts valid settings with exit code 0", async () => {
 		const good = settingsFile("good.toml", platformSettingsToml);
 		assert.equal((await run(["--config", good, "--check"])).code, 0);
 	});
 
-	test("--check refuses bad settings with exit code 2, the file and the field", async () => {
+	test("--check rejects invalid settings with exit code 2, and names the file and the field", async () => {
 		const bad = settingsFile("bad.toml", platformSettingsToml.replace("cloud =", "clod ="));
 		const { code, err } = await run(["--config", bad, "--check"]);
 		assert.equal(code, 2);
 		assert.match(err, /bad\.toml: field "endpoints\.cloud"/);
 	});
 
-	test("a settings file that cannot be read is refused with exit code 2", async () => {
+	test("a settings file that cannot be read is rejected with exit code 2 and the cause", async () => {
 		const { code, err } = await run(["--config", join(dir, "missing.toml"), "--check"]);
 		assert.equal(code, 2);
 		assert.match(err, /missing\.toml: cannot be read \(ENOENT\)/);
 	});
 
-	test("a missing option is refused with exit code 2", async () => {
+	test("a missing required option is rejected with exit code 2", async () => {
 		assert.equal((await run([])).code, 2);
 	});
 
-	test("--help names the options", async () => {
+	test("--help lists the options", async () => {
 		assert.match((await run(["--help"])).out, /--operator <file>/);
 	});
 });
--- a/tests/coordination/workers/direct-command-sender.test.ts
+++ b/tests/coordination/workers/direct-command-sender.test.ts
@@ -10,7 +10,7 @@
 
 describe("direct commands in a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines: the end of a job that runs on all of them takes only so many sockets`, async () => {
+		test(`${size} machines: ending a job that runs on all of them opens at most maxInFlight connections at a time`, async () => {
 			const clock = new FakeTime();
 			const clusterState = largeFleet(size);
 			const job = clusterState.addJob("j-1", specOf("j-1", { taskCount: size, cpus: 8 }), 0, 1);
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -11,7 +11,7 @@
 import { silentLog } from "../../support/silent-log.js";
 import { mediumType, specOf } from "../../support/specs.js";
 
-/** Machines with room for everything, and the outcomes of what runs on them. */
+/** Machines with capacity for every task; runs tasks on them and records the outcomes. */
 class Cluster {
 	readonly clusterState = new ClusterState({
 		term: 1,
@@ -53,14 +53,14 @@
 		return attempt;
 	}
 
-	/** A task of the job runs on the machine and fails. */
+	/** Runs a task of the job on the machine, which fails. */
 	fail(job: Job, machine: Machine): void {
 		const attempt = this.run(job, machine);
 		this.clusterState.endAttempt(attempt);
 		this.faultAttribution.record({ attempt, cause: "error" }, this.now + 10);
 	}
 
-	/** A task of the job runs on the machine and completes. */
+	/** Runs a task of the job on the machine, which completes. */
 	succeed(job: Job, machine: Machine): void {
 		const attempt = this.run(job, machine);
 		this.clusterState.markTaskDone(job, attempt.taskIndex);
@@ -68,7 +68,7 @@
 		this.faultAttribution.record({ attempt, cause: "done" }, this.now + 10);
 	}
 
-	/** Machines that placement keeps the job off so long after its last failure. */
+	/** Returns the machines on which placement does not put the job at a time after its last failure. */
 	machinesAvoidedBy(job: Job, sinceMs: number): string[] {
 		const capacities = [...this.clusterState.machines.values()].map(capacityOf);
 		const moment = { now: job.failures.lastAt + sinceMs, date: 0 };
@@ -77,7 +77,7 @@
 }
 
 describe("jobs that fail", () => {
-	test("wherever they run cost no machine", () => {
+	test("on every machine cause no quarantine", () => {
 		const cluster = new Cluster();
 		const machines = cluster.addMachines("a", "b", "c");
 		const jobs = cluster.addJobs("j-1", "j-2", "j-3");
@@ -88,11 +88,11 @@
 		}
 		for (const job of jobs) assert.equal(job.failures.everywhere, true, job.id);
 		cluster.succeed(jobs[0], machines[0]);
-		assert.equal(jobs[0].failures.everywhere, false, "one good run clears it");
+		assert.equal(jobs[0].failures.everywhere, false, "one success clears it");
 		assert.equal(jobs[0].failures.retryNotBefore, 0);
 	});
 
-	test("on one machine type only cost no machine of it, and are kept off it for a while", () => {
+	test("on one machine type only cause no quarantine of its machines, and avoid the type for a limited time", () => {
 		const cluster = new Cluster();
 		const narrow = { ...mediumType, name: "narrow" };
 		const unsuited = [
@@ -118,22 +118,22 @@
 		assert.deepEqual(
 			cluster.machinesAvoidedBy(job, 70_000),
 			[],
-			"nothing else may be there, so it is tried again",
+			"there may be no other machines, so the type is tried again",
 		);
 		cluster.succeed(job, unsuited[0]);
-		assert.equal(job.failures.unfitTypes.size, 0, "one good run there clears the type");
+		assert.equal(job.failures.unfitTypes.size, 0, "one success there clears the type");
 		cluster.fail(jobs[1], unsuited[0]);
 		assert.equal(unsuited[0].health.quarantined, false);
 	});
 
-	test("on faulty machines alone do not fail everywhere", () => {
+	test("only on faulty machines do not count as failing everywhere once these machines are quarantined", () => {
 		const cluster = new Cluster();
 		const faulty = cluster.addMachines("a", "b", "c");
 		const good = cluster.addMachine("good");
 		const proven = cluster.addJobs("j-1", "j-2");
 		const unlucky = cluster.addJob("j-3");
 		for (const machine of faulty) cluster.fail(unlucky, machine);
-		assert.equal(unlucky.failures.everywhere, true, "so far nothing speaks for it");
+		assert.equal(unlucky.failures.everywhere, true, "so far no machine is known to be faulty");
 		for (const job of proven) cluster.succeed(job, good);
 		for (const machine of faulty) for (const job of proven) cluster.fail(job, machine);
 		for (const job of proven) cluster.succeed(job, good);
@@ -146,12 +146,12 @@
 });
 
 describe("machines on which jobs fail", () => {
-	test("are quarantined once these jobs succeed elsewhere", () => {
+	test("are quarantined once these jobs succeed on another machine", () => {
 		const cluster = new Cluster();
 		const [a, b, good] = cluster.addMachines("a", "b", "good");
 		const [first, second] = cluster.addJobs("j-1", "j-2");
 		for (const machine of [a, b]) for (const job of [first, second]) cluster.fail(job, machine);
-		assert.equal(a.health.quarantined || b.health.quarantined, false, "it may be the jobs");
+		assert.equal(a.health.quarantined || b.health.quarantined, false, "the jobs may be at fault");
 		cluster.succeed(first, good);
 		cluster.succeed(second, good);
 		assert.deepEqual(
@@ -161,7 +161,7 @@
 		assert.equal(first.failures.everywhere, false);
 	});
 
-	test("are quarantined at the second job that succeeded before", () => {
+	test("are quarantined at the failure of a second job that succeeded on another machine before", () => {
 		const cluster = new Cluster();
 		const [faulty, good] = cluster.addMachines("faulty", "good");
 		const jobs = cluster.addJobs("j-1", "j-2");
@@ -177,7 +177,7 @@
 		const [suspect, other] = cluster.addMachines("suspect", "other");
 		const jobs = cluster.addJobs("j-1", "j-2", "j-3", "j-4");
 		for (const job of jobs) cluster.fail(job, suspect);
-		assert.equal(suspect.health.quarantined, true, "four of which nothing is known count as two");
+		assert.equal(suspect.health.quarantined, true, "four jobs without a success count as two");
 		cluster.fail(jobs[0], other);
 		assert.equal(suspect.health.quarantined, false);
 		assert.equal(other.health.quarantined, false);
--- a/tests/coordination/workers/forwarded-response-batches.test.ts
+++ b/tests/coordination/workers/forwarded-response-batches.test.ts
@@ -4,7 +4,7 @@
 import type { PeerMessage } from "../../../src/protocol/peer/messages.js";
 import { FakeTime } from "../../support/fake-time.js";
 
-test("responses to one controller go together, each under the term in which it was decided", async () => {
+test("responses for one controller are sent as one message per term, each under the term that issued it", async () => {
 	const time = new FakeTime();
 	const sent: PeerMessage[] = [];
 	const peers = { send: (_to: string, message: PeerMessage) => sent.push(message) };
--- a/tests/coordination/workers/heartbeat-forwarder.test.ts
+++ b/tests/coordination/workers/heartbeat-forwarder.test.ts
@@ -6,14 +6,14 @@
 import { FakeTime } from "../../support/fake-time.js";
 import { forwardedHeartbeat } from "../../support/forwarded-heartbeat.js";
 
-/** A forwarder that follows a leader, with the messages that it has sent. */
+/** Creates a forwarder that follows a leader, and records the messages that it sends. */
 function forwarderTo(leader: string, term: number) {
 	const time = new FakeTime();
 	const sent: { to: string; message: PeerMessage }[] = [];
 	const peers = { send: (to: string, message: PeerMessage) => sent.push({ to, message }) };
 	const forwarder = new HeartbeatForwarder(peers, time);
 	forwarder.followLeader(leader, term);
-	/** Forwards a heartbeat. The commands are undefined while it waits for its response. */
+	/** Forwards a heartbeat. The commands are undefined until the response arrives. */
 	const forward = () => {
 		const result: { commands?: WorkerCommand[] | null } = {};
 		const response = forwarder.forward(forwardedHeartbeat);
@@ -25,8 +25,8 @@
 	return { time, sent, forwarder, forward };
 }
 
-describe("the forwarding of heartbeats to the leader", () => {
-	test("heartbeats of one moment go as one message, and each gets its own response", async () => {
+describe("forwarding heartbeats to the leader", () => {
+	test("heartbeats that arrive together are sent as one message, and each gets its own response", async () => {
 		const { time, sent, forwarder, forward } = forwarderTo("runner-1", 3);
 		const [first, second] = [forward(), forward()];
 		await time.advance(100);
@@ -45,7 +45,7 @@
 		assert.deepEqual([first?.commands, second?.commands], [null, [stop]]);
 	});
 
-	test("responses of a leader that was replaced are dropped, and what waits for one is given up", async () => {
+	test("when the leader changes, pending requests are abandoned and responses of the previous leader are dropped", async () => {
 		const { time, forwarder, forward } = forwarderTo("runner-1", 3);
 		const before = forward();
 		forwarder.followLeader("runner-2", 9);
@@ -55,13 +55,13 @@
 		forwarder.handleResponses("runner-1", 3, [{ requestId: 2, commands: [] }]);
 		forwarder.handleResponses("runner-1", 9, [{ requestId: 2, commands: [] }]);
 		await time.advance(1);
-		assert.equal(after?.commands, undefined, "only the leader asked may answer");
+		assert.equal(after?.commands, undefined, "only the leader that received the request may answer it");
 		forwarder.handleResponses("runner-2", 9, [{ requestId: 2, commands: [] }]);
 		await time.advance(1);
 		assert.deepEqual(after?.commands, []);
 	});
 
-	test("a heartbeat without a response is given up before its worker does, and nothing is forwarded for a while", async () => {
+	test("a request without a response is abandoned before its worker times out, and nothing is forwarded for 3 s", async () => {
 		const { time, forwarder, forward } = forwarderTo("runner-1", 3);
 		const lost = forward();
 		for (let at = 0; at <= 3900; at += 100) {
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -17,7 +17,7 @@
 } from "../../support/reconciliation-setup.js";
 
 describe("the conditions for the first start on a machine", () => {
-	test("no start goes to a machine before it has shown the leader's fencing token", () => {
+	test("no task is assigned to a machine before its worker has shown the leader's fencing token", () => {
 		const { clusterState, job } = stateWithJob();
 		reconcileHeartbeat(clusterState, heartbeat(1, [], { fencingToken: term - 1 }), 0);
 		const machine = clusterState.machines.get("n-1");
@@ -26,25 +26,25 @@
 		assert.equal(
 			clusterState.assignNextTask(job, machine),
 			null,
-			"responses of an earlier leader may still be on the way",
+			"responses of an earlier leader may still be in flight",
 		);
 		reconcileHeartbeat(clusterState, heartbeat(2), 0);
 		assert.notEqual(clusterState.assignNextTask(job, machine), null);
 	});
 
-	test("no start goes to a machine before its record is stored", () => {
+	test("no task is assigned to a machine before its record is stored", () => {
 		const { clusterState, job } = stateWithJob();
 		reconcileHeartbeat(clusterState, heartbeat(1), 0);
 		const machine = clusterState.machines.get("n-1");
 		assert.ok(machine?.agent.fenced);
-		assert.equal(clusterState.assignNextTask(job, machine), null, "a later leader would not know of it");
+		assert.equal(clusterState.assignNextTask(job, machine), null, "a later leader would find no record of the machine");
 		machine.lifecycle.markRecorded();
 		assert.notEqual(clusterState.assignNextTask(job, machine), null);
 	});
 });
 
 describe("tasks that a heartbeat lists or does not list", () => {
-	test("an older heartbeat changes nothing", () => {
+	test("a heartbeat older than the latest one is ignored as outdated", () => {
 		const { clusterState, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(5, [taskStatus(0, attempt.number, "running")]), 100);
 		assert.equal(reconcileHeartbeat(clusterState, heartbeat(4), 200).kind, "outdated");
@@ -52,7 +52,7 @@
 		assert.equal(attempt.phase, "running");
 	});
 
-	test("a task that a newer heartbeat does not list is over and waits again", () => {
+	test("the attempt of a task that a newer heartbeat does not list has ended, and the task waits for placement again", () => {
 		const { clusterState, job, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 100);
 		const result = reconcileHeartbeat(clusterState, heartbeat(3), 200);
@@ -61,7 +61,7 @@
 		assert.equal(clusterState.quotas.usage("red").cpus, 0);
 	});
 
-	test("a heartbeat with an earlier fencing token adds tasks but proves no absence", () => {
+	test("a heartbeat with an earlier fencing token adds the tasks that it lists but does not prove others absent", () => {
 		const { clusterState, job } = stateWithJob();
 		const earlier = { fencingToken: 7 };
 		reconcileHeartbeat(clusterState, heartbeat(3, [taskStatus(2, 900, "running")], earlier), 0);
@@ -70,20 +70,20 @@
 		assert.equal(
 			job.attempts.get(2)?.number,
 			900,
-			"a response of the leader before may come after this heartbeat",
+			"a response of the previous leader may arrive after this heartbeat",
 		);
 		assert.equal(clusterState.quotas.usage("red").cpus, 1);
 		reconcileHeartbeat(clusterState, heartbeat(5), 20);
 		assert.equal(job.attempts.has(2), false);
 	});
 
-	test("a late copy that lists an earlier attempt yields to the later one", () => {
+	test("a late copy that lists an earlier attempt does not replace the later attempt of the task", () => {
 		const { clusterState, job } = stateWithJob();
 		const earlier = { fencingToken: 7 };
 		reconcileHeartbeat(clusterState, heartbeat(7, [taskStatus(0, 900, "running")], earlier), 0);
 		const later = heartbeat(1, [taskStatus(0, 905, "running")], { ...earlier, machineId: "n-2" });
 		reconcileHeartbeat(clusterState, later, 10);
-		assert.equal(job.attempts.get(0)?.number, 905, "it was assigned when the one before was proved over");
+		assert.equal(job.attempts.get(0)?.number, 905, "it was assigned after the earlier attempt was proved to have ended");
 		assert.equal(clusterState.quotas.usage("red").cpus, 1);
 		const second = clusterState.machines.get("n-2");
 		assert.ok(second);
@@ -92,7 +92,7 @@
 		assert.equal(job.attempts.get(0)?.number, 905);
 	});
 
-	test("tasks that completed under an earlier leader count, and their job is named so that it can end", () => {
+	test("tasks that completed under an earlier leader count as done, and their job is returned so that it can end", () => {
 		const { clusterState, job } = stateWithJob();
 		const done = Array.from({ length: job.spec.taskCount }, (_, i) => taskStatus(i, 7, "exited", "done"));
 		const result = reconcileHeartbeat(clusterState, heartbeat(1, done), 0);
@@ -103,7 +103,7 @@
 });
 
 describe("agent epochs and leases", () => {
-	test("a later agent epoch ends all tasks of the one before; a heartbeat of an expired lease is refused", () => {
+	test("a later agent epoch ends all attempts of the previous one; a heartbeat of an expired lease is refused", () => {
 		const { clusterState, job, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 100);
 		reconcileHeartbeat(clusterState, heartbeat(1, [], { agentEpoch: 2 }), 200);
@@ -115,7 +115,7 @@
 		assert.equal(outcomeOf(1, 3), "reconciled");
 	});
 
-	test("responses to a worker that never shows the leader's token renew nothing", () => {
+	test("responses to a worker that never shows the leader's token do not renew its lease", () => {
 		const { clusterState, job } = stateWithJob();
 		const earlier = { fencingToken: term - 1 };
 		reconcileHeartbeat(clusterState, heartbeat(1, [taskStatus(0, 900, "running")], earlier), 0);
@@ -136,8 +136,8 @@
 	});
 });
 
-describe("tasks that nobody wants", () => {
-	test("are stopped: of unknown jobs, done already, or on another machine", () => {
+describe("orphaned tasks", () => {
+	test("are stopped if their job is unknown, the task is done, or a later attempt of it is on another machine", () => {
 		const { clusterState, job } = stateWithSentStart();
 		clusterState.markTaskDone(job, 1);
 		const tasks = [
@@ -158,7 +158,7 @@
 		);
 	});
 
-	test("of a job that is over use their team's quota until they are gone; of an unknown job, nothing starts meanwhile", () => {
+	test("use their team's quota until they disappear, and block all starts while the demand of their job is unknown", () => {
 		const known = new Map<string, TaskDemand>();
 		const clusterState = new ClusterState({
 			term,
@@ -175,11 +175,11 @@
 		assert.ok(machine);
 		machine.lifecycle.markRecorded();
 		assert.deepEqual([...clusterState.jobsWithUnknownDemand()], ["j-9"]);
-		assert.equal(clusterState.assignNextTask(job, machine), null, "whose quota they use is not known");
+		assert.equal(clusterState.assignNextTask(job, machine), null, "the team whose quota they use is unknown");
 		known.set("j-9", { team: "red", cpus: 4, gpus: 0 });
 		clusterState.resolveDemand("j-9");
 		assert.equal(clusterState.quotas.usage("red").cpus, 8);
-		assert.equal(clusterState.assignNextTask(job, machine), null, "they fill the limit");
+		assert.equal(clusterState.assignNextTask(job, machine), null, "they use the whole team limit");
 		reconcileHeartbeat(clusterState, heartbeat(2, [orphan(1)]), 500);
 		assert.equal(clusterState.quotas.usage("red").cpus, 4);
 		assert.notEqual(clusterState.assignNextTask(job, machine), null);
--- a/tests/coordination/workers/heartbeat-router.test.ts
+++ b/tests/coordination/workers/heartbeat-router.test.ts
@@ -13,7 +13,7 @@
 const stop: WorkerCommand = { kind: "stop", jobId: "j-1", taskIndex: 0, attempt: 1, graceS: 0 };
 const tryAnother: HeartbeatResponse = { kind: "redirect", node: null };
 
-/** The router of `runner-0`. What it leads and what the leader key says are set by the test. */
+/** The router of `runner-0`. The test sets whether it leads and which node is in the leader key. */
 class Setup {
 	readonly clock = new FakeTime();
 	readonly sent: PeerMessage[] = [];
@@ -29,14 +29,14 @@
 		reportMisdirectedWorkers: (leader, term) => this.reports.push([leader, term]),
 	});
 
-	/** This process leads and answers each heartbeat with these commands. */
+	/** Makes this process the leader, which answers each heartbeat with these commands. */
 	lead(term: number, commands: WorkerCommand[] | null, forwarder: string | null = null): void {
 		const leader = { handleHeartbeat: async () => commands, forwarderFor: () => forwarder };
 		this.active = { term, leader };
 		this.router.startLeading(term);
 	}
 
-	/** A leader is heard now, and the leader key names it. */
+	/** Receives a leader heartbeat from the node, which is also in the leader key. */
 	hear(node: string, term: number, more: Partial<LeaderHeartbeat> = {}): void {
 		this.leaderInStore = node;
 		const message: LeaderHeartbeat = {
@@ -55,7 +55,7 @@
 		return this.router.handle(heartbeat(1, [], { fencingToken }));
 	}
 
-	/** Ids of the heartbeats that were forwarded, in their order. */
+	/** Request ids of the forwarded heartbeats, in the order of sending. */
 	get forwarded(): number[] {
 		return this.sent.flatMap((message) =>
 			message.kind === "forwarded-heartbeats" ? message.heartbeats.map(({ requestId }) => requestId) : [],
@@ -63,20 +63,20 @@
 	}
 }
 
-describe("a heartbeat that comes to the leader", () => {
-	test("is answered with its commands under its fencing token", async () => {
+describe("a heartbeat that reaches the leader", () => {
+	test("is answered with the leader's commands under its fencing token", async () => {
 		const setup = new Setup();
 		setup.lead(7, [stop]);
 		assert.deepEqual(await setup.handle(), { kind: "commands", fencingToken: 7, commands: [stop] });
 	});
 
-	test("is redirected where another controller receives the machine's heartbeats", async () => {
+	test("is redirected if another controller is to forward the machine's heartbeats", async () => {
 		const setup = new Setup();
 		setup.lead(7, [stop], "runner-2");
 		assert.deepEqual(await setup.handle(), { kind: "redirect", node: "runner-2" });
 	});
 
-	test("is refused where the leader may not answer, or its authority ends while the response is held", async () => {
+	test("is refused if the leader may not answer, or if its authority ends while the response is held", async () => {
 		const setup = new Setup();
 		setup.lead(7, null);
 		assert.deepEqual(await setup.handle(), tryAnother);
@@ -87,18 +87,18 @@
 	});
 });
 
-describe("a heartbeat that comes to another controller", () => {
-	test("is redirected to the leader in the store if that was heard lately", async () => {
+describe("a heartbeat that reaches a follower", () => {
+	test("is redirected to the leader in the store if its last message is at most 1.2 s old", async () => {
 		const setup = new Setup();
-		assert.deepEqual(await setup.handle(), tryAnother, "nobody leads");
+		assert.deepEqual(await setup.handle(), tryAnother, "there is no leader");
 		setup.hear("runner-1", 7);
 		await setup.clock.advance(1200);
 		assert.deepEqual(await setup.handle(), { kind: "redirect", node: "runner-1" });
 		await setup.clock.advance(1);
-		assert.deepEqual(await setup.handle(), tryAnother, "a worker would hang at a leader that crashed");
+		assert.deepEqual(await setup.handle(), tryAnother, "a worker would time out at a crashed leader");
 	});
 
-	test("is not redirected to a leader that was not heard, or that says that workers do not reach it", async () => {
+	test("is not redirected to a leader that has sent no message, or that reports that workers cannot reach it", async () => {
 		const setup = new Setup();
 		setup.hear("runner-1", 7);
 		setup.leaderInStore = "runner-2";
@@ -107,13 +107,13 @@
 		assert.deepEqual(await setup.handle(), tryAnother);
 	});
 
-	test("is not redirected to this node itself, whose leadership has ended", async () => {
+	test("is not redirected to this node itself if it is still in the leader key", async () => {
 		const setup = new Setup();
 		setup.hear("runner-0", 7);
 		assert.deepEqual(await setup.handle(), tryAnother);
 	});
 
-	test("counts as misdirected for 6 s, and a leader that workers do not reach is told at once", async () => {
+	test("counts as misdirected for 6 s, and is reported at once to a leader that workers cannot reach", async () => {
 		const setup = new Setup();
 		setup.hear("runner-1", 7);
 		await setup.handle();
@@ -132,8 +132,8 @@
 	});
 });
 
-describe("a heartbeat where the leader wants them forwarded", () => {
-	test("is forwarded, and answered as the leader says", async () => {
+describe("a heartbeat that reaches a follower of a leader that requests forwarding", () => {
+	test("is forwarded, and answered with the leader's response", async () => {
 		const setup = new Setup();
 		setup.hear("runner-1", 7, { forwardHeartbeats: true });
 		const [first, second] = [setup.handle(), setup.handle()];
@@ -149,10 +149,10 @@
 		});
 		assert.deepEqual(await first, { kind: "commands", fencingToken: 7, commands: [stop] });
 		assert.deepEqual(await second, tryAnother);
-		assert.equal(setup.router.countMisdirectedWorkers(), 0, "it came to where it should");
+		assert.equal(setup.router.countMisdirectedWorkers(), 0, "the leader requested it to be sent here");
 	});
 
-	test("is forwarded anew to the next leader if the leader changes meanwhile", async () => {
+	test("is forwarded again to the next leader if the leader changes before it responds", async () => {
 		const setup = new Setup();
 		setup.hear("runner-1", 7, { forwardHeartbeats: true });
 		const response = setup.handle();
@@ -168,7 +168,7 @@
 		assert.deepEqual(await response, { kind: "commands", fencingToken: 9, commands: [] });
 	});
 
-	test("is not forwarded to a silent leader, nor to an earlier one than the worker has seen", async () => {
+	test("is not forwarded to a leader that has timed out, or whose term is before the worker's fencing token", async () => {
 		const setup = new Setup();
 		setup.hear("runner-1", 7, { forwardHeartbeats: true });
 		assert.deepEqual(await setup.handle(8), { kind: "redirect", node: "runner-1" });
@@ -177,7 +177,7 @@
 		assert.deepEqual(setup.forwarded, []);
 	});
 
-	test("is given up when the process stood still", async () => {
+	test("is abandoned after a process pause", async () => {
 		const setup = new Setup();
 		setup.hear("runner-1", 7, { forwardHeartbeats: true });
 		const response = setup.handle();
@@ -186,8 +186,8 @@
 	});
 });
 
-describe("what a late copy of an earlier leader's message says", () => {
-	test("changes nothing", async () => {
+describe("a late copy of an earlier leader's message", () => {
+	test("is ignored", async () => {
 		const setup = new Setup();
 		setup.hear("runner-1", 7);
 		setup.hear("runner-2", 5);
@@ -211,7 +211,7 @@
 		assert.deepEqual(setup.sent, [{ kind: "forwarded-responses", term: 7, responses }]);
 	});
 
-	test("of another term are refused: this process does not lead in it", async () => {
+	test("are refused if they are for a term that this process does not lead", async () => {
 		const setup = new Setup();
 		setup.lead(7, [stop]);
 		const forwarded = [{ requestId: 1, heartbeat: heartbeat(1) }];
--- a/tests/coordination/workers/heartbeat-service.test.ts
+++ b/tests/coordination/workers/heartbeat-service.test.ts
@@ -11,7 +11,7 @@
 import { heartbeat, stateWithJob, taskStatus, term } from "../../support/reconciliation-setup.js";
 import { silentLog } from "../../support/silent-log.js";
 
-/** The heartbeat service of a leader that knows a job of four tasks; what it records and sends directly is kept. */
+/** The heartbeat service of a leader with a job of four tasks; collects the recorded machines and direct commands. */
 class Setup {
 	readonly clock = new FakeTime();
 	readonly clusterState;
@@ -70,7 +70,7 @@
 		return result;
 	}
 
-	/** The machine, which has sent its first heartbeat and been recorded. */
+	/** Adds a machine that has sent its first heartbeat and whose record is stored. */
 	async addMachine(): Promise<Machine> {
 		this.handle(heartbeat(1));
 		await this.clock.advance(1);
@@ -80,7 +80,7 @@
 		return machine;
 	}
 
-	/** Assigns the job's next task to the machine. */
+	/** Assigns the job's next task to the machine and returns the attempt number. */
 	assign(machine: Machine): number {
 		const attempt = this.clusterState.assignNextTask(this.job, machine);
 		assert.ok(attempt);
@@ -90,7 +90,7 @@
 }
 
 describe("a heartbeat that the leader may not answer", () => {
-	test("is refused where the leader may not act, has been superseded, or the machine is deleted", async () => {
+	test("is refused if the leader may not act, the worker has a later leader's token, or the machine is deleted", async () => {
 		const setup = new Setup();
 		setup.active = false;
 		const inactive = setup.handle(heartbeat(1));
@@ -100,10 +100,10 @@
 		const deleted = setup.handle(heartbeat(1));
 		await setup.clock.advance(1);
 		assert.deepEqual([inactive.commands, superseded.commands, deleted.commands], [null, null, null]);
-		assert.equal(setup.clusterState.machines.size, 0, "nothing was taken over");
+		assert.equal(setup.clusterState.machines.size, 0, "no heartbeat was applied");
 	});
 
-	test("is refused where it would renew an expired lease, or nothing is known of the machine's type", async () => {
+	test("is refused if a response would renew an expired lease, or if the machine's type is unknown", async () => {
 		const setup = new Setup();
 		const machine = await setup.addMachine();
 		setup.clusterState.expireLease(machine);
@@ -115,7 +115,7 @@
 });
 
 describe("the response to a heartbeat", () => {
-	test("goes at once, without commands, to an outdated heartbeat", async () => {
+	test("is sent at once, without commands, to an outdated heartbeat", async () => {
 		const setup = new Setup();
 		await setup.addMachine();
 		const outdated = setup.handle(heartbeat(1));
@@ -123,7 +123,7 @@
 		assert.deepEqual(outdated.commands, []);
 	});
 
-	test("goes at once to a machine that nothing can be placed on, which is recorded first", async () => {
+	test("is sent at once to a machine that cannot receive tasks yet, whose record is then written", async () => {
 		const setup = new Setup();
 		const first = setup.handle(heartbeat(1));
 		await setup.clock.advance(1);
@@ -134,7 +134,7 @@
 		);
 	});
 
-	test("is held for a placement while a task is ready, and carries the start", async () => {
+	test("is held for a placement while a task is ready, and contains the start command", async () => {
 		const setup = new Setup();
 		const machine = await setup.addMachine();
 		setup.clusterState.clearPlacementRequest();
@@ -158,7 +158,7 @@
 		assert.deepEqual(held.commands, []);
 	});
 
-	test("is held for longer where no task is ready and the machine has none", async () => {
+	test("is held for up to 0.6 heartbeat intervals if no task is ready and the machine has none", async () => {
 		const setup = new Setup();
 		await setup.addMachine();
 		for (let i = 0; i < 4; i++) setup.clusterState.markTaskDone(setup.job, i);
@@ -166,12 +166,12 @@
 		const idle = setup.handle(heartbeat(2));
 		setup.service.releaseForPlacement();
 		await setup.clock.advance(599);
-		assert.equal(idle.commands, undefined, "it waits for work, not for a placement that is under way");
+		assert.equal(idle.commands, undefined, "it is held for a task, not for the placement in progress");
 		await setup.clock.advance(31);
 		assert.deepEqual(idle.commands, []);
 	});
 
-	test("is refused when the leader's authority ends while it is held", async () => {
+	test("is null if the leader's authority ends while the response is held", async () => {
 		const setup = new Setup();
 		await setup.addMachine();
 		const held = setup.handle(heartbeat(2));
@@ -181,8 +181,8 @@
 	});
 });
 
-describe("the start of an attempt on a machine whose heartbeat is not waiting", () => {
-	/** A machine without a pending heartbeat that lists an exited attempt which can be forgotten. */
+describe("the start of an attempt on a machine without a pending heartbeat", () => {
+	/** Adds a machine without a pending heartbeat, whose worker lists an exited attempt that can be forgotten. */
 	async function machineWithTrigger(setup: Setup): Promise<Machine> {
 		const machine = await setup.addMachine();
 		const attempt = setup.assign(machine);
@@ -195,7 +195,7 @@
 		return machine;
 	}
 
-	test("is brought on by forgetting the heartbeat trigger, once", async () => {
+	test("is sent earlier by a direct command to forget the heartbeat trigger, which is sent only once", async () => {
 		const setup = new Setup();
 		const machine = await machineWithTrigger(setup);
 		const trigger = machine.exitedTasks.heartbeatTrigger;
@@ -210,7 +210,7 @@
 		);
 	});
 
-	test("waits for the next heartbeat where the machine has not been heard lately", async () => {
+	test("waits for the next heartbeat if the last one is more than 0.6 heartbeat intervals old", async () => {
 		const setup = new Setup();
 		const machine = await machineWithTrigger(setup);
 		await setup.clock.advance(600);
--- a/tests/coordination/workers/lease-monitor.test.ts
+++ b/tests/coordination/workers/lease-monitor.test.ts
@@ -13,8 +13,8 @@
 } from "../../support/reconciliation-setup.js";
 import { silentLog } from "../../support/silent-log.js";
 
-describe("the leases of silent workers", () => {
-	test("the tasks of a machine start elsewhere only once its lease has certainly expired since the last response", () => {
+describe("the leases of workers that send no heartbeats", () => {
+	test("a machine's tasks restart elsewhere only once the whole lease expiry period has passed since the last response", () => {
 		const { clusterState, job, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 1000);
 		machine.agent.responded(1000);
@@ -28,7 +28,7 @@
 		assert.ok(job.waitingTasks.includes(0));
 	});
 
-	test("a machine that has sent no heartbeat expires only if it may hold tasks of an earlier leader", () => {
+	test("the lease of a machine without a heartbeat expires only if the machine may run tasks of an earlier leader", () => {
 		const { clusterState } = stateWithJob();
 		const [created, recorded] = (["created", "record"] as const).map((origin) => {
 			const machine = new Machine({ id: origin, type: machineType, zone: "a", spot: true, origin }, 0);
@@ -44,7 +44,7 @@
 });
 
 describe("many unreachable machines", () => {
-	/** A leader with machines that all count as unreachable. */
+	/** Creates a lease monitor for machines that all count as unreachable. */
 	function unreachableMachines(count: number) {
 		const { clusterState } = stateWithJob();
 		for (let i = 0; i < count; i++) {
@@ -60,7 +60,7 @@
 		return { monitor, stillUnreachable };
 	}
 
-	test("are disregarded while the process is overloaded, since its responses come too late", () => {
+	test("are assumed reachable while the process is overloaded, since its responses are late", () => {
 		const { monitor, stillUnreachable } = unreachableMachines(3);
 		monitor.tick(1, false);
 		assert.equal(stillUnreachable(), 3);
@@ -68,7 +68,7 @@
 		assert.equal(stillUnreachable(), 0);
 	});
 
-	test("are taken for what they seem if they are few", () => {
+	test("still count as unreachable while the process is overloaded if they are at most two", () => {
 		const { monitor, stillUnreachable } = unreachableMachines(2);
 		monitor.tick(1, true);
 		assert.equal(stillUnreachable(), 2);
--- a/tests/coordination/workers/orphan-cleanup.test.ts
+++ b/tests/coordination/workers/orphan-cleanup.test.ts
@@ -26,7 +26,7 @@
 const orphan = (taskIndex: number) => ({ jobId: "j-9", taskIndex, attempt: 7 });
 const stopOf = (taskIndex: number): WorkerCommand => ({ kind: "stop", ...orphan(taskIndex), graceS: 0 });
 
-/** A machine with orphaned tasks of job `j-9`, whose final record is read from a store that may fail. */
+/** Creates a cleanup for a machine, with a store that holds the final record of job `j-9` and whose reads may fail. */
 function setUp({ failedReads = 0, stored = true } = {}) {
 	const clock = new FakeTime();
 	const demands = new Map<string, TaskDemand>();
@@ -74,7 +74,7 @@
 }
 
 describe("orphaned tasks", () => {
-	test("are stopped by direct command at once when a heartbeat lists them for the first time, and once only", () => {
+	test("are stopped by direct command when a heartbeat lists them for the first time, and only then", () => {
 		const { clusterState } = stateWithJob();
 		const sent: WorkerCommand[][] = [];
 		const commandSender = new DirectCommandSender({
@@ -111,16 +111,17 @@
 		const stopOf = (attempt: number) => ({ kind: "stop", jobId: "j-9", taskIndex: 0, attempt, graceS: 0 });
 
 		receive(1, []);
-		// The machine is known and had no orphans before: the case in which the lists must not be the same object.
+		// The machine existed and had no orphans. If its list were changed in place, `before` would already contain the new
+		// orphan, and no stop would be sent.
 		receive(2, [7]);
 		assert.deepEqual(sent, [[stopOf(7)]]);
 		receive(3, [7]);
-		assert.equal(sent.length, 1, "it was stopped before");
+		assert.equal(sent.length, 1, "a stop has been sent before");
 		receive(4, [7, 8]);
 		assert.deepEqual(sent[1], [stopOf(8)]);
 	});
 
-	test("are stopped by direct command, but not again those that were stopped before", async () => {
+	test("are not stopped again by direct command if the previous heartbeat listed them", async () => {
 		const { clock, clusterState, machine, cleanup, commands } = setUp();
 		for (const taskIndex of [0, 1]) clusterState.addOrphan(machine, orphan(taskIndex));
 		cleanup.stop(machine, [new OrphanedTask(orphan(0))]);
@@ -131,7 +132,7 @@
 		assert.deepEqual(commands, [stopOf(1)]);
 	});
 
-	test("of an unknown job use what its final record says, which is read once", async () => {
+	test("of an unknown job are charged with the demand in its final record, which is read once", async () => {
 		const { clock, clusterState, machine, cleanup, reads } = setUp();
 		for (const taskIndex of [0, 1]) clusterState.addOrphan(machine, orphan(taskIndex));
 		assert.equal(clusterState.reconciled, false);
@@ -143,7 +144,7 @@
 		assert.equal(clusterState.quotas.usage("red").cpus, 4);
 	});
 
-	test("keep anything from starting until the record has been read, which is tried again and again", async () => {
+	test("of an unknown job block all starts until its final record is read; failed reads are retried", async () => {
 		const { clock, clusterState, machine, cleanup, reads } = setUp({ failedReads: 2 });
 		clusterState.addOrphan(machine, orphan(0));
 		cleanup.stop(machine, []);
@@ -153,7 +154,7 @@
 		assert.deepEqual([reads.length, clusterState.reconciled], [3, true]);
 	});
 
-	test("that are gone by then are not asked for again", async () => {
+	test("that disappear while the read fails do not cause another read", async () => {
 		const { clock, clusterState, machine, cleanup, reads } = setUp({ failedReads: 1 });
 		clusterState.addOrphan(machine, orphan(0));
 		cleanup.stop(machine, []);
@@ -162,7 +163,7 @@
 		assert.equal(reads.length, 1);
 	});
 
-	test("of a job that the store does not know keep anything from starting until they are gone", async () => {
+	test("of a job without a final record in the store block all starts until they disappear", async () => {
 		const { clock, clusterState, machine, cleanup } = setUp({ stored: false });
 		clusterState.addOrphan(machine, orphan(0));
 		cleanup.stop(machine, []);
--- a/tests/coordination/workers/pending-heartbeats.test.ts
+++ b/tests/coordination/workers/pending-heartbeats.test.ts
@@ -6,11 +6,11 @@
 
 const start: WorkerCommand = { kind: "start", jobId: "j-1", taskIndex: 0, attempt: 1 };
 
-/** Pending heartbeats of machines that are all to start a task. */
+/** Creates pending heartbeats with the same start command for every machine. */
 function setUp() {
 	const clock = new FakeTime();
 	const pending = new PendingHeartbeats({ clock, post: (action) => action(), commandsFor: () => [start] });
-	/** Holds a response, and tells what it was: undefined while it is held. */
+	/** Holds a response. The commands are undefined until it is released. */
 	const hold = (machineId: string, dueAt: number, reason: "placement" | "idle") => {
 		const result: { commands?: WorkerCommand[] | null } = {};
 		pending.hold(machineId, dueAt, reason).then((commands) => {
@@ -21,8 +21,8 @@
 	return { clock, pending, hold };
 }
 
-describe("heartbeats whose responses are held back", () => {
-	test("are answered with the commands of that moment when they are due", async () => {
+describe("heartbeats whose responses are held", () => {
+	test("are answered with the machine's commands when they are due", async () => {
 		const { clock, pending, hold } = setUp();
 		const held = hold("n-1", 100, "placement");
 		await clock.advance(60);
@@ -33,7 +33,7 @@
 		assert.equal(pending.has("n-1"), false);
 	});
 
-	test("are answered without commands when a later heartbeat of the machine comes", async () => {
+	test("are answered without commands when a later heartbeat of the machine arrives", async () => {
 		const { clock, pending, hold } = setUp();
 		const earlier = hold("n-1", 1000, "placement");
 		pending.supersede("n-1");
@@ -43,7 +43,7 @@
 		assert.deepEqual([earlier.commands, later.commands], [[], [start]]);
 	});
 
-	test("for a placement are answered when none is under way, those of idle machines wait on", async () => {
+	test("for a placement are answered when those are released; responses to idle machines are held further", async () => {
 		const { clock, pending, hold } = setUp();
 		const placement = hold("n-1", 1000, "placement");
 		const idle = hold("n-2", 1000, "idle");
@@ -52,7 +52,7 @@
 		assert.deepEqual([placement.commands, idle.commands], [[start], undefined]);
 	});
 
-	test("are refused when this process may not answer any more", async () => {
+	test("are completed with null when this process may no longer answer", async () => {
 		const { clock, pending, hold } = setUp();
 		const held = [hold("n-1", 1000, "placement"), hold("n-2", 1000, "idle")];
 		pending.refuseAll();
--- a/tests/coordination/workers/reachability.test.ts
+++ b/tests/coordination/workers/reachability.test.ts
@@ -4,8 +4,8 @@
 import { takeCommands } from "../../../src/coordination/workers/worker-commands.js";
 import { heartbeat, stateWithSentStart, taskStatus } from "../../support/reconciliation-setup.js";
 
-describe("a machine whose heartbeats arrive while responses may not", () => {
-	test("one lost response changes nothing; after two in a row nothing more is sent until its lease has held", () => {
+describe("a machine whose heartbeats arrive while responses to it may be lost", () => {
+	test("stays reachable after one lost response, and gets no starts for more than a lease period after two in a row", () => {
 		const { clusterState, job, machine, attempt } = stateWithSentStart();
 		const leaseMs = clusterState.workerLeaseExpiryMs;
 		reconcileHeartbeat(clusterState, heartbeat(2), 1000);
@@ -23,7 +23,7 @@
 		assert.notEqual(clusterState.assignNextTask(job, machine), null);
 	});
 
-	test("a start that is listed after one lost response shows that responses arrive", () => {
+	test("has its count of ineffective responses reset when it lists a start that was sent again", () => {
 		const { clusterState, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2), 1000);
 		takeCommands(clusterState, machine);
@@ -31,17 +31,17 @@
 		assert.equal(machine.agent.ineffectiveResponses, 0);
 	});
 
-	test("a lease that expires twice although it was renewed all the time shows that responses do not arrive", () => {
+	test("becomes unreachable when its lease expires twice although responses were sent shortly before", () => {
 		const { clusterState, machine } = stateWithSentStart();
 		machine.agent.responded(20_000);
 		reconcileHeartbeat(clusterState, heartbeat(1, [], { agentEpoch: 2 }), 21_000);
-		assert.equal(machine.agent.unreachableSince, null, "the last response may have come too late");
+		assert.equal(machine.agent.unreachableSince, null, "the last response may have arrived too late");
 		machine.agent.responded(33_000);
 		reconcileHeartbeat(clusterState, heartbeat(1, [], { agentEpoch: 3 }), 34_000);
 		assert.equal(machine.agent.unreachableSince, 34_000);
 		const silent = stateWithSentStart();
 		silent.machine.agent.responded(0);
 		reconcileHeartbeat(silent.clusterState, heartbeat(1, [], { agentEpoch: 2 }), 21_000);
-		assert.equal(silent.machine.agent.ineffectiveResponses, 0, "it was cut off both ways");
+		assert.equal(silent.machine.agent.ineffectiveResponses, 0, "its heartbeats did not arrive either");
 	});
 });
--- a/tests/coordination/workers/spot-reclaim.test.ts
+++ b/tests/coordination/workers/spot-reclaim.test.ts
@@ -9,7 +9,7 @@
 
 const heartbeatIntervalS = 1;
 
-/** A spot machine that is reclaimed after so many seconds, with a running attempt of a job that takes 20 s. */
+/** Creates a spot machine to be reclaimed after `reclaimInS`, with a running attempt of a job that takes 20 s. */
 function machineWithTask(more: Partial<JobSpec>, reclaimInS: number | null) {
 	const machine = new Machine({ id: "n-1", type: mediumType, zone: "a", spot: true, origin: "created" }, 0);
 	machine.lifecycle.heartbeatReceived(reclaimInS === null ? null : reclaimInS * 1000);
@@ -21,13 +21,13 @@
 }
 
 describe("attempts on a spot machine that is about to be reclaimed", () => {
-	test("run on where no notice was given", () => {
+	test("are not stopped if the cloud has given no reclaim notice", () => {
 		const { machine, attempt } = machineWithTask({}, null);
 		assert.deepEqual(stopBeforeReclaim(machine, 0, heartbeatIntervalS), []);
 		assert.equal(attempt.stop, null);
 	});
 
-	test("of a job without checkpoints are stopped at once if they will hardly finish, and run on otherwise", () => {
+	test("of a job without checkpoints are stopped at once if they are unlikely to finish, and not stopped otherwise", () => {
 		const hopeless = machineWithTask({}, 10);
 		assert.deepEqual(stopBeforeReclaim(hopeless.machine, 0, heartbeatIntervalS), [hopeless.attempt]);
 		assert.deepEqual(hopeless.attempt.stop, { reason: "spot reclaim", graceS: 0 });
@@ -36,16 +36,16 @@
 		assert.equal(hopeful.attempt.stop, null);
 	});
 
-	test("of a job with checkpoints are stopped in time to save one, with what is left as grace", () => {
+	test("of a job with checkpoints are stopped in time to save one, with the time until the reclaim as grace", () => {
 		const checkpoints = { checkpointIntervalS: 5, checkpointCostS: 4 };
 		const { machine, attempt } = machineWithTask(checkpoints, 10);
 		assert.deepEqual(stopBeforeReclaim(machine, 3999, heartbeatIntervalS), []);
 		assert.equal(attempt.stop, null);
-		assert.deepEqual(stopBeforeReclaim(machine, 4000, heartbeatIntervalS), [], "by the next response");
+		assert.deepEqual(stopBeforeReclaim(machine, 4000, heartbeatIntervalS), [], "the next response contains the stop");
 		assert.deepEqual(attempt.stop, { reason: "spot reclaim", graceS: 6 });
 	});
 
-	test("that are replicas run on: they are relocated", () => {
+	test("that are replicas are not stopped, since they are relocated", () => {
 		const { machine, attempt } = machineWithTask({ form: "service", estimatedRunS: 0 }, 1);
 		assert.deepEqual(stopBeforeReclaim(machine, 0, heartbeatIntervalS), []);
 		assert.equal(attempt.stop, null);
--- a/tests/coordination/workers/worker-commands.test.ts
+++ b/tests/coordination/workers/worker-commands.test.ts
@@ -10,7 +10,7 @@
 } from "../../support/reconciliation-setup.js";
 
 describe("starts", () => {
-	test("a machine that starts draining after an assignment still gets the start; a quarantined one does not", () => {
+	test("a machine that starts draining after an assignment still gets the start; a quarantined machine does not", () => {
 		const { clusterState, job, machine } = stateWithMachine();
 		clusterState.assignNextTask(job, machine);
 		machine.lifecycle.startDraining();
@@ -22,19 +22,19 @@
 		assert.deepEqual(takeCommands(clusterState, machine), [], "nothing starts on a quarantined machine");
 	});
 
-	test("an assigned attempt does not start if a stop is wanted, or if its job is over", () => {
+	test("an assigned attempt ends without a start if its stop was requested or its job has ended", () => {
 		const { clusterState, job, machine } = stateWithMachine();
 		const attempt = clusterState.assignNextTask(job, machine);
 		attempt?.requestStop("team limit lowered", 0);
 		assert.deepEqual(takeCommands(clusterState, machine), []);
-		assert.equal(job.attempts.size, 0, "it is over");
+		assert.equal(job.attempts.size, 0, "the attempt has ended");
 		assert.notEqual(clusterState.assignNextTask(job, machine), null);
 		job.end();
 		assert.deepEqual(takeCommands(clusterState, machine), []);
 		assert.equal(job.attempts.size, 0);
 	});
 
-	test("a start whose response was lost is sent again with the same number", () => {
+	test("a start whose response was lost is sent again with the same attempt number", () => {
 		const { clusterState, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2), 100);
 		const commands = takeCommands(clusterState, machine);
@@ -43,28 +43,28 @@
 });
 
 describe("stops and forgets", () => {
-	test("a completed task is forgotten only when its completion is stored", () => {
+	test("a completed task is forgotten only after its completion is stored", () => {
 		const { clusterState, job, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "exited", "done")]), 100);
 		assert.ok(job.doneTasks.has(0));
 		machine.lifecycle.startDraining();
-		assert.deepEqual(takeCommands(clusterState, machine), [], "a failover now would lose it");
+		assert.deepEqual(takeCommands(clusterState, machine), [], "a failover now would lose the completion");
 		machine.lifecycle.cancelDraining();
 		job.markPageDurable(0, job.doneTasks.page(0));
-		assert.deepEqual(takeCommands(clusterState, machine), [], "the last one is kept as heartbeat trigger");
+		assert.deepEqual(takeCommands(clusterState, machine), [], "the last exited attempt is kept as heartbeat trigger");
 		assert.equal(machine.exitedTasks.heartbeatTrigger?.attempt, attempt.number);
 		machine.lifecycle.startDraining();
 		const forget = { kind: "forget", jobId: "j-1", taskIndex: 0, attempt: attempt.number };
 		assert.deepEqual(takeCommands(clusterState, machine), [forget]);
 	});
 
-	test("the end of a job withdraws assigned attempts and stops the others until they are over", () => {
+	test("the end of a job ends its assigned attempts and stops the others until they have exited", () => {
 		const { clusterState, job, machine, attempt } = stateWithSentStart();
 		const second = clusterState.assignNextTask(job, machine);
 		assert.ok(second);
 		const remaining = clusterState.removeJob(job);
 		assert.deepEqual(remaining, [attempt]);
-		assert.equal(clusterState.quotas.usage("red").cpus, 1, "what was sent still counts");
+		assert.equal(clusterState.quotas.usage("red").cpus, 1, "the sent attempt still counts");
 		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "running")]), 100);
 		assert.equal(takeCommands(clusterState, machine)[0]?.kind, "stop");
 		const stopped = taskStatus(0, attempt.number, "exited", "stopped");
--- a/tests/layers.test.ts
+++ b/tests/layers.test.ts
@@ -19,7 +19,7 @@
 const shared = [...domain, "coordination/ports"];
 const clusterState = [...shared, "coordination/state"];
 
-/** What the modules of each folder may import. The order of the layers is in docs/architecture.md. */
+/** The folders that the modules of each folder may import. The order of the layers is in docs/architecture.md. */
 const rules: ImportRules = {
 	protocol: [],
 	"protocol/model": [],
@@ -76,7 +76,7 @@
 		assert.deepEqual(forbiddenImports(tree, rules), []);
 	});
 
-	test("have a rule for each folder, and no rule for a folder that is not there", () => {
+	test("have a rule for each folder, and no rule for a folder that does not exist", () => {
 		const folders = new Set([...tree.keys()].map((file) => file.split("/").slice(0, -1).join("/") || "."));
 		assert.deepEqual([...folders].sort(), Object.keys(rules).sort());
 	});
@@ -86,7 +86,7 @@
 	});
 
 	for (const folder of Object.keys(rules))
-		test(`a planted import is caught in ${folder}`, () => {
+		test(`a forbidden import is reported in ${folder}`, () => {
 			const forbidden = Object.keys(rules).filter(
 				(other) => other !== folder && !rules[folder]?.includes(other),
 			);
@@ -107,19 +107,19 @@
 			}
 		});
 
-	test("a module in a folder without a rule is caught", () => {
+	test("a module in a folder without a rule is reported", () => {
 		const found = forbiddenImports(new Map([["coordination/new/module.ts", ""]]), rules);
 		assert.deepEqual(found, ["coordination/new/module.ts: no rule for folder coordination/new"]);
 	});
 });
 
-test("coordination reaches the world outside by its ports only", () => {
+test("coordination does not import network or file modules, since it uses external systems only through ports", () => {
 	const outside = /^(node:)?(net|http|https|dns|fs)(\/|$)/;
 	for (const [file, text] of readSourceTree(new URL("coordination/", source)))
 		for (const specifier of importsOf(text)) assert.doesNotMatch(specifier, outside, file);
 });
 
-test("packages import nothing of the service, and its layers nothing of a package", () => {
+test("packages do not import modules of the service, and the layers of the service do not import packages", () => {
 	for (const name of readdirSync(packages)) {
 		const sources = readSourceTree(new URL(`${name}/src/`, packages));
 		assert.ok(sources.size > 0, name);
--- a/tests/service/cancellation-races.test.ts
+++ b/tests/service/cancellation-races.test.ts
@@ -5,13 +5,13 @@
 
 const final = (world: World) => world.state.rows.get("r/fin/j-000001")?.v as { status: string } | undefined;
 
-/** Delays transactions that certain processes send from now on, past the point where they give up. */
+/** Delays the store transactions that certain processes send from now on beyond the processes' timeouts. */
 function delayTransactions(world: World, from: (process: string) => boolean, delayMs: number): void {
 	world.network.fault = (who, to, _method, path) =>
 		to === "state" && path === "/multi" && from(who) ? { delayMs } : {};
 }
 
-test("a cancellation that reaches the store after the job was done changes nothing", async () => {
+test("a cancellation that reaches the store after the job is done has no effect", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	await world.submit("runner-0", job);
@@ -19,7 +19,7 @@
 	const other = nodeNames.find((n) => n !== world.leaderNode()) as string;
 	delayTransactions(world, (who) => who.startsWith(other), 12_000);
 	const answer = await world.abort(other, job.id);
-	assert.equal(answer.status, 503, "no certain answer");
+	assert.equal(answer.status, 503, "the outcome is unknown");
 	await world.time.advance(20_000);
 	assert.equal(final(world)?.status, "done");
 	world.network.fault = () => ({});
@@ -27,7 +27,7 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("the leader's record of a job done, applied late, does not undo a cancellation", async () => {
+test("a leader's final record of a done job does not replace a cancellation that the store applied first", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	await world.submit("runner-0", job);
@@ -38,7 +38,7 @@
 	for (let i = 0; i < 200 && (world.running("j-000001/0") || world.running("j-000001/1")); i++) {
 		await world.time.advance(100);
 	}
-	// Both tasks have ended, and what the leader writes of it is on its way.
+	// Both tasks have ended, and the leader's write of the final record is in flight.
 	await world.time.advance(1000);
 	assert.equal(final(world), undefined);
 	assert.equal((await world.abort(other, job.id)).body.status, "cancelled");
@@ -49,7 +49,7 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("cancellation, question and repeated submission at the very end of the last task: one end, and every answer agrees", async () => {
+test("cancellations, status requests and repeated submissions around the end of the last task all report one final status", async () => {
 	const ends = new Set<string>();
 	for (let offsetMs = -100; offsetMs <= 1500; offsetMs += 100) {
 		const world = new World();
@@ -69,5 +69,5 @@
 		assert.deepEqual(world.broken, [], `offset ${offsetMs}`);
 		ends.add(final(world)?.status ?? "none");
 	}
-	assert.deepEqual([...ends].sort(), ["cancelled", "done"], "the offsets lie on both sides of the end");
+	assert.deepEqual([...ends].sort(), ["cancelled", "done"], "the offsets include times before and after the end");
 });
--- a/tests/service/late-heartbeats.test.ts
+++ b/tests/service/late-heartbeats.test.ts
@@ -3,7 +3,7 @@
 import { job } from "../support/leadership-candidate.js";
 import { World } from "../support/world.js";
 
-test("late copies do not bring back a machine that was returned", async () => {
+test("late copies of heartbeats do not add a deleted machine again", async () => {
 	const world = new World();
 	world.copiesAfterS = [30];
 	await world.time.advance(2000);
@@ -11,5 +11,5 @@
 	await world.time.advance(120_000);
 	assert.equal(world.cloud.hosts.size, 0);
 	const ups = world.logs.filter((line) => line.includes(" machine running "));
-	assert.deepEqual(ups, [], "it was rented, so it never comes unexpected");
+	assert.deepEqual(ups, [], "the leader created the machine, so its heartbeat never adds it");
 });
--- a/tests/service/malformed-input.test.ts
+++ b/tests/service/malformed-input.test.ts
@@ -4,7 +4,7 @@
 
 const errorsOf = (world: World, message: string) => world.logs.filter((line) => line.includes(message));
 
-test("malformed messages from a controller are dropped, said once for each kind, and the service goes on", async () => {
+test("malformed messages from a controller are dropped and logged once per kind, and jobs still complete", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	await world.submit("runner-0", { id: "j-000001", pieces: 2, cores: 1, runs: 30 });
@@ -26,11 +26,11 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("a job whose record cannot be read is answered 503, never 404, and the others are served", async () => {
+test("requests for a job whose record cannot be decoded are answered 503, not 404, and other jobs are unaffected", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 30 });
-	// Such as one of a later version, with a form that this one does not know.
+	// A record of a later version, with a job form that this version does not support.
 	const { spec } = (world.state.rows.get("r/job/j-000001") as { v: { spec: object } }).v;
 	const later = { spec: { ...spec, id: "j-000002", form: "ensemble" }, at: 0 };
 	world.state.write("r/job/j-000002", later);
@@ -41,24 +41,24 @@
 		assert.equal((await world.poll(node, "j-000001")).body.status, "done");
 	}
 	const said = errorsOf(world, "malformed value in the store");
-	assert.equal(said.length, 3, "once by each controller");
+	assert.equal(said.length, 3, "logged once by each controller");
 	assert.ok(said.every((line) => line.includes('"key":"r/job/j-000002"')));
 	assert.deepEqual(errorsOf(world, "replica differs from the store"), []);
-	assert.deepEqual(world.state.rows.get("r/job/j-000002")?.v, later, "it is left as it is");
+	assert.deepEqual(world.state.rows.get("r/job/j-000002")?.v, later, "the record is not changed");
 });
 
-test("where the machines that may hold tasks cannot be read, nothing starts before every lease has run out", async () => {
+test("if machine records cannot be decoded, no task starts before every worker lease has expired", async () => {
 	const world = new World();
 	world.state.write("r/machs/1-1", { entries: { "n-000099": "of another form" } });
 	await world.time.advance(2000);
 	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 60 });
 	await world.time.advance(7000);
-	assert.equal(world.running("j-000001/0"), false, "a machine of which nothing is known may still run it");
+	assert.equal(world.running("j-000001/0"), false, "a machine whose record cannot be decoded may still run it");
 	await world.time.advance(14_000);
 	assert.equal(world.running("j-000001/0"), true);
 });
 
-test("a leader's key that cannot be read is not taken over while it is there", async () => {
+test("no controller becomes leader while the store holds a leader key that cannot be decoded", async () => {
 	const world = new World();
 	world.state.write("r/one/leader", "somebody");
 	await world.time.advance(10_000);
--- a/tests/service/process-pauses.test.ts
+++ b/tests/service/process-pauses.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { World } from "../support/world.js";
 
-test("users that come as a controller wakes up are answered by a fresh question to the store", async () => {
+test("a status request that arrives when a process pause ends is answered after a new read of the store", async () => {
 	const world = new World();
 	await world.time.advance(3000);
 	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 60 });
@@ -15,7 +15,7 @@
 	assert.deepEqual(
 		[answer.status, answer.body.status],
 		[200, "cancelled"],
-		"neither 503 nor what was so before",
+		"neither 503 nor the status from before the pause",
 	);
 	assert.ok(world.logs.some((line) => line.includes("runner-1#2 process pause detected")));
 	assert.deepEqual(world.broken, []);
--- a/tests/service/production-compatibility.test.ts
+++ b/tests/service/production-compatibility.test.ts
@@ -7,9 +7,9 @@
 import { nodeNames, World } from "../support/world.js";
 
 /**
- * What versions in production stored and said, each taken from a run of that version by
- * tests/support/take-fixture.ts: 0.4.0, from which the machines are upgraded, and 0.5.0, the first
- * with standing jobs.
+ * Versions in production whose stored values and messages are recorded in a fixture, each taken from a run of that
+ * version by tests/support/take-fixture.ts: 0.4.0, from which the machines are upgraded, and 0.5.0, the first version
+ * with service jobs.
  */
 const versions = ["0.4.0", "0.5.0"];
 
@@ -21,7 +21,7 @@
 
 const kindOf = (key: string) => key.split("/").slice(0, 2).join("/");
 
-/** Every field that production writes is there, and of the same type. */
+/** Asserts that every field that the production version writes still exists and has the same type. */
 function keepsFields(old: unknown, now: unknown, at: string): void {
 	if (Array.isArray(old)) {
 		assert.ok(Array.isArray(now), at);
@@ -33,7 +33,7 @@
 		return;
 	}
 	assert.ok(typeof now === "object" && now !== null, at);
-	// Maps by name of machine or page have other names here.
+	// The keys of maps from machine or page to entry differ between the runs, so one entry of each is compared.
 	const byName = at.endsWith(".entries");
 	const pairs = byName ? [[Object.values(old)[0], Object.values(now)[0], "*"] as const] : [];
 	for (const [o, n, name] of pairs) keepsFields(o, n, `${at}.${name}`);
@@ -48,7 +48,7 @@
 	const fixture = fixtureOf(version);
 	const standing = fixture.rows.some(({ key }) => key === "r/job/j-000004");
 
-	test(`what ${version} wrote is read: live and ended jobs, done tasks, machines that may hold tasks`, async () => {
+	test(`records that ${version} stored are decoded: live and ended jobs, done tasks, machines that may run tasks`, async () => {
 		const world = new World();
 		for (const { key, v, stamp } of fixture.rows)
 			if (key !== "r/one/leader") world.state.rows.set(key, { v, stamp });
@@ -82,7 +82,7 @@
 		);
 	});
 
-	test(`what is written and said now has every field that ${version} reads, and takes what it says`, async () => {
+	test(`stored values and messages have every field that ${version} has, and its messages are decoded`, async () => {
 		const plain = await recordRun(false, standing);
 		const relayed = await recordRun(true, standing);
 		const said = { ...relayed.messages, ...plain.messages };
@@ -96,12 +96,12 @@
 		for (const [kind, message] of Object.entries(fixture.messages)) {
 			assert.ok(said[kind], kind);
 			keepsFields(message, said[kind], kind);
-			// Whatever the service calls its fields, the wire has kept every name and value.
+			// Decoding and encoding preserves every name and value on the wire.
 			assert.deepEqual(encodePeerMessage(decodePeerMessage(message)), message, kind);
 		}
 	});
 
-	test(`late copies of all that ${version} said reach every controller and break nothing`, async () => {
+	test(`late copies of all messages of ${version} to every controller cause no errors and do not affect a running task`, async () => {
 		const world = new World();
 		await world.time.advance(2000);
 		await world.submit("runner-0", { id: "j-000001", pieces: 3, cores: 1, runs: 60 });
@@ -118,13 +118,13 @@
 	});
 }
 
-test("nothing is stored or said under other names than production knows, but for what is listed here", async () => {
+test("stored values and messages have only field names that a version in production has", async () => {
 	const known = new Set(versions.flatMap((version) => namesOf(fixtureOf(version))));
 	const now = [await recordRun(false), await recordRun(true)].flatMap(namesOf);
 	assert.deepEqual([...new Set(now)].filter((name) => !known.has(name)).sort(), []);
 });
 
-/** Every field name by the kind of its value or message; names of machines, jobs and pages aside. */
+/** Returns the paths of all fields by kind of value or message, with `*` for the names of machines, jobs and pages. */
 function namesOf(run: RecordedRun): string[] {
 	const names: string[] = [];
 	const walk = (value: unknown, at: string): void => {
@@ -141,7 +141,7 @@
 	return names;
 }
 
-test("a message of every kind is refused when a field that it needs is missing or of another type", () => {
+test("a message of any kind is rejected if a required field is missing or any field has the wrong type", () => {
 	const { messages } = fixtureOf("0.5.0");
 	const optional = new Set(["standing", "known", "cancelled", "unknown"]);
 	for (const [kind, message] of Object.entries(messages)) {
--- a/tests/service/replica-repair.test.ts
+++ b/tests/service/replica-repair.test.ts
@@ -4,7 +4,7 @@
 import { job } from "../support/leadership-candidate.js";
 import { World } from "../support/world.js";
 
-test("a job whose watch event was lost is found by comparing with the store", async () => {
+test("a job whose watch event was lost is found by comparing the store replica with the store", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	await world.submit("runner-0", { ...job, id: "j-000002" });
@@ -20,7 +20,7 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("a job that the leader was not told of is found in its own copy within seconds", async () => {
+test("a job in the leader's store replica without a change notification is found within seconds", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	await world.submit("runner-0", { ...job, id: "j-000002" });
@@ -32,7 +32,7 @@
 	const value = { ...known.value, spec: { ...known.value.spec, id: "j-000003" } };
 	world.state.epoch += 1;
 	world.state.rows.set("r/job/j-000003", { v: encodeJobRecord(value), stamp: world.state.epoch });
-	// In the copy, but no listener was called.
+	// Adds the job to the store replica without calling the listeners.
 	(leader.replica.jobs as Map<string, unknown>).set("j-000003", { value, revision: world.state.epoch });
 	await world.time.advance(30_000);
 	assert.equal((world.state.rows.get("r/fin/j-000003")?.v as { status: string } | undefined)?.status, "done");
--- a/tests/service/store-outages.test.ts
+++ b/tests/service/store-outages.test.ts
@@ -3,7 +3,7 @@
 import { job } from "../support/leadership-candidate.js";
 import { nodeNames, World } from "../support/world.js";
 
-test("a node that hears nothing of the store answers 503 at once and is not ready while others are served", async () => {
+test("a node cut off from the store answers 503 at once, and is not ready while the store answers other nodes", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	const other = nodeNames.find((n) => n !== world.leaderNode()) as string;
@@ -14,12 +14,12 @@
 	for (let i = 0; i < 10; i++) {
 		const before = world.time.now();
 		assert.equal((await world.submit(other, { ...job, id: `j-00010${i}` })).status, 503);
-		assert.ok(world.time.now() - before <= 50, "kept waiting");
+		assert.ok(world.time.now() - before <= 50, "the response was not immediate");
 	}
 	world.network.fault = () => ({});
 	await world.time.advance(8000);
 	assert.equal(world.ready(other), true);
-	// When nobody is served, leaving would only make coming back late.
+	// If the store answers no node, a node taken out of rotation would only return late.
 	world.state.setOutage(true);
 	await world.time.advance(12_000);
 	for (const node of nodeNames) assert.equal(world.ready(node), true);
--- a/tests/service/submissions.test.ts
+++ b/tests/service/submissions.test.ts
@@ -3,7 +3,7 @@
 import { job } from "../support/leadership-candidate.js";
 import { nodeNames, World } from "../support/world.js";
 
-test("a standing job is taken once every controller has said that it serves them, and for good from then on", async () => {
+test("a service job is accepted only once every controller has reported support for it, and always from then on", async () => {
 	const world = new World();
 	world.crash("runner-2");
 	await world.time.advance(8000);
@@ -11,7 +11,7 @@
 	const early = await world.submit("runner-0", standing);
 	assert.equal(early.status, 503);
 	assert.match(early.body.error as string, /not all controllers/);
-	assert.equal((await world.submit("runner-0", { ...job, id: "j-000002" })).status, 201, "arrays are");
+	assert.equal((await world.submit("runner-0", { ...job, id: "j-000002" })).status, 201, "array jobs are accepted");
 	world.start("runner-2");
 	await world.time.advance(5000);
 	assert.equal((await world.submit("runner-0", standing)).status, 201);
@@ -28,7 +28,7 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("submissions of one job to all nodes make one job; a known id is answered before any check", async () => {
+test("submissions of one job to all nodes create one job; a repeated id is answered before validation", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	assert.equal((await world.submit("runner-0", job)).status, 201);
