--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -122,10 +122,10 @@
 	}
 
 	/**
-	 * Handles a process pause: the process did not run while its clocks advanced, and other processes may have acted since.
-	 * State, decisions and operations from before the pause are not relied on until confirmed: authority requires a new
-	 * response of the store or of every other controller, and timeouts of the store, the workers and the other controllers
-	 * start anew (trace 54, tests/service/process-pauses.test.ts).
+	 * Handles a process pause: the process did not run while its clocks advanced, and other processes may have acted
+	 * since. State, decisions and operations from before the pause are not relied on until confirmed: authority
+	 * requires a new response of the store or of every other controller, and timeouts of the store, the workers and the
+	 * other controllers start anew (trace 54, tests/service/process-pauses.test.ts).
 	 */
 	private onProcessPause(pausedMs: number): void {
 		const { log, leadership, replicaSync, heartbeatRouter, terms } = this.parts;
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -54,9 +54,9 @@
 }
 
 /**
- * The leader of one term. It reconciles the machines of the previous leader, answers workers' heartbeats, and drives the
- * components that decide about placement, preemption, relocation and the fleet. All of its methods run in the process's
- * serial executor.
+ * The leader of one term. It reconciles the machines of the previous leader, answers workers' heartbeats, and drives
+ * the components that decide about placement, preemption, relocation and the fleet. All of its methods run in the
+ * process's serial executor.
  */
 export class Leader implements HeartbeatHandler {
 	constructor(private readonly parts: LeaderParts) {}
@@ -67,8 +67,8 @@
 	}
 
 	/**
-	 * Begins the term. Jobs are loaded from the store. Machines with a record may run tasks of an earlier leader: no task
-	 * starts before each of them has sent a heartbeat or its lease has expired.
+	 * Begins the term. Jobs are loaded from the store. Machines with a record may run tasks of an earlier leader: no
+	 * task starts before each of them has sent a heartbeat or its lease has expired.
 	 */
 	begin(): void {
 		const { authority, clusterState, replica, liveJobs, machineRecords, failover, log } = this.parts;
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -34,9 +34,9 @@
 	}
 
 	/**
-	 * True if users' connections should go to this controller. If the store does not answer it, it can only respond 503.
-	 * It is then not ready if the store answers others, since users should connect to these. If the store answers no
-	 * controller, it stays ready, because a controller taken out of rotation would return to it late.
+	 * True if users' connections should go to this controller. If the store does not answer it, it can only respond
+	 * 503. It is then not ready if the store answers others, since users should connect to these. If the store answers
+	 * no controller, it stays ready, because a controller taken out of rotation would return to it late.
 	 */
 	get ready(): boolean {
 		const { replica, replicaSync, hasPeers, clock } = this.options;
--- a/src/coordination/term-supervisor.ts
+++ b/src/coordination/term-supervisor.ts
@@ -34,8 +34,8 @@
 }
 
 /**
- * Owns the leader of this process. A term begins in three steps: this process wins the leader key; the machine types are
- * available; and the store replica contains everything that was in the store when the key was won. Only then is the
+ * Owns the leader of this process. A term begins in three steps: this process wins the leader key; the machine types
+ * are available; and the store replica contains everything that was in the store when the key was won. Only then is the
  * leader created. It ends when leadership is lost.
  */
 export class TermSupervisor {
--- a/src/coordination/workers/forwarded-response-batches.ts
+++ b/src/coordination/workers/forwarded-response-batches.ts
@@ -22,7 +22,9 @@
 		private readonly clock: Clock,
 	) {}
 
-	/** Adds a response for the controller. A batch holds responses of one term; a batch of another term is sent first. */
+	/**
+	 * Adds a response for the controller. A batch holds responses of one term; a batch of another term is sent first.
+	 */
 	add(to: NodeId, term: Term, response: ForwardedResponse): void {
 		const batch = this.batches.get(to);
 		if (batch?.term === term) {
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -106,10 +106,10 @@
 	if (agentEpoch < agent.agentEpoch) return "outdated";
 	if (agentEpoch > agent.agentEpoch) return null;
 	if (sequence <= agent.sequence) return "outdated";
-	// A heartbeat with an earlier fencing token shows that the worker has received none of this leader's responses. Those
-	// sent so far can no longer arrive and have not renewed the lease, so it still dates from before this term, however
-	// often this leader has responded ("responses to a worker that never shows the leader's token do not renew its lease"
-	// in tests/coordination/workers/heartbeat-reconciliation.test.ts; trace 24).
+	// A heartbeat with an earlier fencing token shows that the worker has received none of this leader's responses.
+	// Those sent so far can no longer arrive and have not renewed the lease, so it still dates from before this term,
+	// however often this leader has responded ("responses to a worker that never shows the leader's token do not renew
+	// its lease" in tests/coordination/workers/heartbeat-reconciliation.test.ts; trace 24).
 	const renewed = agent.fenced || fencingToken >= fencingTokenOf(clusterState.term);
 	if (renewed || now - lifecycle.requestedAt <= clusterState.workerLeaseExpiryMs) return null;
 	clusterState.expireLease(machine);
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -107,7 +107,9 @@
 		return { kind: "redirect", node: this.redirectTarget() };
 	}
 
-	/** Handles the heartbeat as the leader; null: this node may not answer, e.g. its authority ended during the hold. */
+	/**
+	 * Handles the heartbeat as the leader; null: this node may not answer, e.g. its authority ended during the hold.
+	 */
 	private async askLeader(
 		{ leader, term }: ActiveLeader,
 		heartbeat: WorkerHeartbeat,
@@ -181,8 +183,9 @@
 
 	/**
 	 * Returns the leader if a worker can be redirected to it. The leader key outlives a crashed leader, and a worker
-	 * redirected there would wait for its timeout while the next leader needs a heartbeat from every machine. So a leader
-	 * that has stopped sending messages is not a target, nor one that reports that workers cannot reach it (trace 31).
+	 * redirected there would wait for its timeout while the next leader needs a heartbeat from every machine. So a
+	 * leader that has stopped sending messages is not a target, nor one that reports that workers cannot reach it
+	 * (trace 31).
 	 */
 	private redirectTarget(): NodeId | null {
 		const leader = this.options.leaderInStore();
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -95,7 +95,8 @@
 		const now = clock.now();
 		const result = this.reconcile(heartbeat);
 		switch (result.kind) {
-			// A response would renew a lease that counts as expired, or keep unrecorded tasks alive on an unknown machine.
+			// A response would renew a lease that counts as expired, or keep unrecorded tasks alive on an unknown
+			// machine.
 			case "lease expired":
 			case "unknown machine type":
 				return refused;
@@ -117,8 +118,8 @@
 		if (!machine.schedulable || machine.capacity.freeCpus <= 0 || !(taskReady || idle))
 			return Promise.resolve(this.commandsFor(machine));
 		if (taskReady) clusterState.requestPlacement();
-		// The same response fills freed capacity, since the next one is a heartbeat interval away. A machine without tasks
-		// has no changes to report meanwhile, so its response can be held longer.
+		// The same response fills freed capacity, since the next one is a heartbeat interval away. A machine without
+		// tasks has no changes to report meanwhile, so its response can be held longer.
 		if (!idle) return this.pending.hold(machine.id, now + placementHoldMs, "placement");
 		const holdMs = Math.min(idleHoldMs, heartbeatIntervalS * 1000 * idleHoldIntervals);
 		return this.pending.hold(machine.id, now + holdMs, "idle");
@@ -137,7 +138,9 @@
 		return machine ? this.commandsFor(machine) : null;
 	}
 
-	/** Reconciles a heartbeat without responding to it. Also used for heartbeats returned by direct calls to workers. */
+	/**
+	 * Reconciles a heartbeat without responding to it. Also used for heartbeats returned by direct calls to workers.
+	 */
 	reconcile(heartbeat: WorkerHeartbeat): ReconciliationResult {
 		const { clusterState, clock } = this.options;
 		const now = clock.now();
@@ -168,7 +171,9 @@
 		this.options.faultAttribution.record(outcome, now);
 	}
 
-	/** True if a task of any job is ready to start. Computed once per batch, however many heartbeats the batch contains. */
+	/**
+	 * True if a task of any job is ready to start. Computed once per batch, however many heartbeats the batch contains.
+	 */
 	anyTaskReady(now: number): boolean {
 		this.taskReady ??= [...this.options.clusterState.jobs.values()].some((job) => job.hasReadyTask(now));
 		return this.taskReady;
@@ -191,10 +196,10 @@
 	}
 
 	/**
-	 * Sends the starts of assigned attempts to machines whose heartbeats await their responses. Other machines get theirs
-	 * with the next heartbeat, which is triggered early if that is cheap: one exited attempt is left in each worker's
-	 * list, and a direct command to forget it makes the worker send a heartbeat at once. This is skipped while the process
-	 * is overloaded, because a connection for each start would cost too much processor time.
+	 * Sends the starts of assigned attempts to machines whose heartbeats await their responses. Other machines get
+	 * theirs with the next heartbeat, which is triggered early if that is cheap: one exited attempt is left in each
+	 * worker's list, and a direct command to forget it makes the worker send a heartbeat at once. This is skipped while
+	 * the process is overloaded, because a connection for each start would cost too much processor time.
 	 */
 	sendAssigned(now: number): void {
 		const { heartbeatIntervalS, tickDelay, commandSender } = this.options;
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -40,8 +40,8 @@
 	}
 
 	/**
-	 * If many machines appear unreachable while this process is short of processor time, the cause is that its responses
-	 * are late. Deleting the machines would lose all the work on them (trace 23).
+	 * If many machines appear unreachable while this process is short of processor time, the cause is that its
+	 * responses are late. Deleting the machines would lose all the work on them (trace 23).
 	 */
 	private disregardIfMany(unreachable: readonly Machine[]): void {
 		const few = Math.max(fewUnreachable, this.clusterState.machines.size * fewUnreachablePart);
--- a/src/coordination/workers/machine-records.ts
+++ b/src/coordination/workers/machine-records.ts
@@ -38,7 +38,9 @@
 		this.records.load(chunks);
 	}
 
-	/** Writes a record of the machine unless there is one. The machine counts as recorded once the write is confirmed. */
+	/**
+	 * Writes a record of the machine unless there is one. The machine counts as recorded once the write is confirmed.
+	 */
 	record(machine: Machine): void {
 		if (this.records.has(machine.id)) return;
 		const { agent, type, zone, spot } = machine;
--- a/src/coordination/workers/pending-heartbeats.ts
+++ b/src/coordination/workers/pending-heartbeats.ts
@@ -40,7 +40,9 @@
 		return this.pending.has(machineId);
 	}
 
-	/** Holds the response to the machine's heartbeat until it is released, at the latest at the monotonic time `dueAt`. */
+	/**
+	 * Holds the response to the machine's heartbeat until it is released, at the latest at the monotonic time `dueAt`.
+	 */
 	hold(machineId: MachineId, dueAt: number, reason: PendingReason): Promise<WorkerCommand[] | null> {
 		return new Promise((respond) => {
 			this.pending.set(machineId, { dueAt, reason, respond });
--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -73,9 +73,9 @@
 				if (agent.unreachableSince !== null) this.clusterState.endAttempt(attempt);
 				continue;
 			}
-			// Until the worker has shown this leader's token, responses of earlier leaders may still start tasks, so absence
-			// from the list proves nothing ("a heartbeat with an earlier fencing token adds the tasks that it lists but does
-			// not prove others absent" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
+			// Until the worker has shown this leader's token, responses of earlier leaders may still start tasks, so
+			// absence from the list proves nothing ("a heartbeat with an earlier fencing token adds the tasks that it
+			// lists but does not prove others absent" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
 			if (!newAgentEpoch && !agent.fenced) continue;
 			if (attempt.phase === "sent" && !newAgentEpoch && attempt.stop === null) this.retryStart(attempt);
 			else {
@@ -87,8 +87,8 @@
 	}
 
 	/**
-	 * Handles a start whose response was lost. It can no longer be executed, since the worker has sent a later heartbeat.
-	 * The start is sent again with the same attempt number; if the machine is unreachable, the attempt ends.
+	 * Handles a start whose response was lost. It can no longer be executed, since the worker has sent a later
+	 * heartbeat. The start is sent again with the same attempt number; if the machine is unreachable, the attempt ends.
 	 */
 	private retryStart(attempt: Attempt): void {
 		if (this.machine.agent.unreachableSince === null) attempt.markStartLost();
@@ -133,7 +133,9 @@
 		this.jobsWithDoneTasks.add(job);
 	}
 
-	/** Marks a task as done that completed under an attempt of an earlier leader, and ends or stops its current attempt. */
+	/**
+	 * Marks a task as done that completed under an attempt of an earlier leader, and ends or stops its current attempt.
+	 */
 	private markFoundDone(job: Job, taskIndex: number): void {
 		if (job.isService) return;
 		this.clusterState.markTaskDone(job, taskIndex);
@@ -144,8 +146,8 @@
 	}
 
 	/**
-	 * Adopts a running task that this leader has not recorded on the machine, or records it as orphaned. Returns true if
-	 * it was adopted.
+	 * Adopts a running task that this leader has not recorded on the machine, or records it as orphaned. Returns true
+	 * if it was adopted.
 	 */
 	private adoptOrOrphan(task: TaskStatus, state: Exclude<TaskStatus["state"], "exited">): boolean {
 		const job = this.clusterState.jobs.get(task.jobId);
@@ -163,10 +165,10 @@
 }
 
 /**
- * True if a listed task should continue to run. Of two attempts the one with the larger number is current: an attempt is
- * assigned only when the previous one is proved to have ended, but after a failover a late copy of a heartbeat may list
- * the previous one again ("a late copy that lists an earlier attempt does not replace the later attempt of the task" in
- * tests/coordination/workers/heartbeat-reconciliation.test.ts).
+ * True if a listed task should continue to run. Of two attempts the one with the larger number is current: an attempt
+ * is assigned only when the previous one is proved to have ended, but after a failover a late copy of a heartbeat may
+ * list the previous one again ("a late copy that lists an earlier attempt does not replace the later attempt of the
+ * task" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
 function isWanted(job: Job, { taskIndex, attempt }: TaskStatus): boolean {
 	if (taskIndex >= job.spec.taskCount || job.doneTasks.has(taskIndex)) return false;
--- a/src/coordination/workers/worker-commands.ts
+++ b/src/coordination/workers/worker-commands.ts
@@ -10,8 +10,8 @@
  * Issues the commands for the response to a heartbeat of the machine's worker: forgets, stops, then starts. Attempts
  * assigned to the machine are marked as sent, or end if they may not start any more.
  *
- * Starts are sent only in these responses, never as direct commands: a direct command may be executed minutes late, when
- * the task may run elsewhere, whereas a worker drops a response that arrives after more than 4 s (trace 36).
+ * Starts are sent only in these responses, never as direct commands: a direct command may be executed minutes late,
+ * when the task may run elsewhere, whereas a worker drops a response that arrives after more than 4 s (trace 36).
  */
 export function takeCommands(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
 	const commands: WorkerCommand[] = [];
@@ -27,7 +27,9 @@
 	return [...commands, ...starts];
 }
 
-/** Adds forget commands. A schedulable machine keeps one exited attempt, which can be forgotten to trigger a heartbeat. */
+/**
+ * Adds forget commands. A schedulable machine keeps one exited attempt, which can be forgotten to trigger a heartbeat.
+ */
 function addForgets(clusterState: ClusterState, machine: Machine, commands: WorkerCommand[]): void {
 	const forgettable = machine.exitedTasks.chooseForgettable(
 		(task) => isRecorded(clusterState, task),
@@ -49,9 +51,9 @@
 }
 
 /**
- * Marks an assigned attempt as sent and returns true, or ends it if its job has ended or the machine has become unusable
- * since the assignment. A machine that has started draining since then still runs the attempt: otherwise a task that
- * fits on no other machine could be deferred repeatedly (trace 41).
+ * Marks an assigned attempt as sent and returns true, or ends it if its job has ended or the machine has become
+ * unusable since the assignment. A machine that has started draining since then still runs the attempt: otherwise a
+ * task that fits on no other machine could be deferred repeatedly (trace 41).
  */
 function startOrEnd(clusterState: ClusterState, attempt: Attempt): boolean {
 	if (!attempt.machine.acceptsAssignedStarts || attempt.stop !== null || attempt.job.over) {
