--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -44,7 +44,7 @@
 	/** Schedules a batch of actions to run after the events that are being handled. */
 	schedule(run: () => void): void;
 	/** Creates team quota for this process; team quota is off if this is omitted or returns null. */
-	teamQuota?(post: (action: () => void) => void): TeamQuotaPort | null;
+	createTeamQuota?(post: (action: () => void) => void): TeamQuotaPort | null;
 }
 
 /** The settings, the identity and the ports of a controller. */
@@ -69,7 +69,7 @@
 		(key, error) => log.error({ key, err: error }, "malformed value in the store"),
 		platform.cluster.state.write_rps,
 	);
-	const teamQuota = ports.teamQuota?.(post) ?? null;
+	const teamQuota = ports.createTeamQuota?.(post) ?? null;
 	const replicaSync = new ReplicaSync({ replica, store, clock, log, post });
 	const runningTasks = new RunningTaskCounts();
 
@@ -86,7 +86,7 @@
 		post,
 		authority: () => leadership.authority(),
 		stored: () => replica.machineTypes?.value ?? null,
-		refreshed: (types) => terms.leader?.machineTypesRefreshed(types),
+		refreshed: (types) => terms.leader?.onMachineTypesRefreshed(types),
 	});
 	const terms: TermSupervisor = new TermSupervisor({
 		platform,
@@ -101,7 +101,7 @@
 		onTermBegun: (term) => heartbeatRouter.startLeading(term),
 	});
 	const heartbeatRouter = new HeartbeatRouter({
-		self: platform.node,
+		node: platform.node,
 		peers,
 		clock,
 		activeLeader: () => terms.activeLeader,
@@ -117,21 +117,21 @@
 		zones: platform.cluster.zones,
 		maxValueBytes: platform.cluster.state.value_kb * 1024,
 		call: (action) => executor.call(action),
-		runningTasks: (jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
+		runningTasks: (jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.countOf(jobId),
 	});
 	const controller = new Controller({
 		executor,
 		replica,
 		replicaSync,
 		leadership,
-		terms,
+		termSupervisor: terms,
 		jobs,
 		heartbeatRouter,
 		placer: new Placer(replica, teamQuota),
 		peers,
 		machineTypes,
 		readiness: new Readiness({ replica, replicaSync, hasPeers: platform.others.length > 0, clock }),
-		runningTasks,
+		runningTaskCounts: runningTasks,
 		pauseDetector: new PauseDetector(clock),
 		teamQuota,
 		clock,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -23,19 +23,19 @@
 import type { HeartbeatResponse, HeartbeatRouter } from "./workers/heartbeat-router.js";
 
 /** The components of a controller; `controller-composition.ts` builds them. */
-export interface ControllerParts {
+export interface ControllerComponents {
 	executor: SerialExecutor;
 	replica: StoreReplica;
 	replicaSync: ReplicaSync;
 	leadership: Leadership;
-	terms: TermSupervisor;
+	termSupervisor: TermSupervisor;
 	jobs: JobService;
 	heartbeatRouter: HeartbeatRouter;
 	placer: Placer;
 	peers: PeerChannel;
 	machineTypes: MachineTypeCatalog;
 	readiness: Readiness;
-	runningTasks: RunningTaskCounts;
+	runningTaskCounts: RunningTaskCounts;
 	pauseDetector: PauseDetector;
 	/** null: team quota is off. */
 	teamQuota: TeamQuotaPort | null;
@@ -50,11 +50,11 @@
 export class Controller {
 	private stopped = false;
 
-	constructor(private readonly parts: ControllerParts) {
+	constructor(private readonly parts: ControllerComponents) {
 		const { executor, replica } = parts;
 		replica.onChange((key) => this.replicaChanged(key));
 		executor.onBatchStart(() => this.detectPause());
-		executor.onBatchEnd(() => parts.terms.leader?.place());
+		executor.onBatchEnd(() => parts.termSupervisor.leader?.runPlacement());
 	}
 
 	/** Submission, status and cancellation of jobs. */
@@ -91,7 +91,7 @@
 	}
 
 	/** Receives an encoded message from another controller. */
-	peerMessage(from: NodeId, encoded: unknown): void {
+	receivePeerMessage(from: NodeId, encoded: unknown): void {
 		const message = this.parts.peers.read(from, encoded);
 		if (message) this.parts.executor.post(() => this.handlePeerMessage(from, message));
 	}
@@ -107,7 +107,7 @@
 	}
 
 	private tick(): void {
-		const { replica, leadership, machineTypes, terms, heartbeatRouter } = this.parts;
+		const { replica, leadership, machineTypes, termSupervisor: terms, heartbeatRouter } = this.parts;
 		// The first leader's first write is the machine types. If they are absent, there has been no leader before.
 		if (replica.loaded && replica.machineTypes === null) leadership.endStartupHoldoff();
 		leadership.tick(replica.leader, replica.loaded);
@@ -128,7 +128,7 @@
 	 * other controllers start anew (trace 54, tests/service/process-pauses.test.ts).
 	 */
 	private onProcessPause(pausedMs: number): void {
-		const { log, leadership, replicaSync, heartbeatRouter, terms } = this.parts;
+		const { log, leadership, replicaSync, heartbeatRouter, termSupervisor: terms } = this.parts;
 		log.info({ pausedMs: Math.round(pausedMs) }, "process pause detected");
 		leadership.onProcessPause();
 		replicaSync.onProcessPause();
@@ -139,8 +139,8 @@
 	// --- the replica of the store ---
 
 	private replicaChanged(key: string): void {
-		const { replica, terms, teamQuota } = this.parts;
-		if (key.startsWith(keys.jobs)) terms.leader?.jobChanged(key.slice(keys.jobs.length));
+		const { replica, termSupervisor: terms, teamQuota } = this.parts;
+		if (key.startsWith(keys.jobs)) terms.leader?.onJobChanged(key.slice(keys.jobs.length));
 		const quota = key.startsWith(keys.quota) ? replica.quotaRecords.get(key) : undefined;
 		if (quota) teamQuota?.stored(key, quota.value, quota.revision);
 	}
@@ -148,11 +148,19 @@
 	// --- other controllers ---
 
 	private handlePeerMessage(from: NodeId, message: PeerMessage): void {
-		const { peers, leadership, terms, heartbeatRouter, placer, readiness, clock } = this.parts;
+		const {
+			peers,
+			leadership,
+			termSupervisor: terms,
+			heartbeatRouter,
+			placer,
+			readiness,
+			clock,
+		} = this.parts;
 		const now = clock.now();
-		readiness.peerHeard(now);
+		readiness.onPeerMessage(now);
 		if (message.kind === "leader-heartbeat" || message.kind === "placement-request")
-			heartbeatRouter.noteLeader(from, message, now);
+			heartbeatRouter.onLeaderMessage(from, message, now);
 		switch (message.kind) {
 			case "placement-request":
 				peers.send(from, placer.propose(message));
@@ -174,16 +182,16 @@
 				break;
 			case "placement-proposal":
 			case "leader-heartbeat-reply":
-				terms.leader?.peerMessage(from, message);
+				terms.leader?.handlePeerMessage(from, message);
 				break;
 		}
 	}
 
 	private handleLeaderHeartbeat(from: NodeId, message: LeaderHeartbeat, now: number): void {
-		const { replica, readiness, runningTasks, teamQuota } = this.parts;
+		const { replica, readiness, runningTaskCounts: runningTasks, teamQuota } = this.parts;
 		// Ignores late copies from earlier leaders, so that the task counts shown to users do not go back in time.
 		if (message.term < (replica.leader?.revision ?? 0)) return;
-		if (message.storeReachable) readiness.storeServesPeer(now);
+		if (message.storeReachable) readiness.onPeerStoreReachable(now);
 		runningTasks.replace(message.runningTasks);
 		if (message.teamQuota !== undefined) teamQuota?.takeTerms(message.term, message.teamQuota);
 		this.replyToLeader(from, message.term);
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -34,7 +34,7 @@
 		if (moved.length === 0) return;
 		const replicas = moved.map(({ taskId }) => taskId);
 		this.log.info({ replicas }, "replicas relocating");
-		this.orders.stop(moved);
+		this.orders.sendStops(moved);
 	}
 
 	private moveFrom(machine: Machine, now: number): Attempt[] {
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -11,7 +11,7 @@
 import { Fleet } from "./fleet/fleet.js";
 import { ReplicaRelocation } from "./fleet/replica-relocation.js";
 import { LiveJobs } from "./jobs/live-jobs.js";
-import { Leader, type LeaderParts } from "./leader.js";
+import { Leader, type LeaderComponents } from "./leader.js";
 import { Failover } from "./leadership/failover.js";
 import { FailureDetector } from "./leadership/failure-detector.js";
 import { FeatureGate } from "./leadership/feature-gate.js";
@@ -87,7 +87,7 @@
 	return new Leader(composeParts(options));
 }
 
-function composeParts(options: LeaderOptions): LeaderParts {
+function composeParts(options: LeaderOptions): LeaderComponents {
 	const { term, platform, operator, replica, ports } = options;
 	const { cluster } = platform;
 	const { store, workers, peers, clock, log, post, random } = ports;
@@ -145,7 +145,7 @@
 		clock,
 		log,
 		post,
-		stopAttempts: (attempts) => commands.stop(attempts),
+		stopAttempts: (attempts) => commands.sendStops(attempts),
 	});
 
 	const heartbeats: HeartbeatService = new HeartbeatService({
@@ -219,7 +219,7 @@
 
 	return {
 		authority,
-		beganAt,
+		termStartedAt: beganAt,
 		clusterState,
 		replica,
 		liveJobs,
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -28,10 +28,10 @@
 import type { MachineRecords } from "./workers/machine-records.js";
 
 /** The components of a leader; `leader-composition.ts` builds them. */
-export interface LeaderParts {
+export interface LeaderComponents {
 	authority: TermAuthority;
 	/** Monotonic time at which the term began. */
-	beganAt: number;
+	termStartedAt: number;
 	clusterState: ClusterState;
 	replica: StoreReplica;
 	liveJobs: LiveJobs;
@@ -59,7 +59,7 @@
  * process's serial executor.
  */
 export class Leader implements HeartbeatHandler {
-	constructor(private readonly parts: LeaderParts) {}
+	constructor(private readonly parts: LeaderComponents) {}
 
 	/** This leader's state of jobs, machines and attempts. */
 	get clusterState(): ClusterState {
@@ -84,7 +84,7 @@
 	}
 
 	private loadMachine(id: MachineId, record: MachineRecord): void {
-		const { clusterState, failover, beganAt } = this.parts;
+		const { clusterState, failover, termStartedAt: beganAt } = this.parts;
 		if (clusterState.machines.has(id)) return;
 		const { machineType, zone, spot, endpoint, agentEpoch } = record;
 		const type = clusterState.machineTypes.get(machineType) ?? unknownMachineType(machineType);
@@ -118,20 +118,20 @@
 		if (parts.heartbeats.anyTaskReady(now)) parts.clusterState.requestPlacement();
 		parts.preemption.tick(now);
 		parts.relocation.tick(now);
-		this.place();
+		this.runPlacement();
 		if (parts.clusterState.attemptNumbersExhausted) parts.authority.resign("attempt numbers exhausted");
 	}
 
 	/** Runs placement, and sends the starts that it assigned. Called after each batch of actions. */
-	place(): void {
+	runPlacement(): void {
 		const { authority, clusterState, heartbeats, placement, clock } = this.parts;
 		if (!authority.active) return;
 		const now = clock.now();
 		placement.run(now);
-		for (const machine of clusterState.takeRelocationTargets()) heartbeats.onRelocatedTo(machine);
+		for (const machine of clusterState.takeRelocationTargets()) heartbeats.onRelocationAssigned(machine);
 		if (placement.settled) {
-			heartbeats.sendAssigned(now);
-			if (!clusterState.placementRequested) heartbeats.releaseForPlacement();
+			heartbeats.sendStarts(now);
+			if (!clusterState.placementRequested) heartbeats.releaseAwaitingPlacement();
 		}
 		heartbeats.onBatchEnd();
 	}
@@ -162,14 +162,14 @@
 	}
 
 	/** Applies the cloud's current machine types, whose prices may have changed and which may be added or removed. */
-	machineTypesRefreshed(types: MachineType[]): void {
+	onMachineTypesRefreshed(types: MachineType[]): void {
 		this.parts.clusterState.updateMachineTypes(types);
 	}
 
 	// --- jobs ---
 
 	/** Called when a job was added to the store replica or removed from it. */
-	jobChanged(id: JobId): void {
+	onJobChanged(id: JobId): void {
 		this.parts.liveJobs.replicaChanged(id);
 	}
 
@@ -189,7 +189,7 @@
 	// --- other controllers ---
 
 	/** Handles a message of another controller to the leader of the message's term. */
-	peerMessage(from: NodeId, message: PeerMessage): void {
+	handlePeerMessage(from: NodeId, message: PeerMessage): void {
 		const { authority, failureDetector, placement, leaderQuota, clock } = this.parts;
 		if (authority.ended || message.term !== authority.term) return;
 		const now = clock.now();
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -158,6 +158,6 @@
 		}
 		if (stopped.length === 0) return;
 		log.info({ team, tasks: stopped.length }, "stopping tasks above a lowered limit");
-		orders.stop(stopped);
+		orders.sendStops(stopped);
 	}
 }
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -39,7 +39,7 @@
 			victim.requestStop("preempted", checkpointIntervalS > 0 ? graceFactor * checkpointCostS : 0);
 		}
 		this.log.debug({ tasks: victims.map(({ taskId }) => taskId) }, "tasks preempted");
-		this.orders.stop(victims);
+		this.orders.sendStops(victims);
 	}
 }
 
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -24,12 +24,12 @@
 	constructor(private readonly options: ReadinessOptions) {}
 
 	/** Records a message from another controller. */
-	peerHeard(now: number): void {
+	onPeerMessage(now: number): void {
 		this.peerHeardAt = now;
 	}
 
 	/** Records that the leader has reported the store reachable. */
-	storeServesPeer(now: number): void {
+	onPeerStoreReachable(now: number): void {
 		this.storeServesPeerAt = now;
 	}
 
--- a/src/coordination/running-task-counts.ts
+++ b/src/coordination/running-task-counts.ts
@@ -13,7 +13,7 @@
 	}
 
 	/** Returns the number of running tasks of the job. */
-	of(jobId: JobId): number {
+	countOf(jobId: JobId): number {
 		return this.counts.get(jobId) ?? 0;
 	}
 }
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -45,7 +45,7 @@
 	}
 
 	/** Sends stop commands for the attempts. Every heartbeat response repeats them until the attempts have ended. */
-	stop(attempts: readonly Attempt[]): void {
+	sendStops(attempts: readonly Attempt[]): void {
 		if (attempts.length === 0) return;
 		const byMachine = new Map<Machine, StopCommand[]>();
 		for (const attempt of attempts) {
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -44,7 +44,7 @@
 /** The dependencies of a controller's router. */
 export interface HeartbeatRouterOptions {
 	/** This node. */
-	self: NodeId;
+	node: NodeId;
 	peers: PeerMessenger;
 	clock: Clock;
 	/** Returns the leader in this process; null: it does not lead, or may not act. */
@@ -189,7 +189,7 @@
 	 */
 	private redirectTarget(): NodeId | null {
 		const leader = this.options.leaderInStore();
-		if (leader === null || leader === this.options.self) return null;
+		if (leader === null || leader === this.options.node) return null;
 		const { node, heardAt, workersReachable } = this.followed;
 		const heard = node === leader && this.options.clock.now() - heardAt <= leaderSilenceMs;
 		return heard && workersReachable ? leader : null;
@@ -198,7 +198,7 @@
 	// --- the leader that this process follows ---
 
 	/** Handles a leader's message received at the monotonic time `now`. Late copies of earlier terms are ignored. */
-	noteLeader(from: NodeId, message: LeaderHeartbeat | PlacementRequest, now: number): void {
+	onLeaderMessage(from: NodeId, message: LeaderHeartbeat | PlacementRequest, now: number): void {
 		const { term } = message;
 		if (term < this.followed.term) return;
 		if (term > this.followed.term) this.forwarder.followLeader(from, term);
@@ -209,8 +209,8 @@
 
 	/** Records this node as the leader of the term. */
 	startLeading(term: Term): void {
-		this.followed = newLeader(this.options.self, term);
-		this.forwarder.followLeader(this.options.self, term);
+		this.followed = newLeader(this.options.node, term);
+		this.forwarder.followLeader(this.options.node, term);
 	}
 
 	/** Discards forwarded heartbeats and batched responses after a process pause, since they are out of date. */
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -21,7 +21,7 @@
 import { PendingHeartbeats } from "./pending-heartbeats.js";
 import { stopBeforeReclaim } from "./spot-reclaim.js";
 import type { AttemptOutcome } from "./task-reconciliation.js";
-import { takeCommands } from "./worker-commands.js";
+import { issueCommands } from "./worker-commands.js";
 
 /** Maximum time that a response is held for a placement, so that the same response fills the freed capacity. */
 const placementHoldMs = 150;
@@ -130,7 +130,7 @@
 		if (!this.options.active()) return null;
 		machine.agent.responded(this.options.clock.now());
 		this.machinesWithAssignments.delete(machine);
-		return takeCommands(this.options.clusterState, machine);
+		return issueCommands(this.options.clusterState, machine);
 	}
 
 	private commandsById(machineId: MachineId): WorkerCommand[] | null {
@@ -153,7 +153,7 @@
 	private actOn(result: ReconciledHeartbeat, orphansBefore: readonly OrphanedTask[], now: number): void {
 		const { log, orphanCleanup, fleet, commandSender, heartbeatIntervalS } = this.options;
 		const { machine } = result;
-		if (machine.orphans.length > 0) orphanCleanup.stop(machine, orphansBefore);
+		if (machine.orphans.length > 0) orphanCleanup.stopOrphans(machine, orphansBefore);
 		if (result.firstHeartbeat) fleet.onMachineRunning(machine);
 		if (result.newMachine)
 			log.info({ machineId: machine.id, machineType: machine.type.name }, "machine running");
@@ -162,7 +162,7 @@
 		for (const job of result.jobsWithDoneTasks) this.options.finishIfDone(job);
 		for (const replica of result.startedReplicas) log.debug(replicaFields(replica), "replica running");
 		for (const { taskId } of result.lostAttempts) log.info({ machineId: machine.id, taskId }, "task lost");
-		commandSender.stop(stopBeforeReclaim(machine, now, heartbeatIntervalS));
+		commandSender.sendStops(stopBeforeReclaim(machine, now, heartbeatIntervalS));
 	}
 
 	private noteOutcome(outcome: AttemptOutcome, now: number): void {
@@ -191,7 +191,7 @@
 	}
 
 	/** Records that replica relocation, not placement, assigned an attempt to the machine. */
-	onRelocatedTo(machine: Machine): void {
+	onRelocationAssigned(machine: Machine): void {
 		this.machinesWithAssignments.add(machine);
 	}
 
@@ -201,7 +201,7 @@
 	 * worker's list, and a direct command to forget it makes the worker send a heartbeat at once. This is skipped while
 	 * the process is overloaded, because a connection for each start would cost too much processor time.
 	 */
-	sendAssigned(now: number): void {
+	sendStarts(now: number): void {
 		const { heartbeatIntervalS, tickDelay, commandSender } = this.options;
 		const recentlyMs = heartbeatIntervalS * 1000 * recentlyHeardIntervals;
 		for (const machine of this.machinesWithAssignments) {
@@ -219,8 +219,8 @@
 	}
 
 	/** Sends the responses that were held for a placement, when none is in progress any more. */
-	releaseForPlacement(): void {
-		this.pending.releaseForPlacement();
+	releaseAwaitingPlacement(): void {
+		this.pending.releaseAwaitingPlacement();
 	}
 
 	/** Refuses all pending heartbeats, because the term has ended or a process pause has made the state out of date. */
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -46,7 +46,10 @@
 	private disregardIfMany(unreachable: readonly Machine[]): void {
 		const few = Math.max(fewUnreachable, this.clusterState.machines.size * fewUnreachablePart);
 		if (unreachable.length <= few) return;
-		this.log.info({ machines: unreachable.length }, "many machines unreachable while overloaded; assumed reachable");
+		this.log.info(
+			{ machines: unreachable.length },
+			"many machines unreachable while overloaded; assumed reachable",
+		);
 		for (const { agent } of unreachable) agent.assumeReachable();
 	}
 
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -48,7 +48,7 @@
 	 *
 	 * @param stoppedBefore The orphaned tasks as of the previous heartbeat, for which stops have been sent.
 	 */
-	stop(machine: Machine, stoppedBefore: readonly OrphanedTask[]): void {
+	stopOrphans(machine: Machine, stoppedBefore: readonly OrphanedTask[]): void {
 		const stops: StopCommand[] = [];
 		for (const orphan of machine.orphans) {
 			if (stoppedBefore.some((before) => before.is(orphan))) continue;
--- a/src/coordination/workers/pending-heartbeats.ts
+++ b/src/coordination/workers/pending-heartbeats.ts
@@ -65,7 +65,7 @@
 	}
 
 	/** Answers all heartbeats whose responses are held for a placement. */
-	releaseForPlacement(): void {
+	releaseAwaitingPlacement(): void {
 		for (const [machineId, { reason }] of this.pending) if (reason === "placement") this.release(machineId);
 	}
 
--- a/src/coordination/workers/worker-commands.ts
+++ b/src/coordination/workers/worker-commands.ts
@@ -13,7 +13,7 @@
  * Starts are sent only in these responses, never as direct commands: a direct command may be executed minutes late,
  * when the task may run elsewhere, whereas a worker drops a response that arrives after more than 4 s (trace 36).
  */
-export function takeCommands(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
+export function issueCommands(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
 	const commands: WorkerCommand[] = [];
 	addForgets(clusterState, machine, commands);
 	for (const { jobId, taskIndex, attempt } of machine.orphans)
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -43,7 +43,7 @@
 	const peers = new PeerLinks({
 		self: platform.node,
 		peers: platform.others,
-		onMessage: (from, message) => controller.peerMessage(from, message),
+		onMessage: (from, message) => controller.receivePeerMessage(from, message),
 		log,
 	});
 	const controller = buildController(platform, operator, peers, log);
@@ -108,7 +108,7 @@
 		log,
 		random: xoroshiro128plus(seed),
 		schedule: setImmediate,
-		teamQuota: (post: (action: () => void) => void) =>
+		createTeamQuota: (post: (action: () => void) => void) =>
 			makeTeamQuota({ platform, operator, incarnation, store, time: systemClock, log, post }),
 	};
 	return createController({ platform, operator, incarnation, ports });
--- a/tests/coordination/workers/direct-command-sender.test.ts
+++ b/tests/coordination/workers/direct-command-sender.test.ts
@@ -39,7 +39,7 @@
 				post: (action) => action(),
 				log: silentLog,
 			});
-			sender.stop(clusterState.removeJob(job));
+			sender.sendStops(clusterState.removeJob(job));
 			await clock.advance((size / maxInFlight) * 10);
 			assert.equal(reached.size, size);
 			assert.equal(mostInFlight, maxInFlight);
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from "node:test";
 import { ClusterState } from "../../../src/coordination/state/cluster-state.js";
 import { reconcileHeartbeat } from "../../../src/coordination/workers/heartbeat-reconciliation.js";
-import { takeCommands } from "../../../src/coordination/workers/worker-commands.js";
+import { issueCommands } from "../../../src/coordination/workers/worker-commands.js";
 import type { TaskDemand } from "../../../src/protocol/model/job.js";
 import {
 	heartbeat,
@@ -37,7 +37,11 @@
 		reconcileHeartbeat(clusterState, heartbeat(1), 0);
 		const machine = clusterState.machines.get("n-1");
 		assert.ok(machine?.agent.fenced);
-		assert.equal(clusterState.assignNextTask(job, machine), null, "a later leader would find no record of the machine");
+		assert.equal(
+			clusterState.assignNextTask(job, machine),
+			null,
+			"a later leader would find no record of the machine",
+		);
 		machine.lifecycle.markRecorded();
 		assert.notEqual(clusterState.assignNextTask(job, machine), null);
 	});
@@ -83,11 +87,15 @@
 		reconcileHeartbeat(clusterState, heartbeat(7, [taskStatus(0, 900, "running")], earlier), 0);
 		const later = heartbeat(1, [taskStatus(0, 905, "running")], { ...earlier, machineId: "n-2" });
 		reconcileHeartbeat(clusterState, later, 10);
-		assert.equal(job.attempts.get(0)?.number, 905, "it was assigned after the earlier attempt was proved to have ended");
+		assert.equal(
+			job.attempts.get(0)?.number,
+			905,
+			"it was assigned after the earlier attempt was proved to have ended",
+		);
 		assert.equal(clusterState.quotas.usage("red").cpus, 1);
 		const second = clusterState.machines.get("n-2");
 		assert.ok(second);
-		assert.deepEqual(takeCommands(clusterState, second), []);
+		assert.deepEqual(issueCommands(clusterState, second), []);
 		reconcileHeartbeat(clusterState, heartbeat(9, [taskStatus(0, 900, "running")], earlier), 20);
 		assert.equal(job.attempts.get(0)?.number, 905);
 	});
@@ -149,7 +157,7 @@
 		const machine = clusterState.machines.get("n-2");
 		assert.ok(machine);
 		assert.deepEqual(
-			takeCommands(clusterState, machine).map(({ kind, attempt }) => [kind, attempt]),
+			issueCommands(clusterState, machine).map(({ kind, attempt }) => [kind, attempt]),
 			[
 				["stop", 900],
 				["stop", 901],
--- a/tests/coordination/workers/heartbeat-router.test.ts
+++ b/tests/coordination/workers/heartbeat-router.test.ts
@@ -21,7 +21,7 @@
 	active: ActiveLeader | null = null;
 	leaderInStore: string | null = null;
 	readonly router = new HeartbeatRouter({
-		self: "runner-0",
+		node: "runner-0",
 		peers: { send: (_to, message) => this.sent.push(message) },
 		clock: this.clock,
 		activeLeader: () => this.active,
@@ -48,7 +48,7 @@
 			forwardHeartbeats: false,
 			...more,
 		};
-		this.router.noteLeader(node, message, this.clock.now());
+		this.router.onLeaderMessage(node, message, this.clock.now());
 	}
 
 	handle(fencingToken = 0): Promise<HeartbeatResponse> {
--- a/tests/coordination/workers/heartbeat-service.test.ts
+++ b/tests/coordination/workers/heartbeat-service.test.ts
@@ -143,7 +143,7 @@
 		assert.equal(held.commands, undefined);
 		assert.equal(setup.clusterState.placementRequested, true);
 		const attempt = setup.assign(machine);
-		setup.service.sendAssigned(setup.clock.now());
+		setup.service.sendStarts(setup.clock.now());
 		await setup.clock.advance(1);
 		assert.deepEqual(held.commands, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt }]);
 	});
@@ -164,7 +164,7 @@
 		for (let i = 0; i < 4; i++) setup.clusterState.markTaskDone(setup.job, i);
 		setup.job.resetWaitingTasks();
 		const idle = setup.handle(heartbeat(2));
-		setup.service.releaseForPlacement();
+		setup.service.releaseAwaitingPlacement();
 		await setup.clock.advance(599);
 		assert.equal(idle.commands, undefined, "it is held for a task, not for the placement in progress");
 		await setup.clock.advance(31);
@@ -186,7 +186,7 @@
 	async function machineWithTrigger(setup: Setup): Promise<Machine> {
 		const machine = await setup.addMachine();
 		const attempt = setup.assign(machine);
-		setup.service.sendAssigned(setup.clock.now());
+		setup.service.sendStarts(setup.clock.now());
 		setup.handle(heartbeat(2));
 		await setup.clock.advance(200);
 		setup.handle(heartbeat(3, [taskStatus(0, attempt, "exited", "stopped")]));
@@ -200,9 +200,9 @@
 		const machine = await machineWithTrigger(setup);
 		const trigger = machine.exitedTasks.heartbeatTrigger;
 		setup.assign(machine);
-		setup.service.sendAssigned(setup.clock.now());
+		setup.service.sendStarts(setup.clock.now());
 		setup.assign(machine);
-		setup.service.sendAssigned(setup.clock.now());
+		setup.service.sendStarts(setup.clock.now());
 		await setup.clock.advance(1);
 		assert.deepEqual(
 			setup.directCommands.map(({ kind, attempt }) => [kind, attempt]),
@@ -215,7 +215,7 @@
 		const machine = await machineWithTrigger(setup);
 		await setup.clock.advance(600);
 		setup.assign(machine);
-		setup.service.sendAssigned(setup.clock.now());
+		setup.service.sendStarts(setup.clock.now());
 		await setup.clock.advance(1);
 		assert.deepEqual(setup.directCommands, []);
 		assert.notEqual(machine.exitedTasks.heartbeatTrigger, null);
--- a/tests/coordination/workers/orphan-cleanup.test.ts
+++ b/tests/coordination/workers/orphan-cleanup.test.ts
@@ -106,7 +106,7 @@
 			reconcileHeartbeat(clusterState, heartbeat(sequence, attempts.map(orphanOf)), sequence);
 			const machine = clusterState.machines.get("n-1");
 			assert.ok(machine);
-			cleanup.stop(machine, before);
+			cleanup.stopOrphans(machine, before);
 		};
 		const stopOf = (attempt: number) => ({ kind: "stop", jobId: "j-9", taskIndex: 0, attempt, graceS: 0 });
 
@@ -124,10 +124,10 @@
 	test("are not stopped again by direct command if the previous heartbeat listed them", async () => {
 		const { clock, clusterState, machine, cleanup, commands } = setUp();
 		for (const taskIndex of [0, 1]) clusterState.addOrphan(machine, orphan(taskIndex));
-		cleanup.stop(machine, [new OrphanedTask(orphan(0))]);
+		cleanup.stopOrphans(machine, [new OrphanedTask(orphan(0))]);
 		await clock.advance(1);
 		assert.deepEqual(commands, [stopOf(1)]);
-		cleanup.stop(machine, machine.orphans);
+		cleanup.stopOrphans(machine, machine.orphans);
 		await clock.advance(1);
 		assert.deepEqual(commands, [stopOf(1)]);
 	});
@@ -136,8 +136,8 @@
 		const { clock, clusterState, machine, cleanup, reads } = setUp();
 		for (const taskIndex of [0, 1]) clusterState.addOrphan(machine, orphan(taskIndex));
 		assert.equal(clusterState.reconciled, false);
-		cleanup.stop(machine, []);
-		cleanup.stop(machine, machine.orphans);
+		cleanup.stopOrphans(machine, []);
+		cleanup.stopOrphans(machine, machine.orphans);
 		await clock.advance(1);
 		assert.deepEqual(reads, ["r/fin/j-9"]);
 		assert.equal(clusterState.reconciled, true);
@@ -147,7 +147,7 @@
 	test("of an unknown job block all starts until its final record is read; failed reads are retried", async () => {
 		const { clock, clusterState, machine, cleanup, reads } = setUp({ failedReads: 2 });
 		clusterState.addOrphan(machine, orphan(0));
-		cleanup.stop(machine, []);
+		cleanup.stopOrphans(machine, []);
 		await clock.advance(999);
 		assert.deepEqual([reads.length, clusterState.reconciled], [2, false]);
 		await clock.advance(2);
@@ -157,7 +157,7 @@
 	test("that disappear while the read fails do not cause another read", async () => {
 		const { clock, clusterState, machine, cleanup, reads } = setUp({ failedReads: 1 });
 		clusterState.addOrphan(machine, orphan(0));
-		cleanup.stop(machine, []);
+		cleanup.stopOrphans(machine, []);
 		clusterState.clearOrphans(machine);
 		await clock.advance(5000);
 		assert.equal(reads.length, 1);
@@ -166,7 +166,7 @@
 	test("of a job without a final record in the store block all starts until they disappear", async () => {
 		const { clock, clusterState, machine, cleanup } = setUp({ stored: false });
 		clusterState.addOrphan(machine, orphan(0));
-		cleanup.stop(machine, []);
+		cleanup.stopOrphans(machine, []);
 		await clock.advance(5000);
 		assert.equal(clusterState.reconciled, false);
 		clusterState.clearOrphans(machine);
--- a/tests/coordination/workers/pending-heartbeats.test.ts
+++ b/tests/coordination/workers/pending-heartbeats.test.ts
@@ -47,7 +47,7 @@
 		const { clock, pending, hold } = setUp();
 		const placement = hold("n-1", 1000, "placement");
 		const idle = hold("n-2", 1000, "idle");
-		pending.releaseForPlacement();
+		pending.releaseAwaitingPlacement();
 		await clock.advance(1);
 		assert.deepEqual([placement.commands, idle.commands], [[start], undefined]);
 	});
--- a/tests/coordination/workers/reachability.test.ts
+++ b/tests/coordination/workers/reachability.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { reconcileHeartbeat } from "../../../src/coordination/workers/heartbeat-reconciliation.js";
-import { takeCommands } from "../../../src/coordination/workers/worker-commands.js";
+import { issueCommands } from "../../../src/coordination/workers/worker-commands.js";
 import { heartbeat, stateWithSentStart, taskStatus } from "../../support/reconciliation-setup.js";
 
 describe("a machine whose heartbeats arrive while responses to it may be lost", () => {
@@ -10,7 +10,7 @@
 		const leaseMs = clusterState.workerLeaseExpiryMs;
 		reconcileHeartbeat(clusterState, heartbeat(2), 1000);
 		assert.equal(machine.agent.unreachableSince, null);
-		assert.equal(takeCommands(clusterState, machine).length, 1);
+		assert.equal(issueCommands(clusterState, machine).length, 1);
 		reconcileHeartbeat(clusterState, heartbeat(3), 2000);
 		assert.equal(machine.agent.unreachableSince, 2000);
 		assert.equal(job.attempts.has(0), false, "a start that no heartbeat lists can no longer be carried out");
@@ -26,7 +26,7 @@
 	test("has its count of ineffective responses reset when it lists a start that was sent again", () => {
 		const { clusterState, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2), 1000);
-		takeCommands(clusterState, machine);
+		issueCommands(clusterState, machine);
 		reconcileHeartbeat(clusterState, heartbeat(3, [taskStatus(0, attempt.number, "running")]), 2000);
 		assert.equal(machine.agent.ineffectiveResponses, 0);
 	});
--- a/tests/coordination/workers/spot-reclaim.test.ts
+++ b/tests/coordination/workers/spot-reclaim.test.ts
@@ -41,7 +41,11 @@
 		const { machine, attempt } = machineWithTask(checkpoints, 10);
 		assert.deepEqual(stopBeforeReclaim(machine, 3999, heartbeatIntervalS), []);
 		assert.equal(attempt.stop, null);
-		assert.deepEqual(stopBeforeReclaim(machine, 4000, heartbeatIntervalS), [], "the next response contains the stop");
+		assert.deepEqual(
+			stopBeforeReclaim(machine, 4000, heartbeatIntervalS),
+			[],
+			"the next response contains the stop",
+		);
 		assert.deepEqual(attempt.stop, { reason: "spot reclaim", graceS: 6 });
 	});
 
--- a/tests/service/cancellation-races.test.ts
+++ b/tests/service/cancellation-races.test.ts
@@ -69,5 +69,9 @@
 		assert.deepEqual(world.broken, [], `offset ${offsetMs}`);
 		ends.add(final(world)?.status ?? "none");
 	}
-	assert.deepEqual([...ends].sort(), ["cancelled", "done"], "the offsets include times before and after the end");
+	assert.deepEqual(
+		[...ends].sort(),
+		["cancelled", "done"],
+		"the offsets include times before and after the end",
+	);
 });
--- a/tests/service/malformed-input.test.ts
+++ b/tests/service/malformed-input.test.ts
@@ -11,11 +11,17 @@
 	for (let i = 0; i < 5; i++) {
 		for (const node of ["runner-0", "runner-1", "runner-2"]) {
 			const controller = world.controllerOf(node);
-			controller.peerMessage("runner-1", { kind: "running", epoch: 1, counts: "none" });
-			controller.peerMessage("runner-1", { kind: "view", epoch: 1, cycle: 1, start: 0, machines: [{}] });
-			controller.peerMessage("runner-1", { kind: "reports", epoch: 1, reports: [[1, ["n-000000"]]] });
-			controller.peerMessage("runner-1", { kind: "gossip", epoch: 1 });
-			controller.peerMessage("runner-1", null);
+			controller.receivePeerMessage("runner-1", { kind: "running", epoch: 1, counts: "none" });
+			controller.receivePeerMessage("runner-1", {
+				kind: "view",
+				epoch: 1,
+				cycle: 1,
+				start: 0,
+				machines: [{}],
+			});
+			controller.receivePeerMessage("runner-1", { kind: "reports", epoch: 1, reports: [[1, ["n-000000"]]] });
+			controller.receivePeerMessage("runner-1", { kind: "gossip", epoch: 1 });
+			controller.receivePeerMessage("runner-1", null);
 		}
 		await world.time.advance(1000);
 	}
@@ -53,7 +59,11 @@
 	await world.time.advance(2000);
 	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 60 });
 	await world.time.advance(7000);
-	assert.equal(world.running("j-000001/0"), false, "a machine whose record cannot be decoded may still run it");
+	assert.equal(
+		world.running("j-000001/0"),
+		false,
+		"a machine whose record cannot be decoded may still run it",
+	);
 	await world.time.advance(14_000);
 	assert.equal(world.running("j-000001/0"), true);
 });
--- a/tests/service/production-compatibility.test.ts
+++ b/tests/service/production-compatibility.test.ts
@@ -107,7 +107,7 @@
 		await world.submit("runner-0", { id: "j-000001", pieces: 3, cores: 1, runs: 60 });
 		await world.time.advance(12_000);
 		for (const message of Object.values(fixture.messages))
-			for (const node of nodeNames) world.controllerOf(node).peerMessage("runner-1", message);
+			for (const node of nodeNames) world.controllerOf(node).receivePeerMessage("runner-1", message);
 		await world.time.advance(30_000);
 		assert.deepEqual(
 			world.logs.filter((line) => line.includes("state action failed") || line.includes("malformed")),
--- a/tests/service/submissions.test.ts
+++ b/tests/service/submissions.test.ts
@@ -11,7 +11,11 @@
 	const early = await world.submit("runner-0", standing);
 	assert.equal(early.status, 503);
 	assert.match(early.body.error as string, /not all controllers/);
-	assert.equal((await world.submit("runner-0", { ...job, id: "j-000002" })).status, 201, "array jobs are accepted");
+	assert.equal(
+		(await world.submit("runner-0", { ...job, id: "j-000002" })).status,
+		201,
+		"array jobs are accepted",
+	);
 	world.start("runner-2");
 	await world.time.advance(5000);
 	assert.equal((await world.submit("runner-0", standing)).status, 201);
--- a/tests/support/reconciliation-setup.ts
+++ b/tests/support/reconciliation-setup.ts
@@ -3,7 +3,7 @@
 import assert from "node:assert/strict";
 import { ClusterState } from "../../src/coordination/state/cluster-state.js";
 import { reconcileHeartbeat } from "../../src/coordination/workers/heartbeat-reconciliation.js";
-import { takeCommands } from "../../src/coordination/workers/worker-commands.js";
+import { issueCommands } from "../../src/coordination/workers/worker-commands.js";
 import type { MachineType } from "../../src/protocol/model/machine.js";
 import type { TeamQuota } from "../../src/protocol/model/team-quota.js";
 import type { TaskStatus, WorkerHeartbeat } from "../../src/protocol/model/worker.js";
@@ -98,7 +98,7 @@
 	const { clusterState, job, machine } = stateWithMachine();
 	const attempt = clusterState.assignNextTask(job, machine);
 	assert.ok(attempt);
-	const commands = takeCommands(clusterState, machine);
+	const commands = issueCommands(clusterState, machine);
 	assert.deepEqual(commands, [{ kind: "start", jobId: "j-1", taskIndex: 0, attempt: attempt.number }]);
 	return { clusterState, job, machine, attempt };
 }
--- a/tests/support/recorded-run.ts
+++ b/tests/support/recorded-run.ts
@@ -13,8 +13,8 @@
 function listen(world: World, nodes: string[], hear: (message: Message) => void): void {
 	for (const node of nodes) {
 		const controller = world.controllerOf(node);
-		const receive = controller.peerMessage.bind(controller);
-		controller.peerMessage = (from, message) => {
+		const receive = controller.receivePeerMessage.bind(controller);
+		controller.receivePeerMessage = (from, message) => {
 			hear(message as Message);
 			receive(from, message);
 		};
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -296,7 +296,7 @@
 			log,
 			random: xoroshiro128plus(this.incarnation),
 			schedule: queueMicrotask,
-			teamQuota: (post) =>
+			createTeamQuota: (post) =>
 				makeTeamQuota({ platform: settings, operator, incarnation, store: storeClient, time, log, post }),
 		};
 		const controller = createController({ platform: settings, operator, incarnation, ports });
@@ -348,7 +348,7 @@
 			if (this.network.isDown(fromId) || this.cutLinks.has(from) || this.cutLinks.has(to)) return;
 			const process = this.processes.get(to);
 			for (const m of new FrameReader().push(bytes))
-				process?.gate.pass(() => process.controller.peerMessage(from, m));
+				process?.gate.pass(() => process.controller.receivePeerMessage(from, m));
 		});
 	}
 
