--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -71,12 +71,12 @@
 	);
 	const teamQuota = ports.createTeamQuota?.(post) ?? null;
 	const replicaSync = new ReplicaSync({ replica, store, clock, log, post });
-	const runningTasks = new RunningTaskCounts();
+	const runningTaskCounts = new RunningTaskCounts();
 
 	const leadership: Leadership = createLeadership(
 		options,
 		{ replica, replicaSync, peers, post },
-		() => terms,
+		() => termSupervisor,
 	);
 	const machineTypes: MachineTypeCatalog = new MachineTypeCatalog({
 		cloud: ports.cloud,
@@ -86,9 +86,9 @@
 		post,
 		authority: () => leadership.authority(),
 		stored: () => replica.machineTypes?.value ?? null,
-		refreshed: (types) => terms.leader?.onMachineTypesRefreshed(types),
+		refreshed: (types) => termSupervisor.leader?.onMachineTypesRefreshed(types),
 	});
-	const terms: TermSupervisor = new TermSupervisor({
+	const termSupervisor: TermSupervisor = new TermSupervisor({
 		platform,
 		operator,
 		incarnation,
@@ -104,7 +104,7 @@
 		node: platform.node,
 		peers,
 		clock,
-		activeLeader: () => terms.activeLeader,
+		activeLeader: () => termSupervisor.activeLeader,
 		leaderInStore: () => replica.leader?.value.node ?? null,
 		reportMisdirectedWorkers: (leader, term) => controller.replyToLeader(leader, term),
 	});
@@ -117,21 +117,21 @@
 		zones: platform.cluster.zones,
 		maxValueBytes: platform.cluster.state.value_kb * 1024,
 		call: (action) => executor.call(action),
-		runningTasks: (jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.countOf(jobId),
+		runningTasks: (jobId) => termSupervisor.leader?.runningCount(jobId) ?? runningTaskCounts.countOf(jobId),
 	});
 	const controller = new Controller({
 		executor,
 		replica,
 		replicaSync,
 		leadership,
-		termSupervisor: terms,
+		termSupervisor,
 		jobs,
 		heartbeatRouter,
 		placer: new Placer(replica, teamQuota),
 		peers,
 		machineTypes,
 		readiness: new Readiness({ replica, replicaSync, hasPeers: platform.others.length > 0, clock }),
-		runningTaskCounts: runningTasks,
+		runningTaskCounts,
 		pauseDetector: new PauseDetector(clock),
 		teamQuota,
 		clock,
@@ -140,7 +140,7 @@
 	return controller;
 }
 
-interface LeadershipParts {
+interface LeadershipComponents {
 	replica: StoreReplica;
 	replicaSync: ReplicaSync;
 	peers: PeerChannel;
@@ -150,17 +150,17 @@
 /** `termSupervisor` is called only when a term begins or ends, which is after all components have been built. */
 function createLeadership(
 	{ platform, operator, incarnation, ports }: ControllerOptions,
-	{ replica, replicaSync, peers, post }: LeadershipParts,
-	terms: () => TermSupervisor,
+	{ replica, replicaSync, peers, post }: LeadershipComponents,
+	termSupervisor: () => TermSupervisor,
 ): Leadership {
-	const others = platform.others.map(({ node }) => node);
+	const otherControllers = platform.others.map(({ node }) => node);
 	const broadcast = (message: LeadershipMessage) => {
-		for (const node of others) peers.send(node, message);
+		for (const node of otherControllers) peers.send(node, message);
 	};
 	return new Leadership({
 		node: platform.node,
 		incarnation,
-		others,
+		others: otherControllers,
 		settings: {
 			leaseTtlMs: operator.leadership.ttl_s * 1000,
 			marginMs: operator.leadership.margin_s * 1000,
@@ -178,8 +178,8 @@
 		post,
 		jitter: () => uniformInt(ports.random, 0, 999) / 1000,
 		broadcast,
-		onElected: (term) => terms().onElected(term),
-		onLeadershipLost: (term, reason) => terms().onLeadershipLost(term, reason),
+		onElected: (term) => termSupervisor().onElected(term),
+		onLeadershipLost: (term, reason) => termSupervisor().onLeadershipLost(term, reason),
 	});
 }
 
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -50,74 +50,74 @@
 export class Controller {
 	private stopped = false;
 
-	constructor(private readonly parts: ControllerComponents) {
-		const { executor, replica } = parts;
+	constructor(private readonly components: ControllerComponents) {
+		const { executor, replica } = components;
 		replica.onChange((key) => this.replicaChanged(key));
-		executor.onBatchStart(() => this.detectPause());
-		executor.onBatchEnd(() => parts.termSupervisor.leader?.runPlacement());
+		executor.onBatchStart(() => this.detectProcessPause());
+		executor.onBatchEnd(() => components.termSupervisor.leader?.runPlacement());
 	}
 
 	/** Submission, status and cancellation of jobs. */
 	get jobs(): JobService {
-		return this.parts.jobs;
+		return this.components.jobs;
 	}
 
 	/** This process's replica of the store. */
 	get replica(): StoreReplica {
-		return this.parts.replica;
+		return this.components.replica;
 	}
 
 	/** Starts the synchronization with the store and the ticks. */
 	start(): void {
-		this.parts.replicaSync.start();
+		this.components.replicaSync.start();
 		this.scheduleTick();
 	}
 
 	/** Resigns leadership and stops; requests in progress may still be answered. */
 	stop(): void {
 		this.stopped = true;
-		this.parts.replicaSync.stop();
-		this.parts.executor.post(() => this.parts.leadership.resign("controller stopping"));
+		this.components.replicaSync.stop();
+		this.components.executor.post(() => this.components.leadership.resign("controller stopping"));
 	}
 
 	/** True if this controller should receive users' connections. */
 	ready(): boolean {
-		return this.parts.readiness.ready;
+		return this.components.readiness.ready;
 	}
 
 	/** Returns the commands for a worker, or the controller to which it must send its heartbeats. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<HeartbeatResponse> {
-		return this.parts.executor.call(() => this.parts.heartbeatRouter.handle(heartbeat));
+		return this.components.executor.call(() => this.components.heartbeatRouter.handle(heartbeat));
 	}
 
 	/** Receives an encoded message from another controller. */
 	receivePeerMessage(from: NodeId, encoded: unknown): void {
-		const message = this.parts.peers.read(from, encoded);
-		if (message) this.parts.executor.post(() => this.handlePeerMessage(from, message));
+		const message = this.components.peers.read(from, encoded);
+		if (message) this.components.executor.post(() => this.handlePeerMessage(from, message));
 	}
 
 	// --- time ---
 
 	private scheduleTick(): void {
-		this.parts.clock.after(tickMs, () => {
+		this.components.clock.after(tickMs, () => {
 			if (this.stopped) return;
-			this.parts.executor.post(() => this.tick());
+			this.components.executor.post(() => this.tick());
 			this.scheduleTick();
 		});
 	}
 
 	private tick(): void {
-		const { replica, leadership, machineTypes, termSupervisor: terms, heartbeatRouter } = this.parts;
+		const { replica, leadership, machineTypes, termSupervisor, heartbeatRouter } = this.components;
 		// The first leader's first write is the machine types. If they are absent, there has been no leader before.
 		if (replica.loaded && replica.machineTypes === null) leadership.endStartupHoldoff();
 		leadership.tick(replica.leader, replica.loaded);
 		if (leadership.authority() !== null) machineTypes.tick();
-		terms.leader?.tick();
+		termSupervisor.leader?.tick();
 		heartbeatRouter.tick();
 	}
 
-	private detectPause(): void {
-		const pausedMs = this.parts.pauseDetector.observe();
+	private detectProcessPause(): void {
+		const pausedMs = this.components.pauseDetector.observe();
 		if (pausedMs !== null) this.onProcessPause(pausedMs);
 	}
 
@@ -128,19 +128,19 @@
 	 * other controllers start anew (trace 54, tests/service/process-pauses.test.ts).
 	 */
 	private onProcessPause(pausedMs: number): void {
-		const { log, leadership, replicaSync, heartbeatRouter, termSupervisor: terms } = this.parts;
+		const { log, leadership, replicaSync, heartbeatRouter, termSupervisor } = this.components;
 		log.info({ pausedMs: Math.round(pausedMs) }, "process pause detected");
 		leadership.onProcessPause();
 		replicaSync.onProcessPause();
 		heartbeatRouter.onProcessPause();
-		terms.leader?.onProcessPause(pausedMs);
+		termSupervisor.leader?.onProcessPause(pausedMs);
 	}
 
 	// --- the replica of the store ---
 
 	private replicaChanged(key: string): void {
-		const { replica, termSupervisor: terms, teamQuota } = this.parts;
-		if (key.startsWith(keys.jobs)) terms.leader?.onJobChanged(key.slice(keys.jobs.length));
+		const { replica, termSupervisor, teamQuota } = this.components;
+		if (key.startsWith(keys.jobs)) termSupervisor.leader?.onJobChanged(key.slice(keys.jobs.length));
 		const quota = key.startsWith(keys.quota) ? replica.quotaRecords.get(key) : undefined;
 		if (quota) teamQuota?.stored(key, quota.value, quota.revision);
 	}
@@ -148,15 +148,7 @@
 	// --- other controllers ---
 
 	private handlePeerMessage(from: NodeId, message: PeerMessage): void {
-		const {
-			peers,
-			leadership,
-			termSupervisor: terms,
-			heartbeatRouter,
-			placer,
-			readiness,
-			clock,
-		} = this.parts;
+		const { peers, leadership, termSupervisor, heartbeatRouter, placer, readiness, clock } = this.components;
 		const now = clock.now();
 		readiness.onPeerMessage(now);
 		if (message.kind === "leader-heartbeat" || message.kind === "placement-request")
@@ -182,24 +174,24 @@
 				break;
 			case "placement-proposal":
 			case "leader-heartbeat-reply":
-				terms.leader?.handlePeerMessage(from, message);
+				termSupervisor.leader?.handlePeerMessage(from, message);
 				break;
 		}
 	}
 
 	private handleLeaderHeartbeat(from: NodeId, message: LeaderHeartbeat, now: number): void {
-		const { replica, readiness, runningTaskCounts: runningTasks, teamQuota } = this.parts;
+		const { replica, readiness, runningTaskCounts, teamQuota } = this.components;
 		// Ignores late copies from earlier leaders, so that the task counts shown to users do not go back in time.
 		if (message.term < (replica.leader?.revision ?? 0)) return;
 		if (message.storeReachable) readiness.onPeerStoreReachable(now);
-		runningTasks.replace(message.runningTasks);
+		runningTaskCounts.replace(message.runningTasks);
 		if (message.teamQuota !== undefined) teamQuota?.takeTerms(message.term, message.teamQuota);
 		this.replyToLeader(from, message.term);
 	}
 
 	/** Sends the leader the number of misdirected workers at this controller, and the features that it supports. */
 	replyToLeader(leader: NodeId, term: Term): void {
-		const { peers, heartbeatRouter, teamQuota } = this.parts;
+		const { peers, heartbeatRouter, teamQuota } = this.components;
 		const reply: LeaderHeartbeatReply = {
 			kind: "leader-heartbeat-reply",
 			term,
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -44,10 +44,10 @@
 /** Margin added to a worker's lease and its clock drift before the leader treats the lease as expired. */
 const leaseExpiryMarginMs = 500;
 /** Maximum size of the values that are written, as a fraction of the store's limit. */
-const valueSizePart = 0.8;
+const maxValueSizeFraction = 0.8;
 /** Fraction of the process's file descriptors that direct commands to workers may use. */
-const directCommandSocketsPart = 0.1;
-const leastDirectCommandsInFlight = 8;
+const directCommandSocketFraction = 0.1;
+const minDirectCommandsInFlight = 8;
 
 /** The external systems and the environment that a leader uses. */
 export interface LeaderPorts {
@@ -84,38 +84,38 @@
 
 /** Builds the leader of a term, which does nothing until `begin` is called. */
 export function createLeader(options: LeaderOptions): Leader {
-	return new Leader(composeParts(options));
+	return new Leader(createComponents(options));
 }
 
-function composeParts(options: LeaderOptions): LeaderComponents {
+function createComponents(options: LeaderOptions): LeaderComponents {
 	const { term, platform, operator, replica, ports } = options;
 	const { cluster } = platform;
 	const { store, workers, peers, clock, log, post, random } = ports;
-	const beganAt = clock.now();
-	const tickDelay = new TickDelay(tickMs, beganAt);
+	const termStartedAt = clock.now();
+	const tickDelay = new TickDelay(tickMs, termStartedAt);
 	const authority = new TermAuthority({ term, mayAct: options.mayAct, resign: options.resign });
 	const active = () => authority.active;
 	const clusterState = createClusterState(options);
 
-	const leaseMonitor = new LeaseMonitor(clusterState, beganAt, log);
-	const commands = createCommandSender(options, active);
-	const faults = new FaultAttribution(clusterState, operator.machines.faulty_after, log);
+	const leaseMonitor = new LeaseMonitor(clusterState, termStartedAt, log);
+	const commandSender = createCommandSender(options, active);
+	const faultAttribution = new FaultAttribution(clusterState, operator.machines.faulty_after, log);
 	const orphanCleanup = new OrphanCleanup({
 		clusterState,
 		store,
 		clock,
-		commandSender: commands,
+		commandSender,
 		log,
 		post,
 		active,
 		onFinalRecord: (jobId, record, revision) => replica.recordFinal(jobId, record, revision),
 	});
-	const relocation = new ReplicaRelocation(clusterState, commands, log);
+	const relocation = new ReplicaRelocation(clusterState, commandSender, log);
 
 	const leaderQuota = options.teamQuota?.lead(term) ?? null;
 	const failureDetector = new FailureDetector({
 		term,
-		beganAt,
+		beganAt: termStartedAt,
 		platform,
 		settings: operator,
 		clusterState,
@@ -130,22 +130,22 @@
 			? createQuotaAdmission(options, options.teamQuota, leaderQuota, {
 					clusterState,
 					failureDetector,
-					commands,
+					commandSender,
 				})
 			: null;
 
-	const records = recordsEnvironment(options, authority);
-	const machineRecords = new MachineRecords(clusterState, records);
+	const chunkedRecords = recordsEnvironment(options, authority);
+	const machineRecords = new MachineRecords(clusterState, chunkedRecords);
 	const liveJobs = new LiveJobs({
 		authority,
 		clusterState,
 		replica,
 		store,
-		chunkedRecords: records,
+		chunkedRecords,
 		clock,
 		log,
 		post,
-		stopAttempts: (attempts) => commands.sendStops(attempts),
+		stopAttempts: (attempts) => commandSender.sendStops(attempts),
 	});
 
 	const heartbeats: HeartbeatService = new HeartbeatService({
@@ -157,8 +157,8 @@
 			isDeleted: (machine) => fleet.isDeleted(machine),
 			onMachineRunning: (machine) => fleet.onMachineRunning(machine),
 		},
-		commandSender: commands,
-		faultAttribution: faults,
+		commandSender,
+		faultAttribution,
 		orphanCleanup,
 		finishIfDone: (job) => liveJobs.finishIfDone(job),
 		tickDelay,
@@ -185,9 +185,9 @@
 		decided: (attempt) => heartbeats.onAssigned(attempt),
 	});
 	const inOrder = (jobs: Parameters<typeof placement.inOrder>[0]) => placement.inOrder(jobs);
-	const preemption = new PreemptionCycle(clusterState, commands, inOrder, random, log);
+	const preemption = new PreemptionCycle(clusterState, commandSender, inOrder, random, log);
 
-	const machineDeleted = (machine: Machine) => {
+	const onMachineDeleted = (machine: Machine) => {
 		const tasks = clusterState.removeMachine(machine);
 		log.info({ machineId: machine.id, tasks }, "machine deleted");
 		heartbeats.onMachineDeleted(machine);
@@ -202,13 +202,13 @@
 		listLagMs: cluster.cloud.list_lag_s * 1000,
 		leaseMs: cluster.workers.lease_s * 1000,
 		requestPrefix: options.requestPrefix,
-		hooks: { post, authority: active, gone: machineDeleted },
+		hooks: { post, authority: active, gone: onMachineDeleted },
 		log,
 	});
 	const failover = new Failover({
 		clusterState,
 		workers,
-		beganAt,
+		beganAt: termStartedAt,
 		log,
 		post,
 		active,
@@ -219,7 +219,7 @@
 
 	return {
 		authority,
-		termStartedAt: beganAt,
+		termStartedAt,
 		clusterState,
 		replica,
 		liveJobs,
@@ -257,8 +257,8 @@
 	{ term, platform, ports }: LeaderOptions,
 	active: () => boolean,
 ): DirectCommandSender {
-	const sockets = platform.cluster.resources.fd_limit * directCommandSocketsPart;
-	const maxInFlight = Math.floor(Math.max(leastDirectCommandsInFlight, sockets));
+	const socketsForCommands = platform.cluster.resources.fd_limit * directCommandSocketFraction;
+	const maxInFlight = Math.floor(Math.max(minDirectCommandsInFlight, socketsForCommands));
 	const { workers, post, log } = ports;
 	return new DirectCommandSender({ term, maxInFlight, workers, active, post, log });
 }
@@ -267,16 +267,20 @@
 	{ platform, operator, replica, ports }: LeaderOptions,
 	quota: TeamQuotaPort,
 	leaderQuota: LeaderQuotaPort,
-	parts: { clusterState: ClusterState; failureDetector: FailureDetector; commands: DirectCommandSender },
+	components: {
+		clusterState: ClusterState;
+		failureDetector: FailureDetector;
+		commandSender: DirectCommandSender;
+	},
 ): QuotaAdmission {
-	const { clusterState, failureDetector, commands } = parts;
+	const { clusterState, failureDetector, commandSender } = components;
 	const nodes: NodeId[] = [platform.node, ...platform.others.map(({ node }) => node)];
 	return new QuotaAdmission({
 		quota,
 		leaderQuota,
 		clusterState,
 		peerMonitor: failureDetector,
-		orders: commands,
+		orders: commandSender,
 		nodes,
 		preemptAfterMs: operator.team_quota.preempt_after_s * 1000,
 		servedByAll: () => replica.features.teamQuota || failureDetector.allSupportTeamQuota,
@@ -292,7 +296,7 @@
 	const { value_kb, txn_ops } = platform.cluster.state;
 	return {
 		leaderCondition: authority.leaderCondition,
-		maxChunkBytes: Math.floor(value_kb * 1024 * valueSizePart),
+		maxChunkBytes: Math.floor(value_kb * 1024 * maxValueSizeFraction),
 		maxChangesPerWrite: txn_ops,
 		store,
 		post,
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -59,11 +59,11 @@
  * process's serial executor.
  */
 export class Leader implements HeartbeatHandler {
-	constructor(private readonly parts: LeaderComponents) {}
+	constructor(private readonly components: LeaderComponents) {}
 
 	/** This leader's state of jobs, machines and attempts. */
 	get clusterState(): ClusterState {
-		return this.parts.clusterState;
+		return this.components.clusterState;
 	}
 
 	/**
@@ -71,7 +71,7 @@
 	 * task starts before each of them has sent a heartbeat or its lease has expired.
 	 */
 	begin(): void {
-		const { authority, clusterState, replica, liveJobs, machineRecords, failover, log } = this.parts;
+		const { authority, clusterState, replica, liveJobs, machineRecords, failover, log } = this.components;
 		liveJobs.loadAll();
 		machineRecords.load(replica.machineChunks);
 		for (const { value } of replica.machineChunks.values())
@@ -84,11 +84,11 @@
 	}
 
 	private loadMachine(id: MachineId, record: MachineRecord): void {
-		const { clusterState, failover, termStartedAt: beganAt } = this.parts;
+		const { clusterState, failover, termStartedAt } = this.components;
 		if (clusterState.machines.has(id)) return;
 		const { machineType, zone, spot, endpoint, agentEpoch } = record;
 		const type = clusterState.machineTypes.get(machineType) ?? unknownMachineType(machineType);
-		const machine = new Machine({ id, type, zone, spot, origin: "record" }, beganAt);
+		const machine = new Machine({ id, type, zone, spot, origin: "record" }, termStartedAt);
 		clusterState.addMachine(machine);
 		machine.agent.endpointLearned(endpoint);
 		failover.markUnreconciled(machine, agentEpoch);
@@ -96,35 +96,36 @@
 
 	/** Ends the term: this leader makes no more decisions and sends no more responses. */
 	end(): void {
-		this.parts.authority.end();
-		this.parts.leaderQuota?.end();
-		this.parts.heartbeats.refuseAll();
+		this.components.authority.end();
+		this.components.leaderQuota?.end();
+		this.components.heartbeats.refuseAll();
 	}
 
 	/** Called every `tickMs`. */
 	tick(): void {
-		const { parts } = this;
-		if (!parts.authority.active) return;
-		const now = parts.clock.now();
-		parts.tickDelay.observe(now);
-		parts.failover.tick(now, parts.tickDelay.overloaded);
-		parts.leaseMonitor.tick(now, parts.tickDelay.overloaded);
-		parts.fleet.tick();
-		parts.machineRecords.flush();
-		parts.liveJobs.writeProgress(now);
-		parts.failureDetector.tick(now, () => this.runningTaskCounts());
-		parts.liveJobs.audit(now);
-		parts.quotaAdmission?.tick(now);
-		if (parts.heartbeats.anyTaskReady(now)) parts.clusterState.requestPlacement();
-		parts.preemption.tick(now);
-		parts.relocation.tick(now);
+		const { components } = this;
+		if (!components.authority.active) return;
+		const now = components.clock.now();
+		components.tickDelay.observe(now);
+		components.failover.tick(now, components.tickDelay.overloaded);
+		components.leaseMonitor.tick(now, components.tickDelay.overloaded);
+		components.fleet.tick();
+		components.machineRecords.flush();
+		components.liveJobs.writeProgress(now);
+		components.failureDetector.tick(now, () => this.runningTaskCounts());
+		components.liveJobs.audit(now);
+		components.quotaAdmission?.tick(now);
+		if (components.heartbeats.anyTaskReady(now)) components.clusterState.requestPlacement();
+		components.preemption.tick(now);
+		components.relocation.tick(now);
 		this.runPlacement();
-		if (parts.clusterState.attemptNumbersExhausted) parts.authority.resign("attempt numbers exhausted");
+		if (components.clusterState.attemptNumbersExhausted)
+			components.authority.resign("attempt numbers exhausted");
 	}
 
 	/** Runs placement, and sends the starts that it assigned. Called after each batch of actions. */
 	runPlacement(): void {
-		const { authority, clusterState, heartbeats, placement, clock } = this.parts;
+		const { authority, clusterState, heartbeats, placement, clock } = this.components;
 		if (!authority.active) return;
 		const now = clock.now();
 		placement.run(now);
@@ -142,7 +143,7 @@
 	 * @param pausedMs Duration of the pause.
 	 */
 	onProcessPause(pausedMs: number): void {
-		const { tickDelay, heartbeats, failover, placement, clock } = this.parts;
+		const { tickDelay, heartbeats, failover, placement, clock } = this.components;
 		tickDelay.onProcessPause(clock.now());
 		heartbeats.refuseAll();
 		failover.onProcessPause(pausedMs);
@@ -153,35 +154,35 @@
 
 	/** Returns the commands for a worker; null: this process may not answer as the leader. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
-		return this.parts.heartbeats.handle(heartbeat);
+		return this.components.heartbeats.handle(heartbeat);
 	}
 
 	/** Returns the controller that forwards the machine's heartbeats; null: the machine sends them to this one. */
 	forwarderFor(machine: MachineId): NodeId | null {
-		return this.parts.failureDetector.forwarderFor(machine, this.parts.clock.now());
+		return this.components.failureDetector.forwarderFor(machine, this.components.clock.now());
 	}
 
 	/** Applies the cloud's current machine types, whose prices may have changed and which may be added or removed. */
 	onMachineTypesRefreshed(types: MachineType[]): void {
-		this.parts.clusterState.updateMachineTypes(types);
+		this.components.clusterState.updateMachineTypes(types);
 	}
 
 	// --- jobs ---
 
 	/** Called when a job was added to the store replica or removed from it. */
 	onJobChanged(id: JobId): void {
-		this.parts.liveJobs.replicaChanged(id);
+		this.components.liveJobs.replicaChanged(id);
 	}
 
 	/** Returns the number of running tasks of the job. */
 	runningCount(id: JobId): number {
-		return this.parts.clusterState.jobs.get(id)?.runningCount ?? 0;
+		return this.components.clusterState.jobs.get(id)?.runningCount ?? 0;
 	}
 
 	/** Returns the running tasks by job, for status requests that users send to other controllers. */
 	private runningTaskCounts(): RunningTaskCount[] {
 		const counts: RunningTaskCount[] = [];
-		for (const job of this.parts.clusterState.jobs.values())
+		for (const job of this.components.clusterState.jobs.values())
 			if (job.attempts.size > 0) counts.push([job.id, job.runningCount]);
 		return counts;
 	}
@@ -190,7 +191,7 @@
 
 	/** Handles a message of another controller to the leader of the message's term. */
 	handlePeerMessage(from: NodeId, message: PeerMessage): void {
-		const { authority, failureDetector, placement, leaderQuota, clock } = this.parts;
+		const { authority, failureDetector, placement, leaderQuota, clock } = this.components;
 		if (authority.ended || message.term !== authority.term) return;
 		const now = clock.now();
 		failureDetector.messageReceived(from, now);
@@ -203,7 +204,7 @@
 
 	/** Permanently records the features that all controllers support. */
 	private recordFeatures(): void {
-		const { featureGate, failureDetector, leaderQuota, replica } = this.parts;
+		const { featureGate, failureDetector, leaderQuota, replica } = this.components;
 		featureGate.recordSupport(replica.features, {
 			serviceJobs: failureDetector.allSupportServiceJobs,
 			teamQuota: failureDetector.allSupportTeamQuota && leaderQuota !== null,
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -5,7 +5,7 @@
 import type { ReplicaSync } from "./replication/replica-sync.js";
 
 /** A controller without any message from other controllers for longer than this counts as isolated. */
-const isolatedMs = 3000;
+const peerTimeoutMs = 3000;
 
 /** The inputs of the readiness check. */
 export interface ReadinessOptions {
@@ -18,19 +18,19 @@
 
 /** Determines readiness from the state of the store and from the messages of the other controllers about it. */
 export class Readiness {
-	private peerHeardAt = Number.NEGATIVE_INFINITY;
-	private storeServesPeerAt = Number.NEGATIVE_INFINITY;
+	private peerMessageAt = Number.NEGATIVE_INFINITY;
+	private peerStoreReachableAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly options: ReadinessOptions) {}
 
 	/** Records a message from another controller. */
 	onPeerMessage(now: number): void {
-		this.peerHeardAt = now;
+		this.peerMessageAt = now;
 	}
 
 	/** Records that the leader has reported the store reachable. */
 	onPeerStoreReachable(now: number): void {
-		this.storeServesPeerAt = now;
+		this.peerStoreReachableAt = now;
 	}
 
 	/**
@@ -43,7 +43,7 @@
 		if (!replica.loaded || replica.machineTypes === null) return false;
 		if (!replicaSync.unresponsive) return true;
 		const now = clock.now();
-		const isolated = hasPeers && now - this.peerHeardAt > isolatedMs;
-		return !isolated && now - this.storeServesPeerAt > isolatedMs;
+		const isolated = hasPeers && now - this.peerMessageAt > peerTimeoutMs;
+		return !isolated && now - this.peerStoreReachableAt > peerTimeoutMs;
 	}
 }
--- a/src/coordination/term-supervisor.ts
+++ b/src/coordination/term-supervisor.ts
@@ -39,45 +39,45 @@
  * leader created. It ends when leadership is lost.
  */
 export class TermSupervisor {
-	private current: Leader | null = null;
+	private currentLeader: Leader | null = null;
 	/** The term whose leader key was won and that has not begun yet. */
-	private beginning: Term | null = null;
+	private pendingTerm: Term | null = null;
 
 	constructor(private readonly options: TermSupervisorOptions) {}
 
 	/** The leader whose term has begun in this process, whether or not it may act; null: there is none. */
 	get leader(): Leader | null {
-		return this.current;
+		return this.currentLeader;
 	}
 
 	/** The leader in this process and its term, if it is authorized to act; null otherwise. */
 	get activeLeader(): ActiveLeader | null {
 		const term = this.options.leadership.authority();
-		return term !== null && this.current ? { term, leader: this.current } : null;
+		return term !== null && this.currentLeader ? { term, leader: this.currentLeader } : null;
 	}
 
 	/** Begins the term for which the leader key was won. */
 	onElected(term: Term): void {
 		this.options.ports.log.info({ term }, "leadership acquired");
-		this.beginning = term;
-		this.begin(term);
+		this.pendingTerm = term;
+		this.tryBegin(term);
 	}
 
 	/** Ends the term, or abandons it if it has not begun yet. */
 	onLeadershipLost(term: Term, reason: ResignationReason): void {
 		this.options.ports.log.info({ term, reason }, "leadership lost");
-		this.beginning = null;
-		this.current?.end();
-		this.current = null;
+		this.pendingTerm = null;
+		this.currentLeader?.end();
+		this.currentLeader = null;
 	}
 
-	private stillBeginning(term: Term): boolean {
-		return this.beginning === term && this.options.leadership.currentTerm === term;
+	private isPending(term: Term): boolean {
+		return this.pendingTerm === term && this.options.leadership.currentTerm === term;
 	}
 
-	private begin(term: Term): void {
+	private tryBegin(term: Term): void {
 		const { machineTypes, replicaSync, ports } = this.options;
-		if (!this.stillBeginning(term)) return;
+		if (!this.isPending(term)) return;
 		if (machineTypes.types === null) {
 			this.retryBegin(term, machineTypesRetryMs);
 			return;
@@ -86,8 +86,8 @@
 		replicaSync.readBarrier().then(
 			() =>
 				ports.post(() => {
-					if (!this.stillBeginning(term)) return;
-					this.beginning = null;
+					if (!this.isPending(term)) return;
+					this.pendingTerm = null;
 					this.startLeader(term, types);
 				}),
 			() => this.retryBegin(term, readBarrierRetryMs),
@@ -96,13 +96,13 @@
 
 	private retryBegin(term: Term, delayMs: number): void {
 		const { clock, post } = this.options.ports;
-		clock.after(delayMs, () => post(() => this.begin(term)));
+		clock.after(delayMs, () => post(() => this.tryBegin(term)));
 	}
 
 	private startLeader(term: Term, types: NonNullable<MachineTypeCatalog["types"]>): void {
 		const { platform, operator, incarnation, leadership, replica, replicaSync, teamQuota, ports } =
 			this.options;
-		this.current = createLeader({
+		this.currentLeader = createLeader({
 			term,
 			platform,
 			operator,
@@ -115,7 +115,7 @@
 			teamQuota,
 			requestPrefix: `${platform.node}-${incarnation}-${term}`,
 		});
-		this.current.begin();
+		this.currentLeader.begin();
 		this.options.onTermBegun(term);
 	}
 }
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -47,13 +47,13 @@
 	/** Sends stop commands for the attempts. Every heartbeat response repeats them until the attempts have ended. */
 	sendStops(attempts: readonly Attempt[]): void {
 		if (attempts.length === 0) return;
-		const byMachine = new Map<Machine, StopCommand[]>();
+		const commandsByMachine = new Map<Machine, StopCommand[]>();
 		for (const attempt of attempts) {
-			const commands = byMachine.get(attempt.machine);
+			const commands = commandsByMachine.get(attempt.machine);
 			if (commands) commands.push(stopCommandFor(attempt));
-			else byMachine.set(attempt.machine, [stopCommandFor(attempt)]);
+			else commandsByMachine.set(attempt.machine, [stopCommandFor(attempt)]);
 		}
-		for (const [machine, commands] of byMachine) this.send(machine, commands);
+		for (const [machine, commands] of commandsByMachine) this.send(machine, commands);
 	}
 
 	/** Sends the commands to the machine's worker once; a failed call is not retried. */
@@ -69,11 +69,11 @@
 			const next = this.queue.shift();
 			if (!next) return;
 			const { agent } = next.machine;
-			if (agent.endpoint !== "" && !agent.leaseExpired) void this.call(next);
+			if (agent.endpoint !== "" && !agent.leaseExpired) void this.sendToWorker(next);
 		}
 	}
 
-	private async call({ machine, commands }: QueuedCommands): Promise<void> {
+	private async sendToWorker({ machine, commands }: QueuedCommands): Promise<void> {
 		const { workers, post, log } = this.options;
 		const { endpoint, agentEpoch } = machine.agent;
 		this.inFlight += 1;
--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -12,10 +12,10 @@
 import type { AttemptOutcome } from "./task-reconciliation.js";
 
 /** Number of finished runs of a job from which their mean duration is used to estimate its other tasks. */
-const runsForMean = 4;
+const minRunsForMean = 4;
 
 /** A replica that has run for longer than this counts as started successfully. */
-const steadyRunMs = 30_000;
+const stableRunMs = 30_000;
 
 /** An exponential backoff before a failed task is retried. */
 interface Backoff {
@@ -30,7 +30,7 @@
 const severalMachinesBackoff: Backoff = { firstMs: 250, maxDoublings: 8, maxMs: 60_000 };
 
 /** Limit of the doublings that derive from the number of failures instead of the number of machines with failures. */
-const maxDoublingsByFailures = 4;
+const maxDoublingsByFailureCount = 4;
 
 /** Weight of a failure as evidence against its machine if no task of the job has ever succeeded; otherwise it is 1. */
 const unprovenJobWeight = 0.5;
@@ -40,7 +40,7 @@
 	/** @param quarantineThreshold Weighted number of jobs with failures on a machine at which it is quarantined. */
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly quarantineEvidence: number,
+		private readonly quarantineThreshold: number,
 		private readonly log: Log,
 	) {}
 
@@ -58,35 +58,35 @@
 		failures.noteSuccess(machine.type.name);
 		// The job can succeed, so its earlier failures count against their machines, except those of unsuitable types.
 		const suspects: Machine[] = [];
-		for (const other of failures.machines) {
-			if (failures.unfitTypes.has(other.type.name)) other.health.forgetFailure(job);
-			else suspects.push(other);
+		for (const failedMachine of failures.machines) {
+			if (failures.unfitTypes.has(failedMachine.type.name)) failedMachine.health.forgetFailure(job);
+			else suspects.push(failedMachine);
 		}
 		failures.clear();
 		for (const suspect of suspects) this.quarantineIfFaulty(suspect, now);
 	}
 
-	private recordRun(job: Job, machine: Machine, seconds: number, now: number): void {
+	private recordRun(job: Job, machine: Machine, durationS: number, now: number): void {
 		const { health } = machine;
 		// The mean of this many runs is reliable, and most of them were on other machines.
-		if (job.finishedRuns >= runsForMean) health.noteRun(seconds, job.estimatedRunS);
+		if (job.finishedRuns >= minRunsForMean) health.noteRun(durationS, job.estimatedRunS);
 		if (!health.quarantined && isMuchSlower(machine, this.clusterState.machines.values())) {
 			health.quarantine("slow", now);
 			this.log.info({ machineId: machine.id, slowdown: health.slowdown }, "machine quarantined: slow");
 		}
-		job.noteRun(seconds);
+		job.noteRun(durationS);
 	}
 
 	private recordFailure(attempt: Attempt, cause: "error" | "unknown", now: number): void {
 		const { job, machine, taskId, runningSince } = attempt;
 		this.log.info({ machineId: machine.id, taskId, cause }, "task failed");
 		// A long run shows that the replica can start, so the machines of earlier failed starts no longer count.
-		const ranWell = runningSince !== null && now - runningSince > steadyRunMs;
-		if (job.isService && ranWell) job.failures.forgetMachines();
+		const ranStably = runningSince !== null && now - runningSince > stableRunMs;
+		if (job.isService && ranStably) job.failures.forgetMachines();
 		job.failures.noteFailure(machine, now);
-		if (job.isService) job.failures.pauseUntil(now + pauseMs(replicaBackoff, job.failures.machines.size));
+		if (job.isService) job.failures.pauseUntil(now + backoffMs(replicaBackoff, job.failures.machines.size));
 		else if (job.failures.onSeveralMachines)
-			job.failures.pauseUntil(now + pauseMs(severalMachinesBackoff, backoffDoublings(job)));
+			job.failures.pauseUntil(now + backoffMs(severalMachinesBackoff, backoffDoublings(job)));
 		// An exit because the job or task is unknown, or on a machine type unsuitable for the job, is no evidence
 		// against the machine.
 		if (cause === "error" && !job.failures.unfitTypes.has(machine.type.name))
@@ -96,7 +96,7 @@
 	private recordEvidence(job: Job, machine: Machine, now: number): void {
 		machine.health.noteFailure(job);
 		// Earlier failures of this job, counted against other machines, may be the job's own fault.
-		if (job.failures.onSeveralMachines) this.releaseOthers(job);
+		if (job.failures.onSeveralMachines) this.releaseMachinesNotAtFault(job);
 		else machine.health.startProbation(now);
 		this.quarantineIfFaulty(machine, now);
 	}
@@ -117,18 +117,18 @@
 	}
 
 	private quarantineIfFaulty(machine: Machine, now: number): void {
-		if (machine.health.quarantined || this.evidenceAgainst(machine) < this.quarantineEvidence) return;
+		if (machine.health.quarantined || this.evidenceAgainst(machine) < this.quarantineThreshold) return;
 		machine.health.quarantine("failures", now);
 		this.log.info({ machineId: machine.id }, "machine quarantined: faulty");
 	}
 
 	/** Releases machines that were suspected only because of this job, which has since failed on several machines. */
-	private releaseOthers(job: Job): void {
+	private releaseMachinesNotAtFault(job: Job): void {
 		for (const machine of job.failures.machines) {
 			const { health, lifecycle } = machine;
 			const evidence = this.evidenceAgainst(machine);
 			if (evidence === 0) health.clearProbation();
-			if (evidence >= this.quarantineEvidence || !health.quarantinedForFailures || lifecycle.deleting)
+			if (evidence >= this.quarantineThreshold || !health.quarantinedForFailures || lifecycle.deleting)
 				continue;
 			health.release();
 			this.clusterState.requestPlacement();
@@ -142,10 +142,10 @@
  * stays low, so the number of failures is used instead, limited to a backoff of a few seconds.
  */
 function backoffDoublings({ failures }: Job): number {
-	const byFailures = Math.min(maxDoublingsByFailures, Math.floor(Math.log2(failures.consecutive)));
-	return Math.max(failures.machines.size, byFailures);
+	const byFailureCount = Math.min(maxDoublingsByFailureCount, Math.floor(Math.log2(failures.consecutive)));
+	return Math.max(failures.machines.size, byFailureCount);
 }
 
-function pauseMs({ firstMs, maxDoublings, maxMs }: Backoff, doublings: number): number {
+function backoffMs({ firstMs, maxDoublings, maxMs }: Backoff, doublings: number): number {
 	return Math.min(maxMs, firstMs * 2 ** Math.min(maxDoublings, doublings));
 }
--- a/src/coordination/workers/heartbeat-forwarder.ts
+++ b/src/coordination/workers/heartbeat-forwarder.ts
@@ -13,7 +13,7 @@
 const responseTimeoutMs = 3000;
 
 /** Period after a timeout in which nothing is forwarded, because the link to the leader is presumed broken. */
-const pauseAfterTimeoutMs = 3000;
+const backoffAfterTimeoutMs = 3000;
 
 /** A forwarded heartbeat that awaits the leader's response. */
 interface ForwardingRequest {
@@ -33,7 +33,7 @@
 	private term: Term = 0;
 	private lastRequestId = 0;
 	/** Monotonic time until which nothing is forwarded. */
-	private pausedUntil = Number.NEGATIVE_INFINITY;
+	private backoffUntil = Number.NEGATIVE_INFINITY;
 	private batch: ForwardedHeartbeat[] = [];
 	/** Requests by id, the oldest first. */
 	private readonly requests = new Map<number, ForwardingRequest>();
@@ -47,8 +47,8 @@
 	followLeader(leader: NodeId, term: Term): void {
 		this.leader = leader;
 		this.term = term;
-		this.pausedUntil = Number.NEGATIVE_INFINITY;
-		this.dropAll();
+		this.backoffUntil = Number.NEGATIVE_INFINITY;
+		this.abandonAll();
 	}
 
 	/**
@@ -59,7 +59,7 @@
 	 */
 	forward(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> | null {
 		const now = this.clock.now();
-		if (now < this.pausedUntil) return null;
+		if (now < this.backoffUntil) return null;
 		this.lastRequestId += 1;
 		const requestId = this.lastRequestId;
 		if (this.batch.length === 0) this.clock.after(forwardingBatchMs, () => this.sendBatch());
@@ -85,30 +85,30 @@
 
 	/** Abandons all requests after a process pause: their workers have timed out, which is no sign of a broken link. */
 	onProcessPause(): void {
-		this.dropAll();
+		this.abandonAll();
 	}
 
-	private dropAll(): void {
+	private abandonAll(): void {
 		this.batch = [];
-		this.giveUp(Number.POSITIVE_INFINITY);
+		this.abandonRequests(Number.POSITIVE_INFINITY);
 	}
 
 	/** Abandons requests that have timed out. Called ten times a second. */
 	tick(): void {
 		if (this.requests.size === 0) return;
 		const now = this.clock.now();
-		if (this.giveUp(now - responseTimeoutMs)) this.pausedUntil = now + pauseAfterTimeoutMs;
+		if (this.abandonRequests(now - responseTimeoutMs)) this.backoffUntil = now + backoffAfterTimeoutMs;
 	}
 
 	/** Abandons the requests sent at or before this monotonic time. Returns false if there were none. */
-	private giveUp(sentBefore: number): boolean {
-		let any = false;
+	private abandonRequests(latestSentAt: number): boolean {
+		let anyAbandoned = false;
 		for (const [requestId, { sentAt, respond }] of this.requests) {
-			if (sentAt > sentBefore) break;
-			any = true;
+			if (sentAt > latestSentAt) break;
+			anyAbandoned = true;
 			this.requests.delete(requestId);
 			respond(null);
 		}
-		return any;
+		return anyAbandoned;
 	}
 }
--- a/src/coordination/workers/heartbeat-reconciliation.ts
+++ b/src/coordination/workers/heartbeat-reconciliation.ts
@@ -50,8 +50,8 @@
 	heartbeat: WorkerHeartbeat,
 	now: number,
 ): ReconciliationResult {
-	const known = clusterState.machines.get(heartbeat.machineId);
-	const machine = known ?? addMachineOf(clusterState, heartbeat, now);
+	const existing = clusterState.machines.get(heartbeat.machineId);
+	const machine = existing ?? addMachineFromHeartbeat(clusterState, heartbeat, now);
 	if (!machine) return { kind: "unknown machine type" };
 	const refusal = refusalOf(clusterState, machine, heartbeat, now);
 	if (refusal) return { kind: refusal };
@@ -62,16 +62,16 @@
 	const leaseExpired = newAgentEpoch && now - agent.respondedAt < clusterState.workerLeaseExpiryMs / 2;
 	const firstHeartbeat = !agent.running;
 	recordHeartbeat(clusterState, machine, heartbeat, now);
-	const tasks = new TaskReconciliation(clusterState, machine, now);
-	tasks.reconcileListed(heartbeat.tasks);
-	const startMissing = !newAgentEpoch && tasks.startMissing();
+	const taskReconciliation = new TaskReconciliation(clusterState, machine, now);
+	taskReconciliation.reconcileListed(heartbeat.tasks);
+	const startMissing = !newAgentEpoch && taskReconciliation.startMissing();
 	agent.noteResponseEffects(
-		{ leaseExpired, startMissing, startListed: tasks.startListed },
+		{ leaseExpired, startMissing, startListed: taskReconciliation.startListed },
 		clusterState.workerLeaseExpiryMs,
 		now,
 	);
-	const lostAttempts = tasks.reconcileAbsent(newAgentEpoch);
-	const { outcomes, jobsWithDoneTasks, startedReplicas } = tasks;
+	const lostAttempts = taskReconciliation.reconcileAbsent(newAgentEpoch);
+	const { outcomes, jobsWithDoneTasks, startedReplicas } = taskReconciliation;
 	return {
 		kind: "reconciled",
 		machine,
@@ -79,13 +79,17 @@
 		jobsWithDoneTasks,
 		lostAttempts,
 		startedReplicas,
-		newMachine: known === undefined,
+		newMachine: existing === undefined,
 		firstHeartbeat,
 	};
 }
 
 /** Adds the machine that sent the heartbeat. Returns null if its type is unknown. */
-function addMachineOf(clusterState: ClusterState, heartbeat: WorkerHeartbeat, now: number): Machine | null {
+function addMachineFromHeartbeat(
+	clusterState: ClusterState,
+	heartbeat: WorkerHeartbeat,
+	now: number,
+): Machine | null {
 	const { machineId: id, machineType, zone, spot } = heartbeat;
 	const type = clusterState.machineTypes.get(machineType);
 	if (!type) return null;
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -65,14 +65,14 @@
 const misdirectedReportIntervalMs = 100;
 
 /** A leader that has sent no message for longer than this is neither a redirect target nor forwarded heartbeats. */
-const leaderSilenceMs = 1200;
+const leaderTimeoutMs = 1200;
 
 /** State of the leader that this process follows, from that leader's messages. */
 interface FollowedLeader {
 	node: NodeId;
 	term: Term;
 	/** Monotonic time of its latest message. */
-	heardAt: number;
+	lastMessageAt: number;
 	/** True if it reports that most workers can reach it. */
 	workersReachable: boolean;
 	/** True if it requests that heartbeats be forwarded to it. */
@@ -82,15 +82,15 @@
 /** Owns the state of the leader that this process follows, and of workers whose heartbeats reach it as a follower. */
 export class HeartbeatRouter {
 	private readonly forwarder: HeartbeatForwarder;
-	private readonly responses: ForwardedResponseBatches;
+	private readonly responseBatches: ForwardedResponseBatches;
 	/** Monotonic time of each machine's latest heartbeat that reached this node while it was not the leader. */
-	private readonly misdirected = new Map<MachineId, number>();
+	private readonly misdirectedAt = new Map<MachineId, number>();
 	private misdirectedReportedAt = Number.NEGATIVE_INFINITY;
-	private followed: FollowedLeader = newLeader("", 0);
+	private followedLeader: FollowedLeader = newFollowedLeader("", 0);
 
 	constructor(private readonly options: HeartbeatRouterOptions) {
 		this.forwarder = new HeartbeatForwarder(options.peers, options.clock);
-		this.responses = new ForwardedResponseBatches(options.peers, options.clock);
+		this.responseBatches = new ForwardedResponseBatches(options.peers, options.clock);
 	}
 
 	/** Answers a worker's heartbeat sent to this node. */
@@ -99,18 +99,18 @@
 		if (active) {
 			const forwarder = active.leader.forwarderFor(heartbeat.machineId);
 			if (forwarder !== null) return { kind: "redirect", node: forwarder };
-			return responseOf(active.term, await this.askLeader(active, heartbeat));
+			return responseOf(active.term, await this.handleAsLeader(active, heartbeat));
 		}
 		const forwarded = this.forward(heartbeat);
 		if (forwarded) return forwarded;
-		this.noteMisdirected(heartbeat.machineId, this.options.clock.now());
+		this.recordMisdirected(heartbeat.machineId, this.options.clock.now());
 		return { kind: "redirect", node: this.redirectTarget() };
 	}
 
 	/**
 	 * Handles the heartbeat as the leader; null: this node may not answer, e.g. its authority ended during the hold.
 	 */
-	private async askLeader(
+	private async handleAsLeader(
 		{ leader, term }: ActiveLeader,
 		heartbeat: WorkerHeartbeat,
 	): Promise<WorkerCommand[] | null> {
@@ -122,8 +122,8 @@
 
 	/** Forwards the heartbeat if the leader requests that. Returns null if the worker must be redirected. */
 	private forward(heartbeat: WorkerHeartbeat): Promise<HeartbeatResponse> | null {
-		const { term, heardAt, forwardHeartbeats } = this.followed;
-		if (!forwardHeartbeats || this.options.clock.now() - heardAt > leaderSilenceMs) return null;
+		const { term, lastMessageAt, forwardHeartbeats } = this.followedLeader;
+		if (!forwardHeartbeats || this.options.clock.now() - lastMessageAt > leaderTimeoutMs) return null;
 		// The worker has received a later leader's token, and would drop the response.
 		if (heartbeat.fencingToken > fencingTokenOf(term)) return null;
 		const commands = this.forwarder.forward(heartbeat);
@@ -137,7 +137,7 @@
 	): Promise<HeartbeatResponse> {
 		const commands = await forwarded;
 		// The leader has changed. The worker is still waiting, so this is its latest heartbeat and can be routed again.
-		if (commands === null && this.followed.term > term) return this.handle(heartbeat);
+		if (commands === null && this.followedLeader.term > term) return this.handle(heartbeat);
 		return responseOf(term, commands);
 	}
 
@@ -146,7 +146,7 @@
 		const active = this.options.activeLeader();
 		for (const forwarded of heartbeats) {
 			if (active?.term === term) void this.answerForwarded(from, active, forwarded);
-			else this.responses.add(from, term, { requestId: forwarded.requestId, commands: null });
+			else this.responseBatches.add(from, term, { requestId: forwarded.requestId, commands: null });
 		}
 	}
 
@@ -155,8 +155,8 @@
 		active: ActiveLeader,
 		{ requestId, heartbeat }: ForwardedHeartbeat,
 	): Promise<void> {
-		const commands = await this.askLeader(active, heartbeat);
-		this.responses.add(from, active.term, { requestId, commands });
+		const commands = await this.handleAsLeader(active, heartbeat);
+		this.responseBatches.add(from, active.term, { requestId, commands });
 	}
 
 	/** Handles the leader's responses to heartbeats that this node has forwarded. */
@@ -166,9 +166,9 @@
 
 	// --- misdirected workers ---
 
-	private noteMisdirected(machineId: MachineId, now: number): void {
-		this.misdirected.set(machineId, now);
-		const { node, term, workersReachable } = this.followed;
+	private recordMisdirected(machineId: MachineId, now: number): void {
+		this.misdirectedAt.set(machineId, now);
+		const { node, term, workersReachable } = this.followedLeader;
 		if (workersReachable || now - this.misdirectedReportedAt < misdirectedReportIntervalMs) return;
 		this.misdirectedReportedAt = now;
 		this.options.reportMisdirectedWorkers(node, term);
@@ -176,9 +176,10 @@
 
 	/** Returns the number of workers that have sent this follower a heartbeat within `misdirectedWindowMs`. */
 	countMisdirectedWorkers(): number {
-		const since = this.options.clock.now() - misdirectedWindowMs;
-		for (const [machineId, at] of this.misdirected) if (at < since) this.misdirected.delete(machineId);
-		return this.misdirected.size;
+		const windowStart = this.options.clock.now() - misdirectedWindowMs;
+		for (const [machineId, receivedAt] of this.misdirectedAt)
+			if (receivedAt < windowStart) this.misdirectedAt.delete(machineId);
+		return this.misdirectedAt.size;
 	}
 
 	/**
@@ -190,9 +191,9 @@
 	private redirectTarget(): NodeId | null {
 		const leader = this.options.leaderInStore();
 		if (leader === null || leader === this.options.node) return null;
-		const { node, heardAt, workersReachable } = this.followed;
-		const heard = node === leader && this.options.clock.now() - heardAt <= leaderSilenceMs;
-		return heard && workersReachable ? leader : null;
+		const { node, lastMessageAt, workersReachable } = this.followedLeader;
+		const recentlyActive = node === leader && this.options.clock.now() - lastMessageAt <= leaderTimeoutMs;
+		return recentlyActive && workersReachable ? leader : null;
 	}
 
 	// --- the leader that this process follows ---
@@ -200,23 +201,23 @@
 	/** Handles a leader's message received at the monotonic time `now`. Late copies of earlier terms are ignored. */
 	onLeaderMessage(from: NodeId, message: LeaderHeartbeat | PlacementRequest, now: number): void {
 		const { term } = message;
-		if (term < this.followed.term) return;
-		if (term > this.followed.term) this.forwarder.followLeader(from, term);
+		if (term < this.followedLeader.term) return;
+		if (term > this.followedLeader.term) this.forwarder.followLeader(from, term);
 		const { workersReachable, forwardHeartbeats } =
-			message.kind === "leader-heartbeat" ? message : this.followed;
-		this.followed = { node: from, term, heardAt: now, workersReachable, forwardHeartbeats };
+			message.kind === "leader-heartbeat" ? message : this.followedLeader;
+		this.followedLeader = { node: from, term, lastMessageAt: now, workersReachable, forwardHeartbeats };
 	}
 
 	/** Records this node as the leader of the term. */
 	startLeading(term: Term): void {
-		this.followed = newLeader(this.options.node, term);
+		this.followedLeader = newFollowedLeader(this.options.node, term);
 		this.forwarder.followLeader(this.options.node, term);
 	}
 
 	/** Discards forwarded heartbeats and batched responses after a process pause, since they are out of date. */
 	onProcessPause(): void {
 		this.forwarder.onProcessPause();
-		this.responses.onProcessPause();
+		this.responseBatches.onProcessPause();
 	}
 
 	/** Called ten times a second. */
@@ -226,11 +227,11 @@
 }
 
 /** Returns the state of a leader that has not sent a message yet. */
-function newLeader(node: NodeId, term: Term): FollowedLeader {
+function newFollowedLeader(node: NodeId, term: Term): FollowedLeader {
 	return {
 		node,
 		term,
-		heardAt: Number.NEGATIVE_INFINITY,
+		lastMessageAt: Number.NEGATIVE_INFINITY,
 		workersReachable: true,
 		forwardHeartbeats: false,
 	};
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -30,13 +30,13 @@
 const idleHoldMs = 1500;
 
 /** The same limit as a fraction of the heartbeat interval; the shorter of the two applies. */
-const idleHoldIntervals = 0.6;
+const idleHoldIntervalFraction = 0.6;
 
 /**
  * A machine's next heartbeat is triggered early only if its last one is at most this fraction of the heartbeat interval
  * old; otherwise the next one is due soon anyway.
  */
-const recentlyHeardIntervals = 0.6;
+const recentHeartbeatIntervalFraction = 0.6;
 
 /** The part of the fleet that the heartbeat service uses. */
 export interface MachineLifecycleListener {
@@ -90,8 +90,8 @@
 		const { term, fleet, clock } = this.options;
 		// A worker that has received a later token drops this leader's response, and its lease would expire while it
 		// waits for one.
-		if (!this.options.active() || heartbeat.fencingToken > fencingTokenOf(term)) return refused;
-		if (fleet.isDeleted(heartbeat.machineId)) return refused;
+		if (!this.options.active() || heartbeat.fencingToken > fencingTokenOf(term)) return refusedResponse;
+		if (fleet.isDeleted(heartbeat.machineId)) return refusedResponse;
 		const now = clock.now();
 		const result = this.reconcile(heartbeat);
 		switch (result.kind) {
@@ -99,7 +99,7 @@
 			// machine.
 			case "lease expired":
 			case "unknown machine type":
-				return refused;
+				return refusedResponse;
 			case "outdated":
 				return Promise.resolve([]);
 			case "reconciled":
@@ -121,7 +121,7 @@
 		// The same response fills freed capacity, since the next one is a heartbeat interval away. A machine without
 		// tasks has no changes to report meanwhile, so its response can be held longer.
 		if (!idle) return this.pending.hold(machine.id, now + placementHoldMs, "placement");
-		const holdMs = Math.min(idleHoldMs, heartbeatIntervalS * 1000 * idleHoldIntervals);
+		const holdMs = Math.min(idleHoldMs, heartbeatIntervalS * 1000 * idleHoldIntervalFraction);
 		return this.pending.hold(machine.id, now + holdMs, "idle");
 	}
 
@@ -144,30 +144,35 @@
 	reconcile(heartbeat: WorkerHeartbeat): ReconciliationResult {
 		const { clusterState, clock } = this.options;
 		const now = clock.now();
-		const orphansBefore = clusterState.machines.get(heartbeat.machineId)?.orphans ?? [];
+		const previousOrphans = clusterState.machines.get(heartbeat.machineId)?.orphans ?? [];
 		const result = reconcileHeartbeat(clusterState, heartbeat, now);
-		if (result.kind === "reconciled") this.actOn(result, orphansBefore, now);
+		if (result.kind === "reconciled") this.handleReconciled(result, previousOrphans, now);
 		return result;
 	}
 
-	private actOn(result: ReconciledHeartbeat, orphansBefore: readonly OrphanedTask[], now: number): void {
+	private handleReconciled(
+		result: ReconciledHeartbeat,
+		previousOrphans: readonly OrphanedTask[],
+		now: number,
+	): void {
 		const { log, orphanCleanup, fleet, commandSender, heartbeatIntervalS } = this.options;
 		const { machine } = result;
-		if (machine.orphans.length > 0) orphanCleanup.stopOrphans(machine, orphansBefore);
+		if (machine.orphans.length > 0) orphanCleanup.stopOrphans(machine, previousOrphans);
 		if (result.firstHeartbeat) fleet.onMachineRunning(machine);
 		if (result.newMachine)
 			log.info({ machineId: machine.id, machineType: machine.type.name }, "machine running");
-		for (const outcome of result.outcomes) this.noteOutcome(outcome, now);
+		for (const outcome of result.outcomes) this.recordOutcome(outcome, now);
 		// Outcomes alone do not suffice: a job's last tasks may have ended while there was no leader (trace 33).
 		for (const job of result.jobsWithDoneTasks) this.options.finishIfDone(job);
-		for (const replica of result.startedReplicas) log.debug(replicaFields(replica), "replica running");
+		for (const replica of result.startedReplicas) log.debug(replicaLogFields(replica), "replica running");
 		for (const { taskId } of result.lostAttempts) log.info({ machineId: machine.id, taskId }, "task lost");
 		commandSender.sendStops(stopBeforeReclaim(machine, now, heartbeatIntervalS));
 	}
 
-	private noteOutcome(outcome: AttemptOutcome, now: number): void {
+	private recordOutcome(outcome: AttemptOutcome, now: number): void {
 		const { attempt, cause } = outcome;
-		if (attempt.job.isService) this.options.log.debug({ ...replicaFields(attempt), cause }, "replica ended");
+		if (attempt.job.isService)
+			this.options.log.debug({ ...replicaLogFields(attempt), cause }, "replica ended");
 		this.options.faultAttribution.record(outcome, now);
 	}
 
@@ -187,7 +192,7 @@
 	/** Records that an attempt was assigned; its start is sent in the response to a heartbeat of the machine. */
 	onAssigned(attempt: Attempt): void {
 		this.machinesWithAssignments.add(attempt.machine);
-		if (attempt.job.isService) this.options.log.debug(replicaFields(attempt), "replica assigned");
+		if (attempt.job.isService) this.options.log.debug(replicaLogFields(attempt), "replica assigned");
 	}
 
 	/** Records that replica relocation, not placement, assigned an attempt to the machine. */
@@ -203,13 +208,13 @@
 	 */
 	sendStarts(now: number): void {
 		const { heartbeatIntervalS, tickDelay, commandSender } = this.options;
-		const recentlyMs = heartbeatIntervalS * 1000 * recentlyHeardIntervals;
+		const recentHeartbeatMs = heartbeatIntervalS * 1000 * recentHeartbeatIntervalFraction;
 		for (const machine of this.machinesWithAssignments) {
 			if (this.pending.has(machine.id)) {
 				this.pending.release(machine.id);
 				continue;
 			}
-			if (tickDelay.overloaded || now - machine.agent.heartbeatAt > recentlyMs) continue;
+			if (tickDelay.overloaded || now - machine.agent.heartbeatAt > recentHeartbeatMs) continue;
 			const trigger = machine.exitedTasks.takeHeartbeatTrigger();
 			if (trigger === null) continue;
 			const { jobId, taskIndex, attempt } = trigger;
@@ -235,8 +240,8 @@
 }
 
 /** The result for a heartbeat that this process may not answer. */
-const refused: Promise<null> = Promise.resolve(null);
+const refusedResponse: Promise<null> = Promise.resolve(null);
 
-function replicaFields({ taskId, machine }: Attempt): object {
+function replicaLogFields({ taskId, machine }: Attempt): object {
 	return { taskId, machineId: machine.id, zone: machine.zone };
 }
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -8,12 +8,12 @@
  * If more machines than this number and this fraction of all appear unreachable while the process is overloaded, the
  * fault is more likely in this process than in the machines.
  */
-const fewUnreachable = 2;
-const fewUnreachablePart = 1 / 5;
+const maxCredibleUnreachable = 2;
+const maxCredibleUnreachableFraction = 1 / 5;
 
 /** Checks the leases and the health states of all machines of a term on each tick. */
 export class LeaseMonitor {
-	private reconciledLogged = false;
+	private failoverLogged = false;
 
 	/** @param termStartedAt Monotonic time at which the term began. */
 	constructor(
@@ -28,7 +28,7 @@
 	 * @param overloaded True if the process is short of processor time.
 	 */
 	tick(now: number, overloaded: boolean): void {
-		this.logReconciled(now);
+		this.logFailoverComplete(now);
 		const unreachable: Machine[] = [];
 		for (const machine of this.clusterState.machines.values()) {
 			const { agent, health, lifecycle } = machine;
@@ -36,16 +36,19 @@
 			if (health.quarantined || health.onProbation) health.endIfOver(now);
 			this.expireIfSilent(machine, now);
 		}
-		if (overloaded) this.disregardIfMany(unreachable);
+		if (overloaded) this.ignoreIfMany(unreachable);
 	}
 
 	/**
 	 * If many machines appear unreachable while this process is short of processor time, the cause is that its
 	 * responses are late. Deleting the machines would lose all the work on them (trace 23).
 	 */
-	private disregardIfMany(unreachable: readonly Machine[]): void {
-		const few = Math.max(fewUnreachable, this.clusterState.machines.size * fewUnreachablePart);
-		if (unreachable.length <= few) return;
+	private ignoreIfMany(unreachable: readonly Machine[]): void {
+		const maxCredible = Math.max(
+			maxCredibleUnreachable,
+			this.clusterState.machines.size * maxCredibleUnreachableFraction,
+		);
+		if (unreachable.length <= maxCredible) return;
 		this.log.info(
 			{ machines: unreachable.length },
 			"many machines unreachable while overloaded; assumed reachable",
@@ -54,9 +57,9 @@
 	}
 
 	/** Logs once how long the failover took: starts were blocked until all tasks of earlier leaders were reconciled. */
-	private logReconciled(now: number): void {
-		if (this.reconciledLogged || !this.clusterState.reconciled) return;
-		this.reconciledLogged = true;
+	private logFailoverComplete(now: number): void {
+		if (this.failoverLogged || !this.clusterState.reconciled) return;
+		this.failoverLogged = true;
 		const afterMs = Math.round(now - this.termStartedAt);
 		this.log.info({ term: this.clusterState.term, afterMs }, "failover complete");
 	}
--- a/src/coordination/workers/machine-records.ts
+++ b/src/coordination/workers/machine-records.ts
@@ -10,9 +10,9 @@
 import type { ClusterState } from "../state/cluster-state.js";
 
 /** Minimum interval between writes. */
-const writeEveryMs = 150;
+const minWriteIntervalMs = 150;
 /** Maximum time until the record of a deleted machine is removed from the store. */
-const removeWithinMs = 3000;
+const maxRemovalDelayMs = 3000;
 
 /**
  * Owns the machine records of one term. A machine's record is durable before the first task starts there, so that a
@@ -28,8 +28,8 @@
 		this.records = new ChunkedRecords({
 			...environment,
 			prefix: keys.machines,
-			onConfirmed: (entries) => this.confirmed(entries.keys()),
-			pace: { priority: "normal", minIntervalMs: writeEveryMs, cleanupIntervalMs: removeWithinMs },
+			onConfirmed: (entries) => this.onConfirmed(entries.keys()),
+			pace: { priority: "normal", minIntervalMs: minWriteIntervalMs, cleanupIntervalMs: maxRemovalDelayMs },
 		});
 	}
 
@@ -60,7 +60,7 @@
 		this.records.flush();
 	}
 
-	private confirmed(ids: Iterable<MachineId>): void {
+	private onConfirmed(ids: Iterable<MachineId>): void {
 		for (const id of ids) this.clusterState.machines.get(id)?.lifecycle.markRecorded();
 		this.clusterState.requestPlacement();
 	}
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -14,7 +14,7 @@
 import type { DirectCommandSender } from "./direct-command-sender.js";
 
 /** Delay before a failed read of a job's final record is retried. */
-const retryMs = 500;
+const readRetryMs = 500;
 
 /** The dependencies of the orphan cleanup of one term. */
 export interface OrphanCleanupOptions {
@@ -38,7 +38,7 @@
  */
 export class OrphanCleanup {
 	/** Jobs whose final record is being read or has been read. */
-	private readonly requested = new Set<JobId>();
+	private readonly requestedJobs = new Set<JobId>();
 
 	constructor(private readonly options: OrphanCleanupOptions) {}
 
@@ -46,12 +46,12 @@
 	 * Stops the machine's orphaned tasks by direct command. A heartbeat response may never carry the stops: for
 	 * example, a probe during a failover returns a heartbeat that is not answered.
 	 *
-	 * @param stoppedBefore The orphaned tasks as of the previous heartbeat, for which stops have been sent.
+	 * @param previousOrphans The orphaned tasks as of the previous heartbeat, for which stops have been sent.
 	 */
-	stopOrphans(machine: Machine, stoppedBefore: readonly OrphanedTask[]): void {
+	stopOrphans(machine: Machine, previousOrphans: readonly OrphanedTask[]): void {
 		const stops: StopCommand[] = [];
 		for (const orphan of machine.orphans) {
-			if (stoppedBefore.some((before) => before.is(orphan))) continue;
+			if (previousOrphans.some((previous) => previous.is(orphan))) continue;
 			const { jobId, taskIndex, attempt } = orphan;
 			stops.push({ kind: "stop", jobId, taskIndex, attempt, graceS: 0 });
 		}
@@ -60,8 +60,8 @@
 	}
 
 	private requestFinalRecord(jobId: JobId): void {
-		if (this.requested.has(jobId)) return;
-		this.requested.add(jobId);
+		if (this.requestedJobs.has(jobId)) return;
+		this.requestedJobs.add(jobId);
 		void this.readFinalRecord(jobId);
 	}
 
@@ -73,19 +73,19 @@
 		} catch (error) {
 			// Starts remain blocked until the record has been read, so the read is retried after any error.
 			log.debug({ jobId, err: error }, "reading the final record failed");
-			clock.after(retryMs, () => post(() => this.retry(jobId)));
+			clock.after(readRetryMs, () => post(() => this.retry(jobId)));
 			return;
 		}
-		post(() => this.finalRecordRead(jobId, row));
+		post(() => this.handleFinalRecord(jobId, row));
 	}
 
-	private finalRecordRead(jobId: JobId, row: StoreRow | null): void {
+	private handleFinalRecord(jobId: JobId, row: StoreRow | null): void {
 		if (row) this.options.onFinalRecord(jobId, decodeFinalRecord(row.value), row.revision);
 		this.options.clusterState.resolveDemand(jobId);
 	}
 
 	private retry(jobId: JobId): void {
-		this.requested.delete(jobId);
+		this.requestedJobs.delete(jobId);
 		const { active, clusterState } = this.options;
 		if (active() && clusterState.jobsWithUnknownDemand().has(jobId)) this.requestFinalRecord(jobId);
 	}
--- a/src/coordination/workers/spot-reclaim.ts
+++ b/src/coordination/workers/spot-reclaim.ts
@@ -4,10 +4,10 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 
 /** A task is stopped early if its estimated remaining time exceeds the time until the reclaim by this factor. */
-const hopelessFactor = 1.3;
+const minUnfinishableRatio = 1.3;
 
 /** Maximum number of heartbeat intervals until a response contains a requested stop. */
-const heartbeatsUntilStopped = 2;
+const maxHeartbeatsUntilStop = 2;
 
 /**
  * Requests stops of attempts on a machine that will be reclaimed. A task that saves checkpoints is stopped in time to
@@ -19,21 +19,21 @@
 export function stopBeforeReclaim(machine: Machine, now: number, heartbeatIntervalS: number): Attempt[] {
 	const { reclaimAt } = machine.lifecycle;
 	if (reclaimAt === null) return [];
-	const leftS = (reclaimAt - now) / 1000;
-	const stoppedAtOnce: Attempt[] = [];
+	const timeLeftS = (reclaimAt - now) / 1000;
+	const stoppedImmediately: Attempt[] = [];
 	for (const attempt of machine.attempts.values()) {
 		const { job, phase } = attempt;
 		if (attempt.stop !== null || phase === "assigned" || job.isService) continue;
 		const { checkpointIntervalS, checkpointCostS } = job.spec;
 		if (checkpointIntervalS > 0 && phase === "running") {
-			if (leftS <= checkpointCostS + heartbeatsUntilStopped * heartbeatIntervalS)
-				attempt.requestStop("spot reclaim", leftS);
-		} else if (remainingS(attempt, now) > leftS * hopelessFactor) {
+			if (timeLeftS <= checkpointCostS + maxHeartbeatsUntilStop * heartbeatIntervalS)
+				attempt.requestStop("spot reclaim", timeLeftS);
+		} else if (remainingS(attempt, now) > timeLeftS * minUnfinishableRatio) {
 			attempt.requestStop("spot reclaim", 0);
-			stoppedAtOnce.push(attempt);
+			stoppedImmediately.push(attempt);
 		}
 	}
-	return stoppedAtOnce;
+	return stoppedImmediately;
 }
 
 /** Returns the seconds that the attempt still needs according to the estimated run time of its job's tasks. */
--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -22,7 +22,7 @@
 	/** Replicas that are reported running for the first time. */
 	readonly startedReplicas: Attempt[] = [];
 	/** Tasks that the heartbeat lists under an attempt of this leader, adopted attempts included. */
-	readonly #listed = new Set<TaskId>();
+	readonly #listedTasks = new Set<TaskId>();
 	#startListed = false;
 
 	constructor(
@@ -44,17 +44,17 @@
 			const taskId = taskIdOf(task.jobId, task.taskIndex);
 			const attempt = this.machine.attempts.get(taskId);
 			if (attempt?.number === task.attempt) {
-				this.#listed.add(taskId);
+				this.#listedTasks.add(taskId);
 				this.reconcileAttempt(attempt, task);
 			} else if (task.state === "exited") this.reconcileUnknownExit(task);
-			else if (this.adoptOrOrphan(task, task.state)) this.#listed.add(taskId);
+			else if (this.adoptOrOrphan(task, task.state)) this.#listedTasks.add(taskId);
 		}
 	}
 
 	/** True if the heartbeat lacks an attempt whose start command was sent. Called before `reconcileAbsent`. */
 	startMissing(): boolean {
 		for (const [taskId, { phase, stop }] of this.machine.attempts)
-			if (phase === "sent" && stop === null && !this.#listed.has(taskId)) return true;
+			if (phase === "sent" && stop === null && !this.#listedTasks.has(taskId)) return true;
 		return false;
 	}
 
@@ -66,9 +66,9 @@
 	 */
 	reconcileAbsent(newAgentEpoch: boolean): Attempt[] {
 		const { agent } = this.machine;
-		const lost: Attempt[] = [];
+		const lostAttempts: Attempt[] = [];
 		for (const [taskId, attempt] of [...this.machine.attempts]) {
-			if (this.#listed.has(taskId)) continue;
+			if (this.#listedTasks.has(taskId)) continue;
 			if (attempt.phase === "assigned") {
 				if (agent.unreachableSince !== null) this.clusterState.endAttempt(attempt);
 				continue;
@@ -80,10 +80,10 @@
 			if (attempt.phase === "sent" && !newAgentEpoch && attempt.stop === null) this.retryStart(attempt);
 			else {
 				this.clusterState.endAttempt(attempt);
-				lost.push(attempt);
+				lostAttempts.push(attempt);
 			}
 		}
-		return lost;
+		return lostAttempts;
 	}
 
 	/**
@@ -98,7 +98,7 @@
 	private reconcileAttempt(attempt: Attempt, task: TaskStatus): void {
 		this.#startListed ||= attempt.phase === "sent";
 		if (task.state !== "exited") {
-			if (this.noteState(attempt, task.state) && attempt.job.isService) this.startedReplicas.push(attempt);
+			if (this.recordState(attempt, task.state) && attempt.job.isService) this.startedReplicas.push(attempt);
 			return;
 		}
 		const cause = task.exitCause ?? "error";
@@ -112,7 +112,7 @@
 	}
 
 	/** Records the reported state. Returns true if the attempt is reported running for the first time. */
-	private noteState(attempt: Attempt, state: Exclude<TaskStatus["state"], "exited">): boolean {
+	private recordState(attempt: Attempt, state: Exclude<TaskStatus["state"], "exited">): boolean {
 		if (!attempt.noteState(state, this.now)) return false;
 		attempt.machine.capacity.noteImage(attempt.job.spec.image);
 		return true;
@@ -129,20 +129,20 @@
 		this.addExited(task);
 		const job = this.clusterState.jobs.get(task.jobId);
 		if (task.exitCause !== "done" || !job || task.taskIndex >= job.spec.taskCount) return;
-		this.markFoundDone(job, task.taskIndex);
+		this.markDoneByEarlierAttempt(job, task.taskIndex);
 		this.jobsWithDoneTasks.add(job);
 	}
 
 	/**
 	 * Marks a task as done that completed under an attempt of an earlier leader, and ends or stops its current attempt.
 	 */
-	private markFoundDone(job: Job, taskIndex: number): void {
+	private markDoneByEarlierAttempt(job: Job, taskIndex: number): void {
 		if (job.isService) return;
 		this.clusterState.markTaskDone(job, taskIndex);
-		const other = job.attempts.get(taskIndex);
-		if (!other) return;
-		if (other.phase === "assigned") this.clusterState.endAttempt(other);
-		else other.requestStop("task done", 0);
+		const currentAttempt = job.attempts.get(taskIndex);
+		if (!currentAttempt) return;
+		if (currentAttempt.phase === "assigned") this.clusterState.endAttempt(currentAttempt);
+		else currentAttempt.requestStop("task done", 0);
 	}
 
 	/**
@@ -151,15 +151,15 @@
 	 */
 	private adoptOrOrphan(task: TaskStatus, state: Exclude<TaskStatus["state"], "exited">): boolean {
 		const job = this.clusterState.jobs.get(task.jobId);
-		if (!job || !isWanted(job, task)) {
+		if (!job || !shouldContinue(job, task)) {
 			const { jobId, taskIndex, attempt } = task;
 			this.clusterState.addOrphan(this.machine, { jobId, taskIndex, attempt });
 			return false;
 		}
-		const earlier = job.attempts.get(task.taskIndex);
-		if (earlier) this.clusterState.endAttempt(earlier);
+		const earlierAttempt = job.attempts.get(task.taskIndex);
+		if (earlierAttempt) this.clusterState.endAttempt(earlierAttempt);
 		const attempt = this.clusterState.adoptAttempt(job, task.taskIndex, task.attempt, this.machine);
-		this.noteState(attempt, state);
+		this.recordState(attempt, state);
 		return true;
 	}
 }
@@ -170,8 +170,8 @@
  * list the previous one again ("a late copy that lists an earlier attempt does not replace the later attempt of the
  * task" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
-function isWanted(job: Job, { taskIndex, attempt }: TaskStatus): boolean {
+function shouldContinue(job: Job, { taskIndex, attempt }: TaskStatus): boolean {
 	if (taskIndex >= job.spec.taskCount || job.doneTasks.has(taskIndex)) return false;
-	const other = job.attempts.get(taskIndex);
-	return other === undefined || other.number < attempt;
+	const currentAttempt = job.attempts.get(taskIndex);
+	return currentAttempt === undefined || currentAttempt.number < attempt;
 }
--- a/src/coordination/workers/worker-commands.ts
+++ b/src/coordination/workers/worker-commands.ts
@@ -15,13 +15,13 @@
  */
 export function issueCommands(clusterState: ClusterState, machine: Machine): WorkerCommand[] {
 	const commands: WorkerCommand[] = [];
-	addForgets(clusterState, machine, commands);
+	addForgetCommands(clusterState, machine, commands);
 	for (const { jobId, taskIndex, attempt } of machine.orphans)
 		commands.push({ kind: "stop", jobId, taskIndex, attempt, graceS: 0 });
 	const starts: WorkerCommand[] = [];
 	for (const attempt of [...machine.attempts.values()]) {
 		if (attempt.phase === "assigned") {
-			if (startOrEnd(clusterState, attempt)) starts.push(startCommandFor(attempt));
+			if (markSentOrEnd(clusterState, attempt)) starts.push(startCommandFor(attempt));
 		} else if (attempt.stop !== null) commands.push(stopCommandFor(attempt));
 	}
 	return [...commands, ...starts];
@@ -30,9 +30,9 @@
 /**
  * Adds forget commands. A schedulable machine keeps one exited attempt, which can be forgotten to trigger a heartbeat.
  */
-function addForgets(clusterState: ClusterState, machine: Machine, commands: WorkerCommand[]): void {
+function addForgetCommands(clusterState: ClusterState, machine: Machine, commands: WorkerCommand[]): void {
 	const forgettable = machine.exitedTasks.chooseForgettable(
-		(task) => isRecorded(clusterState, task),
+		(task) => isOutcomeDurable(clusterState, task),
 		machine.schedulable,
 	);
 	for (const { jobId, taskIndex, attempt } of forgettable)
@@ -44,7 +44,7 @@
  * completion is stored would run again after a failover ("a completed task is forgotten only after its completion is
  * stored" in tests/coordination/workers/worker-commands.test.ts).
  */
-function isRecorded(clusterState: ClusterState, task: ExitedTask): boolean {
+function isOutcomeDurable(clusterState: ClusterState, task: ExitedTask): boolean {
 	if (!task.done) return true;
 	const job = clusterState.jobs.get(task.jobId);
 	return job === undefined || job.durableDoneTasks.has(task.taskIndex);
@@ -55,7 +55,7 @@
  * unusable since the assignment. A machine that has started draining since then still runs the attempt: otherwise a
  * task that fits on no other machine could be deferred repeatedly (trace 41).
  */
-function startOrEnd(clusterState: ClusterState, attempt: Attempt): boolean {
+function markSentOrEnd(clusterState: ClusterState, attempt: Attempt): boolean {
 	if (!attempt.machine.acceptsAssignedStarts || attempt.stop !== null || attempt.job.over) {
 		clusterState.endAttempt(attempt);
 		return false;
--- a/tests/command-line.test.ts
+++ b/tests/command-line.test.ts
@@ -46,13 +46,13 @@
 	});
 
 	test("--check accepts valid settings with exit code 0", async () => {
-		const good = settingsFile("good.toml", platformSettingsToml);
-		assert.equal((await run(["--config", good, "--check"])).code, 0);
+		const validFile = settingsFile("good.toml", platformSettingsToml);
+		assert.equal((await run(["--config", validFile, "--check"])).code, 0);
 	});
 
 	test("--check rejects invalid settings with exit code 2, and names the file and the field", async () => {
-		const bad = settingsFile("bad.toml", platformSettingsToml.replace("cloud =", "clod ="));
-		const { code, err } = await run(["--config", bad, "--check"]);
+		const invalidFile = settingsFile("bad.toml", platformSettingsToml.replace("cloud =", "clod ="));
+		const { code, err } = await run(["--config", invalidFile, "--check"]);
 		assert.equal(code, 2);
 		assert.match(err, /bad\.toml: field "endpoints\.cloud"/);
 	});
--- a/tests/coordination/workers/direct-command-sender.test.ts
+++ b/tests/coordination/workers/direct-command-sender.test.ts
@@ -21,12 +21,12 @@
 				attempt.noteState("running", 0);
 			}
 			let inFlight = 0;
-			let mostInFlight = 0;
-			const reached = new Set<string>();
+			let maxObservedInFlight = 0;
+			const calledEndpoints = new Set<string>();
 			const sendCommands = async (endpoint: string) => {
 				inFlight += 1;
-				mostInFlight = Math.max(mostInFlight, inFlight);
-				reached.add(endpoint);
+				maxObservedInFlight = Math.max(maxObservedInFlight, inFlight);
+				calledEndpoints.add(endpoint);
 				await new Promise<void>((resolve) => clock.after(5, resolve));
 				inFlight -= 1;
 				return {} as never;
@@ -41,7 +41,7 @@
 			});
 			sender.sendStops(clusterState.removeJob(job));
 			await clock.advance((size / maxInFlight) * 10);
-			assert.equal(reached.size, size);
-			assert.equal(mostInFlight, maxInFlight);
+			assert.equal(calledEndpoints.size, size);
+			assert.equal(maxObservedInFlight, maxInFlight);
 		});
 });
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -69,10 +69,10 @@
 	}
 
 	/** Returns the machines on which placement does not put the job at a time after its last failure. */
-	machinesAvoidedBy(job: Job, sinceMs: number): string[] {
+	machinesAvoidedBy(job: Job, sinceLastFailureMs: number): string[] {
 		const capacities = [...this.clusterState.machines.values()].map(capacityOf);
-		const moment = { now: job.failures.lastAt + sinceMs, date: 0 };
-		return grantsFor(this.clusterState, [job], capacities, moment)[0]?.grant.avoidedMachines ?? [];
+		const clockReadings = { now: job.failures.lastAt + sinceLastFailureMs, date: 0 };
+		return grantsFor(this.clusterState, [job], capacities, clockReadings)[0]?.grant.avoidedMachines ?? [];
 	}
 }
 
@@ -94,18 +94,18 @@
 
 	test("on one machine type only cause no quarantine of its machines, and avoid the type for a limited time", () => {
 		const cluster = new Cluster();
-		const narrow = { ...mediumType, name: "narrow" };
-		const unsuited = [
-			cluster.addMachine("a", narrow),
-			cluster.addMachine("b", narrow),
-			cluster.addMachine("c", narrow),
+		const unsuitableType = { ...mediumType, name: "narrow" };
+		const unsuitable = [
+			cluster.addMachine("a", unsuitableType),
+			cluster.addMachine("b", unsuitableType),
+			cluster.addMachine("c", unsuitableType),
 		] as const;
-		const good = cluster.addMachine("good");
+		const healthy = cluster.addMachine("good");
 		const jobs = cluster.addJobs("j-1", "j-2", "j-3");
 		for (let round = 0; round < 2; round++) {
-			for (const machine of unsuited) for (const job of jobs) cluster.fail(job, machine);
-			for (const job of jobs) cluster.succeed(job, good);
-			for (const machine of unsuited)
+			for (const machine of unsuitable) for (const job of jobs) cluster.fail(job, machine);
+			for (const job of jobs) cluster.succeed(job, healthy);
+			for (const machine of unsuitable)
 				assert.deepEqual(
 					[machine.health.quarantined, machine.health.onProbation],
 					[false, false],
@@ -120,42 +120,42 @@
 			[],
 			"there may be no other machines, so the type is tried again",
 		);
-		cluster.succeed(job, unsuited[0]);
+		cluster.succeed(job, unsuitable[0]);
 		assert.equal(job.failures.unfitTypes.size, 0, "one success there clears the type");
-		cluster.fail(jobs[1], unsuited[0]);
-		assert.equal(unsuited[0].health.quarantined, false);
+		cluster.fail(jobs[1], unsuitable[0]);
+		assert.equal(unsuitable[0].health.quarantined, false);
 	});
 
 	test("only on faulty machines do not count as failing everywhere once these machines are quarantined", () => {
 		const cluster = new Cluster();
 		const faulty = cluster.addMachines("a", "b", "c");
-		const good = cluster.addMachine("good");
+		const healthy = cluster.addMachine("good");
 		const proven = cluster.addJobs("j-1", "j-2");
-		const unlucky = cluster.addJob("j-3");
-		for (const machine of faulty) cluster.fail(unlucky, machine);
-		assert.equal(unlucky.failures.everywhere, true, "so far no machine is known to be faulty");
-		for (const job of proven) cluster.succeed(job, good);
+		const jobOnFaultyMachines = cluster.addJob("j-3");
+		for (const machine of faulty) cluster.fail(jobOnFaultyMachines, machine);
+		assert.equal(jobOnFaultyMachines.failures.everywhere, true, "so far no machine is known to be faulty");
+		for (const job of proven) cluster.succeed(job, healthy);
 		for (const machine of faulty) for (const job of proven) cluster.fail(job, machine);
-		for (const job of proven) cluster.succeed(job, good);
+		for (const job of proven) cluster.succeed(job, healthy);
 		assert.deepEqual(
 			faulty.map((machine) => machine.health.quarantined),
 			[true, true, true],
 		);
-		assert.equal(unlucky.failures.everywhere, false);
+		assert.equal(jobOnFaultyMachines.failures.everywhere, false);
 	});
 });
 
 describe("machines on which jobs fail", () => {
 	test("are quarantined once these jobs succeed on another machine", () => {
 		const cluster = new Cluster();
-		const [a, b, good] = cluster.addMachines("a", "b", "good");
+		const [a, b, healthy] = cluster.addMachines("a", "b", "good");
 		const [first, second] = cluster.addJobs("j-1", "j-2");
 		for (const machine of [a, b]) for (const job of [first, second]) cluster.fail(job, machine);
 		assert.equal(a.health.quarantined || b.health.quarantined, false, "the jobs may be at fault");
-		cluster.succeed(first, good);
-		cluster.succeed(second, good);
+		cluster.succeed(first, healthy);
+		cluster.succeed(second, healthy);
 		assert.deepEqual(
-			[a.health.quarantined, b.health.quarantined, good.health.quarantined],
+			[a.health.quarantined, b.health.quarantined, healthy.health.quarantined],
 			[true, true, false],
 		);
 		assert.equal(first.failures.everywhere, false);
@@ -163,9 +163,9 @@
 
 	test("are quarantined at the failure of a second job that succeeded on another machine before", () => {
 		const cluster = new Cluster();
-		const [faulty, good] = cluster.addMachines("faulty", "good");
+		const [faulty, healthy] = cluster.addMachines("faulty", "good");
 		const jobs = cluster.addJobs("j-1", "j-2");
-		for (const job of jobs) cluster.succeed(job, good);
+		for (const job of jobs) cluster.succeed(job, healthy);
 		cluster.fail(jobs[0], faulty);
 		assert.deepEqual([faulty.health.onProbation, faulty.health.quarantined], [true, false]);
 		cluster.fail(jobs[1], faulty);
--- a/tests/coordination/workers/heartbeat-forwarder.test.ts
+++ b/tests/coordination/workers/heartbeat-forwarder.test.ts
@@ -47,28 +47,32 @@
 
 	test("when the leader changes, pending requests are abandoned and responses of the previous leader are dropped", async () => {
 		const { time, forwarder, forward } = forwarderTo("runner-1", 3);
-		const before = forward();
+		const requestToPreviousLeader = forward();
 		forwarder.followLeader("runner-2", 9);
 		await time.advance(1);
-		assert.equal(before?.commands, null);
-		const after = forward();
+		assert.equal(requestToPreviousLeader?.commands, null);
+		const requestToNextLeader = forward();
 		forwarder.handleResponses("runner-1", 3, [{ requestId: 2, commands: [] }]);
 		forwarder.handleResponses("runner-1", 9, [{ requestId: 2, commands: [] }]);
 		await time.advance(1);
-		assert.equal(after?.commands, undefined, "only the leader that received the request may answer it");
+		assert.equal(
+			requestToNextLeader?.commands,
+			undefined,
+			"only the leader that received the request may answer it",
+		);
 		forwarder.handleResponses("runner-2", 9, [{ requestId: 2, commands: [] }]);
 		await time.advance(1);
-		assert.deepEqual(after?.commands, []);
+		assert.deepEqual(requestToNextLeader?.commands, []);
 	});
 
 	test("a request without a response is abandoned before its worker times out, and nothing is forwarded for 3 s", async () => {
 		const { time, forwarder, forward } = forwarderTo("runner-1", 3);
-		const lost = forward();
-		for (let at = 0; at <= 3900; at += 100) {
+		const unanswered = forward();
+		for (let elapsedMs = 0; elapsedMs <= 3900; elapsedMs += 100) {
 			await time.advance(100);
 			forwarder.tick();
 		}
-		assert.equal(lost?.commands, null);
+		assert.equal(unanswered?.commands, null);
 		assert.equal(forward(), null);
 		await time.advance(3000);
 		assert.notEqual(forward(), null);
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -67,10 +67,10 @@
 
 	test("a heartbeat with an earlier fencing token adds the tasks that it lists but does not prove others absent", () => {
 		const { clusterState, job } = stateWithJob();
-		const earlier = { fencingToken: 7 };
-		reconcileHeartbeat(clusterState, heartbeat(3, [taskStatus(2, 900, "running")], earlier), 0);
+		const earlierToken = { fencingToken: 7 };
+		reconcileHeartbeat(clusterState, heartbeat(3, [taskStatus(2, 900, "running")], earlierToken), 0);
 		assert.equal(job.attempts.get(2)?.number, 900);
-		reconcileHeartbeat(clusterState, heartbeat(4, [], earlier), 10);
+		reconcileHeartbeat(clusterState, heartbeat(4, [], earlierToken), 10);
 		assert.equal(
 			job.attempts.get(2)?.number,
 			900,
@@ -83,20 +83,23 @@
 
 	test("a late copy that lists an earlier attempt does not replace the later attempt of the task", () => {
 		const { clusterState, job } = stateWithJob();
-		const earlier = { fencingToken: 7 };
-		reconcileHeartbeat(clusterState, heartbeat(7, [taskStatus(0, 900, "running")], earlier), 0);
-		const later = heartbeat(1, [taskStatus(0, 905, "running")], { ...earlier, machineId: "n-2" });
-		reconcileHeartbeat(clusterState, later, 10);
+		const earlierToken = { fencingToken: 7 };
+		reconcileHeartbeat(clusterState, heartbeat(7, [taskStatus(0, 900, "running")], earlierToken), 0);
+		const laterHeartbeat = heartbeat(1, [taskStatus(0, 905, "running")], {
+			...earlierToken,
+			machineId: "n-2",
+		});
+		reconcileHeartbeat(clusterState, laterHeartbeat, 10);
 		assert.equal(
 			job.attempts.get(0)?.number,
 			905,
 			"it was assigned after the earlier attempt was proved to have ended",
 		);
 		assert.equal(clusterState.quotas.usage("red").cpus, 1);
-		const second = clusterState.machines.get("n-2");
-		assert.ok(second);
-		assert.deepEqual(issueCommands(clusterState, second), []);
-		reconcileHeartbeat(clusterState, heartbeat(9, [taskStatus(0, 900, "running")], earlier), 20);
+		const otherMachine = clusterState.machines.get("n-2");
+		assert.ok(otherMachine);
+		assert.deepEqual(issueCommands(clusterState, otherMachine), []);
+		reconcileHeartbeat(clusterState, heartbeat(9, [taskStatus(0, 900, "running")], earlierToken), 20);
 		assert.equal(job.attempts.get(0)?.number, 905);
 	});
 
@@ -117,28 +120,36 @@
 		reconcileHeartbeat(clusterState, heartbeat(1, [], { agentEpoch: 2 }), 200);
 		assert.equal(job.attempts.size, 0);
 		clusterState.expireLease(machine);
-		const outcomeOf = (sequence: number, agentEpoch: number) =>
+		const resultKindOf = (sequence: number, agentEpoch: number) =>
 			reconcileHeartbeat(clusterState, heartbeat(sequence, [], { agentEpoch }), 300).kind;
-		assert.equal(outcomeOf(9, 2), "lease expired");
-		assert.equal(outcomeOf(1, 3), "reconciled");
+		assert.equal(resultKindOf(9, 2), "lease expired");
+		assert.equal(resultKindOf(1, 3), "reconciled");
 	});
 
 	test("responses to a worker that never shows the leader's token do not renew its lease", () => {
 		const { clusterState, job } = stateWithJob();
-		const earlier = { fencingToken: term - 1 };
-		reconcileHeartbeat(clusterState, heartbeat(1, [taskStatus(0, 900, "running")], earlier), 0);
+		const earlierToken = { fencingToken: term - 1 };
+		reconcileHeartbeat(clusterState, heartbeat(1, [taskStatus(0, 900, "running")], earlierToken), 0);
 		const machine = clusterState.machines.get("n-1");
 		assert.ok(machine);
 		clusterState.markUnreconciled(machine);
-		for (let at = 3000; at < workerLeaseExpiryMs; at += 3000) {
-			machine.agent.responded(at);
-			const { kind } = reconcileHeartbeat(clusterState, heartbeat(1 + at, [], earlier), at);
+		for (let receivedAt = 3000; receivedAt < workerLeaseExpiryMs; receivedAt += 3000) {
+			machine.agent.responded(receivedAt);
+			const { kind } = reconcileHeartbeat(
+				clusterState,
+				heartbeat(1 + receivedAt, [], earlierToken),
+				receivedAt,
+			);
 			assert.equal(kind, "reconciled");
 			assert.equal(job.attempts.size, 1);
 			assert.equal(clusterState.reconciled, false);
 		}
-		const late = reconcileHeartbeat(clusterState, heartbeat(99_999, [], earlier), workerLeaseExpiryMs + 1);
-		assert.equal(late.kind, "lease expired");
+		const result = reconcileHeartbeat(
+			clusterState,
+			heartbeat(99_999, [], earlierToken),
+			workerLeaseExpiryMs + 1,
+		);
+		assert.equal(result.kind, "lease expired");
 		assert.equal(job.attempts.size, 0);
 		assert.equal(clusterState.reconciled, true);
 	});
@@ -167,13 +178,13 @@
 	});
 
 	test("use their team's quota until they disappear, and block all starts while the demand of their job is unknown", () => {
-		const known = new Map<string, TaskDemand>();
+		const demands = new Map<string, TaskDemand>();
 		const clusterState = new ClusterState({
 			term,
 			teams: [teamRed],
 			machineTypes: [machineType],
 			workerLeaseExpiryMs,
-			demandOf: (jobId) => known.get(jobId) ?? null,
+			demandOf: (jobId) => demands.get(jobId) ?? null,
 		});
 		const job = clusterState.addJob("j-1", spec, 0, 1);
 		job.resetWaitingTasks();
@@ -184,7 +195,7 @@
 		machine.lifecycle.markRecorded();
 		assert.deepEqual([...clusterState.jobsWithUnknownDemand()], ["j-9"]);
 		assert.equal(clusterState.assignNextTask(job, machine), null, "the team whose quota they use is unknown");
-		known.set("j-9", { team: "red", cpus: 4, gpus: 0 });
+		demands.set("j-9", { team: "red", cpus: 4, gpus: 0 });
 		clusterState.resolveDemand("j-9");
 		assert.equal(clusterState.quotas.usage("red").cpus, 8);
 		assert.equal(clusterState.assignNextTask(job, machine), null, "they use the whole team limit");
--- a/tests/coordination/workers/heartbeat-router.test.ts
+++ b/tests/coordination/workers/heartbeat-router.test.ts
@@ -17,7 +17,7 @@
 class Setup {
 	readonly clock = new FakeTime();
 	readonly sent: PeerMessage[] = [];
-	readonly reports: [leader: string, term: number][] = [];
+	readonly misdirectedReports: [leader: string, term: number][] = [];
 	active: ActiveLeader | null = null;
 	leaderInStore: string | null = null;
 	readonly router = new HeartbeatRouter({
@@ -26,7 +26,7 @@
 		clock: this.clock,
 		activeLeader: () => this.active,
 		leaderInStore: () => this.leaderInStore,
-		reportMisdirectedWorkers: (leader, term) => this.reports.push([leader, term]),
+		reportMisdirectedWorkers: (leader, term) => this.misdirectedReports.push([leader, term]),
 	});
 
 	/** Makes this process the leader, which answers each heartbeat with these commands. */
@@ -37,7 +37,7 @@
 	}
 
 	/** Receives a leader heartbeat from the node, which is also in the leader key. */
-	hear(node: string, term: number, more: Partial<LeaderHeartbeat> = {}): void {
+	receiveLeaderHeartbeat(node: string, term: number, overrides: Partial<LeaderHeartbeat> = {}): void {
 		this.leaderInStore = node;
 		const message: LeaderHeartbeat = {
 			kind: "leader-heartbeat",
@@ -46,7 +46,7 @@
 			storeReachable: true,
 			workersReachable: true,
 			forwardHeartbeats: false,
-			...more,
+			...overrides,
 		};
 		this.router.onLeaderMessage(node, message, this.clock.now());
 	}
@@ -56,7 +56,7 @@
 	}
 
 	/** Request ids of the forwarded heartbeats, in the order of sending. */
-	get forwarded(): number[] {
+	get forwardedRequestIds(): number[] {
 		return this.sent.flatMap((message) =>
 			message.kind === "forwarded-heartbeats" ? message.heartbeats.map(({ requestId }) => requestId) : [],
 		);
@@ -91,7 +91,7 @@
 	test("is redirected to the leader in the store if its last message is at most 1.2 s old", async () => {
 		const setup = new Setup();
 		assert.deepEqual(await setup.handle(), tryAnother, "there is no leader");
-		setup.hear("runner-1", 7);
+		setup.receiveLeaderHeartbeat("runner-1", 7);
 		await setup.clock.advance(1200);
 		assert.deepEqual(await setup.handle(), { kind: "redirect", node: "runner-1" });
 		await setup.clock.advance(1);
@@ -100,31 +100,31 @@
 
 	test("is not redirected to a leader that has sent no message, or that reports that workers cannot reach it", async () => {
 		const setup = new Setup();
-		setup.hear("runner-1", 7);
+		setup.receiveLeaderHeartbeat("runner-1", 7);
 		setup.leaderInStore = "runner-2";
 		assert.deepEqual(await setup.handle(), tryAnother);
-		setup.hear("runner-1", 7, { workersReachable: false });
+		setup.receiveLeaderHeartbeat("runner-1", 7, { workersReachable: false });
 		assert.deepEqual(await setup.handle(), tryAnother);
 	});
 
 	test("is not redirected to this node itself if it is still in the leader key", async () => {
 		const setup = new Setup();
-		setup.hear("runner-0", 7);
+		setup.receiveLeaderHeartbeat("runner-0", 7);
 		assert.deepEqual(await setup.handle(), tryAnother);
 	});
 
 	test("counts as misdirected for 6 s, and is reported at once to a leader that workers cannot reach", async () => {
 		const setup = new Setup();
-		setup.hear("runner-1", 7);
+		setup.receiveLeaderHeartbeat("runner-1", 7);
 		await setup.handle();
-		assert.deepEqual([setup.router.countMisdirectedWorkers(), setup.reports], [1, []]);
-		setup.hear("runner-1", 7, { workersReachable: false });
+		assert.deepEqual([setup.router.countMisdirectedWorkers(), setup.misdirectedReports], [1, []]);
+		setup.receiveLeaderHeartbeat("runner-1", 7, { workersReachable: false });
 		await setup.handle();
 		await setup.handle();
-		assert.deepEqual(setup.reports, [["runner-1", 7]], "at most ten times a second");
+		assert.deepEqual(setup.misdirectedReports, [["runner-1", 7]], "at most ten times a second");
 		await setup.clock.advance(100);
 		await setup.handle();
-		assert.equal(setup.reports.length, 2);
+		assert.equal(setup.misdirectedReports.length, 2);
 		await setup.clock.advance(6000);
 		assert.equal(setup.router.countMisdirectedWorkers(), 1);
 		await setup.clock.advance(1);
@@ -135,10 +135,10 @@
 describe("a heartbeat that reaches a follower of a leader that requests forwarding", () => {
 	test("is forwarded, and answered with the leader's response", async () => {
 		const setup = new Setup();
-		setup.hear("runner-1", 7, { forwardHeartbeats: true });
+		setup.receiveLeaderHeartbeat("runner-1", 7, { forwardHeartbeats: true });
 		const [first, second] = [setup.handle(), setup.handle()];
 		await setup.clock.advance(100);
-		const [firstId, secondId] = setup.forwarded as [number, number];
+		const [firstId, secondId] = setup.forwardedRequestIds as [number, number];
 		setup.router.handleForwardedResponses("runner-1", {
 			kind: "forwarded-responses",
 			term: 7,
@@ -154,32 +154,32 @@
 
 	test("is forwarded again to the next leader if the leader changes before it responds", async () => {
 		const setup = new Setup();
-		setup.hear("runner-1", 7, { forwardHeartbeats: true });
+		setup.receiveLeaderHeartbeat("runner-1", 7, { forwardHeartbeats: true });
 		const response = setup.handle();
 		await setup.clock.advance(100);
-		setup.hear("runner-2", 9, { forwardHeartbeats: true });
+		setup.receiveLeaderHeartbeat("runner-2", 9, { forwardHeartbeats: true });
 		await setup.clock.advance(100);
-		const again = setup.forwarded[1] as number;
+		const secondRequestId = setup.forwardedRequestIds[1] as number;
 		setup.router.handleForwardedResponses("runner-2", {
 			kind: "forwarded-responses",
 			term: 9,
-			responses: [{ requestId: again, commands: [] }],
+			responses: [{ requestId: secondRequestId, commands: [] }],
 		});
 		assert.deepEqual(await response, { kind: "commands", fencingToken: 9, commands: [] });
 	});
 
 	test("is not forwarded to a leader that has timed out, or whose term is before the worker's fencing token", async () => {
 		const setup = new Setup();
-		setup.hear("runner-1", 7, { forwardHeartbeats: true });
+		setup.receiveLeaderHeartbeat("runner-1", 7, { forwardHeartbeats: true });
 		assert.deepEqual(await setup.handle(8), { kind: "redirect", node: "runner-1" });
 		await setup.clock.advance(1201);
 		assert.deepEqual(await setup.handle(), tryAnother);
-		assert.deepEqual(setup.forwarded, []);
+		assert.deepEqual(setup.forwardedRequestIds, []);
 	});
 
 	test("is abandoned after a process pause", async () => {
 		const setup = new Setup();
-		setup.hear("runner-1", 7, { forwardHeartbeats: true });
+		setup.receiveLeaderHeartbeat("runner-1", 7, { forwardHeartbeats: true });
 		const response = setup.handle();
 		setup.router.onProcessPause();
 		assert.deepEqual(await response, tryAnother);
@@ -189,8 +189,8 @@
 describe("a late copy of an earlier leader's message", () => {
 	test("is ignored", async () => {
 		const setup = new Setup();
-		setup.hear("runner-1", 7);
-		setup.hear("runner-2", 5);
+		setup.receiveLeaderHeartbeat("runner-1", 7);
+		setup.receiveLeaderHeartbeat("runner-2", 5);
 		setup.leaderInStore = "runner-1";
 		assert.deepEqual(await setup.handle(), { kind: "redirect", node: "runner-1" });
 	});
--- a/tests/coordination/workers/heartbeat-service.test.ts
+++ b/tests/coordination/workers/heartbeat-service.test.ts
@@ -61,9 +61,9 @@
 	}
 
 	/** Handles a heartbeat. The commands are undefined while the response is held. */
-	handle(message: WorkerHeartbeat): { commands?: WorkerCommand[] | null } {
+	handle(workerHeartbeat: WorkerHeartbeat): { commands?: WorkerCommand[] | null } {
 		const result: { commands?: WorkerCommand[] | null } = {};
-		this.service.handle(message).then((commands) => {
+		this.service.handle(workerHeartbeat).then((commands) => {
 			result.commands = commands;
 		});
 		this.service.onBatchEnd();
--- a/tests/coordination/workers/lease-monitor.test.ts
+++ b/tests/coordination/workers/lease-monitor.test.ts
@@ -55,9 +55,9 @@
 			for (let n = 0; n < 2; n++) machine?.agent.noteResponseEffects(ineffective, workerLeaseExpiryMs, 0);
 		}
 		const monitor = new LeaseMonitor(clusterState, 0, silentLog);
-		const stillUnreachable = () =>
+		const countUnreachable = () =>
 			[...clusterState.machines.values()].filter(({ agent }) => agent.unreachableSince !== null).length;
-		return { monitor, stillUnreachable };
+		return { monitor, stillUnreachable: countUnreachable };
 	}
 
 	test("are assumed reachable while the process is overloaded, since its responses are late", () => {
--- a/tests/coordination/workers/orphan-cleanup.test.ts
+++ b/tests/coordination/workers/orphan-cleanup.test.ts
@@ -102,11 +102,11 @@
 		});
 		const orphanOf = (attempt: number) => ({ ...taskStatus(0, attempt, "running"), jobId: "j-9" });
 		const receive = (sequence: number, attempts: number[]) => {
-			const before = clusterState.machines.get("n-1")?.orphans ?? [];
+			const previousOrphans = clusterState.machines.get("n-1")?.orphans ?? [];
 			reconcileHeartbeat(clusterState, heartbeat(sequence, attempts.map(orphanOf)), sequence);
 			const machine = clusterState.machines.get("n-1");
 			assert.ok(machine);
-			cleanup.stopOrphans(machine, before);
+			cleanup.stopOrphans(machine, previousOrphans);
 		};
 		const stopOf = (attempt: number) => ({ kind: "stop", jobId: "j-9", taskIndex: 0, attempt, graceS: 0 });
 
--- a/tests/coordination/workers/spot-reclaim.test.ts
+++ b/tests/coordination/workers/spot-reclaim.test.ts
@@ -10,10 +10,10 @@
 const heartbeatIntervalS = 1;
 
 /** Creates a spot machine to be reclaimed after `reclaimInS`, with a running attempt of a job that takes 20 s. */
-function machineWithTask(more: Partial<JobSpec>, reclaimInS: number | null) {
+function machineWithTask(specOverrides: Partial<JobSpec>, reclaimInS: number | null) {
 	const machine = new Machine({ id: "n-1", type: mediumType, zone: "a", spot: true, origin: "created" }, 0);
 	machine.lifecycle.heartbeatReceived(reclaimInS === null ? null : reclaimInS * 1000);
-	const job = new Job("j-1", specOf("j-1", { estimatedRunS: 20, ...more }), 0, 1);
+	const job = new Job("j-1", specOf("j-1", { estimatedRunS: 20, ...specOverrides }), 0, 1);
 	const attempt = new Attempt({ job, taskIndex: 0, number: 1, machine, phase: "sent" });
 	attempt.noteState("running", 0);
 	machine.hold(attempt);
@@ -28,12 +28,14 @@
 	});
 
 	test("of a job without checkpoints are stopped at once if they are unlikely to finish, and not stopped otherwise", () => {
-		const hopeless = machineWithTask({}, 10);
-		assert.deepEqual(stopBeforeReclaim(hopeless.machine, 0, heartbeatIntervalS), [hopeless.attempt]);
-		assert.deepEqual(hopeless.attempt.stop, { reason: "spot reclaim", graceS: 0 });
-		const hopeful = machineWithTask({}, 16);
-		assert.deepEqual(stopBeforeReclaim(hopeful.machine, 0, heartbeatIntervalS), []);
-		assert.equal(hopeful.attempt.stop, null);
+		const unlikelyToFinish = machineWithTask({}, 10);
+		assert.deepEqual(stopBeforeReclaim(unlikelyToFinish.machine, 0, heartbeatIntervalS), [
+			unlikelyToFinish.attempt,
+		]);
+		assert.deepEqual(unlikelyToFinish.attempt.stop, { reason: "spot reclaim", graceS: 0 });
+		const likelyToFinish = machineWithTask({}, 16);
+		assert.deepEqual(stopBeforeReclaim(likelyToFinish.machine, 0, heartbeatIntervalS), []);
+		assert.equal(likelyToFinish.attempt.stop, null);
 	});
 
 	test("of a job with checkpoints are stopped in time to save one, with the time until the reclaim as grace", () => {
--- a/tests/layers.test.ts
+++ b/tests/layers.test.ts
@@ -10,42 +10,48 @@
 } from "./support/import-rules.js";
 
 // Compiled tests run from target/tests/tests; the sources stay in the source tree.
-const source = new URL("../../../src/", import.meta.url);
-const packages = new URL("../../../packages/", import.meta.url);
+const sourceRoot = new URL("../../../src/", import.meta.url);
+const packagesRoot = new URL("../../../packages/", import.meta.url);
 
-const model = ["protocol", "protocol/model"];
-const protocolFolders = [...model, "protocol/http", "protocol/peer", "protocol/records", "protocol/settings"];
-const domain = [...protocolFolders, "bookkeeping"];
-const shared = [...domain, "coordination/ports"];
-const clusterState = [...shared, "coordination/state"];
+const modelFolders = ["protocol", "protocol/model"];
+const protocolFolders = [
+	...modelFolders,
+	"protocol/http",
+	"protocol/peer",
+	"protocol/records",
+	"protocol/settings",
+];
+const domainFolders = [...protocolFolders, "bookkeeping"];
+const sharedFolders = [...domainFolders, "coordination/ports"];
+const sharedFoldersAndState = [...sharedFolders, "coordination/state"];
 
 /** The folders that the modules of each folder may import. The order of the layers is in docs/architecture.md. */
 const rules: ImportRules = {
 	protocol: [],
 	"protocol/model": [],
-	"protocol/http": model,
-	"protocol/peer": model,
-	"protocol/records": model,
-	"protocol/settings": model,
+	"protocol/http": modelFolders,
+	"protocol/peer": modelFolders,
+	"protocol/records": modelFolders,
+	"protocol/settings": modelFolders,
 	bookkeeping: protocolFolders,
-	"coordination/ports": domain,
+	"coordination/ports": domainFolders,
 	"coordination/runtime": ["coordination/ports"],
 	"coordination/sharding": [],
-	"coordination/replication": shared,
-	"coordination/state": shared,
-	"coordination/leadership": [...clusterState, "coordination/sharding"],
-	"coordination/jobs": [...clusterState, "coordination/replication"],
-	"coordination/workers": [...clusterState, "coordination/replication", "coordination/runtime"],
+	"coordination/replication": sharedFolders,
+	"coordination/state": sharedFolders,
+	"coordination/leadership": [...sharedFoldersAndState, "coordination/sharding"],
+	"coordination/jobs": [...sharedFoldersAndState, "coordination/replication"],
+	"coordination/workers": [...sharedFoldersAndState, "coordination/replication", "coordination/runtime"],
 	"coordination/placement": [
-		...clusterState,
+		...sharedFoldersAndState,
 		"coordination/sharding",
 		"coordination/leadership",
 		"coordination/workers",
 	],
-	"coordination/preemption": [...clusterState, "coordination/placement", "coordination/workers"],
-	"coordination/fleet": [...clusterState, "coordination/placement", "coordination/workers"],
+	"coordination/preemption": [...sharedFoldersAndState, "coordination/placement", "coordination/workers"],
+	"coordination/fleet": [...sharedFoldersAndState, "coordination/placement", "coordination/workers"],
 	coordination: [
-		...clusterState,
+		...sharedFoldersAndState,
 		"coordination/runtime",
 		"coordination/replication",
 		"coordination/leadership",
@@ -65,11 +71,18 @@
 		"coordination/workers",
 		"transport",
 	],
-	".": [...shared, "coordination", "transport", "transport/clients", "transport/peers", "transport/public"],
+	".": [
+		...sharedFolders,
+		"coordination",
+		"transport",
+		"transport/clients",
+		"transport/peers",
+		"transport/public",
+	],
 };
 
 describe("imports between the folders of src", () => {
-	const tree = readSourceTree(source);
+	const tree = readSourceTree(sourceRoot);
 
 	test("follow the rules in every module, at any depth", () => {
 		assert.ok(tree.size > 80, `only ${tree.size} modules were read`);
@@ -91,43 +104,43 @@
 				(other) => other !== folder && !rules[folder]?.includes(other),
 			);
 			assert.ok(forbidden.length > 0);
-			const up = folder === "." ? "./" : "../".repeat(folder.split("/").length);
+			const pathToRoot = folder === "." ? "./" : "../".repeat(folder.split("/").length);
 			for (const other of forbidden) {
 				const path = other === "." ? "" : `${other}/`;
 				for (const statement of [
-					`import { planted } from "${up}${path}planted.js";`,
-					`import type { Planted } from "${up}${path}planted.js";`,
-					`export * from "${up}${path}planted.js";`,
-					`const planted = await import("${up}${path}planted.js");`,
+					`import { planted } from "${pathToRoot}${path}planted.js";`,
+					`import type { Planted } from "${pathToRoot}${path}planted.js";`,
+					`export * from "${pathToRoot}${path}planted.js";`,
+					`const planted = await import("${pathToRoot}${path}planted.js");`,
 				]) {
 					const file = folder === "." ? "planting.ts" : `${folder}/planting.ts`;
-					const found = forbiddenImports(new Map([[file, statement]]), rules);
-					assert.deepEqual(found, [`${file} imports ${other}`]);
+					const violations = forbiddenImports(new Map([[file, statement]]), rules);
+					assert.deepEqual(violations, [`${file} imports ${other}`]);
 				}
 			}
 		});
 
 	test("a module in a folder without a rule is reported", () => {
-		const found = forbiddenImports(new Map([["coordination/new/module.ts", ""]]), rules);
-		assert.deepEqual(found, ["coordination/new/module.ts: no rule for folder coordination/new"]);
+		const violations = forbiddenImports(new Map([["coordination/new/module.ts", ""]]), rules);
+		assert.deepEqual(violations, ["coordination/new/module.ts: no rule for folder coordination/new"]);
 	});
 });
 
 test("coordination does not import network or file modules, since it uses external systems only through ports", () => {
-	const outside = /^(node:)?(net|http|https|dns|fs)(\/|$)/;
-	for (const [file, text] of readSourceTree(new URL("coordination/", source)))
-		for (const specifier of importsOf(text)) assert.doesNotMatch(specifier, outside, file);
+	const networkOrFileModule = /^(node:)?(net|http|https|dns|fs)(\/|$)/;
+	for (const [file, text] of readSourceTree(new URL("coordination/", sourceRoot)))
+		for (const specifier of importsOf(text)) assert.doesNotMatch(specifier, networkOrFileModule, file);
 });
 
 test("packages do not import modules of the service, and the layers of the service do not import packages", () => {
-	for (const name of readdirSync(packages)) {
-		const sources = readSourceTree(new URL(`${name}/src/`, packages));
+	for (const name of readdirSync(packagesRoot)) {
+		const sources = readSourceTree(new URL(`${name}/src/`, packagesRoot));
 		assert.ok(sources.size > 0, name);
 		for (const [file, text] of sources)
 			for (const specifier of importsOf(text))
 				assert.ok(!specifier.includes("..") && !specifier.startsWith("#"), `${file} imports ${specifier}`);
 	}
 	for (const layer of ["protocol", "bookkeeping", "coordination", "transport"])
-		for (const [file, text] of readSourceTree(new URL(`${layer}/`, source)))
+		for (const [file, text] of readSourceTree(new URL(`${layer}/`, sourceRoot)))
 			for (const specifier of importsOf(text)) assert.ok(!specifier.startsWith("#"), `${layer}/${file}`);
 });
--- a/tests/service/cancellation-races.test.ts
+++ b/tests/service/cancellation-races.test.ts
@@ -3,12 +3,13 @@
 import { job } from "../support/leadership-candidate.js";
 import { nodeNames, World } from "../support/world.js";
 
-const final = (world: World) => world.state.rows.get("r/fin/j-000001")?.v as { status: string } | undefined;
+const finalRecord = (world: World) =>
+	world.state.rows.get("r/fin/j-000001")?.v as { status: string } | undefined;
 
 /** Delays the store transactions that certain processes send from now on beyond the processes' timeouts. */
-function delayTransactions(world: World, from: (process: string) => boolean, delayMs: number): void {
-	world.network.fault = (who, to, _method, path) =>
-		to === "state" && path === "/multi" && from(who) ? { delayMs } : {};
+function delayTransactions(world: World, isDelayed: (process: string) => boolean, delayMs: number): void {
+	world.network.fault = (sender, to, _method, path) =>
+		to === "state" && path === "/multi" && isDelayed(sender) ? { delayMs } : {};
 }
 
 test("a cancellation that reaches the store after the job is done has no effect", async () => {
@@ -16,12 +17,12 @@
 	await world.time.advance(2000);
 	await world.submit("runner-0", job);
 	await world.time.advance(10_000);
-	const other = nodeNames.find((n) => n !== world.leaderNode()) as string;
-	delayTransactions(world, (who) => who.startsWith(other), 12_000);
-	const answer = await world.abort(other, job.id);
-	assert.equal(answer.status, 503, "the outcome is unknown");
+	const follower = nodeNames.find((n) => n !== world.leaderNode()) as string;
+	delayTransactions(world, (who) => who.startsWith(follower), 12_000);
+	const response = await world.abort(follower, job.id);
+	assert.equal(response.status, 503, "the outcome is unknown");
 	await world.time.advance(20_000);
-	assert.equal(final(world)?.status, "done");
+	assert.equal(finalRecord(world)?.status, "done");
 	world.network.fault = () => ({});
 	for (const node of nodeNames) assert.equal((await world.poll(node, job.id)).body.status, "done");
 	assert.deepEqual(world.broken, []);
@@ -33,24 +34,24 @@
 	await world.submit("runner-0", job);
 	await world.time.advance(9_000);
 	const leader = world.leaderNode() as string;
-	const other = nodeNames.find((n) => n !== leader) as string;
+	const follower = nodeNames.find((n) => n !== leader) as string;
 	delayTransactions(world, (who) => who.startsWith(leader), 6_000);
 	for (let i = 0; i < 200 && (world.running("j-000001/0") || world.running("j-000001/1")); i++) {
 		await world.time.advance(100);
 	}
 	// Both tasks have ended, and the leader's write of the final record is in flight.
 	await world.time.advance(1000);
-	assert.equal(final(world), undefined);
-	assert.equal((await world.abort(other, job.id)).body.status, "cancelled");
+	assert.equal(finalRecord(world), undefined);
+	assert.equal((await world.abort(follower, job.id)).body.status, "cancelled");
 	await world.time.advance(20_000);
-	assert.equal(final(world)?.status, "cancelled");
+	assert.equal(finalRecord(world)?.status, "cancelled");
 	world.network.fault = () => ({});
 	for (const node of nodeNames) assert.equal((await world.poll(node, job.id)).body.status, "cancelled");
 	assert.deepEqual(world.broken, []);
 });
 
 test("cancellations, status requests and repeated submissions around the end of the last task all report one final status", async () => {
-	const ends = new Set<string>();
+	const finalStatuses = new Set<string>();
 	for (let offsetMs = -100; offsetMs <= 1500; offsetMs += 100) {
 		const world = new World();
 		await world.time.advance(2000);
@@ -67,10 +68,10 @@
 		);
 		for (const node of nodeNames) await world.poll(node, job.id);
 		assert.deepEqual(world.broken, [], `offset ${offsetMs}`);
-		ends.add(final(world)?.status ?? "none");
+		finalStatuses.add(finalRecord(world)?.status ?? "none");
 	}
 	assert.deepEqual(
-		[...ends].sort(),
+		[...finalStatuses].sort(),
 		["cancelled", "done"],
 		"the offsets include times before and after the end",
 	);
--- a/tests/service/malformed-input.test.ts
+++ b/tests/service/malformed-input.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { World } from "../support/world.js";
 
-const errorsOf = (world: World, message: string) => world.logs.filter((line) => line.includes(message));
+const logLinesWith = (world: World, message: string) => world.logs.filter((line) => line.includes(message));
 
 test("malformed messages from a controller are dropped and logged once per kind, and jobs still complete", async () => {
 	const world = new World();
@@ -27,8 +27,8 @@
 	}
 	await world.time.advance(60_000);
 	assert.equal((await world.poll("runner-2", "j-000001")).body.status, "done");
-	assert.equal(errorsOf(world, "malformed message from a controller").length, 3 * 5);
-	assert.deepEqual(errorsOf(world, "state action failed"), []);
+	assert.equal(logLinesWith(world, "malformed message from a controller").length, 3 * 5);
+	assert.deepEqual(logLinesWith(world, "state action failed"), []);
 	assert.deepEqual(world.broken, []);
 });
 
@@ -38,19 +38,19 @@
 	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 30 });
 	// A record of a later version, with a job form that this version does not support.
 	const { spec } = (world.state.rows.get("r/job/j-000001") as { v: { spec: object } }).v;
-	const later = { spec: { ...spec, id: "j-000002", form: "ensemble" }, at: 0 };
-	world.state.write("r/job/j-000002", later);
+	const laterRecord = { spec: { ...spec, id: "j-000002", form: "ensemble" }, at: 0 };
+	world.state.write("r/job/j-000002", laterRecord);
 	await world.time.advance(70_000);
 	for (const node of ["runner-0", "runner-1", "runner-2"]) {
 		assert.equal((await world.request(node, "/v1/jobs/j-000002")).status, 503);
 		assert.equal((await world.request(node, "/v1/jobs/j-000002/abort", { method: "POST" })).status, 503);
 		assert.equal((await world.poll(node, "j-000001")).body.status, "done");
 	}
-	const said = errorsOf(world, "malformed value in the store");
-	assert.equal(said.length, 3, "logged once by each controller");
-	assert.ok(said.every((line) => line.includes('"key":"r/job/j-000002"')));
-	assert.deepEqual(errorsOf(world, "replica differs from the store"), []);
-	assert.deepEqual(world.state.rows.get("r/job/j-000002")?.v, later, "the record is not changed");
+	const malformedValueLines = logLinesWith(world, "malformed value in the store");
+	assert.equal(malformedValueLines.length, 3, "logged once by each controller");
+	assert.ok(malformedValueLines.every((line) => line.includes('"key":"r/job/j-000002"')));
+	assert.deepEqual(logLinesWith(world, "replica differs from the store"), []);
+	assert.deepEqual(world.state.rows.get("r/job/j-000002")?.v, laterRecord, "the record is not changed");
 });
 
 test("if machine records cannot be decoded, no task starts before every worker lease has expired", async () => {
@@ -72,9 +72,9 @@
 	const world = new World();
 	world.state.write("r/one/leader", "somebody");
 	await world.time.advance(10_000);
-	assert.deepEqual(errorsOf(world, "leadership acquired"), []);
+	assert.deepEqual(logLinesWith(world, "leadership acquired"), []);
 	assert.deepEqual(world.state.rows.get("r/one/leader")?.v, "somebody");
 	world.state.remove("r/one/leader");
 	await world.time.advance(6000);
-	assert.equal(errorsOf(world, "leadership acquired").length, 1);
+	assert.equal(logLinesWith(world, "leadership acquired").length, 1);
 });
--- a/tests/service/process-pauses.test.ts
+++ b/tests/service/process-pauses.test.ts
@@ -11,9 +11,9 @@
 	await world.time.advance(9000);
 	assert.equal((await world.abort("runner-0", "j-000001")).status, 200);
 	world.thaw("runner-1");
-	const answer = await world.poll("runner-1", "j-000001");
+	const response = await world.poll("runner-1", "j-000001");
 	assert.deepEqual(
-		[answer.status, answer.body.status],
+		[response.status, response.body.status],
 		[200, "cancelled"],
 		"neither 503 nor the status from before the pause",
 	);
--- a/tests/service/production-compatibility.test.ts
+++ b/tests/service/production-compatibility.test.ts
@@ -19,34 +19,34 @@
 	return JSON.parse(readFileSync(file, "utf8")) as RecordedRun;
 }
 
-const kindOf = (key: string) => key.split("/").slice(0, 2).join("/");
+const keyPrefixOf = (key: string) => key.split("/").slice(0, 2).join("/");
 
 /** Asserts that every field that the production version writes still exists and has the same type. */
-function keepsFields(old: unknown, now: unknown, at: string): void {
+function assertFieldsKept(old: unknown, now: unknown, path: string): void {
 	if (Array.isArray(old)) {
-		assert.ok(Array.isArray(now), at);
-		if (old.length > 0 && now.length > 0) keepsFields(old[0], now[0], `${at}.0`);
+		assert.ok(Array.isArray(now), path);
+		if (old.length > 0 && now.length > 0) assertFieldsKept(old[0], now[0], `${path}.0`);
 		return;
 	}
 	if (typeof old !== "object" || old === null) {
-		if (old !== null && now !== null) assert.equal(typeof now, typeof old, at);
+		if (old !== null && now !== null) assert.equal(typeof now, typeof old, path);
 		return;
 	}
-	assert.ok(typeof now === "object" && now !== null, at);
+	assert.ok(typeof now === "object" && now !== null, path);
 	// The keys of maps from machine or page to entry differ between the runs, so one entry of each is compared.
-	const byName = at.endsWith(".entries");
-	const pairs = byName ? [[Object.values(old)[0], Object.values(now)[0], "*"] as const] : [];
-	for (const [o, n, name] of pairs) keepsFields(o, n, `${at}.${name}`);
-	if (byName) return;
+	const keyedByName = path.endsWith(".entries");
+	const pairs = keyedByName ? [[Object.values(old)[0], Object.values(now)[0], "*"] as const] : [];
+	for (const [oldEntry, newEntry, name] of pairs) assertFieldsKept(oldEntry, newEntry, `${path}.${name}`);
+	if (keyedByName) return;
 	for (const [name, value] of Object.entries(old)) {
-		assert.ok(name in now, `${at} lacks ${name}`);
-		keepsFields(value, (now as Record<string, unknown>)[name], `${at}.${name}`);
+		assert.ok(name in now, `${path} lacks ${name}`);
+		assertFieldsKept(value, (now as Record<string, unknown>)[name], `${path}.${name}`);
 	}
 }
 
 for (const version of versions) {
 	const fixture = fixtureOf(version);
-	const standing = fixture.rows.some(({ key }) => key === "r/job/j-000004");
+	const hasServiceJob = fixture.rows.some(({ key }) => key === "r/job/j-000004");
 
 	test(`records that ${version} stored are decoded: live and ended jobs, done tasks, machines that may run tasks`, async () => {
 		const world = new World();
@@ -56,16 +56,17 @@
 		world.expectJob({ id: "j-000001", pieces: 3, cores: 1, runs: 1000 });
 		world.expectJob({ id: "j-000002", pieces: 1, cores: 1, desk: "blue" });
 		world.expectJob({ id: "j-000003", pieces: 1, cores: 1, desk: "blue" });
-		if (standing) world.expectJob({ id: "j-000004", pieces: 2, cores: 1, desk: "blue", form: "standing" });
+		if (hasServiceJob)
+			world.expectJob({ id: "j-000004", pieces: 2, cores: 1, desk: "blue", form: "standing" });
 		await world.time.advance(3000);
 		const machines = fixture.rows
-			.filter(({ key }) => kindOf(key) === "r/machs")
+			.filter(({ key }) => keyPrefixOf(key) === "r/machs")
 			.flatMap(({ v }) => Object.keys((v as { entries: object }).entries));
-		const jobs = standing ? 2 : 1;
-		const rebuilding = `failover started {"term":21,"jobs":${jobs},"machines":${machines.length}}`;
+		const jobs = hasServiceJob ? 2 : 1;
+		const failoverStartedLine = `failover started {"term":21,"jobs":${jobs},"machines":${machines.length}}`;
 		assert.ok(
-			world.logs.some((line) => line.includes(rebuilding)),
-			rebuilding,
+			world.logs.some((line) => line.includes(failoverStartedLine)),
+			failoverStartedLine,
 		);
 		for (const node of nodeNames) {
 			const { status, body } = await world.poll(node, "j-000001");
@@ -75,7 +76,7 @@
 		await world.time.advance(25_000);
 		assert.equal(world.starts.get("j-000001/0"), undefined, "its task 0 was done");
 		assert.ok(world.running("j-000001/1") && world.running("j-000001/2"));
-		if (standing) assert.ok(world.running("j-000004/0") && world.running("j-000004/1"));
+		if (hasServiceJob) assert.ok(world.running("j-000004/0") && world.running("j-000004/1"));
 		assert.deepEqual(
 			world.broken.filter((line) => !line.startsWith("not_done: j-000003")),
 			[],
@@ -83,19 +84,19 @@
 	});
 
 	test(`stored values and messages have every field that ${version} has, and its messages are decoded`, async () => {
-		const plain = await recordRun(false, standing);
-		const relayed = await recordRun(true, standing);
-		const said = { ...relayed.messages, ...plain.messages };
+		const runWithoutForwarding = await recordRun(false, hasServiceJob);
+		const runWithForwarding = await recordRun(true, hasServiceJob);
+		const currentMessages = { ...runWithForwarding.messages, ...runWithoutForwarding.messages };
 		for (const { key, v } of fixture.rows) {
-			const now = plain.rows.find((row) =>
-				key.startsWith("r/one") ? row.key === key : kindOf(row.key) === kindOf(key),
+			const currentRow = runWithoutForwarding.rows.find((row) =>
+				key.startsWith("r/one") ? row.key === key : keyPrefixOf(row.key) === keyPrefixOf(key),
 			);
-			assert.ok(now, key);
-			keepsFields(v, now.v, key);
+			assert.ok(currentRow, key);
+			assertFieldsKept(v, currentRow.v, key);
 		}
 		for (const [kind, message] of Object.entries(fixture.messages)) {
-			assert.ok(said[kind], kind);
-			keepsFields(message, said[kind], kind);
+			assert.ok(currentMessages[kind], kind);
+			assertFieldsKept(message, currentMessages[kind], kind);
 			// Decoding and encoding preserves every name and value on the wire.
 			assert.deepEqual(encodePeerMessage(decodePeerMessage(message)), message, kind);
 		}
@@ -119,40 +120,41 @@
 }
 
 test("stored values and messages have only field names that a version in production has", async () => {
-	const known = new Set(versions.flatMap((version) => namesOf(fixtureOf(version))));
-	const now = [await recordRun(false), await recordRun(true)].flatMap(namesOf);
-	assert.deepEqual([...new Set(now)].filter((name) => !known.has(name)).sort(), []);
+	const productionPaths = new Set(versions.flatMap((version) => fieldPathsOf(fixtureOf(version))));
+	const currentPaths = [await recordRun(false), await recordRun(true)].flatMap(fieldPathsOf);
+	assert.deepEqual([...new Set(currentPaths)].filter((name) => !productionPaths.has(name)).sort(), []);
 });
 
 /** Returns the paths of all fields by kind of value or message, with `*` for the names of machines, jobs and pages. */
-function namesOf(run: RecordedRun): string[] {
-	const names: string[] = [];
-	const walk = (value: unknown, at: string): void => {
+function fieldPathsOf(run: RecordedRun): string[] {
+	const paths: string[] = [];
+	const walk = (value: unknown, parentPath: string): void => {
 		if (typeof value !== "object" || value === null) return;
 		for (const [field, inner] of Object.entries(value)) {
-			const byName = Array.isArray(value) || at.endsWith(".entries") || at.endsWith(".zones");
-			const path = `${at}.${byName ? "*" : field}`;
-			names.push(path);
+			const keyedByName =
+				Array.isArray(value) || parentPath.endsWith(".entries") || parentPath.endsWith(".zones");
+			const path = `${parentPath}.${keyedByName ? "*" : field}`;
+			paths.push(path);
 			walk(inner, path);
 		}
 	};
-	for (const { key, v } of run.rows) walk(v, key.startsWith("r/one") ? key : kindOf(key));
+	for (const { key, v } of run.rows) walk(v, key.startsWith("r/one") ? key : keyPrefixOf(key));
 	for (const [kind, message] of Object.entries(run.messages)) walk(message, kind);
-	return names;
+	return paths;
 }
 
 test("a message of any kind is rejected if a required field is missing or any field has the wrong type", () => {
 	const { messages } = fixtureOf("0.5.0");
 	const optional = new Set(["standing", "known", "cancelled", "unknown"]);
 	for (const [kind, message] of Object.entries(messages)) {
-		const later = decodePeerMessage({ ...message, later: "a field of a later version" });
-		assert.deepEqual(encodePeerMessage(later), message, kind);
+		const withLaterField = decodePeerMessage({ ...message, later: "a field of a later version" });
+		assert.deepEqual(encodePeerMessage(withLaterField), message, kind);
 		for (const field of Object.keys(message)) {
 			const { [field]: _, ...without } = message;
-			const check = (changed: unknown) =>
+			const assertRejected = (changed: unknown) =>
 				assert.throws(() => decodePeerMessage(changed), MalformedMessageError, `${kind}.${field}`);
-			if (!optional.has(field)) check(without);
-			check({ ...message, [field]: { wrong: true } });
+			if (!optional.has(field)) assertRejected(without);
+			assertRejected({ ...message, [field]: { wrong: true } });
 		}
 	}
 	for (const raw of [null, 1, "running", [], {}, { kind: "toString" }, { kind: "gossip", epoch: 1 }])
--- a/tests/service/replica-repair.test.ts
+++ b/tests/service/replica-repair.test.ts
@@ -26,10 +26,10 @@
 	await world.submit("runner-0", { ...job, id: "j-000002" });
 	await world.time.advance(500);
 	const leader = world.controllerOf(world.leaderNode() as string);
-	const known = leader.replica.jobs.get("j-000002");
-	assert.ok(known);
+	const existingJob = leader.replica.jobs.get("j-000002");
+	assert.ok(existingJob);
 	world.expectJob({ ...job, id: "j-000003" });
-	const value = { ...known.value, spec: { ...known.value.spec, id: "j-000003" } };
+	const value = { ...existingJob.value, spec: { ...existingJob.value.spec, id: "j-000003" } };
 	world.state.epoch += 1;
 	world.state.rows.set("r/job/j-000003", { v: encodeJobRecord(value), stamp: world.state.epoch });
 	// Adds the job to the store replica without calling the listeners.
--- a/tests/service/store-outages.test.ts
+++ b/tests/service/store-outages.test.ts
@@ -6,19 +6,19 @@
 test("a node cut off from the store answers 503 at once, and is not ready while the store answers other nodes", async () => {
 	const world = new World();
 	await world.time.advance(2000);
-	const other = nodeNames.find((n) => n !== world.leaderNode()) as string;
-	assert.equal(world.ready(other), true);
-	world.network.fault = (from, to) => (to === "state" && from.startsWith(other) ? { cut: true } : {});
+	const isolatedNode = nodeNames.find((n) => n !== world.leaderNode()) as string;
+	assert.equal(world.ready(isolatedNode), true);
+	world.network.fault = (from, to) => (to === "state" && from.startsWith(isolatedNode) ? { cut: true } : {});
 	await world.time.advance(12_000);
-	assert.equal(world.ready(other), false);
+	assert.equal(world.ready(isolatedNode), false);
 	for (let i = 0; i < 10; i++) {
-		const before = world.time.now();
-		assert.equal((await world.submit(other, { ...job, id: `j-00010${i}` })).status, 503);
-		assert.ok(world.time.now() - before <= 50, "the response was not immediate");
+		const submittedAt = world.time.now();
+		assert.equal((await world.submit(isolatedNode, { ...job, id: `j-00010${i}` })).status, 503);
+		assert.ok(world.time.now() - submittedAt <= 50, "the response was not immediate");
 	}
 	world.network.fault = () => ({});
 	await world.time.advance(8000);
-	assert.equal(world.ready(other), true);
+	assert.equal(world.ready(isolatedNode), true);
 	// If the store answers no node, a node taken out of rotation would only return late.
 	world.state.setOutage(true);
 	await world.time.advance(12_000);
--- a/tests/service/submissions.test.ts
+++ b/tests/service/submissions.test.ts
@@ -7,10 +7,10 @@
 	const world = new World();
 	world.crash("runner-2");
 	await world.time.advance(8000);
-	const standing = { ...job, form: "standing", cores: 1 };
-	const early = await world.submit("runner-0", standing);
-	assert.equal(early.status, 503);
-	assert.match(early.body.error as string, /not all controllers/);
+	const serviceJob = { ...job, form: "standing", cores: 1 };
+	const earlyResponse = await world.submit("runner-0", serviceJob);
+	assert.equal(earlyResponse.status, 503);
+	assert.match(earlyResponse.body.error as string, /not all controllers/);
 	assert.equal(
 		(await world.submit("runner-0", { ...job, id: "j-000002" })).status,
 		201,
@@ -18,15 +18,15 @@
 	);
 	world.start("runner-2");
 	await world.time.advance(5000);
-	assert.equal((await world.submit("runner-0", standing)).status, 201);
+	assert.equal((await world.submit("runner-0", serviceJob)).status, 201);
 	world.crash("runner-2");
 	await world.time.advance(5000);
-	assert.equal((await world.submit("runner-1", { ...standing, id: "j-000003" })).status, 201);
-	assert.equal((await world.submit("runner-1", { ...standing, id: "j-000004", pieces: 9 })).status, 422);
-	assert.equal((await world.submit("runner-1", { ...standing, id: "j-000005", guess_s: 5 })).status, 400);
+	assert.equal((await world.submit("runner-1", { ...serviceJob, id: "j-000003" })).status, 201);
+	assert.equal((await world.submit("runner-1", { ...serviceJob, id: "j-000004", pieces: 9 })).status, 422);
+	assert.equal((await world.submit("runner-1", { ...serviceJob, id: "j-000005", guess_s: 5 })).status, 400);
 	assert.equal((await world.submit("runner-1", { ...job, id: "j-000006", guess_s: 0 })).status, 400);
 	assert.equal(
-		(await world.submit("runner-1", { ...standing, id: "j-000007", hall: "a", spread: true })).status,
+		(await world.submit("runner-1", { ...serviceJob, id: "j-000007", hall: "a", spread: true })).status,
 		422,
 	);
 	assert.deepEqual(world.broken, []);
