--- a/src/coordination/workers/fault-attribution.ts
+++ b/src/coordination/workers/fault-attribution.ts
@@ -11,7 +11,7 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { AttemptOutcome } from "./task-reconciliation.js";
 
-/** Number of finished runs of a job from which their mean duration is used to estimate its other tasks. */
+/** Minimum number of finished runs of a job before a further run is compared with their mean duration. */
 const minRunsForMean = 4;
 
 /** A replica that has run for longer than this counts as started successfully. */
@@ -35,7 +35,7 @@
 /** Weight of a failure as evidence against its machine if no task of the job has ever succeeded; otherwise it is 1. */
 const unprovenJobWeight = 0.5;
 
-/** Evaluates the outcomes of attempts: holds off failing jobs, and quarantines and releases machines. */
+/** Evaluates the outcomes of attempts: delays the retries of failing jobs, and quarantines and releases machines. */
 export class FaultAttribution {
 	/** @param quarantineThreshold Weighted number of jobs with failures on a machine at which it is quarantined. */
 	constructor(
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -56,15 +56,15 @@
 }
 
 /**
- * Period within which a worker that cannot reach the leader sends a heartbeat to each other controller about once: it
- * waits 4 s for a response, and 1 s before it tries the next controller.
+ * Period within which a worker that cannot reach the leader sends about one heartbeat to another controller: it waits
+ * 4 s for a response, and 1 s before it tries the next controller.
  */
 const misdirectedWindowMs = 6000;
 
 /** Minimum interval between reports of misdirected workers to a leader that most workers cannot reach. */
 const misdirectedReportIntervalMs = 100;
 
-/** A leader that has sent no message for longer than this is neither a redirect target nor forwarded heartbeats. */
+/** After this time without a message from the leader, no worker is redirected and no heartbeat is forwarded to it. */
 const leaderTimeoutMs = 1200;
 
 /** State of the leader that this process follows, from that leader's messages. */
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -40,8 +40,9 @@
 	}
 
 	/**
-	 * If many machines appear unreachable while this process is short of processor time, the cause is that its
-	 * responses are late. Deleting the machines would lose all the work on them (trace 23).
+	 * If many machines appear unreachable while this process is short of processor time, it treats them as reachable:
+	 * the cause is that its own responses are late, and deleting the machines would lose all the work on them (trace
+	 * 23).
 	 */
 	private ignoreIfMany(unreachable: readonly Machine[]): void {
 		const maxCredible = Math.max(
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -43,8 +43,8 @@
 	constructor(private readonly options: OrphanCleanupOptions) {}
 
 	/**
-	 * Stops the machine's orphaned tasks by direct command. A heartbeat response may never carry the stops: for
-	 * example, a probe during a failover returns a heartbeat that is not answered.
+	 * Stops the machine's orphaned tasks by direct command. It is not certain that a heartbeat response will contain
+	 * the stops: for example, a probe during a failover returns a heartbeat that is not answered.
 	 *
 	 * @param previousOrphans The orphaned tasks as of the previous heartbeat, for which stops have been sent.
 	 */
--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -166,8 +166,8 @@
 
 /**
  * True if a listed task should continue to run. Of two attempts the one with the larger number is current: an attempt
- * is assigned only when the previous one is proved to have ended, but after a failover a late copy of a heartbeat may
- * list the previous one again ("a late copy that lists an earlier attempt does not replace the later attempt of the
+ * is assigned only when the previous one is confirmed to have ended, but after a failover a late copy of a heartbeat
+ * may list the previous one again ("a late copy that lists an earlier attempt does not replace the later attempt of the
  * task" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
 function shouldContinue(job: Job, { taskIndex, attempt }: TaskStatus): boolean {
--- a/tests/coordination/workers/heartbeat-reconciliation.test.ts
+++ b/tests/coordination/workers/heartbeat-reconciliation.test.ts
@@ -93,7 +93,7 @@
 		assert.equal(
 			job.attempts.get(0)?.number,
 			905,
-			"it was assigned after the earlier attempt was proved to have ended",
+			"it was assigned after the earlier attempt was confirmed to have ended",
 		);
 		assert.equal(clusterState.quotas.usage("red").cpus, 1);
 		const otherMachine = clusterState.machines.get("n-2");
--- a/tests/coordination/workers/orphan-cleanup.test.ts
+++ b/tests/coordination/workers/orphan-cleanup.test.ts
@@ -111,8 +111,8 @@
 		const stopOf = (attempt: number) => ({ kind: "stop", jobId: "j-9", taskIndex: 0, attempt, graceS: 0 });
 
 		receive(1, []);
-		// The machine existed and had no orphans. If its list were changed in place, `before` would already contain the
-		// new orphan, and no stop would be sent.
+		// The machine existed and had no orphans. If its list were changed in place, `previousOrphans` would already
+		// contain the new orphan, and no stop would be sent.
 		receive(2, [7]);
 		assert.deepEqual(sent, [[stopOf(7)]]);
 		receive(3, [7]);
