--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -68,7 +68,7 @@
 		this.faultAttribution.record({ attempt, cause: "done" }, this.now + 10);
 	}
 
-	/** Returns the machines on which placement does not put the job at a time after its last failure. */
+	/** Returns the machines that placement avoids for the job at this time after its last failure. */
 	machinesAvoidedBy(job: Job, sinceLastFailureMs: number): string[] {
 		const capacities = [...this.clusterState.machines.values()].map(capacityOf);
 		const clockReadings = { now: job.failures.lastAt + sinceLastFailureMs, date: 0 };
--- a/tests/service/cancellation-races.test.ts
+++ b/tests/service/cancellation-races.test.ts
@@ -18,7 +18,7 @@
 	await world.submit("runner-0", job);
 	await world.time.advance(10_000);
 	const follower = nodeNames.find((n) => n !== world.leaderNode()) as string;
-	delayTransactions(world, (who) => who.startsWith(follower), 12_000);
+	delayTransactions(world, (sender) => sender.startsWith(follower), 12_000);
 	const response = await world.abort(follower, job.id);
 	assert.equal(response.status, 503, "the outcome is unknown");
 	await world.time.advance(20_000);
@@ -35,7 +35,7 @@
 	await world.time.advance(9_000);
 	const leader = world.leaderNode() as string;
 	const follower = nodeNames.find((n) => n !== leader) as string;
-	delayTransactions(world, (who) => who.startsWith(leader), 6_000);
+	delayTransactions(world, (sender) => sender.startsWith(leader), 6_000);
 	for (let i = 0; i < 200 && (world.running("j-000001/0") || world.running("j-000001/1")); i++) {
 		await world.time.advance(100);
 	}
