--- a/tests/coordination/workers/heartbeat-router.test.ts
+++ b/tests/coordination/workers/heartbeat-router.test.ts
@@ -149,7 +149,7 @@
 		});
 		assert.deepEqual(await first, { kind: "commands", fencingToken: 7, commands: [stop] });
 		assert.deepEqual(await second, tryAnother);
-		assert.equal(setup.router.countMisdirectedWorkers(), 0, "the leader requested that heartbeats be sent here");
+		assert.equal(setup.router.countMisdirectedWorkers(), 0, "the leader requested forwarding");
 	});
 
 	test("is forwarded again to the next leader if the leader changes before it responds", async () => {
