--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -1,4 +1,4 @@
-/** Builds a controller and its parts. */
+/** Builds a controller and its components. */
 
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
@@ -32,7 +32,7 @@
 import { TermSupervisor } from "./term-supervisor.js";
 import { HeartbeatRouter } from "./workers/heartbeat-router.js";
 
-/** What a controller needs of the world outside. */
+/** The external systems and the environment that a controller uses. */
 export interface ControllerPorts {
 	store: KeyValueStore;
 	cloud: CloudProvider;
@@ -41,22 +41,22 @@
 	clock: Clock;
 	log: Log;
 	random: RandomGenerator;
-	/** Runs a batch of actions soon, after the events that are being handled. */
+	/** Schedules a batch of actions to run after the events that are being handled. */
 	schedule(run: () => void): void;
-	/** Makes team quota for this process; null or left out: it is off. */
-	teamQuota?(post: (action: () => void) => void): TeamQuotaPort | null;
+	/** Creates team quota for this process; team quota is off if this is omitted or returns null. */
+	createTeamQuota?(post: (action: () => void) => void): TeamQuotaPort | null;
 }
 
-/** What a controller is built from. */
+/** The settings, the identity and the ports of a controller. */
 export interface ControllerOptions {
 	platform: PlatformSettings;
 	operator: OperatorSettings;
-	/** Names this process; no other process of any controller has the same. */
+	/** Identifier of this process, unique among all processes of all controllers. */
 	incarnation: Incarnation;
 	ports: ControllerPorts;
 }
 
-/** Builds a controller. Nothing happens before it is started. */
+/** Builds a controller, which does nothing until it is started. */
 export function createController(options: ControllerOptions): Controller {
 	const { platform, operator, incarnation, ports } = options;
 	const { store, clock, log } = ports;
@@ -69,14 +69,14 @@
 		(key, error) => log.error({ key, err: error }, "malformed value in the store"),
 		platform.cluster.state.write_rps,
 	);
-	const teamQuota = ports.teamQuota?.(post) ?? null;
+	const teamQuota = ports.createTeamQuota?.(post) ?? null;
 	const replicaSync = new ReplicaSync({ replica, store, clock, log, post });
-	const runningTasks = new RunningTaskCounts();
+	const runningTaskCounts = new RunningTaskCounts();
 
 	const leadership: Leadership = createLeadership(
 		options,
 		{ replica, replicaSync, peers, post },
-		() => terms,
+		() => termSupervisor,
 	);
 	const machineTypes: MachineTypeCatalog = new MachineTypeCatalog({
 		cloud: ports.cloud,
@@ -86,9 +86,9 @@
 		post,
 		authority: () => leadership.authorizedTerm(),
 		stored: () => replica.machineTypes?.value ?? null,
-		refreshed: (types) => terms.leader?.machineTypesRefreshed(types),
+		refreshed: (types) => termSupervisor.leader?.onMachineTypesRefreshed(types),
 	});
-	const terms: TermSupervisor = new TermSupervisor({
+	const termSupervisor: TermSupervisor = new TermSupervisor({
 		platform,
 		operator,
 		incarnation,
@@ -101,10 +101,10 @@
 		onTermBegun: (term) => heartbeatRouter.startLeading(term),
 	});
 	const heartbeatRouter = new HeartbeatRouter({
-		self: platform.node,
+		node: platform.node,
 		peers,
 		clock,
-		activeLeader: () => terms.activeLeader,
+		activeLeader: () => termSupervisor.activeLeader,
 		leaderInStore: () => replica.leader?.value.node ?? null,
 		reportMisdirectedWorkers: (leader, term) => controller.replyToLeader(leader, term),
 	});
@@ -117,21 +117,22 @@
 		zones: platform.cluster.zones,
 		maxValueBytes: platform.cluster.state.value_kb * 1024,
 		call: (action) => executor.call(action),
-		runningTaskCount: (jobId) => terms.leader?.runningCount(jobId) ?? runningTasks.of(jobId),
+		runningTaskCount: (jobId) =>
+			termSupervisor.leader?.runningCount(jobId) ?? runningTaskCounts.countOf(jobId),
 	});
 	const controller = new Controller({
 		executor,
 		replica,
 		replicaSync,
 		leadership,
-		terms,
+		termSupervisor,
 		jobs,
 		heartbeatRouter,
 		placer: new Placer(replica, teamQuota),
 		peers,
 		machineTypes,
 		readiness: new Readiness({ replica, replicaSync, hasPeers: platform.others.length > 0, clock }),
-		runningTasks,
+		runningTaskCounts,
 		pauseDetector: new PauseDetector(clock),
 		teamQuota,
 		clock,
@@ -140,27 +141,27 @@
 	return controller;
 }
 
-interface LeadershipParts {
+interface LeadershipComponents {
 	replica: StoreReplica;
 	replicaSync: ReplicaSync;
 	peers: PeerChannel;
 	post(action: () => void): void;
 }
 
-/** `terms` is asked for when a term begins or ends, which is after all parts are built. */
+/** `termSupervisor` is called only when a term begins or ends, which is after all components have been built. */
 function createLeadership(
 	{ platform, operator, incarnation, ports }: ControllerOptions,
-	{ replica, replicaSync, peers, post }: LeadershipParts,
-	terms: () => TermSupervisor,
+	{ replica, replicaSync, peers, post }: LeadershipComponents,
+	termSupervisor: () => TermSupervisor,
 ): Leadership {
-	const others = platform.others.map(({ node }) => node);
+	const otherControllers = platform.others.map(({ node }) => node);
 	const broadcast = (message: LeadershipMessage) => {
-		for (const node of others) peers.send(node, message);
+		for (const node of otherControllers) peers.send(node, message);
 	};
 	return new Leadership({
 		node: platform.node,
 		incarnation,
-		otherControllers: others,
+		otherControllers: otherControllers,
 		settings: {
 			leaseTtlMs: operator.leadership.ttl_s * 1000,
 			marginMs: operator.leadership.margin_s * 1000,
@@ -178,8 +179,8 @@
 		post,
 		jitter: () => uniformInt(ports.random, 0, 999) / 1000,
 		broadcast,
-		onElected: (term) => terms().onElected(term),
-		onLeadershipLost: (term, reason) => terms().onLeadershipLost(term, reason),
+		onElected: (term) => termSupervisor().onElected(term),
+		onLeadershipLost: (term, reason) => termSupervisor().onLeadershipLost(term, reason),
 	});
 }
 
@@ -201,7 +202,7 @@
 	}
 }
 
-/** The quota of a team that the platform names: what its record says, else the platform's settings. */
+/** Returns the quota of a team in the platform settings; its stored quota record takes precedence over the settings. */
 function quotaOf(
 	platform: PlatformSettings,
 	teamQuota: TeamQuotaPort | null,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,4 +1,4 @@
-/** One controller process: the owner of its state, between the world outside and the parts that decide. */
+/** One controller process: receives all external input and dispatches it to the components that decide on it. */
 
 import type { StoreReplica } from "../bookkeeping/store-replica.js";
 import type { NodeId, Term } from "../protocol/model/identifiers.js";
@@ -22,20 +22,20 @@
 import type { TermSupervisor } from "./term-supervisor.js";
 import type { HeartbeatResponse, HeartbeatRouter } from "./workers/heartbeat-router.js";
 
-/** The parts of a controller; `controller-composition.ts` builds them. */
-export interface ControllerParts {
+/** The components of a controller; `controller-composition.ts` builds them. */
+export interface ControllerComponents {
 	executor: SerialExecutor;
 	replica: StoreReplica;
 	replicaSync: ReplicaSync;
 	leadership: Leadership;
-	terms: TermSupervisor;
+	termSupervisor: TermSupervisor;
 	jobs: JobService;
 	heartbeatRouter: HeartbeatRouter;
 	placer: Placer;
 	peers: PeerChannel;
 	machineTypes: MachineTypeCatalog;
 	readiness: Readiness;
-	runningTasks: RunningTaskCounts;
+	runningTaskCounts: RunningTaskCounts;
 	pauseDetector: PauseDetector;
 	/** null: team quota is off. */
 	teamQuota: TeamQuotaPort | null;
@@ -44,103 +44,103 @@
 }
 
 /**
- * Receives requests, heartbeats, messages and ticks, and runs each as an action of the serial executor, which is the
- * one owner of all state of the process.
+ * Receives requests, heartbeats, messages and ticks, and runs each as an action of the serial executor. Only actions of
+ * that executor change the state of the process.
  */
 export class Controller {
 	private stopped = false;
 
-	constructor(private readonly parts: ControllerParts) {
-		const { executor, replica } = parts;
+	constructor(private readonly components: ControllerComponents) {
+		const { executor, replica } = components;
 		replica.onChange((key) => this.replicaChanged(key));
-		executor.onBatchStart(() => this.detectPause());
-		executor.onBatchEnd(() => parts.terms.leader?.place());
+		executor.onBatchStart(() => this.detectProcessPause());
+		executor.onBatchEnd(() => components.termSupervisor.leader?.runPlacement());
 	}
 
 	/** Submission, status and cancellation of jobs. */
 	get jobs(): JobService {
-		return this.parts.jobs;
+		return this.components.jobs;
 	}
 
-	/** This process's copy of the store. */
+	/** This process's replica of the store. */
 	get replica(): StoreReplica {
-		return this.parts.replica;
+		return this.components.replica;
 	}
 
-	/** Begins to follow the store and to tick. */
+	/** Starts the synchronization with the store and the ticks. */
 	start(): void {
-		this.parts.replicaSync.start();
+		this.components.replicaSync.start();
 		this.scheduleTick();
 	}
 
-	/** Gives up leadership and stops; a running request may still be answered. */
+	/** Resigns leadership and stops; requests in progress may still be answered. */
 	stop(): void {
 		this.stopped = true;
-		this.parts.replicaSync.stop();
-		this.parts.executor.post(() => this.parts.leadership.resign("controller stopping"));
+		this.components.replicaSync.stop();
+		this.components.executor.post(() => this.components.leadership.resign("controller stopping"));
 	}
 
-	/** This controller should receive users' connections. */
+	/** True if this controller should receive users' connections. */
 	ready(): boolean {
-		return this.parts.readiness.ready;
+		return this.components.readiness.ready;
 	}
 
-	/** The commands for a worker, or the controller that it should turn to. */
+	/** Returns the commands for a worker, or the controller to which it must send its heartbeats. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<HeartbeatResponse> {
-		return this.parts.executor.call(() => this.parts.heartbeatRouter.handle(heartbeat));
+		return this.components.executor.call(() => this.components.heartbeatRouter.handle(heartbeat));
 	}
 
-	/** A message of another controller, as it came over the link. */
-	peerMessage(from: NodeId, encoded: unknown): void {
-		const message = this.parts.peers.decode(from, encoded);
-		if (message) this.parts.executor.post(() => this.handlePeerMessage(from, message));
+	/** Receives an encoded message from another controller. */
+	receivePeerMessage(from: NodeId, encoded: unknown): void {
+		const message = this.components.peers.decode(from, encoded);
+		if (message) this.components.executor.post(() => this.handlePeerMessage(from, message));
 	}
 
 	// --- time ---
 
 	private scheduleTick(): void {
-		this.parts.clock.after(tickMs, () => {
+		this.components.clock.after(tickMs, () => {
 			if (this.stopped) return;
-			this.parts.executor.post(() => this.tick());
+			this.components.executor.post(() => this.tick());
 			this.scheduleTick();
 		});
 	}
 
 	private tick(): void {
-		const { replica, leadership, machineTypes, terms, heartbeatRouter } = this.parts;
-		// Machine types are the first thing that a first leader writes: without them there was no leader before.
+		const { replica, leadership, machineTypes, termSupervisor, heartbeatRouter } = this.components;
+		// The first leader's first write is the machine types. If they are absent, there has been no leader before.
 		if (replica.loaded && replica.machineTypes === null) leadership.endStartupHoldoff();
 		leadership.tick(replica.leader, replica.loaded);
 		if (leadership.authorizedTerm() !== null) machineTypes.tick();
-		terms.leader?.tick();
+		termSupervisor.leader?.tick();
 		heartbeatRouter.tick();
 	}
 
-	private detectPause(): void {
-		const pausedMs = this.parts.pauseDetector.observe();
+	private detectProcessPause(): void {
+		const pausedMs = this.components.pauseDetector.observe();
 		if (pausedMs !== null) this.onProcessPause(pausedMs);
 	}
 
 	/**
-	 * The process stood still while its clocks ran on, and others may have acted since. Nothing that was known,
-	 * decided or half done before counts until it is confirmed: authority by a fresh answer of the store or of every
-	 * other controller, and the silence of the store, the workers and the other controllers by a fresh wait
-	 * (trace 54, tests/service/process-pauses.test.ts).
+	 * Handles a process pause: the process did not run while its clocks advanced, and other processes may have acted
+	 * since. State, decisions and operations from before the pause are not relied on until confirmed: authority
+	 * requires a new response of the store or of every other controller, and timeouts of the store, the workers and the
+	 * other controllers start anew (trace 54, tests/service/process-pauses.test.ts).
 	 */
 	private onProcessPause(pausedMs: number): void {
-		const { log, leadership, replicaSync, heartbeatRouter, terms } = this.parts;
+		const { log, leadership, replicaSync, heartbeatRouter, termSupervisor } = this.components;
 		log.info({ pausedMs: Math.round(pausedMs) }, "process pause detected");
 		leadership.onProcessPause();
 		replicaSync.onProcessPause();
 		heartbeatRouter.onProcessPause();
-		terms.leader?.onProcessPause(pausedMs);
+		termSupervisor.leader?.onProcessPause(pausedMs);
 	}
 
 	// --- the replica of the store ---
 
 	private replicaChanged(key: string): void {
-		const { replica, terms, teamQuota } = this.parts;
-		if (key.startsWith(keys.jobs)) terms.leader?.jobChanged(key.slice(keys.jobs.length));
+		const { replica, termSupervisor, teamQuota } = this.components;
+		if (key.startsWith(keys.jobs)) termSupervisor.leader?.onJobChanged(key.slice(keys.jobs.length));
 		const quota = key.startsWith(keys.quota) ? replica.quotaRecords.get(key) : undefined;
 		if (quota) teamQuota?.applyStoredValue(key, quota.value, quota.revision);
 	}
@@ -148,11 +148,11 @@
 	// --- other controllers ---
 
 	private handlePeerMessage(from: NodeId, message: PeerMessage): void {
-		const { peers, leadership, terms, heartbeatRouter, placer, readiness, clock } = this.parts;
+		const { peers, leadership, termSupervisor, heartbeatRouter, placer, readiness, clock } = this.components;
 		const now = clock.now();
-		readiness.peerHeard(now);
+		readiness.onPeerMessage(now);
 		if (message.kind === "leader-heartbeat" || message.kind === "placement-request")
-			heartbeatRouter.noteLeader(from, message, now);
+			heartbeatRouter.onLeaderMessage(from, message, now);
 		switch (message.kind) {
 			case "placement-request":
 				peers.send(from, placer.propose(message));
@@ -174,24 +174,24 @@
 				break;
 			case "placement-proposal":
 			case "leader-heartbeat-reply":
-				terms.leader?.peerMessage(from, message);
+				termSupervisor.leader?.handlePeerMessage(from, message);
 				break;
 		}
 	}
 
 	private handleLeaderHeartbeat(from: NodeId, message: LeaderHeartbeat, now: number): void {
-		const { replica, readiness, runningTasks, teamQuota } = this.parts;
-		// A late copy from an earlier leader: what users are told must not go back.
+		const { replica, readiness, runningTaskCounts, teamQuota } = this.components;
+		// Ignores late copies from earlier leaders, so that the task counts shown to users do not go back in time.
 		if (message.term < (replica.leader?.revision ?? 0)) return;
-		if (message.storeReachable) readiness.storeServesPeer(now);
-		runningTasks.replace(message.runningTasks);
+		if (message.storeReachable) readiness.onPeerStoreReachable(now);
+		runningTaskCounts.replace(message.runningTasks);
 		if (message.teamQuota !== undefined) teamQuota?.applyAllotmentUpdate(message.term, message.teamQuota);
 		this.replyToLeader(from, message.term);
 	}
 
-	/** Tells the leader how many workers turn to this controller, and what this version supports. */
+	/** Sends the leader the number of misdirected workers at this controller, and the features that it supports. */
 	replyToLeader(leader: NodeId, term: Term): void {
-		const { peers, heartbeatRouter, teamQuota } = this.parts;
+		const { peers, heartbeatRouter, teamQuota } = this.components;
 		const reply: LeaderHeartbeatReply = {
 			kind: "leader-heartbeat-reply",
 			term,
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -1,4 +1,4 @@
-/** Builds a leader and the parts that work for it in its term. */
+/** Builds the leader of a term and its components. */
 
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Machine } from "../bookkeeping/machine.js";
@@ -11,7 +11,7 @@
 import { Fleet } from "./fleet/fleet.js";
 import { ReplicaRelocation } from "./fleet/replica-relocation.js";
 import { LiveJobs } from "./jobs/live-jobs.js";
-import { Leader, type LeaderParts } from "./leader.js";
+import { Leader, type LeaderComponents } from "./leader.js";
 import { Failover } from "./leadership/failover.js";
 import { FailureDetector } from "./leadership/failure-detector.js";
 import { FeatureGate } from "./leadership/feature-gate.js";
@@ -38,18 +38,18 @@
 import { MachineRecords } from "./workers/machine-records.js";
 import { OrphanCleanup } from "./workers/orphan-cleanup.js";
 
-/** How often a controller ticks. */
+/** Interval between the ticks of a controller. */
 export const tickMs = 100;
 
-/** Waited for beyond a worker's lease, drift included, before the lease has certainly expired. */
+/** Margin added to a worker's lease and its clock drift before the leader treats the lease as expired. */
 const leaseExpiryMarginMs = 500;
-/** Values of the store are written up to this part of the largest allowed. */
-const valueSizePart = 0.8;
-/** Of the sockets that the process may have, this part is for direct commands to workers. */
-const directCommandSocketsPart = 0.1;
-const leastDirectCommandsInFlight = 8;
+/** Maximum size of the values that are written, as a fraction of the store's limit. */
+const maxValueSizeFraction = 0.8;
+/** Fraction of the process's file descriptors that direct commands to workers may use. */
+const directCommandSocketFraction = 0.1;
+const minDirectCommandsInFlight = 8;
 
-/** What a leader needs of the world outside. */
+/** The external systems and the environment that a leader uses. */
 export interface LeaderPorts {
 	store: KeyValueStore;
 	cloud: CloudProvider;
@@ -62,7 +62,7 @@
 	random: RandomGenerator;
 }
 
-/** What a leader needs to begin its term. */
+/** The settings, state and ports of the leader of a term. */
 export interface LeaderOptions {
 	term: Term;
 	platform: PlatformSettings;
@@ -70,52 +70,52 @@
 	replica: StoreReplica;
 	machineTypes: MachineType[];
 	ports: LeaderPorts;
-	/** This process may act for the controllers in the term now. */
+	/** True if this process is authorized to act as the leader of the term now. */
 	mayAct(): boolean;
-	/** The store answers this controller. */
+	/** True if the store answers this controller. */
 	storeReachable(): boolean;
-	/** Gives up leadership. */
+	/** Resigns leadership. */
 	resign(reason: ResignationReason): void;
-	/** null: team quota is off, and this leader's own check of limits stands alone. */
+	/** null: team quota is off, and only the leader itself checks team limits. */
 	teamQuota: TeamQuotaPort | null;
-	/** Begins the names of scale-out requests; no other term or process ever uses it. */
+	/** Prefix of the names of scale-out requests, unique to this term and process. */
 	requestPrefix: string;
 }
 
-/** Builds the leader of a term. Nothing happens before it is told to begin. */
+/** Builds the leader of a term, which does nothing until `begin` is called. */
 export function createLeader(options: LeaderOptions): Leader {
-	return new Leader(composeParts(options));
+	return new Leader(createComponents(options));
 }
 
-function composeParts(options: LeaderOptions): LeaderParts {
+function createComponents(options: LeaderOptions): LeaderComponents {
 	const { term, platform, operator, replica, ports } = options;
 	const { cluster } = platform;
 	const { store, workers, peers, clock, log, post, random } = ports;
-	const beganAt = clock.now();
-	const tickDelay = new TickDelay(tickMs, beganAt);
+	const termStartedAt = clock.now();
+	const tickDelay = new TickDelay(tickMs, termStartedAt);
 	const authority = new TermAuthority({ term, mayAct: options.mayAct, resign: options.resign });
 	const active = () => authority.active;
 	const clusterState = createClusterState(options);
 
-	const leaseMonitor = new LeaseMonitor(clusterState, beganAt, log);
-	const commands = createCommandSender(options, active);
-	const faults = new FaultAttribution(clusterState, operator.machines.faulty_after, log);
+	const leaseMonitor = new LeaseMonitor(clusterState, termStartedAt, log);
+	const commandSender = createCommandSender(options, active);
+	const faultAttribution = new FaultAttribution(clusterState, operator.machines.faulty_after, log);
 	const orphanCleanup = new OrphanCleanup({
 		clusterState,
 		store,
 		clock,
-		commandSender: commands,
+		commandSender,
 		log,
 		post,
 		active,
 		onFinalRecord: (jobId, record, revision) => replica.addFinalRecord(jobId, record, revision),
 	});
-	const relocation = new ReplicaRelocation(clusterState, commands, log);
+	const relocation = new ReplicaRelocation(clusterState, commandSender, log);
 
 	const leaderQuota = options.teamQuota?.beginTerm(term) ?? null;
 	const failureDetector = new FailureDetector({
 		term,
-		termStartedAt: beganAt,
+		termStartedAt: termStartedAt,
 		platform,
 		settings: operator,
 		clusterState,
@@ -130,35 +130,35 @@
 			? createQuotaAdmission(options, options.teamQuota, leaderQuota, {
 					clusterState,
 					failureDetector,
-					commands,
+					commandSender,
 				})
 			: null;
 
-	const records = recordsEnvironment(options, authority);
-	const machineRecords = new MachineRecords(clusterState, records);
+	const chunkedRecords = recordsEnvironment(options, authority);
+	const machineRecords = new MachineRecords(clusterState, chunkedRecords);
 	const liveJobs = new LiveJobs({
 		authority,
 		clusterState,
 		replica,
 		store,
-		chunkedRecords: records,
+		chunkedRecords,
 		clock,
 		log,
 		post,
-		stopAttempts: (attempts) => commands.stop(attempts),
+		stopAttempts: (attempts) => commandSender.sendStops(attempts),
 	});
 
 	const heartbeats: HeartbeatService = new HeartbeatService({
 		term,
 		heartbeatIntervalS: cluster.workers.report_s,
 		clusterState,
-		// Only heartbeats that come later are told to the fleet, which in turn tells of deleted machines.
+		// `fleet` is built below; these functions are called only when heartbeats arrive, which is later.
 		fleet: {
 			isDeleted: (machine) => fleet.isDeleted(machine),
 			onMachineRunning: (machine) => fleet.onMachineRunning(machine),
 		},
-		commandSender: commands,
-		faultAttribution: faults,
+		commandSender,
+		faultAttribution,
 		orphanCleanup,
 		finishIfDone: (job) => liveJobs.finalizeIfDone(job),
 		tickDelay,
@@ -185,9 +185,9 @@
 		decided: (attempt) => heartbeats.onAssigned(attempt),
 	});
 	const inOrder = (jobs: Parameters<typeof placement.inOrder>[0]) => placement.inOrder(jobs);
-	const preemption = new PreemptionCycle(clusterState, commands, inOrder, random, log);
+	const preemption = new PreemptionCycle(clusterState, commandSender, inOrder, random, log);
 
-	const machineDeleted = (machine: Machine) => {
+	const onMachineDeleted = (machine: Machine) => {
 		const tasks = clusterState.removeMachine(machine);
 		log.info({ machineId: machine.id, tasks }, "machine deleted");
 		heartbeats.onMachineDeleted(machine);
@@ -202,13 +202,13 @@
 		listLagMs: cluster.cloud.list_lag_s * 1000,
 		leaseMs: cluster.workers.lease_s * 1000,
 		requestPrefix: options.requestPrefix,
-		hooks: { post, authority: active, gone: machineDeleted },
+		hooks: { post, authority: active, gone: onMachineDeleted },
 		log,
 	});
 	const failover = new Failover({
 		clusterState,
 		workers,
-		termStartedAt: beganAt,
+		termStartedAt: termStartedAt,
 		log,
 		post,
 		active,
@@ -219,7 +219,7 @@
 
 	return {
 		authority,
-		beganAt,
+		termStartedAt,
 		clusterState,
 		replica,
 		liveJobs,
@@ -257,8 +257,8 @@
 	{ term, platform, ports }: LeaderOptions,
 	active: () => boolean,
 ): DirectCommandSender {
-	const sockets = platform.cluster.resources.fd_limit * directCommandSocketsPart;
-	const maxInFlight = Math.floor(Math.max(leastDirectCommandsInFlight, sockets));
+	const socketsForCommands = platform.cluster.resources.fd_limit * directCommandSocketFraction;
+	const maxInFlight = Math.floor(Math.max(minDirectCommandsInFlight, socketsForCommands));
 	const { workers, post, log } = ports;
 	return new DirectCommandSender({ term, maxInFlight, workers, active, post, log });
 }
@@ -267,16 +267,20 @@
 	{ platform, operator, replica, ports }: LeaderOptions,
 	quota: TeamQuotaPort,
 	leaderQuota: LeaderQuotaPort,
-	parts: { clusterState: ClusterState; failureDetector: FailureDetector; commands: DirectCommandSender },
+	components: {
+		clusterState: ClusterState;
+		failureDetector: FailureDetector;
+		commandSender: DirectCommandSender;
+	},
 ): QuotaAdmission {
-	const { clusterState, failureDetector, commands } = parts;
+	const { clusterState, failureDetector, commandSender } = components;
 	const nodes: NodeId[] = [platform.node, ...platform.others.map(({ node }) => node)];
 	return new QuotaAdmission({
 		quota,
 		leaderQuota,
 		clusterState,
 		peerMonitor: failureDetector,
-		orders: commands,
+		orders: commandSender,
 		nodes,
 		preemptAfterMs: operator.team_quota.preempt_after_s * 1000,
 		servedByAll: () => replica.features.teamQuota || failureDetector.allSupportTeamQuota,
@@ -292,14 +296,14 @@
 	const { value_kb, txn_ops } = platform.cluster.state;
 	return {
 		leaderCondition: authority.leaderCondition,
-		maxChunkBytes: Math.floor(value_kb * 1024 * valueSizePart),
+		maxChunkBytes: Math.floor(value_kb * 1024 * maxValueSizeFraction),
 		maxChangesPerWrite: txn_ops,
 		store,
 		post,
 		now: () => clock.now(),
 		onLeaderKeyLost: () => authority.leaderKeyLost(),
-		onWriteFailed: (error) => log.debug({ err: error }, "records not written"),
+		onWriteFailed: (error) => log.debug({ err: error }, "writing records failed"),
 		onChunksRejected: (keys, maxBytes) =>
-			log.error({ keys, maxBytes }, "store rejected values: splitting them"),
+			log.error({ keys, maxBytes }, "store rejected oversized values; splitting them"),
 	};
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -1,4 +1,4 @@
-/** One term of leadership, from its beginning to its end. */
+/** The leader of one term. */
 
 import { Machine, unknownMachineType } from "../bookkeeping/machine.js";
 import type { StoreReplica } from "../bookkeeping/store-replica.js";
@@ -27,11 +27,11 @@
 import type { LeaseMonitor } from "./workers/lease-monitor.js";
 import type { MachineRecords } from "./workers/machine-records.js";
 
-/** The parts that work for a leader in its term; `leader-composition.ts` builds them. */
-export interface LeaderParts {
+/** The components of a leader; `leader-composition.ts` builds them. */
+export interface LeaderComponents {
 	authority: TermAuthority;
-	/** Steady time at which the term began. */
-	beganAt: number;
+	/** Monotonic time at which the term began. */
+	termStartedAt: number;
 	clusterState: ClusterState;
 	replica: StoreReplica;
 	liveJobs: LiveJobs;
@@ -45,7 +45,7 @@
 	placement: PlacementCycle;
 	preemption: PreemptionCycle;
 	relocation: ReplicaRelocation;
-	/** Team quota; null: this leader's own check of limits stands alone. */
+	/** null: team quota is off, and only the leader itself checks team limits. */
 	leaderQuota: LeaderQuotaPort | null;
 	quotaAdmission: QuotaAdmission | null;
 	tickDelay: TickDelay;
@@ -54,24 +54,24 @@
 }
 
 /**
- * The leader of one term. It reconciles with the machines of the leader before, answers workers' heartbeats, and
- * lets its parts decide about placement, preemption, relocation and the fleet. All of it runs in the process's
- * serial executor.
+ * The leader of one term. It reconciles the machines of the previous leader, answers workers' heartbeats, and drives
+ * the components that decide about placement, preemption, relocation and the fleet. All of its methods run in the
+ * process's serial executor.
  */
 export class Leader implements HeartbeatHandler {
-	constructor(private readonly parts: LeaderParts) {}
+	constructor(private readonly components: LeaderComponents) {}
 
-	/** What this leader knows of jobs, machines and attempts. */
+	/** This leader's state of jobs, machines and attempts. */
 	get clusterState(): ClusterState {
-		return this.parts.clusterState;
+		return this.components.clusterState;
 	}
 
 	/**
-	 * Begins the term. Jobs come from the store. Machines with a record may run tasks of an earlier leader: nothing
-	 * starts before each of them has sent a heartbeat or its lease has expired.
+	 * Begins the term. Jobs are loaded from the store. Machines with a record may run tasks of an earlier leader: no
+	 * task starts before each of them has sent a heartbeat or its lease has expired.
 	 */
 	begin(): void {
-		const { authority, clusterState, replica, liveJobs, machineRecords, failover, log } = this.parts;
+		const { authority, clusterState, replica, liveJobs, machineRecords, failover, log } = this.components;
 		liveJobs.loadAll();
 		machineRecords.load(replica.machineChunks);
 		for (const { value } of replica.machineChunks.values())
@@ -84,65 +84,66 @@
 	}
 
 	private loadMachine(id: MachineId, record: MachineRecord): void {
-		const { clusterState, failover, beganAt } = this.parts;
+		const { clusterState, failover, termStartedAt } = this.components;
 		if (clusterState.machines.has(id)) return;
 		const { machineType, zone, spot, endpoint, agentEpoch } = record;
 		const type = clusterState.machineTypes.get(machineType) ?? unknownMachineType(machineType);
-		const machine = new Machine({ id, type, zone, spot, origin: "record" }, beganAt);
+		const machine = new Machine({ id, type, zone, spot, origin: "record" }, termStartedAt);
 		clusterState.addMachine(machine);
 		machine.agent.setInitialEndpoint(endpoint);
 		failover.markUnreconciled(machine, agentEpoch);
 	}
 
-	/** Ends the term: nothing is decided or answered any more. */
+	/** Ends the term: this leader makes no more decisions and sends no more responses. */
 	end(): void {
-		this.parts.authority.end();
-		this.parts.leaderQuota?.end();
-		this.parts.heartbeats.refuseAll();
+		this.components.authority.end();
+		this.components.leaderQuota?.end();
+		this.components.heartbeats.refuseAll();
 	}
 
 	/** Called every `tickMs`. */
 	tick(): void {
-		const { parts } = this;
-		if (!parts.authority.active) return;
-		const now = parts.clock.now();
-		parts.tickDelay.observe(now);
-		parts.failover.tick(now, parts.tickDelay.overloaded);
-		parts.leaseMonitor.tick(now, parts.tickDelay.overloaded);
-		parts.fleet.tick();
-		parts.machineRecords.flush();
-		parts.liveJobs.writeProgress(now);
-		parts.failureDetector.tick(now, () => this.runningTaskCounts());
-		parts.liveJobs.audit(now);
-		parts.quotaAdmission?.tick(now);
-		if (parts.heartbeats.anyTaskReady(now)) parts.clusterState.requestPlacement();
-		parts.preemption.tick(now);
-		parts.relocation.tick(now);
-		this.place();
-		if (parts.clusterState.attemptNumbersExhausted) parts.authority.resign("attempt numbers exhausted");
+		const { components } = this;
+		if (!components.authority.active) return;
+		const now = components.clock.now();
+		components.tickDelay.observe(now);
+		components.failover.tick(now, components.tickDelay.overloaded);
+		components.leaseMonitor.tick(now, components.tickDelay.overloaded);
+		components.fleet.tick();
+		components.machineRecords.flush();
+		components.liveJobs.writeProgress(now);
+		components.failureDetector.tick(now, () => this.runningTaskCounts());
+		components.liveJobs.audit(now);
+		components.quotaAdmission?.tick(now);
+		if (components.heartbeats.anyTaskReady(now)) components.clusterState.requestPlacement();
+		components.preemption.tick(now);
+		components.relocation.tick(now);
+		this.runPlacement();
+		if (components.clusterState.attemptNumbersExhausted)
+			components.authority.resign("attempt numbers exhausted");
 	}
 
-	/** Places what waits, and sends what was decided. Called after each batch of actions. */
-	place(): void {
-		const { authority, clusterState, heartbeats, placement, clock } = this.parts;
+	/** Runs placement, and sends the starts that it assigned. Called after each batch of actions. */
+	runPlacement(): void {
+		const { authority, clusterState, heartbeats, placement, clock } = this.components;
 		if (!authority.active) return;
 		const now = clock.now();
 		placement.run(now);
-		for (const machine of clusterState.consumeRelocationTargets()) heartbeats.onRelocatedTo(machine);
+		for (const machine of clusterState.consumeRelocationTargets()) heartbeats.onRelocationAssigned(machine);
 		if (placement.settled) {
-			heartbeats.sendAssigned(now);
-			if (!clusterState.placementRequested) heartbeats.releaseForPlacement();
+			heartbeats.sendStarts(now);
+			if (!clusterState.placementRequested) heartbeats.releaseAwaitingPlacement();
 		}
 		heartbeats.onBatchEnd();
 	}
 
 	/**
-	 * The process stood still while its clocks ran on: see `Controller.onProcessPause`.
+	 * Handles a process pause; see `Controller.onProcessPause`.
 	 *
-	 * @param pausedMs How long it stood still.
+	 * @param pausedMs Duration of the pause.
 	 */
 	onProcessPause(pausedMs: number): void {
-		const { tickDelay, heartbeats, failover, placement, clock } = this.parts;
+		const { tickDelay, heartbeats, failover, placement, clock } = this.components;
 		tickDelay.onProcessPause(clock.now());
 		heartbeats.refuseAll();
 		failover.onProcessPause(pausedMs);
@@ -151,46 +152,46 @@
 
 	// --- workers ---
 
-	/** The commands for a worker; null: this process may not answer for the controllers. */
+	/** Returns the commands for a worker; null: this process may not answer as the leader. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
-		return this.parts.heartbeats.handle(heartbeat);
+		return this.components.heartbeats.handle(heartbeat);
 	}
 
-	/** The controller that receives the machine's heartbeats, or null for this one. */
+	/** Returns the controller that forwards the machine's heartbeats; null: the machine sends them to this one. */
 	forwarderFor(machine: MachineId): NodeId | null {
-		return this.parts.failureDetector.forwarderFor(machine, this.parts.clock.now());
+		return this.components.failureDetector.forwarderFor(machine, this.components.clock.now());
 	}
 
-	/** The cloud has named its machine types: prices change, and types come and go. */
-	machineTypesRefreshed(types: MachineType[]): void {
-		this.parts.clusterState.updateMachineTypes(types);
+	/** Applies the cloud's current machine types, whose prices may have changed and which may be added or removed. */
+	onMachineTypesRefreshed(types: MachineType[]): void {
+		this.components.clusterState.updateMachineTypes(types);
 	}
 
 	// --- jobs ---
 
-	/** A job appeared in the replica, or left it. */
-	jobChanged(id: JobId): void {
-		this.parts.liveJobs.onReplicaChange(id);
+	/** Called when a job was added to the store replica or removed from it. */
+	onJobChanged(id: JobId): void {
+		this.components.liveJobs.onReplicaChange(id);
 	}
 
-	/** Tasks of the job that run. */
+	/** Returns the number of running tasks of the job. */
 	runningCount(id: JobId): number {
-		return this.parts.clusterState.jobs.get(id)?.runningCount ?? 0;
+		return this.components.clusterState.jobs.get(id)?.runningCount ?? 0;
 	}
 
-	/** Running tasks by job, for users who ask other controllers. */
+	/** Returns the running tasks by job, for status requests that users send to other controllers. */
 	private runningTaskCounts(): RunningTaskCount[] {
 		const counts: RunningTaskCount[] = [];
-		for (const job of this.parts.clusterState.jobs.values())
+		for (const job of this.components.clusterState.jobs.values())
 			if (job.attempts.size > 0) counts.push([job.id, job.runningCount]);
 		return counts;
 	}
 
 	// --- other controllers ---
 
-	/** A message of another controller to the leader of a term. */
-	peerMessage(from: NodeId, message: PeerMessage): void {
-		const { authority, failureDetector, placement, leaderQuota, clock } = this.parts;
+	/** Handles a message of another controller to the leader of the message's term. */
+	handlePeerMessage(from: NodeId, message: PeerMessage): void {
+		const { authority, failureDetector, placement, leaderQuota, clock } = this.components;
 		if (authority.ended || message.term !== authority.term) return;
 		const now = clock.now();
 		failureDetector.messageReceived(from, now);
@@ -201,9 +202,9 @@
 		if (authority.active) this.recordFeatures();
 	}
 
-	/** Records what every controller supports by now, for good. */
+	/** Permanently records the features that all controllers support. */
 	private recordFeatures(): void {
-		const { featureGate, failureDetector, leaderQuota, replica } = this.parts;
+		const { featureGate, failureDetector, leaderQuota, replica } = this.components;
 		featureGate.recordSupport(replica.features, {
 			serviceJobs: failureDetector.allSupportServiceJobs,
 			teamQuota: failureDetector.allSupportTeamQuota && leaderQuota !== null,
--- a/src/coordination/term-supervisor.ts
+++ b/src/coordination/term-supervisor.ts
@@ -13,12 +13,12 @@
 import type { ResignationReason } from "./state/resignation-reason.js";
 import type { ActiveLeader } from "./workers/heartbeat-router.js";
 
-/** Waited for before machine types are looked for again. */
+/** Delay before the beginning of a term is retried because no machine types are available. */
 const machineTypesRetryMs = 50;
-/** Waited for before the store is asked again whether the replica is up to date. */
+/** Delay before the beginning of a term is retried because the read barrier failed. */
 const readBarrierRetryMs = 100;
 
-/** What the supervisor needs. */
+/** The dependencies of the term supervisor. */
 export interface TermSupervisorOptions {
 	platform: PlatformSettings;
 	operator: OperatorSettings;
@@ -29,54 +29,55 @@
 	machineTypes: MachineTypeCatalog;
 	teamQuota: TeamQuotaPort | null;
 	ports: LeaderPorts;
-	/** A leader has begun its term in this process. */
+	/** Called when a leader has begun its term in this process. */
 	onTermBegun(term: Term): void;
 }
 
 /**
- * A term begins in three steps: the leader key is won; machine types are known; and the replica holds everything
- * that was in the store when the key was won. Only then is there a leader. It ends when leadership is lost.
+ * Owns the leader of this process. A term begins in three steps: this process wins the leader key; the machine types
+ * are available; and the store replica contains everything that was in the store when the key was won. Only then is the
+ * leader created. It ends when leadership is lost.
  */
 export class TermSupervisor {
-	private current: Leader | null = null;
-	/** The term that was won and has not begun. */
-	private beginning: Term | null = null;
+	private currentLeader: Leader | null = null;
+	/** The term whose leader key was won and that has not begun yet. */
+	private pendingTerm: Term | null = null;
 
 	constructor(private readonly options: TermSupervisorOptions) {}
 
-	/** The leader of the term that has begun here, whether it may act or not; null: there is none. */
+	/** The leader whose term has begun in this process, whether or not it may act; null: there is none. */
 	get leader(): Leader | null {
-		return this.current;
+		return this.currentLeader;
 	}
 
-	/** The leader, as long as this process may act for the controllers. */
+	/** The leader in this process and its term, if it is authorized to act; null otherwise. */
 	get activeLeader(): ActiveLeader | null {
 		const term = this.options.leadership.authorizedTerm();
-		return term !== null && this.current ? { term, leader: this.current } : null;
+		return term !== null && this.currentLeader ? { term, leader: this.currentLeader } : null;
 	}
 
-	/** The leader key was won. */
+	/** Begins the term for which the leader key was won. */
 	onElected(term: Term): void {
 		this.options.ports.log.info({ term }, "leadership acquired");
-		this.beginning = term;
-		this.begin(term);
+		this.pendingTerm = term;
+		this.tryBegin(term);
 	}
 
-	/** Leadership has ended, whatever the step it was at. */
+	/** Ends the term, or abandons it if it has not begun yet. */
 	onLeadershipLost(term: Term, reason: ResignationReason): void {
 		this.options.ports.log.info({ term, reason }, "leadership lost");
-		this.beginning = null;
-		this.current?.end();
-		this.current = null;
+		this.pendingTerm = null;
+		this.currentLeader?.end();
+		this.currentLeader = null;
 	}
 
-	private stillBeginning(term: Term): boolean {
-		return this.beginning === term && this.options.leadership.currentTerm === term;
+	private isPending(term: Term): boolean {
+		return this.pendingTerm === term && this.options.leadership.currentTerm === term;
 	}
 
-	private begin(term: Term): void {
+	private tryBegin(term: Term): void {
 		const { machineTypes, replicaSync, ports } = this.options;
-		if (!this.stillBeginning(term)) return;
+		if (!this.isPending(term)) return;
 		if (machineTypes.types === null) {
 			this.retryBegin(term, machineTypesRetryMs);
 			return;
@@ -85,8 +86,8 @@
 		replicaSync.readBarrier().then(
 			() =>
 				ports.post(() => {
-					if (!this.stillBeginning(term)) return;
-					this.beginning = null;
+					if (!this.isPending(term)) return;
+					this.pendingTerm = null;
 					this.startLeader(term, types);
 				}),
 			() => this.retryBegin(term, readBarrierRetryMs),
@@ -95,13 +96,13 @@
 
 	private retryBegin(term: Term, delayMs: number): void {
 		const { clock, post } = this.options.ports;
-		clock.after(delayMs, () => post(() => this.begin(term)));
+		clock.after(delayMs, () => post(() => this.tryBegin(term)));
 	}
 
 	private startLeader(term: Term, types: NonNullable<MachineTypeCatalog["types"]>): void {
 		const { platform, operator, incarnation, leadership, replica, replicaSync, teamQuota, ports } =
 			this.options;
-		this.current = createLeader({
+		this.currentLeader = createLeader({
 			term,
 			platform,
 			operator,
@@ -114,7 +115,7 @@
 			teamQuota,
 			requestPrefix: `${platform.node}-${incarnation}-${term}`,
 		});
-		this.current.begin();
+		this.currentLeader.begin();
 		this.options.onTermBegun(term);
 	}
 }
--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -1,4 +1,4 @@
-/** Squares the tasks that one heartbeat lists with the attempts that the leader knows on the machine. */
+/** Reconciles the tasks that one heartbeat lists with the attempts that the leader has recorded on the machine. */
 
 import type { Attempt } from "../../bookkeeping/attempt.js";
 import type { Job } from "../../bookkeeping/job.js";
@@ -7,22 +7,22 @@
 import type { ExitCause, TaskStatus } from "../../protocol/model/worker.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
-/** How an attempt of this leader has ended. */
+/** The exit of an attempt of this leader. */
 export interface AttemptOutcome {
 	attempt: Attempt;
 	cause: ExitCause;
 }
 
-/** The reconciliation of one machine's tasks with one heartbeat; made anew for each heartbeat. */
+/** Reconciles one machine's tasks with one heartbeat; each heartbeat needs a new instance. */
 export class TaskReconciliation {
-	/** Attempts that have exited since the heartbeat before. */
+	/** Attempts that have exited since the previous heartbeat. */
 	readonly outcomes: AttemptOutcome[] = [];
-	/** Jobs of which tasks are listed as done, under this leader's attempts or those of earlier ones. */
+	/** Jobs with tasks that the heartbeat lists as done, under attempts of this leader or of earlier leaders. */
 	readonly jobsWithDoneTasks = new Set<Job>();
 	/** Replicas that are reported running for the first time. */
 	readonly startedReplicas: Attempt[] = [];
-	/** Tasks of which the machine has an attempt of this leader. */
-	readonly #listed = new Set<TaskId>();
+	/** Tasks that the heartbeat lists under an attempt of this leader, adopted attempts included. */
+	readonly #listedTasks = new Set<TaskId>();
 	#startListed = false;
 
 	constructor(
@@ -31,12 +31,12 @@
 		private readonly now: number,
 	) {}
 
-	/** A start command that was sent shows in the heartbeat. */
+	/** True if the heartbeat lists an attempt whose start command had been sent and not yet been confirmed. */
 	get startListed(): boolean {
 		return this.#startListed;
 	}
 
-	/** Takes over the state of every task that the heartbeat lists. */
+	/** Applies the state of every task that the heartbeat lists. */
 	reconcileListed(tasks: readonly TaskStatus[]): void {
 		this.machine.exitedTasks.clear();
 		this.clusterState.clearOrphans(this.machine);
@@ -44,52 +44,52 @@
 			const taskId = taskIdOf(task.jobId, task.taskIndex);
 			const attempt = this.machine.attempts.get(taskId);
 			if (attempt?.number === task.attempt) {
-				this.#listed.add(taskId);
+				this.#listedTasks.add(taskId);
 				this.reconcileAttempt(attempt, task);
 			} else if (task.state === "exited") this.reconcileUnknownExit(task);
-			else if (this.adoptOrOrphan(task, task.state)) this.#listed.add(taskId);
+			else if (this.adoptOrOrphan(task, task.state)) this.#listedTasks.add(taskId);
 		}
 	}
 
-	/** Whether a start command was sent that the heartbeat does not show. Called before `reconcileAbsent`. */
+	/** True if the heartbeat lacks an attempt whose start command was sent. Called before `reconcileAbsent`. */
 	startMissing(): boolean {
-		for (const [taskId, { phase, stopRequest: stop }] of this.machine.attempts)
-			if (phase === "sent" && stop === null && !this.#listed.has(taskId)) return true;
+		for (const [taskId, { phase, stopRequest }] of this.machine.attempts)
+			if (phase === "sent" && stop === null && !this.#listedTasks.has(taskId)) return true;
 		return false;
 	}
 
 	/**
-	 * Judges the attempts that the heartbeat does not list.
+	 * Ends or retries the attempts that the heartbeat does not list.
 	 *
-	 * @param newAgentEpoch The worker's lease expired since the heartbeat before, so it has killed all its tasks.
-	 * @returns Attempts that are gone though they were on the machine.
+	 * @param newAgentEpoch The worker's lease expired since the previous heartbeat, so it has killed all its tasks.
+	 * @returns Attempts that were on the machine and have disappeared.
 	 */
 	reconcileAbsent(newAgentEpoch: boolean): Attempt[] {
 		const { agent } = this.machine;
-		const lost: Attempt[] = [];
+		const lostAttempts: Attempt[] = [];
 		for (const [taskId, attempt] of [...this.machine.attempts]) {
-			if (this.#listed.has(taskId)) continue;
+			if (this.#listedTasks.has(taskId)) continue;
 			if (attempt.phase === "assigned") {
 				if (agent.unreachableSince !== null) this.clusterState.endAttempt(attempt);
 				continue;
 			}
-			// Responses of earlier leaders may still start tasks until the worker has shown this leader's token, so before
-			// that absence proves nothing ("a heartbeat with an earlier fencing token adds tasks but proves no absence" in
-			// tests/coordination/workers/heartbeat-reconciliation.test.ts).
+			// Until the worker has shown this leader's token, responses of earlier leaders may still start tasks, so
+			// absence from the list proves nothing ("a heartbeat with an earlier fencing token adds the tasks that it
+			// lists but does not prove others absent" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
 			if (!newAgentEpoch && !agent.fenced) continue;
 			if (attempt.phase === "sent" && !newAgentEpoch && attempt.stopRequest === null)
 				this.retryStart(attempt);
 			else {
 				this.clusterState.endAttempt(attempt);
-				lost.push(attempt);
+				lostAttempts.push(attempt);
 			}
 		}
-		return lost;
+		return lostAttempts;
 	}
 
 	/**
-	 * The response with the start was lost and can no longer be carried out, since the worker has sent a heartbeat
-	 * after it. The start is sent again with the same number or, where responses do not arrive at all, given up.
+	 * Handles a start whose response was lost. It can no longer be executed, since the worker has sent a later
+	 * heartbeat. The start is sent again with the same attempt number; if the machine is unreachable, the attempt ends.
 	 */
 	private retryStart(attempt: Attempt): void {
 		if (this.machine.agent.unreachableSince === null) attempt.markStartLost();
@@ -99,7 +99,7 @@
 	private reconcileAttempt(attempt: Attempt, task: TaskStatus): void {
 		this.#startListed ||= attempt.phase === "sent";
 		if (task.state !== "exited") {
-			if (this.noteState(attempt, task.state) && attempt.job.isService) this.startedReplicas.push(attempt);
+			if (this.recordState(attempt, task.state) && attempt.job.isService) this.startedReplicas.push(attempt);
 			return;
 		}
 		const cause = task.exitCause ?? "error";
@@ -112,62 +112,67 @@
 		this.outcomes.push({ attempt, cause });
 	}
 
-	/** Returns whether the attempt is reported running for the first time. */
-	private noteState(attempt: Attempt, state: Exclude<TaskStatus["state"], "exited">): boolean {
+	/** Records the reported state. Returns true if the attempt is reported running for the first time. */
+	private recordState(attempt: Attempt, state: Exclude<TaskStatus["state"], "exited">): boolean {
 		if (!attempt.updatePhase(state, this.now)) return false;
 		attempt.machine.capacity.recordImageUse(attempt.job.spec.image);
 		return true;
 	}
 
 	private addExited({ jobId, taskIndex, attempt, exitCause }: TaskStatus): void {
-		// What a replica reports as done is not recorded, so nothing is lost with it.
+		// The completion of a replica is not recorded, so it need not be stored before the worker forgets the attempt.
 		const done = exitCause === "done" && this.clusterState.jobs.get(jobId)?.isService === false;
 		this.machine.exitedTasks.add({ jobId, taskIndex, attempt, done });
 	}
 
-	/** An attempt has exited that this leader does not know. A result counts all the same. */
+	/** Handles the exit of an attempt that this leader has no record of. A completion counts nevertheless. */
 	private reconcileUnknownExit(task: TaskStatus): void {
 		this.addExited(task);
 		const job = this.clusterState.jobs.get(task.jobId);
 		if (task.exitCause !== "done" || !job || task.taskIndex >= job.spec.taskCount) return;
-		this.markFoundDone(job, task.taskIndex);
+		this.markDoneByEarlierAttempt(job, task.taskIndex);
 		this.jobsWithDoneTasks.add(job);
 	}
 
-	/** The task has completed under an attempt of an earlier leader: another attempt of it is not needed any more. */
-	private markFoundDone(job: Job, taskIndex: number): void {
+	/**
+	 * Marks a task as done that completed under an attempt of an earlier leader, and ends or stops its current attempt.
+	 */
+	private markDoneByEarlierAttempt(job: Job, taskIndex: number): void {
 		if (job.isService) return;
 		this.clusterState.markTaskDone(job, taskIndex);
-		const other = job.attempts.get(taskIndex);
-		if (!other) return;
-		if (other.phase === "assigned") this.clusterState.endAttempt(other);
-		else other.requestStop("task done", 0);
+		const currentAttempt = job.attempts.get(taskIndex);
+		if (!currentAttempt) return;
+		if (currentAttempt.phase === "assigned") this.clusterState.endAttempt(currentAttempt);
+		else currentAttempt.requestStop("task done", 0);
 	}
 
-	/** A task runs that this leader does not know here. Returns whether it is this machine's from now on. */
+	/**
+	 * Adopts a running task that this leader has not recorded on the machine, or records it as orphaned. Returns true
+	 * if it was adopted.
+	 */
 	private adoptOrOrphan(task: TaskStatus, state: Exclude<TaskStatus["state"], "exited">): boolean {
 		const job = this.clusterState.jobs.get(task.jobId);
-		if (!job || !isWanted(job, task)) {
+		if (!job || !shouldContinue(job, task)) {
 			const { jobId, taskIndex, attempt } = task;
 			this.clusterState.addOrphan(this.machine, { jobId, taskIndex, attempt });
 			return false;
 		}
-		const earlier = job.attempts.get(task.taskIndex);
-		if (earlier) this.clusterState.endAttempt(earlier);
+		const earlierAttempt = job.attempts.get(task.taskIndex);
+		if (earlierAttempt) this.clusterState.endAttempt(earlierAttempt);
 		const attempt = this.clusterState.adoptAttempt(job, task.taskIndex, task.attempt, this.machine);
-		this.noteState(attempt, state);
+		this.recordState(attempt, state);
 		return true;
 	}
 }
 
 /**
- * Whether a listed task is to run on. Of two attempts the one with the larger number is real: an attempt is assigned
- * only when the one before is proved over, which a late copy of a heartbeat may list again after a failover ("a late
- * copy that lists an earlier attempt yields to the later one" in
- * tests/coordination/workers/heartbeat-reconciliation.test.ts).
+ * True if a listed task should continue to run. Of two attempts the one with the larger number is current: an attempt
+ * is assigned only when the previous one is confirmed to have ended, but after a failover a late copy of a heartbeat
+ * may list the previous one again ("a late copy that lists an earlier attempt does not replace the later attempt of the
+ * task" in tests/coordination/workers/heartbeat-reconciliation.test.ts).
  */
-function isWanted(job: Job, { taskIndex, attempt }: TaskStatus): boolean {
+function shouldContinue(job: Job, { taskIndex, attempt }: TaskStatus): boolean {
 	if (taskIndex >= job.spec.taskCount || job.doneTasks.has(taskIndex)) return false;
-	const other = job.attempts.get(taskIndex);
-	return other === undefined || other.number < attempt;
+	const currentAttempt = job.attempts.get(taskIndex);
+	return currentAttempt === undefined || currentAttempt.number < attempt;
 }
--- a/tests/coordination/workers/direct-command-sender.test.ts
+++ b/tests/coordination/workers/direct-command-sender.test.ts
@@ -10,7 +10,7 @@
 
 describe("direct commands in a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines: the end of a job that runs on all of them takes only so many sockets`, async () => {
+		test(`${size} machines: ending a job that runs on all of them opens at most maxInFlight connections at a time`, async () => {
 			const clock = new FakeTime();
 			const clusterState = largeFleet(size);
 			const job = clusterState.addJob("j-1", specOf("j-1", { taskCount: size, cpus: 8 }), 0, 1);
@@ -21,12 +21,12 @@
 				attempt.updatePhase("running", 0);
 			}
 			let inFlight = 0;
-			let mostInFlight = 0;
-			const reached = new Set<string>();
+			let maxObservedInFlight = 0;
+			const calledEndpoints = new Set<string>();
 			const sendCommands = async (endpoint: string) => {
 				inFlight += 1;
-				mostInFlight = Math.max(mostInFlight, inFlight);
-				reached.add(endpoint);
+				maxObservedInFlight = Math.max(maxObservedInFlight, inFlight);
+				calledEndpoints.add(endpoint);
 				await new Promise<void>((resolve) => clock.after(5, resolve));
 				inFlight -= 1;
 				return {} as never;
@@ -39,9 +39,9 @@
 				post: (action) => action(),
 				log: silentLog,
 			});
-			sender.stop(clusterState.removeJob(job));
+			sender.sendStops(clusterState.removeJob(job));
 			await clock.advance((size / maxInFlight) * 10);
-			assert.equal(reached.size, size);
-			assert.equal(mostInFlight, maxInFlight);
+			assert.equal(calledEndpoints.size, size);
+			assert.equal(maxObservedInFlight, maxInFlight);
 		});
 });
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -11,7 +11,7 @@
 import { silentLog } from "../../support/silent-log.js";
 import { mediumType, specOf } from "../../support/specs.js";
 
-/** Machines with room for everything, and the outcomes of what runs on them. */
+/** Machines with capacity for every task; runs tasks on them and records the outcomes. */
 class Cluster {
 	readonly clusterState = new ClusterState({
 		term: 1,
@@ -53,14 +53,14 @@
 		return attempt;
 	}
 
-	/** A task of the job runs on the machine and fails. */
+	/** Runs a task of the job on the machine, which fails. */
 	fail(job: Job, machine: Machine): void {
 		const attempt = this.run(job, machine);
 		this.clusterState.endAttempt(attempt);
 		this.faultAttribution.record({ attempt, cause: "error" }, this.now + 10);
 	}
 
-	/** A task of the job runs on the machine and completes. */
+	/** Runs a task of the job on the machine, which completes. */
 	succeed(job: Job, machine: Machine): void {
 		const attempt = this.run(job, machine);
 		this.clusterState.markTaskDone(job, attempt.taskIndex);
@@ -68,16 +68,16 @@
 		this.faultAttribution.record({ attempt, cause: "done" }, this.now + 10);
 	}
 
-	/** Machines that placement keeps the job off so long after its last failure. */
-	machinesAvoidedBy(job: Job, sinceMs: number): string[] {
+	/** Returns the machines that placement avoids for the job at this time after its last failure. */
+	machinesAvoidedBy(job: Job, sinceLastFailureMs: number): string[] {
 		const capacities = [...this.clusterState.machines.values()].map(capacityOf);
-		const moment = { now: job.failures.lastFailureAt + sinceMs, date: 0 };
-		return grantsFor(this.clusterState, [job], capacities, moment)[0]?.grant.avoidedMachines ?? [];
+		const clockReadings = { now: job.failures.lastFailureAt + sinceLastFailureMs, date: 0 };
+		return grantsFor(this.clusterState, [job], capacities, clockReadings)[0]?.grant.avoidedMachines ?? [];
 	}
 }
 
 describe("jobs that fail", () => {
-	test("wherever they run cost no machine", () => {
+	test("on every machine cause no quarantine", () => {
 		const cluster = new Cluster();
 		const machines = cluster.addMachines("a", "b", "c");
 		const jobs = cluster.addJobs("j-1", "j-2", "j-3");
@@ -88,24 +88,24 @@
 		}
 		for (const job of jobs) assert.equal(job.failures.failsEverywhere, true, job.id);
 		cluster.succeed(jobs[0], machines[0]);
-		assert.equal(jobs[0].failures.failsEverywhere, false, "one good run clears it");
+		assert.equal(jobs[0].failures.failsEverywhere, false, "one success clears it");
 		assert.equal(jobs[0].failures.retryNotBefore, 0);
 	});
 
-	test("on one machine type only cost no machine of it, and are kept off it for a while", () => {
+	test("on one machine type only cause no quarantine of its machines, and avoid the type for a limited time", () => {
 		const cluster = new Cluster();
-		const narrow = { ...mediumType, name: "narrow" };
-		const unsuited = [
-			cluster.addMachine("a", narrow),
-			cluster.addMachine("b", narrow),
-			cluster.addMachine("c", narrow),
+		const unsuitableType = { ...mediumType, name: "narrow" };
+		const unsuitable = [
+			cluster.addMachine("a", unsuitableType),
+			cluster.addMachine("b", unsuitableType),
+			cluster.addMachine("c", unsuitableType),
 		] as const;
-		const good = cluster.addMachine("good");
+		const healthy = cluster.addMachine("good");
 		const jobs = cluster.addJobs("j-1", "j-2", "j-3");
 		for (let round = 0; round < 2; round++) {
-			for (const machine of unsuited) for (const job of jobs) cluster.fail(job, machine);
-			for (const job of jobs) cluster.succeed(job, good);
-			for (const machine of unsuited)
+			for (const machine of unsuitable) for (const job of jobs) cluster.fail(job, machine);
+			for (const job of jobs) cluster.succeed(job, healthy);
+			for (const machine of unsuitable)
 				assert.deepEqual(
 					[machine.health.quarantined, machine.health.onProbation],
 					[false, false],
@@ -118,54 +118,58 @@
 		assert.deepEqual(
 			cluster.machinesAvoidedBy(job, 70_000),
 			[],
-			"nothing else may be there, so it is tried again",
+			"there may be no other machines, so the type is tried again",
 		);
-		cluster.succeed(job, unsuited[0]);
-		assert.equal(job.failures.unfitTypes.size, 0, "one good run there clears the type");
-		cluster.fail(jobs[1], unsuited[0]);
-		assert.equal(unsuited[0].health.quarantined, false);
+		cluster.succeed(job, unsuitable[0]);
+		assert.equal(job.failures.unfitTypes.size, 0, "one success there clears the type");
+		cluster.fail(jobs[1], unsuitable[0]);
+		assert.equal(unsuitable[0].health.quarantined, false);
 	});
 
-	test("on faulty machines alone do not fail everywhere", () => {
+	test("only on faulty machines do not count as failing everywhere once these machines are quarantined", () => {
 		const cluster = new Cluster();
 		const faulty = cluster.addMachines("a", "b", "c");
-		const good = cluster.addMachine("good");
+		const healthy = cluster.addMachine("good");
 		const proven = cluster.addJobs("j-1", "j-2");
-		const unlucky = cluster.addJob("j-3");
-		for (const machine of faulty) cluster.fail(unlucky, machine);
-		assert.equal(unlucky.failures.failsEverywhere, true, "so far nothing speaks for it");
-		for (const job of proven) cluster.succeed(job, good);
+		const jobOnFaultyMachines = cluster.addJob("j-3");
+		for (const machine of faulty) cluster.fail(jobOnFaultyMachines, machine);
+		assert.equal(
+			jobOnFaultyMachines.failures.failsEverywhere,
+			true,
+			"so far no machine is known to be faulty",
+		);
+		for (const job of proven) cluster.succeed(job, healthy);
 		for (const machine of faulty) for (const job of proven) cluster.fail(job, machine);
-		for (const job of proven) cluster.succeed(job, good);
+		for (const job of proven) cluster.succeed(job, healthy);
 		assert.deepEqual(
 			faulty.map((machine) => machine.health.quarantined),
 			[true, true, true],
 		);
-		assert.equal(unlucky.failures.failsEverywhere, false);
+		assert.equal(jobOnFaultyMachines.failures.failsEverywhere, false);
 	});
 });
 
 describe("machines on which jobs fail", () => {
-	test("are quarantined once these jobs succeed elsewhere", () => {
+	test("are quarantined once these jobs succeed on another machine", () => {
 		const cluster = new Cluster();
-		const [a, b, good] = cluster.addMachines("a", "b", "good");
+		const [a, b, healthy] = cluster.addMachines("a", "b", "good");
 		const [first, second] = cluster.addJobs("j-1", "j-2");
 		for (const machine of [a, b]) for (const job of [first, second]) cluster.fail(job, machine);
-		assert.equal(a.health.quarantined || b.health.quarantined, false, "it may be the jobs");
-		cluster.succeed(first, good);
-		cluster.succeed(second, good);
+		assert.equal(a.health.quarantined || b.health.quarantined, false, "the jobs may be at fault");
+		cluster.succeed(first, healthy);
+		cluster.succeed(second, healthy);
 		assert.deepEqual(
-			[a.health.quarantined, b.health.quarantined, good.health.quarantined],
+			[a.health.quarantined, b.health.quarantined, healthy.health.quarantined],
 			[true, true, false],
 		);
 		assert.equal(first.failures.failsEverywhere, false);
 	});
 
-	test("are quarantined at the second job that succeeded before", () => {
+	test("are quarantined at the failure of a second job that succeeded on another machine before", () => {
 		const cluster = new Cluster();
-		const [faulty, good] = cluster.addMachines("faulty", "good");
+		const [faulty, healthy] = cluster.addMachines("faulty", "good");
 		const jobs = cluster.addJobs("j-1", "j-2");
-		for (const job of jobs) cluster.succeed(job, good);
+		for (const job of jobs) cluster.succeed(job, healthy);
 		cluster.fail(jobs[0], faulty);
 		assert.deepEqual([faulty.health.onProbation, faulty.health.quarantined], [true, false]);
 		cluster.fail(jobs[1], faulty);
@@ -177,7 +181,7 @@
 		const [suspect, other] = cluster.addMachines("suspect", "other");
 		const jobs = cluster.addJobs("j-1", "j-2", "j-3", "j-4");
 		for (const job of jobs) cluster.fail(job, suspect);
-		assert.equal(suspect.health.quarantined, true, "four of which nothing is known count as two");
+		assert.equal(suspect.health.quarantined, true, "four jobs without a success count as two");
 		cluster.fail(jobs[0], other);
 		assert.equal(suspect.health.quarantined, false);
 		assert.equal(other.health.quarantined, false);
