--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -54,7 +54,7 @@
 	/** True if the heartbeat lacks an attempt whose start command was sent. Called before `reconcileAbsent`. */
 	startMissing(): boolean {
 		for (const [taskId, { phase, stopRequest }] of this.machine.attempts)
-			if (phase === "sent" && stop === null && !this.#listedTasks.has(taskId)) return true;
+			if (phase === "sent" && stopRequest === null && !this.#listedTasks.has(taskId)) return true;
 		return false;
 	}
 
