--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -7,8 +7,8 @@
  * `ClusterState` enforces. This module keeps that time short: it probes machines by direct commands, and deletes
  * those that stay unresponsive.
  *
- * Traces 02, 03, 18, 21, 24, 45 and 47; `failover.test.ts`; "where the machines that may hold tasks cannot be
- * read ..." in malformed-input.test.ts.
+ * Traces 02, 03, 18, 21, 24, 45 and 47; `failover.test.ts`; "if machine records cannot be decoded ..." in
+ * malformed-input.test.ts.
  */
 
 import { Machine, unknownMachineType } from "../../bookkeeping/machine.js";
