--- a/src/bookkeeping/capacity-ledger.ts
+++ b/src/bookkeeping/capacity-ledger.ts
@@ -93,7 +93,7 @@
 		this.#reservedForReplicas.memoryGb += memoryGb;
 	}
 
-	/** Releases the resources of `reserveForReplica`, when the replica starts here or its relocation is cancelled. */
+	/** Releases the resources of `reserveForReplica`, when the replica starts or its relocation is cancelled. */
 	releaseReplicaReservation({ cpus, gpus, memoryGb }: TaskResources): void {
 		this.#reservedForReplicas.cpus -= cpus;
 		this.#reservedForReplicas.gpus -= gpus;
--- a/src/coordination/jobs/job-results.ts
+++ b/src/coordination/jobs/job-results.ts
@@ -14,7 +14,7 @@
 	running: number;
 }
 
-/** The result of the request is uncertain at present. The user may repeat the request. */
+/** The request has no certain result at present. It may succeed when it is repeated. */
 export interface Unavailable {
 	kind: "unavailable";
 	/** Shown to the user. */
