--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -81,12 +81,12 @@
 	const machineTypes: MachineTypeCatalog = new MachineTypeCatalog({
 		cloud: ports.cloud,
 		store,
-		time: clock,
+		clock,
 		log,
 		post,
-		authority: () => leadership.authority(),
-		stored: () => replica.machineTypes?.value ?? null,
-		refreshed: (types) => terms.leader?.machineTypesRefreshed(types),
+		authorizedTerm: () => leadership.authority(),
+		storedTypes: () => replica.machineTypes?.value ?? null,
+		onRefreshed: (types) => terms.leader?.machineTypesRefreshed(types),
 	});
 	const terms: TermSupervisor = new TermSupervisor({
 		platform,
--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -9,31 +9,30 @@
 
 const leastPauseMs = 5000;
 const retryMs = 1500;
-/** A list that took longer to read tells of too many different times. */
+/** A read that takes longer is abandoned: its pages would be from times too far apart. */
 const mostReadMs = 60_000;
-/** A page that was refused for the cloud's rate is asked for again after this. */
+/** A page whose request exceeded the cloud's rate limit is requested again after this. */
 const pageRetryMs = 500;
-/** Reading a long list must leave most of the rate to rentals and returns. */
+/** Reading a long list must leave most of the cloud's rate limit to scale-out and scale-in. */
 const readTimePart = 1 / 3;
 
 export interface CloudInventoryHooks {
 	post(command: () => void): void;
-	/** Its return was answered: whatever a late list says, it is gone. */
+	/** True if the cloud has confirmed the machine's deletion. An outdated list may still contain it. */
 	isDeleted(machine: string): boolean;
 }
 
 /**
- * Reads the cloud's machine list now and then and compares it with the tables: machines that
- * nobody expected are taken in, and failed ones go back. A list is late, so what it lacks may
- * be there all the same.
+ * Reads the cloud's machine list periodically and reconciles the cluster state with it: unknown machines are added, and
+ * failed ones are deleted. The list lags behind, so a machine that is missing from it may still exist.
  */
 export class CloudInventory {
 	private reading = false;
 	private readingSince = -Infinity;
 	private nextRead = 0;
 	private names: Set<string> | null = null;
-	/** The list was read once, or cannot be read for now. */
-	looked = false;
+	/** True if the list has been read, or reading it has failed for another reason than the rate limit. */
+	firstReadFinished = false;
 
 	constructor(
 		private readonly clusterState: ClusterState,
@@ -44,7 +43,7 @@
 		private readonly log: Log,
 	) {}
 
-	/** Called often. */
+	/** Starts to read the list if a read is due. Called in each tick of the leader. */
 	tick(now: number): void {
 		if (this.reading || now < this.nextRead) return;
 		this.reading = true;
@@ -55,8 +54,8 @@
 		);
 	}
 
-	/** The cloud has named its machines to this leader, and this one is not among them. */
-	lacks(machine: string): boolean {
+	/** True if this leader has read the list and the machine was missing from the latest one. */
+	isMissing(machine: string): boolean {
 		return this.names !== null && !this.names.has(machine);
 	}
 
@@ -72,7 +71,7 @@
 		}
 	}
 
-	/** A list of thousands takes more calls than one burst of the rate allows. */
+	/** Reads a page, waiting for the rate limit: a list of thousands takes more calls than the permitted burst. */
 	private async page(after: string): Promise<MachineListPage> {
 		for (;;) {
 			try {
@@ -89,7 +88,7 @@
 		const now = this.time.now();
 		const tookMs = now - this.readingSince;
 		this.reading = false;
-		this.looked = true;
+		this.firstReadFinished = true;
 		this.nextRead = now + Math.max(leastPauseMs, this.lagMs, tookMs / readTimePart);
 		this.names = new Set(machines.map((machine) => machine.id));
 		for (const listed of machines) if (!this.hooks.isDeleted(listed.id)) this.reconcile(listed, now);
@@ -99,8 +98,8 @@
 	private failed(error: unknown): void {
 		this.reading = false;
 		this.nextRead = this.time.now() + retryMs;
-		// Without the cloud nothing can be rented either; do not hold the rounds up for long.
-		this.looked ||= !(error instanceof CallError) || error.status !== 429;
+		// While the cloud is unavailable scale-out is impossible anyway, so the first scaling round need not wait.
+		this.firstReadFinished ||= !(error instanceof CallError) || error.status !== 429;
 		this.log.debug({ err: String(error) }, "machine list not read");
 	}
 
@@ -126,7 +125,7 @@
 		return machine;
 	}
 
-	/** One known only from a list, never heard of and no longer listed, is not there. */
+	/** Drops machines that are known only from an earlier list, never sent a heartbeat and are no longer listed. */
 	private dropUnlisted(names: Set<string>): void {
 		for (const machine of [...this.clusterState.machines.values()]) {
 			if (machine.lifecycle.onlyListed && !machine.agent.running && !names.has(machine.id))
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -5,21 +5,21 @@
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { FleetSnapshot } from "./fleet-load.js";
-import { type HillClimbSettings, loadOf, machinesToSpare } from "./hill-climb.js";
+import { type HillClimbSettings, loadOf, machinesToRemove } from "./hill-climb.js";
 import type { ReplicaCapacity } from "./replica-capacity.js";
 
-/** A job of which nothing runs has waited so long when a marked machine is asked for room. */
+/** Draining of a machine is cancelled for a job that has waited this long with no task running. */
 const waitsBesideMarkedMs = 20_000;
 
 interface Candidate {
 	machine: Machine;
-	/** It has replicas, which would have to move. */
+	/** Replicas run on it, which would have to be relocated. */
 	replicas: boolean;
-	/** Remaining work for its price: of two that are about as busy, the dear one goes. */
+	/** CPU seconds of remaining work per hourly price: of two machines that are equally busy, the more expensive one drains. */
 	worth: number;
 }
 
-/** Marks machines to run empty and go back, and takes marks back. */
+/** Chooses machines for draining, which accept no new tasks and are deleted once they are empty, and cancels draining. */
 export class Drain {
 	constructor(
 		private readonly clusterState: ClusterState,
@@ -27,13 +27,13 @@
 		private readonly log: Log,
 	) {}
 
-	/** Marks those with the least remaining work for their price, as many as the load spares. */
+	/** Starts draining the machines with the least remaining work per price, as many as the low threshold allows. */
 	startDraining(look: FleetSnapshot, replicas: ReplicaCapacity): void {
 		const ranked = this.ranked(look, replicas);
 		let marked = this.choose(ranked, look);
-		// What is kept for replicas that may come would be rented again at once: others go in its place.
+		// Machines kept for expected replicas would be replaced by a scale-out at once, so others drain instead.
 		const left = look.machines.filter((machine) => !marked.has(machine));
-		const lacking = replicas.lackingRoom(look.machines, left);
+		const lacking = replicas.unplaceableExpectedSpec(look.machines, left);
 		if (lacking) {
 			const others = ranked.filter(({ machine }) => !machineAllowed(lacking, machine));
 			marked = this.choose(others, look);
@@ -43,17 +43,17 @@
 		this.log.info({ machines: [...marked].map((m) => m.id) }, "draining started");
 	}
 
-	/** The first of the candidates, as many as the load spares. */
+	/** Returns the first candidates, as many as the low threshold allows. */
 	private choose(ranked: Candidate[], look: FleetSnapshot): Set<Machine> {
 		const cores = ranked.map(({ machine }) => machine.type.cpus);
-		const lowPerCpu = this.climb.low * look.secondsLeft;
-		const count = machinesToSpare(look.work, look.machines.length, look.cpus, cores, lowPerCpu);
+		const lowPerCpu = this.climb.low * look.meanRemainingS;
+		const count = machinesToRemove(look.remainingWork, look.machines.length, look.cpus, cores, lowPerCpu);
 		const marked = new Set(ranked.slice(0, count).map(({ machine }) => machine));
 		this.keepForWaiting(marked, look.machines);
 		return marked;
 	}
 
-	/** Standing jobs of which replicas wait, or have to leave their machines. */
+	/** Returns the service jobs with replicas that wait or have to leave their machines. */
 	private unsettled(): Job[] {
 		return [...this.clusterState.jobs.values()].filter(
 			(job) =>
@@ -62,8 +62,9 @@
 		);
 	}
 
+	/** Returns the machines that may drain: those without replicas first, then by remaining work per price. */
 	private ranked({ machines, now }: FleetSnapshot, replicas: ReplicaCapacity): Candidate[] {
-		// What was rented for replicas is the idlest of all until they are there.
+		// Machines created for replicas are idle until the replicas start, so they would rank first.
 		const unsettled = this.unsettled();
 		return machines
 			.filter(
@@ -72,7 +73,7 @@
 					!unsettled.some((job) => machineAllowed(job.spec, machine)),
 			)
 			.map((machine) => this.candidate(machine, now))
-			.filter((c) => !c.replicas || replicas.couldLeave(c.machine, machines))
+			.filter((c) => !c.replicas || replicas.canRelocateReplicas(c.machine, machines))
 			.sort((a, b) => Number(a.replicas) - Number(b.replicas) || a.worth - b.worth);
 	}
 
@@ -86,7 +87,10 @@
 		return { machine, replicas, worth: left / Math.max(machine.hourlyPrice, 1e-6) };
 	}
 
-	/** Rented because nothing else could hold some work, a machine is the idlest of all until it is up. */
+	/**
+	 * Keeps, for each waiting job, one machine that can hold it. A machine created because no other could hold the job is
+	 * idle until it is up, so it would rank first.
+	 */
 	private keepForWaiting(marked: Set<Machine>, machines: Machine[]): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0) continue;
@@ -96,9 +100,9 @@
 		}
 	}
 
-	/** Takes marks back until the load is down to the high mark; false if there was none. */
+	/** Cancels draining of machines until the load is at or below the high threshold; false: no machine was draining. */
 	cancelDraining(look: FleetSnapshot): boolean {
-		const highPerCpu = this.climb.high * look.secondsLeft;
+		const highPerCpu = this.climb.high * look.meanRemainingS;
 		const back: string[] = [];
 		let { cpus } = look;
 		let count = look.machines.length;
@@ -108,7 +112,7 @@
 			back.push(machine.id);
 			cpus += machine.type.cpus;
 			count += 1;
-			if (loadOf(look.work, count) <= highPerCpu * (cpus / count)) break;
+			if (loadOf(look.remainingWork, count) <= highPerCpu * (cpus / count)) break;
 		}
 		if (back.length === 0) return false;
 		this.clusterState.requestPlacement();
@@ -116,8 +120,8 @@
 		return true;
 	}
 
-	/** Takes back the mark of a machine with room for the job; false if there is none. */
-	cancelDrainingFor(job: Job): boolean {
+	/** Cancels draining of one machine on which a task of the job fits; false: there is none. */
+	cancelDrainingForJob(job: Job): boolean {
 		for (const machine of this.clusterState.machines.values()) {
 			if (!machine.lifecycle.draining || !machine.usable) continue;
 			if (!machineAllowed(job.spec, machine) || !machine.capacity.hasRoomFor(job.spec)) continue;
@@ -130,14 +134,14 @@
 	}
 
 	/**
-	 * Tasks on a marked machine may run for long. Work that waits all that time, though the load
-	 * is below the high mark, is let in.
+	 * Cancels draining of a machine for a job that has waited too long. Tasks on a draining machine may run for a long
+	 * time, and the job could wait as long if the load stays below the high threshold.
 	 */
-	cancelDrainingForWaiting(now: number): void {
+	cancelDrainingForLongWaitingJob(now: number): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0 || job.attempts.size > 0) continue;
 			if (now - Math.max(job.loadedAt, job.failures.lastAt) < waitsBesideMarkedMs) continue;
-			if (this.clusterState.hasRunnableTask(job, now) && this.cancelDrainingFor(job)) return;
+			if (this.clusterState.hasRunnableTask(job, now) && this.cancelDrainingForJob(job)) return;
 		}
 	}
 }
--- a/src/coordination/fleet/expected-services.ts
+++ b/src/coordination/fleet/expected-services.ts
@@ -2,13 +2,13 @@
 import type { MachineType } from "../../protocol/model/machine.js";
 import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
 
-/** Part of the cores in use that is kept for a class of which no job has come yet. */
+/** The cores kept for a class without a job so far, as a fraction of the schedulable cores. */
 const reservedPart = 0.02;
 const assumedMemoryGb = 3;
 
 /**
- * Classes whose tasks are to start sooner than any machine boots. Room for their first job has to
- * be up before it comes.
+ * Returns the classes whose tasks must start sooner than any machine boots. Capacity for their first job has to be up
+ * before the job is submitted.
  */
 export function classesWithFastStart(
 	objectives: readonly StartTimeObjective[],
@@ -20,10 +20,10 @@
 }
 
 /**
- * Stands for the first jobs of a class: nothing is known of them but that they must start at once,
- * so small replicas on ordinary machines of two zones are assumed.
+ * Returns an assumed spec for the first jobs of a class. All that is known of them is that they must start at once, so
+ * small replicas on on-demand machines, spread over zones, are assumed.
  */
-export function assumedReplicas(name: string, cpusInUse: number): JobSpec {
+export function assumedServiceSpec(name: string, cpusInUse: number): JobSpec {
 	return {
 		id: `expected ${name}`,
 		form: "service",
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -4,14 +4,13 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { HillClimbSettings } from "./hill-climb.js";
 
-/** What the hill climb measures of the leader's tables. */
+/** The quantities of the cluster state on which the hill climb is based. */
 
 /**
- * Seconds of work that a busy core has left on the average: half an estimated
- * run of the present tasks. The marks are multiples of it, so that they mean the
- * same for tasks of seconds and of hours.
+ * Returns the mean remaining seconds of a running task: half the mean estimated run time of the present tasks, weighted
+ * by cores. The load thresholds are multiples of it, so that they have the same meaning for tasks of seconds and of hours.
  */
-export function meanSecondsLeft(clusterState: ClusterState, capS: number): number {
+export function meanRemainingSeconds(clusterState: ClusterState, capS: number): number {
 	let cpus = 0;
 	let sum = 0;
 	for (const job of clusterState.jobs.values()) {
@@ -24,9 +23,9 @@
 }
 
 /**
- * Remaining work of all live jobs in core seconds. A team's limit bounds how fast its work can
- * be done, whatever is rented, so a team counts at most for as many cores as its
- * limit allows, each loaded to the high mark.
+ * Returns the remaining work of all live jobs in CPU seconds. A team's limit bounds how fast its work can be done,
+ * regardless of the fleet's size, so a team counts for at most as many cores as its limit allows, each loaded to the
+ * high threshold.
  */
 export function remainingWork(
 	clusterState: ClusterState,
@@ -36,7 +35,7 @@
 ): number {
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
-		// Work that fails wherever it goes must not rent machines.
+		// Machines must not be created for a job that fails on every machine.
 		if (job.failures.everywhere) continue;
 		const { team } = job.spec;
 		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingOfJob(job, now, secondsLeft, climb.cap_s));
@@ -50,8 +49,8 @@
 }
 
 /**
- * Replicas are not work that ends. A core that one takes counts as an ordinary busy core does
- * on the average, which lies between the marks: it neither rents nor returns machines.
+ * Returns the job's remaining work in CPU seconds. Replicas do not end, so each of their cores counts for the mean of a
+ * busy core. That lies between the thresholds and causes neither scale-out nor scale-in.
  */
 function remainingOfJob(job: Job, now: number, secondsLeft: number, capS: number): number {
 	if (job.isService) return (job.waitingTasks.length + job.attempts.size) * job.spec.cpus * secondsLeft;
@@ -60,7 +59,7 @@
 	return work;
 }
 
-/** Cores that the teams' limits let the present work use at once. */
+/** Returns the cores that the present tasks can use at the same time within the teams' limits. */
 export function usableCpus(clusterState: ClusterState): number {
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
@@ -74,29 +73,31 @@
 	return sum;
 }
 
-/** One look at the fleet by the hill climb. */
+/** The state of the fleet in one round of the hill climb. */
 export interface FleetSnapshot {
 	now: number;
-	/** Machines that count as capacity, there or on its way, and their cores. */
+	/** Machines that count as capacity, running or being provisioned. */
 	machines: Machine[];
+	/** The cores of these machines. */
 	cpus: number;
-	secondsLeft: number;
-	/** Remaining work in core seconds. */
-	work: number;
+	/** Mean remaining seconds of a running task. */
+	meanRemainingS: number;
+	/** Remaining work of all live jobs, in CPU seconds. */
+	remainingWork: number;
 }
 
-export function fleetSnapshot(
+export function takeFleetSnapshot(
 	clusterState: ClusterState,
 	now: number,
 	climb: HillClimbSettings,
 ): FleetSnapshot {
 	const machines = [...clusterState.machines.values()].filter((m) => m.countsAsCapacity);
-	const secondsLeft = meanSecondsLeft(clusterState, climb.cap_s);
+	const secondsLeft = meanRemainingSeconds(clusterState, climb.cap_s);
 	return {
 		now,
 		machines,
 		cpus: machines.reduce((sum, m) => sum + m.type.cpus, 0),
-		secondsLeft,
-		work: remainingWork(clusterState, now, secondsLeft, climb),
+		meanRemainingS: secondsLeft,
+		remainingWork: remainingWork(clusterState, now, secondsLeft, climb),
 	};
 }
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -9,7 +9,7 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import { CloudInventory } from "./cloud-inventory.js";
 import { Drain } from "./drain.js";
-import { type FleetSnapshot, fleetSnapshot } from "./fleet-load.js";
+import { type FleetSnapshot, takeFleetSnapshot } from "./fleet-load.js";
 import { loadOf, nextScalingDecision, type ScalingCounters } from "./hill-climb.js";
 import { ProvisioningTimes } from "./provisioning-times.js";
 import { ReplicaCapacity } from "./replica-capacity.js";
@@ -18,36 +18,39 @@
 
 export interface FleetHooks {
 	post(command: () => void): void;
-	authority(): boolean;
-	/** A machine is proved gone: its record may go, and its tasks wait again. */
-	gone(machine: Machine): void;
+	active(): boolean;
+	/** The cloud has confirmed the machine's deletion: its record can be deleted, and its tasks wait again. */
+	onMachineDeleted(machine: Machine): void;
 }
 
 export interface FleetOptions {
 	clusterState: ClusterState;
 	cloud: CloudProvider;
-	time: Clock;
+	clock: Clock;
 	settings: OperatorSettings;
-	/** How soon tasks of which classes are to start. */
+	/** The times within which the tasks of some classes should start. */
 	objectives: readonly StartTimeObjective[];
-	/** How late the cloud's machine list is. */
+	/** The maximum lag of the cloud's machine list. */
 	listLagMs: number;
-	/** Lease of a worker. */
+	/** Duration of a worker's lease. */
 	leaseMs: number;
-	/** Begins the names of rental requests; never used by another term or process. */
+	/** The prefix of the names of scale-out requests; never used by another term or process. */
 	requestPrefix: string;
 	hooks: FleetHooks;
 	log: Log;
 }
 
 /**
- * Machines that the leader before rented last are not listed yet: a first round before the
- * first list would rent them again.
+ * The cloud's list lags behind and may lack the machines that the previous leader created last: a round that ran at the
+ * start of the term would create them again.
  */
 const firstRoundMs = 500;
 const nextRoundSoonMs = 50;
 
-/** Rents and returns machines: the rounds of the hill climb and their exceptions. */
+/**
+ * Adds and removes machines in rounds of the hill climb. Machines for replicas, and for jobs that no machine of the fleet
+ * can hold, are requested regardless of the load.
+ */
 export class Fleet {
 	private readonly clusterState: ClusterState;
 	private readonly climb: OperatorSettings["climb"];
@@ -63,16 +66,16 @@
 	private nextRound: number;
 
 	constructor(options: FleetOptions) {
-		const { clusterState, cloud, time, settings, hooks, log } = options;
-		const { post, authority } = hooks;
+		const { clusterState, cloud, clock: time, settings, hooks, log } = options;
+		const { post, active: authority } = hooks;
 		this.clusterState = clusterState;
 		this.time = time;
 		this.climb = settings.climb;
 		this.log = log;
 		this.nextRound = time.now() + firstRoundMs;
 		const gone = (machine: Machine) => {
-			this.rentals.allowAgain(machine);
-			hooks.gone(machine);
+			this.rentals.clearRefusal(machine);
+			hooks.onMachineDeleted(machine);
 		};
 		const isDeleted = (machine: string) => this.returns.isDeleted(machine);
 		this.bootTimes = new ProvisioningTimes(settings.machines.boot_times);
@@ -83,7 +86,7 @@
 			settings.machines.silent_extra_s * 1000,
 			this.bootTimes,
 			options.leaseMs,
-			{ post, gone },
+			{ post, onMachineDeleted: gone },
 			log,
 		);
 		this.list = new CloudInventory(clusterState, cloud, time, options.listLagMs, { post, isDeleted }, log);
@@ -95,46 +98,46 @@
 			options.requestPrefix,
 			{
 				post,
-				authority,
+				active: authority,
 				isDeleted,
-				isCutOff: (zone) => this.returns.isCutOff(zone),
-				unfilled: () => this.hurry(),
+				isZoneIsolated: (zone) => this.returns.isZoneIsolated(zone),
+				onUnfilled: () => this.hurry(),
 			},
 			log,
 		);
 		this.drain = new Drain(clusterState, settings.climb, log);
 		this.replicas = new ReplicaCapacity(clusterState, time, this.rentals, options.objectives, (job) =>
-			this.drain.cancelDrainingFor(job),
+			this.drain.cancelDrainingForJob(job),
 		);
 	}
 
-	/** Called a few times a second, in the queue, with authority. */
+	/** Called in each tick of the leader, with authority. */
 	tick(): void {
 		const now = this.time.now();
 		this.noteOverdue(now);
 		this.returns.tick(now);
 		this.list.tick(now);
-		if (now < this.nextRound || !this.list.looked || !this.clusterState.reconciled) return;
+		if (now < this.nextRound || !this.list.firstReadFinished || !this.clusterState.reconciled) return;
 		this.nextRound = now + this.climb.round_s * 1000;
-		this.round(fleetSnapshot(this.clusterState, now, this.climb));
+		this.round(takeFleetSnapshot(this.clusterState, now, this.climb));
 	}
 
-	/** The machine has reported to this leader for the first time. */
+	/** The machine has sent its first heartbeat to this leader. */
 	onMachineRunning(machine: Machine): void {
-		if (machine.lifecycle.createdByThisLeader) this.bootTimes.noteUp(machine, this.time.now());
+		if (machine.lifecycle.createdByThisLeader) this.bootTimes.recordBoot(machine, this.time.now());
 	}
 
-	/** The machine's return was answered. */
+	/** True if the cloud has confirmed the machine's deletion. */
 	isDeleted(machine: string): boolean {
 		return this.returns.isDeleted(machine);
 	}
 
-	/** The cloud has named its machines to this leader, and this one is not among them. */
-	unlisted(machine: string): boolean {
-		return this.list.lacks(machine);
+	/** True if this leader has read the cloud's machine list and the machine was missing from the latest one. */
+	isMissingFromCloudList(machine: string): boolean {
+		return this.list.isMissing(machine);
 	}
 
-	/** What was rented and is late no longer counts as coming; it does again once it is up. */
+	/** Updates which machines are overdue. An overdue machine does not count as capacity until its first heartbeat. */
 	private noteOverdue(now: number): void {
 		for (const machine of this.clusterState.machines.values()) {
 			const before = machine.lifecycle.overdue;
@@ -146,46 +149,46 @@
 		}
 	}
 
-	/** The up counter acts again in a round that comes at once. */
+	/** Schedules a round almost immediately, with the up counter set so that a load above the high threshold scales out. */
 	private hurry(): void {
 		this.nextRound = Math.min(this.nextRound, this.time.now() + nextRoundSoonMs);
 		this.counters.up = this.climb.up_past;
 	}
 
 	private round(look: FleetSnapshot): void {
-		if (this.replicas.serve(look)) return;
+		if (this.replicas.ensureCapacity(look)) return;
 		const count = look.machines.length;
-		// With nothing to run, no machine is kept; the first job to wait rents one.
+		// Without jobs the fleet shrinks to no machines. The first waiting job then scales out, regardless of the counters.
 		if (count === 0) {
 			this.grow(look);
 			return;
 		}
 		if (this.serveUnheld(look)) return;
-		this.drain.cancelDrainingForWaiting(look.now);
+		this.drain.cancelDrainingForLongWaitingJob(look.now);
 		const { counters, action } = nextScalingDecision(
 			this.counters,
-			loadOf(look.work, count),
+			loadOf(look.remainingWork, count),
 			this.clusterState.jobs.size === 0 ? count + 1 : count,
-			(look.cpus / count) * look.secondsLeft,
+			(look.cpus / count) * look.meanRemainingS,
 			this.climb,
 		);
 		this.counters = counters;
-		if (action !== "up" && counters.up === 0) this.rentals.loadIsDown();
-		const { work, cpus } = look;
+		if (action !== "up" && counters.up === 0) this.rentals.onLoadNormal();
+		const { remainingWork: work, cpus } = look;
 		this.log.debug({ work: Math.round(work), n: count, cpus, ...counters, action }, "scaling round");
 		if (action === "up") this.grow(look);
 		else if (action === "down") this.drain.startDraining(look, this.replicas);
 	}
 
-	/** Takes marks back, or else rents for the oldest work for which something is to be had. */
+	/** Cancels draining or, if no machine drains, requests machines for the oldest job for which the cloud has an offer. */
 	private grow(look: FleetSnapshot): void {
 		if (!this.anyWaiting(look.now) || this.drain.cancelDraining(look)) return;
 		for (const job of this.waitingByAge(look.now))
-			if (this.rentFor(job, look.work, look) !== "nothing to be had") return;
+			if (this.rentFor(job, look.remainingWork, look) !== "nothing to be had") return;
 	}
 
 	private rentFor(job: Job, work: number, look: FleetSnapshot): ScaleOutOutcome {
-		return this.rentals.request({ spec: job.spec, work }, look);
+		return this.rentals.request({ spec: job.spec, remainingWork: work }, look);
 	}
 
 	private anyWaiting(now: number): boolean {
@@ -195,16 +198,16 @@
 	}
 
 	/**
-	 * Jobs that machines can be rented for, oldest first: where nothing is to be had for the
-	 * oldest, the next may want another type or zone. Of jobs with the same demands one stands
-	 * for all; what fails everywhere comes last.
+	 * Returns the jobs for which machines can be created, oldest first: if there is no offer for the oldest, the next may
+	 * allow another type or zone. Of jobs with the same demands only the first is returned. Jobs that fail everywhere
+	 * come last.
 	 */
 	private waitingByAge(now: number): Job[] {
 		const byDemand = new Map<string, Job>();
 		const before = (a: Job, b: Job) =>
 			a.failures.everywhere === b.failures.everywhere ? a.acceptedAt < b.acceptedAt : b.failures.everywhere;
 		for (const job of this.clusterState.jobs.values()) {
-			// Replicas have machines rented by themselves, and of no other kind than they need.
+			// `ReplicaCapacity` requests machines for replicas, and only of the kinds that they need.
 			if (job.isService || !this.clusterState.hasRunnableTask(job, now)) continue;
 			const best = byDemand.get(job.demandKey);
 			if (!best || before(job, best)) byDemand.set(job.demandKey, job);
@@ -213,15 +216,15 @@
 	}
 
 	/**
-	 * For a job that no counted machine could hold one is unmarked or rented, and that is this
-	 * round. Where neither can be had the round goes on: the others want machines too. What
-	 * failed everywhere may do so no more, and is tried again as well.
+	 * Cancels draining of a machine or requests one for a job that no machine of the fleet could hold, even if empty; the
+	 * round ends with that. If neither is possible the round continues, since other jobs need machines too. This includes
+	 * jobs that fail everywhere: the cause may have disappeared, and they are tried again.
 	 */
 	private serveUnheld(look: FleetSnapshot): boolean {
 		for (const job of this.clusterState.jobs.values()) {
 			if (!job.hasReadyTask(look.now)) continue;
 			if (look.machines.some((m) => couldHold(m, job))) continue;
-			if (this.rentals.pending || this.drain.cancelDrainingFor(job)) return true;
+			if (this.rentals.requestPending || this.drain.cancelDrainingForJob(job)) return true;
 			if (this.rentFor(job, 0, look) === "asked") return true;
 		}
 		return false;
--- a/src/coordination/fleet/hill-climb.ts
+++ b/src/coordination/fleet/hill-climb.ts
@@ -2,16 +2,22 @@
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { MachineType } from "../../protocol/model/machine.js";
 
-/** The hill climb's decisions, without their effects. */
+/** The decisions of the hill climb as pure functions. */
 
+/** The operators' settings of the hill climb, under their names in the settings file. */
 export interface HillClimbSettings {
+	/** The load thresholds, as multiples of the mean work of a busy machine. */
 	high: number;
 	low: number;
+	/** The up counter triggers a scale-out when it exceeds this. */
 	up_past: number;
+	/** The down counter triggers draining when it reaches this. */
 	down_at: number;
+	/** Limits the remaining seconds that are counted for a task. */
 	cap_s: number;
 }
 
+/** Counts rounds with a load beyond a threshold; one that is far above the high threshold counts several times. */
 export interface ScalingCounters {
 	up: number;
 	down: number;
@@ -19,12 +25,17 @@
 
 export type ScalingAction = "up" | "down" | "none";
 
-/** Load is remaining work over machines less one half. */
+/** Returns the load: remaining work divided by the number of machines minus one half. */
 export function loadOf(work: number, machines: number): number {
 	return work / (machines - 0.5);
 }
 
-/** `unit` is what the marks are multiples of: mean cores of a machine times seconds. */
+/**
+ * Returns the counters after a round, and what to do.
+ *
+ * @param unit What the thresholds are multiples of: the mean cores of a machine times the mean remaining seconds of a
+ *   running task.
+ */
 export function nextScalingDecision(
 	counters: ScalingCounters,
 	load: number,
@@ -50,8 +61,8 @@
 	return { counters: { up: 0, down: 0 }, action: "none" };
 }
 
-/** Machines of a type needed to bring the load down to the high mark. */
-export function machinesToCut(
+/** Returns how many machines of a type bring the load down to the high threshold, at most `most`. */
+export function machinesToAdd(
 	work: number,
 	machines: number,
 	cpus: number,
@@ -72,12 +83,14 @@
 }
 
 /**
- * Machines that can go, of those given in order, before the load is above the low
- * mark: the counterpart of `machinesToCut`, so that a fleet of hundreds does not
- * shrink by one at a time. Never more than an eighth at once: load comes in waves,
- * and a machine that went too early takes a boot to replace.
+ * Returns how many of the candidates can be removed, in their order, until the load would exceed the low threshold. This
+ * is the counterpart of `machinesToCut`, so that a fleet of hundreds does not shrink by one machine at a time. At most an
+ * eighth of the fleet is removed at once: load comes in waves, and replacing a machine that was removed too early takes a
+ * boot.
+ *
+ * @param leaving The cores of each candidate.
  */
-export function machinesToSpare(
+export function machinesToRemove(
 	work: number,
 	machines: number,
 	cpus: number,
@@ -90,49 +103,50 @@
 		if (k === most) return k;
 		left -= leaving[k] as number;
 		const n = machines - k - 1;
-		// The first is what the counter has asked for, whatever the load is without it.
+		// The first removal was decided by the down counter, and does not depend on the load after it.
 		if (k > 0 && (n < 1 || loadOf(work, n) > lowPerCpu * (left / n))) return k;
 	}
 	return leaving.length;
 }
 
+/** A kind of machine that the cloud offers: a type in a zone, as a spot machine or not. */
 export interface MachineOffer {
 	type: MachineType;
 	zone: string;
 	spot: boolean;
-	price: number;
+	hourlyPrice: number;
 }
 
+/** Returns a key that identifies the offer. */
 export function offerKey(offer: Pick<MachineOffer, "type" | "zone" | "spot">): string {
 	return `${offer.type.name}|${offer.zone}|${offer.spot ? "spot" : "ordinary"}`;
 }
 
-/** Every type, zone and kind that could hold a task of the job. */
+/** Returns all offers whose machines could hold a task of the job. */
 export function offersFor(spec: JobSpec, types: MachineType[]): MachineOffer[] {
 	const offers: MachineOffer[] = [];
 	for (const type of types) {
 		if (!typeFits(spec, type)) continue;
 		for (const zone of type.zones) {
 			if (spec.zone !== null && spec.zone !== zone) continue;
-			if (spec.allowSpot) offers.push({ type, zone, spot: true, price: type.spotPrice });
-			offers.push({ type, zone, spot: false, price: type.price });
+			if (spec.allowSpot) offers.push({ type, zone, spot: true, hourlyPrice: type.spotPrice });
+			offers.push({ type, zone, spot: false, hourlyPrice: type.price });
 		}
 	}
 	return offers;
 }
 
-/** Seconds of use that a rental is expected to bring, over which its boot time is spread. */
+/** The time for which a created machine is expected to be used; the cost of its boot is spread over it. */
 const expectedUseS = 120;
 
 /**
- * Offers by what a core that the work would use costs: a machine larger than the
- * need is charged to the cores needed, and boot time, which is paid for and waited
- * for, to the use that follows.
+ * Returns the offers by the cost of a core that would be used, cheapest first. The cost of a machine that is larger than
+ * needed is spread over the needed cores, and the cost of its boot time over the use that follows.
  */
 export function rankOffers(offers: MachineOffer[], spec: JobSpec, neededCpus: number): MachineOffer[] {
 	const cost = (offer: MachineOffer) => {
 		const usable = Math.min(tasksHeld(spec, offer.type) * spec.cpus, Math.max(neededCpus, spec.cpus));
-		return (offer.price * (offer.type.bootS + expectedUseS)) / expectedUseS / usable;
+		return (offer.hourlyPrice * (offer.type.bootS + expectedUseS)) / expectedUseS / usable;
 	};
 	return offers
 		.map((offer) => ({ offer, cost: cost(offer) }))
--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -13,20 +13,20 @@
 export interface MachineTypeCatalogOptions {
 	cloud: CloudProvider;
 	store: KeyValueStore;
-	time: Clock;
+	clock: Clock;
 	log: Log;
 	post(command: () => void): void;
-	/** The term while this process may act for the controllers, else null. */
-	authority(): number | null;
-	/** What the state service has. */
-	stored(): MachineType[] | null;
-	/** The cloud has answered. */
-	refreshed(types: MachineType[]): void;
+	/** The term in which this process may act for the controllers; null: it may not. */
+	authorizedTerm(): number | null;
+	/** The machine types in the state service; null: there are none. */
+	storedTypes(): MachineType[] | null;
+	/** Called with the machine types that were read from the cloud. */
+	onRefreshed(types: MachineType[]): void;
 }
 
 /**
- * The machine types that the cloud offers. The leader reads them now and then, for their prices, and
- * keeps them in the store, so that a starting node can check submissions without the cloud.
+ * The machine types that the cloud offers. The leader reads them periodically, since their prices change, and writes
+ * them to the store, so that a starting node can check submissions without the cloud.
  */
 export class MachineTypeCatalog {
 	private latest: MachineType[] | null = null;
@@ -35,14 +35,14 @@
 
 	constructor(private readonly options: MachineTypeCatalogOptions) {}
 
-	/** null: neither the cloud nor the state service has told any. */
+	/** null: they have been read neither from the cloud nor from the state service. */
 	get types(): MachineType[] | null {
-		return this.latest ?? this.options.stored();
+		return this.latest ?? this.options.storedTypes();
 	}
 
-	/** Called often, with authority. */
+	/** Starts to read the types if a read is due. Called in each tick, with authority. */
 	tick(): void {
-		const { time, cloud, post } = this.options;
+		const { clock: time, cloud, post } = this.options;
 		if (this.reading || time.now() < this.nextReadAt) return;
 		this.reading = true;
 		cloud.machineTypes().then(
@@ -54,20 +54,20 @@
 	private received(types: MachineType[]): void {
 		this.reading = false;
 		if (types.length === 0) return;
-		this.nextReadAt = this.options.time.now() + refreshEveryMs;
+		this.nextReadAt = this.options.clock.now() + refreshEveryMs;
 		this.latest = types;
-		this.options.refreshed(types);
+		this.options.onRefreshed(types);
 		this.store(types);
 	}
 
 	private failed(error: unknown): void {
 		this.reading = false;
-		this.nextReadAt = this.options.time.now() + retryMs;
+		this.nextReadAt = this.options.clock.now() + retryMs;
 		this.options.log.debug({ err: String(error) }, "machine types not read");
 	}
 
 	private store(types: MachineType[]): void {
-		const { store, log, post, authority, stored } = this.options;
+		const { store, log, post, authorizedTerm: authority, storedTypes: stored } = this.options;
 		const term = authority();
 		if (term === null || sameTypes(stored() ?? [], types)) return;
 		const value = encodeMachineTypes(types);
@@ -75,7 +75,7 @@
 			.compareAndSwap([{ key: keys.leader, revision: term }], [{ put: keys.machineTypes, value }], "user")
 			.catch((error) =>
 				post(() => {
-					// Too many types for one value: they are read from the cloud then, by each leader.
+					// The types are too many for one value. Each leader then reads them from the cloud.
 					if (error instanceof CallError && error.outcome === "rejected")
 						log.error({ key: keys.machineTypes, err: error.message }, "record rejected by the store");
 					else this.nextReadAt = 0;
@@ -84,7 +84,7 @@
 	}
 }
 
-/** Prices of spot machines move all the time; only what submissions depend on is compared. */
+/** Compares only what submissions depend on: the prices of spot machines change constantly. */
 function sameTypes(a: MachineType[], b: MachineType[]): boolean {
 	const summary = (types: MachineType[]) =>
 		JSON.stringify(types.map((t) => [t.name, t.cpus, t.gpus, t.memoryGb, t.bootS, t.zones]));
--- a/src/coordination/fleet/provisioning-times.ts
+++ b/src/coordination/fleet/provisioning-times.ts
@@ -1,40 +1,47 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 
-/** Machines usually boot in up to this many times the stated time. */
+/** Machines usually boot within this multiple of the stated boot time. */
 const usualBootTimes = 1.6;
-/** Of what was observed lately, so much more is still usual. */
+/** A boot that takes up to this multiple of the longest recent boot of the type is still usual. */
 const observedFactor = 1.2;
-/** Boots of a type that are remembered. */
+/** The number of recent boots recorded for each type. */
 const bootsKept = 8;
-/** With others of its type up that were rented with or after it, a machine is given up after so many stated times. */
+/**
+ * The boot timeout of a machine that was overtaken by another of its type, requested with it or later, as a multiple of
+ * the stated boot time.
+ */
 const overtakenBootTimes = 2;
-/** Where nothing says that it is the machine and not all of its type, it is given this many times as long. */
+/**
+ * The configured boot timeout is multiplied by this while no machine of the type has overtaken the machine: the whole
+ * type may boot slowly.
+ */
 const patience = 2;
-/** A stated boot time of a few seconds leaves no room for delays on the way. */
+/** Shorter stated boot times are raised to this, since they leave no margin for delays of requests and heartbeats. */
 const leastBootS = 30;
 
+/** The boots of one machine type that this leader has observed. */
 interface TypeBoots {
-	/** Durations of the latest boots. */
+	/** Durations of the most recent boots. */
 	durationsMs: number[];
-	/** When the latest rented machine that is up was rented. */
+	/** Monotonic time of the latest request whose machine is up. */
 	latestRentedAt: number;
 }
 
 /**
- * How long machines take to come up, by what this leader has seen of each type. Some take several
- * times as long as stated and a few never come up. Those that are late no longer count as coming
- * capacity; those that others overtook go back.
+ * Decides, from the boots of each type that this leader has observed, whether a machine is overdue and whether its boot
+ * has timed out. Some machines take several times the stated boot time, and a few never come up. Overdue machines no
+ * longer count as capacity, and those whose boot has timed out are deleted.
  */
 export class ProvisioningTimes {
 	private readonly byType = new Map<string, TypeBoots>();
 
 	constructor(
-		/** Stated boot times after which a machine is given up that nothing is known against or for. */
+		/** The configured boot timeout, as a multiple of the stated boot time. */
 		private readonly bootTimes: number,
 	) {}
 
-	/** A machine that this leader rented has reported for the first time. */
-	noteUp({ type, lifecycle }: Machine, now: number): void {
+	/** Records the boot of a machine that this leader requested, at its first heartbeat. */
+	recordBoot({ type, lifecycle }: Machine, now: number): void {
 		const { requestedAt } = lifecycle;
 		const boots = this.byType.get(type.name) ?? { durationsMs: [], latestRentedAt: -Infinity };
 		this.byType.set(type.name, boots);
@@ -43,7 +50,7 @@
 		boots.latestRentedAt = Math.max(boots.latestRentedAt, requestedAt);
 	}
 
-	/** It should be up by now, and another is to be had in its place. */
+	/** True if the machine takes longer than usual to come up; another may be created in its place. */
 	isOverdue(machine: Machine, now: number): boolean {
 		if (machine.agent.running) return false;
 		const observed = Math.max(0, ...(this.byType.get(machine.type.name)?.durationsMs ?? []));
@@ -53,8 +60,8 @@
 		);
 	}
 
-	/** It will hardly come up any more. */
-	isGivenUp(machine: Machine, now: number): boolean {
+	/** True if the machine is unlikely to come up and should be deleted. */
+	isBootTimedOut(machine: Machine, now: number): boolean {
 		if (machine.agent.running) return false;
 		const age = now - machine.lifecycle.requestedAt;
 		const latest = this.byType.get(machine.type.name)?.latestRentedAt ?? -Infinity;
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -3,34 +3,35 @@
 import { tasksByZone, tasksByZoneWithout, zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
-import { FreeCapacity, freeBesideReplicas, freeOn } from "../placement/free-capacity.js";
+import { freeOrPreemptibleResources, freeResources, SimulatedCapacity } from "../placement/free-capacity.js";
 import type { Clock } from "../ports/clock.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import { assumedReplicas, classesWithFastStart } from "./expected-services.js";
+import { assumedServiceSpec, classesWithFastStart } from "./expected-services.js";
 import type { FleetSnapshot } from "./fleet-load.js";
 import type { ScaleOut, ScaleOutNeed } from "./scale-out.js";
 
-/** Standing jobs that came so lately are expected once more. */
+/** A service job submitted within this time is expected to be submitted once more. */
 const expectedMs = 60_000;
 
-/** Other work makes room for waiting replicas, as a rule within this time. */
+/** Preemption usually provides capacity for waiting replicas within this time. */
 const preemptionMs = 3000;
 
-/** Replicas that the machines given have no room for, and where those with room were put. */
+/** Replicas of a job that do not fit on the machines. */
 interface Shortage {
 	spec: JobSpec;
 	count: number;
+	/** The job's replicas by zone, including the simulated placement of those that fit. */
 	zones: Record<string, number>;
 }
 
 /**
- * Capacity for replicas, which can't wait for the load to rise: what has no room gets a machine
- * rented by itself, and as many replicas as came lately have room kept for them ahead.
+ * Requests machines for replicas, which cannot wait for the load to rise: for those that fit nowhere and, in advance,
+ * for as many as were submitted recently.
  */
 export class ReplicaCapacity {
-	/** Classes whose jobs have been arrays in this term. */
+	/** Classes with an array job in this term. */
 	private readonly arrayClasses = new Set<string>();
-	/** Since when replicas of a job have waited. */
+	/** Monotonic time since which each service job has had waiting replicas. */
 	private readonly waitingSince = new Map<Job, number>();
 
 	constructor(
@@ -38,15 +39,15 @@
 		private readonly time: Clock,
 		private readonly rentals: ScaleOut,
 		private readonly objectives: readonly StartTimeObjective[],
-		/** Takes back the mark of a machine with room for the job; false if there is none. */
+		/** Cancels draining of one machine on which a task of the job fits; false: there is none. */
 		private readonly unmarkFor: (job: Job) => boolean,
 	) {}
 
-	/** True if something was done, or is on its way, for replicas in this round. */
-	serve(look: FleetSnapshot): boolean {
+	/** Provides capacity for replicas; true if that was necessary and a request is pending or draining was cancelled. */
+	ensureCapacity(look: FleetSnapshot): boolean {
 		this.noteWaiting(look.now);
-		const free = new FreeCapacity(freeOn);
-		const besideReplicas = new FreeCapacity(freeBesideReplicas);
+		const free = new SimulatedCapacity(freeResources);
+		const besideReplicas = new SimulatedCapacity(freeOrPreemptibleResources);
 		for (const job of this.clusterState.jobs.values()) {
 			if (!job.isService) continue;
 			const shortage = this.shortageOfWaiting(
@@ -56,7 +57,7 @@
 			);
 			const wanted = shortage ?? this.shortageOfLeaving(job, look, free);
 			if (!wanted) continue;
-			if (this.rentals.pending || this.unmarkFor(job) || this.rent(wanted, look)) return true;
+			if (this.rentals.requestPending || this.unmarkFor(job) || this.rent(wanted, look)) return true;
 		}
 		return this.serveExpected(look);
 	}
@@ -69,19 +70,19 @@
 				this.waitingSince.set(job, now);
 	}
 
-	/** For a while its replicas are expected to take the room of work that yields to them. */
+	/** True while the job's waiting replicas are expected to get capacity by preemption. */
 	private mayPreempt(job: Job, now: number): boolean {
 		return now - (this.waitingSince.get(job) ?? now) < preemptionMs;
 	}
 
-	/** Replicas that wait, beyond the room that is up or on its way. */
-	private shortageOfWaiting(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
+	/** Returns the waiting replicas that do not fit on machines that are running or being provisioned. */
+	private shortageOfWaiting(job: Job, look: FleetSnapshot, room: SimulatedCapacity): Shortage | null {
 		if (!job.hasReadyTask(look.now)) return null;
 		return shortageOf(job, job.waitingTasks.length, look, room, tasksByZone(job));
 	}
 
-	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
-	private shortageOfLeaving(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
+	/** Returns the replicas that have to leave their machine and fit nowhere else. Nothing is preempted for them. */
+	private shortageOfLeaving(job: Job, look: FleetSnapshot, room: SimulatedCapacity): Shortage | null {
 		const leaving = [...job.attempts.values()].filter(
 			(a) => a.machine.leaving && a.relocationTarget === null,
 		);
@@ -90,61 +91,70 @@
 	}
 
 	/**
-	 * A machine takes longer to boot than a replica may wait. So what came in the last minute is
-	 * expected to come once more, and has room kept on machines that it may use. Work that is
-	 * not standing can run there meanwhile: replicas go before it.
+	 * Provides capacity for expected replicas. A machine takes longer to boot than a replica may wait, so the service jobs
+	 * of the last minute are expected to be submitted once more, and capacity is kept on machines that they may use.
+	 * Array jobs can run there meanwhile, since replicas preempt them.
 	 */
 	private serveExpected(look: FleetSnapshot): boolean {
 		const { machines } = look;
 		const shortage = this.shortageOfExpected(machines) ?? this.shortageWithoutAZone(machines);
-		return shortage !== null && (this.rentals.pending || this.rent(shortage, look));
+		return shortage !== null && (this.rentals.requestPending || this.rent(shortage, look));
 	}
 
-	/** Expected work that would lack room if only these of the machines were left; null: none would. */
-	lackingRoom(machines: Machine[], left: Machine[]): JobSpec | null {
+	/**
+	 * Returns an expected job that would lack capacity on the remaining machines; null: none would.
+	 *
+	 * @param machines The machines of the fleet now.
+	 * @param left Those that would remain.
+	 */
+	unplaceableExpectedSpec(machines: Machine[], left: Machine[]): JobSpec | null {
 		const shortage = this.shortageOfExpected(left);
 		if (shortage) return shortage.spec;
-		// Where there is no room in enough zones in any case, nothing is kept for the loss of one.
+		// If the fleet cannot tolerate the loss of a zone now, no machine is kept for that case.
 		if (this.shortageWithoutAZone(machines)) return null;
 		return this.shortageWithoutAZone(left)?.spec ?? null;
 	}
 
-	/** The first of the expected jobs that would not find room on the machines. */
+	/** Returns the shortage of the first expected job that does not fit on the machines; null: all fit. */
 	private shortageOfExpected(machines: Machine[]): Shortage | null {
-		const room = new FreeCapacity(freeBesideReplicas);
+		const room = new SimulatedCapacity(freeOrPreemptibleResources);
 		for (const spec of this.expected()) {
 			const zones: Record<string, number> = {};
-			const count = room.take(spec, spec.taskCount, machines, zones);
+			const count = room.placeTasks(spec, spec.taskCount, machines, zones);
 			if (count > 0) return { spec, count, zones };
 		}
 		return null;
 	}
 
 	/**
-	 * Replicas that are spread over zones have nowhere to go when one of only two zones with
-	 * machines for them is cut off: a machine elsewhere boots for longer than they may wait. So
-	 * what is expected has room whichever zone is lost.
+	 * Returns the shortage of the first expected job that would not fit after the loss of some zone; null: all fit. If
+	 * machines for replicas that are spread over zones existed in only two zones and one were isolated, they could not be
+	 * placed: a machine in a third zone takes longer to boot than they may wait.
 	 */
 	private shortageWithoutAZone(machines: Machine[]): Shortage | null {
 		const spread = this.expected().filter((spec) => spec.spreadZones && spec.zone === null);
 		if (spread.length === 0) return null;
 		for (const lost of new Set(machines.map((machine) => machine.zone))) {
 			const left = machines.filter((machine) => machine.zone !== lost);
-			const room = new FreeCapacity(freeBesideReplicas);
+			const room = new SimulatedCapacity(freeOrPreemptibleResources);
 			for (const spec of spread) {
 				const zones: Record<string, number> = {};
-				const count = room.take(spec, spec.taskCount, left, zones);
-				// As many as the spread allows are taken to be in the lost zone: nothing is rented there.
+				const count = room.placeTasks(spec, spec.taskCount, left, zones);
+				// The lost zone counts as full, so that no machine is requested there.
 				if (count > 0) return { spec, count, zones: { ...zones, [lost]: spec.taskCount } };
 			}
 		}
 		return null;
 	}
 
+	/**
+	 * Returns the specs of the service jobs expected next: those submitted within the last minute and, if any job is live,
+	 * an assumed one for each class with a fast start that has had neither an older service job nor an array job.
+	 */
 	private expected(): JobSpec[] {
 		const date = this.time.date().getTime();
 		const specs: JobSpec[] = [];
-		/** Classes with a job of more than a minute ago: what comes of them shows. */
+		/** Classes with a service job older than a minute: those show what to expect, so nothing is assumed. */
 		const known = new Set<string>();
 		for (const { isService: standing, spec, acceptedAt: at } of this.clusterState.jobs.values()) {
 			if (!standing) this.arrayClasses.add(spec.jobClass);
@@ -154,31 +164,35 @@
 		if (this.clusterState.jobs.size === 0) return specs;
 		for (const name of classesWithFastStart(this.objectives, this.clusterState.machineTypes.values()))
 			if (!known.has(name) && !this.arrayClasses.has(name))
-				specs.push(assumedReplicas(name, this.clusterState.schedulableCpus));
+				specs.push(assumedServiceSpec(name, this.clusterState.schedulableCpus));
 		return specs;
 	}
 
 	private rent({ spec, count, zones }: Shortage, look: FleetSnapshot): boolean {
 		const fullZones = new Set(Object.keys(zones).filter((zone) => zoneRoom(spec, zones, zone) < 1));
-		// More are on their way as a rule, so a machine for many may be worth its price.
+		// More replicas usually follow, so a machine that holds many may be worth its price.
 		let comingCpus = count * spec.cpus;
 		for (const expected of this.expected()) comingCpus += expected.taskCount * expected.cpus;
-		const need: ScaleOutNeed = { spec, work: 0, replicas: { count, comingCpus, fullZones } };
+		const need: ScaleOutNeed = {
+			spec,
+			remainingWork: 0,
+			replicas: { replicaCount: count, expectedCpus: comingCpus, fullZones },
+		};
 		return this.rentals.request(need, look) === "asked";
 	}
 
 	/**
-	 * With replicas on it, a machine is worth draining only if it is all but empty and they have
-	 * room elsewhere now.
+	 * True if a machine with replicas may drain: at most a quarter of its cores are in use, and its replicas fit on other
+	 * running machines now.
 	 */
-	couldLeave(machine: Machine, machines: Machine[]): boolean {
+	canRelocateReplicas(machine: Machine, machines: Machine[]): boolean {
 		if (machine.capacity.usedCpus > machine.type.cpus / 4) return false;
 		const others = machines.filter((m) => m !== machine && m.agent.running && !m.health.onProbation);
-		const room = new FreeCapacity(freeOn);
+		const room = new SimulatedCapacity(freeResources);
 		for (const attempt of machine.attempts.values()) {
 			if (!attempt.job.isService) continue;
 			const zones = tasksByZoneWithout(attempt.job, [attempt]);
-			if (room.take(attempt.job.spec, 1, others, zones) > 0) return false;
+			if (room.placeTasks(attempt.job.spec, 1, others, zones) > 0) return false;
 		}
 		return true;
 	}
@@ -188,9 +202,9 @@
 	{ spec }: Job,
 	wanted: number,
 	look: FleetSnapshot,
-	room: FreeCapacity,
+	room: SimulatedCapacity,
 	zones: Record<string, number>,
 ): Shortage | null {
-	const count = room.take(spec, wanted, look.machines, zones);
+	const count = room.placeTasks(spec, wanted, look.machines, zones);
 	return count > 0 ? { spec, count, zones } : null;
 }
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -7,13 +7,12 @@
 import type { DirectCommandSender } from "../workers/direct-command-sender.js";
 
 const everyMs = 300;
-/** Replicas of a job move one after the other, unless a machine is taken as soon as this. */
+/** Replicas of a job are relocated one at a time, unless their machine is reclaimed within this time. */
 const takenSoonMs = 15_000;
 
 /**
- * From machines that will go, replicas move early. A task may not be on two machines, so room
- * elsewhere is kept first, then the replica is stopped, and it starts there as soon as its
- * end is proved.
+ * Relocates replicas from machines that are leaving the fleet. A task must not run on two machines, so capacity is
+ * reserved on another machine first, then the replica is stopped, and it starts there as soon as its end is proved.
  */
 export class ReplicaRelocation {
 	private nextAt = 0;
@@ -24,7 +23,7 @@
 		private readonly log: Log,
 	) {}
 
-	/** Called often, with authority. */
+	/** Called in each tick of the leader, with authority. */
 	tick(now: number): void {
 		if (now < this.nextAt || !this.clusterState.reconciled) return;
 		this.nextAt = now + everyMs;
@@ -52,7 +51,10 @@
 		return moved;
 	}
 
-	/** Where the replica could go on: with its image and without another replica of the job, if possible. */
+	/**
+	 * Returns the machine to which the replica can be relocated, preferably one without another replica of the job, then
+	 * one with its image cached; null: there is none.
+	 */
 	private targetFor(attempt: Attempt): Machine | null {
 		const { job } = attempt;
 		const { spec } = job;
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -5,32 +5,32 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { ProvisioningTimes } from "./provisioning-times.js";
 
-/** Machines that were returned are known as gone for so long: late copies of their reports may come. */
+/** Deleted machines are remembered for this long, since delayed heartbeats of them may still arrive. */
 const goneKeptMs = 10 * 60_000;
-/** One that the cloud takes away is returned this much earlier. */
+/** A spot machine is deleted this long before the cloud reclaims it. */
 const takenLeadMs = 700;
-/** A machine without tasks that answers do not reach goes back after this long. */
+/** A machine without tasks that does not receive responses is deleted after this long. */
 const deafPatienceMs = 5000;
-/** Machines of a zone that is cut off are waited for this many times as long. */
+/** The timeout for unresponsive machines is multiplied by this in an isolated zone. */
 const zonePatience = 4;
 const retryMs = 700;
-/** The cloud's own bound. */
+/** The cloud's limit. */
 const mostPerCall = 100;
 
 export interface ScaleInHooks {
 	post(command: () => void): void;
-	/** A machine is proved gone: its record may go, and its tasks wait again. */
-	gone(machine: Machine): void;
+	/** The cloud has confirmed the machine's deletion: its record can be deleted, and its tasks wait again. */
+	onMachineDeleted(machine: Machine): void;
 }
 
-/** Gives machines back to the cloud; its answer proves them gone. */
+/** Deletes machines. The cloud's response proves that they, and all tasks on them, are gone. */
 export class ScaleIn {
 	private readonly goneAt = new Map<string, number>();
 	private returning = false;
 	private nextReturn = 0;
-	/** Unanswered for this long, a machine whose lease is over goes back. */
+	/** A machine whose lease has expired is deleted this long after the last response to it. */
 	private readonly silentMs: number;
-	/** Zones that seem to be cut off: their machines are kept for longer. */
+	/** Zones that seem to be isolated: their machines are deleted later. */
 	private cutOff = new Set<string>();
 
 	constructor(
@@ -50,11 +50,11 @@
 		return this.goneAt.has(machine);
 	}
 
-	isCutOff(zone: string): boolean {
+	isZoneIsolated(zone: string): boolean {
 		return this.cutOff.has(zone);
 	}
 
-	/** Called often, with authority. */
+	/** Called in each tick of the leader, with authority. */
 	tick(now: number): void {
 		this.cutOff = silentZones(this.clusterState.machines.values());
 		if (this.returning || now < this.nextReturn) return;
@@ -67,6 +67,7 @@
 		);
 	}
 
+	/** Starts the deletion of machines, as many as one call allows, and returns them. */
 	private leaving(now: number): Machine[] {
 		const leaving: Machine[] = [];
 		for (const machine of this.clusterState.machines.values()) {
@@ -86,7 +87,7 @@
 		for (const [id, at] of this.goneAt) if (now - at > goneKeptMs) this.goneAt.delete(id);
 		for (const machine of machines) {
 			this.goneAt.set(machine.id, now);
-			this.hooks.gone(machine);
+			this.hooks.onMachineDeleted(machine);
 		}
 	}
 
@@ -96,10 +97,11 @@
 		this.log.debug({ err: String(error) }, "scale-in failed");
 	}
 
+	/** Returns why the machine is to be deleted, for the log; null: it is not. */
 	private reasonToReturn(machine: Machine, now: number): string | null {
 		if (machine.lifecycle.deleting) return "return requested";
-		// A machine that vanishes proves nothing until its lease has run out; one that was
-		// returned is proved gone at once, and so are the tasks on it.
+		// Tasks on a machine that is reclaimed count as running until its lease has expired. Deleting the machine first
+		// proves at once that they are gone.
 		if (machine.lifecycle.reclaimAt !== null && now >= machine.lifecycle.reclaimAt - takenLeadMs)
 			return "about to be taken";
 		const hidden = this.clusterState.unreconciledMachines.has(machine);
@@ -111,14 +113,15 @@
 		return machine.lifecycle.reclaimAt !== null && machine.agent.fenced ? "drained before it is taken" : null;
 	}
 
+	/** Returns why the machine counts as unreachable for good; null: it does not. */
 	private outOfReach(machine: Machine, hidden: boolean, holdsTasks: boolean, now: number): string | null {
-		// Most of a zone does not fall silent machine by machine: it is cut off, and what runs
-		// there is worth more when it is heard again than what would have to boot then.
+		// If most machines of a zone are unresponsive, the zone is isolated. Its running tasks and booted machines are worth more,
+		// once it is reachable again, than new machines that would have to boot.
 		const patience = this.cutOff.has(machine.zone) ? zonePatience : 1;
 		if (machine.agent.leaseExpired && now - machine.agent.respondedAt > this.silentMs * patience)
 			return "silent";
-		if (!hidden && this.bootTimes.isGivenUp(machine, now)) return "never came up";
-		// Its tasks go on until its lease has run out, unless answers reach it again before.
+		if (!hidden && this.bootTimes.isBootTimedOut(machine, now)) return "never came up";
+		// Its tasks run until its lease expires, and responses may reach it again before that.
 		const deafMs = holdsTasks ? this.leaseMs : deafPatienceMs;
 		if (machine.agent.unreachableSince !== null && now - machine.agent.unreachableSince > deafMs)
 			return "answers do not reach it";
@@ -126,11 +129,11 @@
 	}
 }
 
-/** Zones of which most machines that were up are lost. */
+/** Returns the zones in which the leases of most machines, and of at least three, have expired. */
 function silentZones(machines: Iterable<Machine>): Set<string> {
 	const zones = new Map<string, { lost: number; up: number }>();
 	for (const machine of machines) {
-		// One that a new leader never heard is lost too, once its lease has run out.
+		// This includes machines that never sent a heartbeat to this leader, once their leases have expired.
 		if (!machine.agent.running && !machine.agent.leaseExpired) continue;
 		const zone = zones.get(machine.zone) ?? { lost: 0, up: 0 };
 		zone.up += 1;
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -10,34 +10,39 @@
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import { type FleetSnapshot, usableCpus } from "./fleet-load.js";
-import { type MachineOffer, machinesToCut, offerKey, offersFor, rankOffers } from "./hill-climb.js";
+import { type MachineOffer, machinesToAdd, offerKey, offersFor, rankOffers } from "./hill-climb.js";
 
-/** An offer this many times as dear as the cheapest of its kind is not taken at once. */
+/** An offer whose cores cost more than this multiple of the best offer's is not requested at once. */
 const dearFrom = 2;
+/** A request without a definite response is repeated for this long. */
 const rentalTriesMs = 60_000;
 const retryMs = 500;
-/** The cloud's own bound. */
+/** The cloud's limit. */
 const mostPerCall = 50;
 
-/** Machines wanted for replicas, by themselves and whatever the load is. */
+/** A need of machines for replicas, which is independent of the load. */
 export interface ReplicaNeed {
-	/** Replicas that have no room. */
-	count: number;
-	/** Cores that replicas will want before long. */
-	comingCpus: number;
-	/** Zones in which no more of them may be. */
+	/** Replicas that fit on no machine. */
+	replicaCount: number;
+	/** Cores of these replicas and of those expected next. */
+	expectedCpus: number;
+	/** Zones in which the job's zone constraints allow no more replicas. */
 	fullZones: ReadonlySet<string>;
 }
 
-/** What machines are wanted for. */
+/** A need of machines. */
 export interface ScaleOutNeed {
-	/** The work that they must be able to hold. */
+	/** The job of which the machines must be able to hold a task. */
 	spec: JobSpec;
-	/** Remaining work that is to be brought down to the high mark; 0: one machine, at once. */
-	work: number;
+	/** The remaining work for which the load is to be brought down to the high threshold; 0: one machine, at once. */
+	remainingWork: number;
 	replicas?: ReplicaNeed;
 }
 
+/**
+ * The result of a scale-out request: it was sent; it is not to be sent now; or no offer can meet the need, so that
+ * another need may be tried.
+ */
 export type ScaleOutOutcome = "asked" | "not now" | "nothing to be had";
 
 interface Rental {
@@ -48,18 +53,18 @@
 
 export interface ScaleOutHooks {
 	post(command: () => void): void;
-	authority(): boolean;
-	/** More is wanted than this call gave: the next round need not wait for the counters. */
-	unfilled(): void;
+	active(): boolean;
+	/** More machines are needed than the request created: the next round should not wait for the counters. */
+	onUnfilled(): void;
 	isDeleted(machine: string): boolean;
-	isCutOff(zone: string): boolean;
+	isZoneIsolated(zone: string): boolean;
 }
 
-/** Chooses what to rent and asks the cloud for it, one request at a time. */
+/** Chooses machines to create and requests them from the cloud, one request at a time. */
 export class ScaleOut {
 	private readonly refusedUntil = new Map<string, number>();
 	private rental: Rental | null = null;
-	/** Times in a row that the up counter acted with nothing but dear offers left. */
+	/** Number of successive requests for which only expensive offers were available. */
 	private patience = 0;
 	private requestNumber = 0;
 
@@ -68,24 +73,24 @@
 		private readonly cloud: CloudProvider,
 		private readonly time: Clock,
 		private readonly climb: OperatorSettings["climb"],
-		/** Begins the names of all requests; never used by another term or process. */
+		/** The prefix of all request names; never used by another term or process. */
 		private readonly requestPrefix: string,
 		private readonly hooks: ScaleOutHooks,
 		private readonly log: Log,
 	) {}
 
-	/** A request is on its way. */
-	get pending(): boolean {
+	/** True if a request is pending. */
+	get requestPending(): boolean {
 		return this.rental !== null;
 	}
 
-	/** The load is no longer high. */
-	loadIsDown(): void {
+	/** Called when the load is no longer high: the wait for an expensive offer starts anew. */
+	onLoadNormal(): void {
 		this.patience = 0;
 	}
 
-	/** A machine of it is gone, so there may be another, whatever was refused before. */
-	allowAgain(offer: Pick<MachineOffer, "type" | "zone" | "spot">): void {
+	/** Makes the offer available again after a refusal: one of its machines was deleted, so there may be capacity. */
+	clearRefusal(offer: Pick<MachineOffer, "type" | "zone" | "spot">): void {
 		this.refusedUntil.delete(offerKey(offer));
 	}
 
@@ -95,9 +100,9 @@
 		const most = this.climb.most_machines;
 		if (most > 0 && machines >= most) return "not now";
 		const usable = usableCpus(this.clusterState);
-		const byLoad = machines > 0 && need.work > 0;
+		const byLoad = machines > 0 && need.remainingWork > 0;
 		if (byLoad && look.cpus >= usable) return "not now";
-		const wanted = need.replicas?.comingCpus ?? Math.max(usable - look.cpus, need.spec.cpus);
+		const wanted = need.replicas?.expectedCpus ?? Math.max(usable - look.cpus, need.spec.cpus);
 		const offers = rankOffers(
 			offersFor(need.spec, [...this.clusterState.machineTypes.values()]),
 			need.spec,
@@ -112,12 +117,13 @@
 		return "asked";
 	}
 
+	/** True if the offer may be requested: its zone may be used, and it was not refused recently. */
 	private isOpen(offer: MachineOffer, need: ScaleOutNeed, now: number): boolean {
-		if (this.hooks.isCutOff(offer.zone) || need.replicas?.fullZones.has(offer.zone)) return false;
+		if (this.hooks.isZoneIsolated(offer.zone) || need.replicas?.fullZones.has(offer.zone)) return false;
 		return (this.refusedUntil.get(offerKey(offer)) ?? 0) <= now;
 	}
 
-	/** Dear machines are rented only when the load stays high for longer, by as much as they cost more. */
+	/** True if the offer is not to be requested yet: the more expensive it is, the longer the load must stay high. */
 	private tooDear(offer: MachineOffer, cheapest: MachineOffer, byLoad: boolean): boolean {
 		const dearness = pricePerCpu(offer) / pricePerCpu(cheapest);
 		this.patience += 1;
@@ -126,21 +132,22 @@
 		return false;
 	}
 
+	/** Returns how many machines of the offer the need takes. */
 	private countOf(
-		{ spec, work, replicas }: ScaleOutNeed,
+		{ spec, remainingWork: work, replicas }: ScaleOutNeed,
 		{ type }: MachineOffer,
 		look: FleetSnapshot,
 		usable: number,
 	) {
 		if (replicas) {
 			const here = spec.spreadZones
-				? Math.min(replicas.count, Math.ceil(spec.taskCount / 2))
-				: replicas.count;
+				? Math.min(replicas.replicaCount, Math.ceil(spec.taskCount / 2))
+				: replicas.replicaCount;
 			return Math.ceil(here / tasksHeld(spec, type));
 		}
-		const highPerCpu = this.climb.high * look.secondsLeft;
-		const count = machinesToCut(work, look.machines.length, look.cpus, type.cpus, highPerCpu, mostPerCall);
-		// Cores beyond what the teams' limits allow would stand idle.
+		const highPerCpu = this.climb.high * look.meanRemainingS;
+		const count = machinesToAdd(work, look.machines.length, look.cpus, type.cpus, highPerCpu, mostPerCall);
+		// Cores beyond the teams' limits would be idle.
 		return Math.min(count, Math.ceil(Math.max(0, usable - look.cpus) / type.cpus));
 	}
 
@@ -166,9 +173,9 @@
 		if (ids.length > 0) this.log.info({ ...request, got: ids.length }, "scale-out complete");
 		else this.log.debug({ ...request }, "scale-out refused: no capacity");
 		if (ids.length < request.count) this.refuse(rental, now);
-		// What one offer could not give is asked of the next, and what one call could not
-		// ask for of another, without waiting for more rounds.
-		if (ids.length < request.count || request.count === mostPerCall) this.hooks.unfilled();
+		// Machines that this offer could not provide are requested from the next one, and those beyond the cloud's limit
+		// per call in another call, without waiting for the counters.
+		if (ids.length < request.count || request.count === mostPerCall) this.hooks.onUnfilled();
 	}
 
 	private failed(rental: Rental, error: unknown): void {
@@ -180,10 +187,10 @@
 			this.log.info({ ...rental.request, err: String(error) }, "scale-out abandoned");
 			return;
 		}
-		// Perhaps it was carried out: the same name gets the same machines.
+		// The request may have been executed: repeating it under the same name yields the same machines.
 		this.time.after(retryMs, () =>
 			this.hooks.post(() => {
-				if (this.rental === rental && this.hooks.authority()) this.call(rental);
+				if (this.rental === rental && this.hooks.active()) this.call(rental);
 				else this.rental = null;
 			}),
 		);
@@ -201,5 +208,5 @@
 }
 
 function pricePerCpu(offer: MachineOffer): number {
-	return offer.price / offer.type.cpus;
+	return offer.hourlyPrice / offer.type.cpus;
 }
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -170,21 +170,22 @@
 	});
 
 	const placement = new PlacementCycle({
-		self: platform.node,
+		node: platform.node,
 		clusterState,
-		peerMonitor: failureDetector,
+		failureDetector,
 		peers,
-		time: clock,
+		clock,
 		random,
 		log,
-		cycleMs: operator.placing.cycle_s * 1000,
-		silentMs: operator.placing.silent_s * 1000,
-		sample: operator.placing.sample,
+		cycleIntervalMs: operator.placing.cycle_s * 1000,
+		placerTimeoutMs: operator.placing.silent_s * 1000,
+		maxMachinesPerCycle: operator.placing.sample,
 		capS: operator.climb.cap_s,
 		quota: quotaAdmission && leaderQuota ? { admission: quotaAdmission, leaderQuota } : null,
-		decided: (attempt) => heartbeats.onAssigned(attempt),
+		onAttemptAssigned: (attempt) => heartbeats.onAssigned(attempt),
 	});
-	const inOrder = (jobs: Parameters<typeof placement.inOrder>[0]) => placement.inOrder(jobs);
+	const inOrder = (jobs: Parameters<typeof placement.inSchedulingOrder>[0]) =>
+		placement.inSchedulingOrder(jobs);
 	const preemption = new PreemptionCycle(clusterState, commands, inOrder, random, log);
 
 	const machineDeleted = (machine: Machine) => {
@@ -196,13 +197,13 @@
 	const fleet = new Fleet({
 		clusterState,
 		cloud: ports.cloud,
-		time: clock,
+		clock,
 		settings: operator,
 		objectives: startTimeObjectives(cluster.objectives),
 		listLagMs: cluster.cloud.list_lag_s * 1000,
 		leaseMs: cluster.workers.lease_s * 1000,
 		requestPrefix: options.requestPrefix,
-		hooks: { post, authority: active, gone: machineDeleted },
+		hooks: { post, active, onMachineDeleted: machineDeleted },
 		log,
 	});
 	const failover = new Failover({
@@ -214,7 +215,7 @@
 		active,
 		ended: () => authority.ended,
 		reconcileHeartbeat: (heartbeat) => heartbeats.reconcile(heartbeat),
-		missingFromCloudList: (machine) => fleet.unlisted(machine),
+		missingFromCloudList: (machine) => fleet.isMissingFromCloudList(machine),
 	});
 
 	return {
@@ -275,11 +276,11 @@
 		quota,
 		leaderQuota,
 		clusterState,
-		peerMonitor: failureDetector,
-		orders: commands,
+		failureDetector,
+		commandSender: commands,
 		nodes,
 		preemptAfterMs: operator.team_quota.preempt_after_s * 1000,
-		servedByAll: () => replica.features.teamQuota || failureDetector.allSupportTeamQuota,
+		supportedByAllControllers: () => replica.features.teamQuota || failureDetector.allSupportTeamQuota,
 		log: ports.log,
 	});
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -129,7 +129,7 @@
 		const now = clock.now();
 		placement.run(now);
 		for (const machine of clusterState.takeRelocationTargets()) heartbeats.onRelocatedTo(machine);
-		if (placement.settled) {
+		if (placement.idle) {
 			heartbeats.sendAssigned(now);
 			if (!clusterState.placementRequested) heartbeats.releaseForPlacement();
 		}
@@ -146,7 +146,7 @@
 		tickDelay.onProcessPause(clock.now());
 		heartbeats.refuseAll();
 		failover.onProcessPause(pausedMs);
-		placement.stalled();
+		placement.onProcessPause();
 	}
 
 	// --- workers ---
@@ -194,7 +194,7 @@
 		if (authority.ended || message.term !== authority.term) return;
 		const now = clock.now();
 		failureDetector.messageReceived(from, now);
-		if (message.kind === "placement-proposal") placement.proposed(from, message, now);
+		if (message.kind === "placement-proposal") placement.onProposal(from, message, now);
 		if (message.kind !== "leader-heartbeat-reply") return;
 		failureDetector.heartbeatReplyReceived(from, message, now);
 		if (message.teamQuota !== undefined) leaderQuota?.heard(from, message.teamQuota);
--- a/src/coordination/placement/admitted-placement.ts
+++ b/src/coordination/placement/admitted-placement.ts
@@ -5,8 +5,8 @@
 import { placeFirstFit } from "./first-fit.js";
 
 /**
- * Places what this controller can admit against its own allotments: admitted first, so that no place
- * is proposed that the team may not use, and given back where no machine has room.
+ * Places the granted tasks that this controller's allotments admit. Admission comes first, so that no placement is
+ * proposed that its team may not use; admissions of tasks that fit on no machine are withdrawn.
  */
 export function placeWithinAllotments(
 	quota: TeamQuotaPort,
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -4,8 +4,10 @@
 import { isService, type JobSpec } from "../../protocol/model/job.js";
 import type { Grant, MachineCapacity, Placement } from "../../protocol/peer/messages.js";
 
+/** Sums of decimals drift; amounts that differ by less are equal. */
 const slack = 1e-6;
 
+/** Returns how many tasks of the job fit in the machine's free capacity; 0 if the job does not allow the machine. */
 function fits(spec: JobSpec, m: MachineCapacity): number {
 	if (spec.machineTypes !== null && !spec.machineTypes.includes(m.type)) return 0;
 	if (spec.zone !== null && spec.zone !== m.zone) return 0;
@@ -17,7 +19,11 @@
 	return Math.max(0, n);
 }
 
-/** Tasks of the job that the machines could take, whatever else may want the same room. */
+/**
+ * Returns how many tasks of the job fit on the machines, regardless of other jobs that compete for the same capacity.
+ *
+ * @param zones Tasks of the job that may already be running, by zone.
+ */
 export function placeableTasks(
 	spec: JobSpec,
 	zones: Record<string, number>,
@@ -38,8 +44,8 @@
 	return spec.singleZone ? most : sum;
 }
 
-/** With very many machines a sample stands for them. */
-export function sampleOf<T>(all: T[], most: number, random: RandomGenerator): T[] {
+/** Returns a uniform random sample of at most `most` items; all of them, in their order, if there are no more. */
+export function randomSample<T>(all: T[], most: number, random: RandomGenerator): T[] {
 	if (all.length <= most) return all;
 	const pool = all.slice();
 	for (let i = 0; i < most; i++) {
@@ -52,9 +58,9 @@
 }
 
 /**
- * First-fit for one placer's grants, in their order. Machines that have the
- * image come first, then the rest, in the view's order from `start` on.
- * The machines given are used up as tasks are put on them.
+ * Places one placer's grants by first fit, in their order. Machines that have the image cached come first, then the
+ * others, each in the given order, starting at `start` and wrapping around. Deducts the placed tasks from the free
+ * amounts of `machines`.
  */
 export function placeFirstFit(
 	machines: MachineCapacity[],
@@ -71,18 +77,19 @@
 	return placements;
 }
 
-/** One time through the machines: those with or without the image, so many tasks on each at most. */
+/** One pass over the machines. */
 interface PlacingPass {
+	/** True: only machines that have the image cached; false: only the others. */
 	withImage: boolean;
 	most: number;
-	/** Only on machines that have no replica of the job yet. */
+	/** Skips machines that run a replica of the job. */
 	apart: boolean;
 }
 
 function passesFor(spec: JobSpec, count: number): PlacingPass[] {
 	const anywhere = [true, false].map((withImage) => ({ withImage, most: count, apart: false }));
 	if (!isService(spec)) return anywhere;
-	// Replicas go to as many machines as there are, so that the end of one machine costs one.
+	// Replicas are spread over as many machines as possible, so that losing a machine costs one replica.
 	return [...[true, false].map((withImage) => ({ withImage, most: 1, apart: true })), ...anywhere];
 }
 
--- a/src/coordination/placement/free-capacity.ts
+++ b/src/coordination/placement/free-capacity.ts
@@ -3,14 +3,15 @@
 import { zoneRoom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec } from "../../protocol/model/job.js";
 
-/** Amounts of a machine that tasks take. */
-export interface Amounts {
+/** Amounts of the resources that tasks use; memory in GB. */
+export interface ResourceAmounts {
 	cpus: number;
 	gpus: number;
 	memory: number;
 }
 
-export function freeOn(machine: Machine): Amounts {
+/** Returns the machine's free capacity. */
+export function freeResources(machine: Machine): ResourceAmounts {
 	return {
 		cpus: machine.capacity.freeCpus,
 		gpus: machine.capacity.freeGpus,
@@ -18,8 +19,8 @@
 	};
 }
 
-/** What is free, or taken by work that yields to replicas. */
-export function freeBesideReplicas(machine: Machine): Amounts {
+/** Returns the capacity that is free or used by work that replicas may preempt, which is all work but replicas. */
+export function freeOrPreemptibleResources(machine: Machine): ResourceAmounts {
 	const { cpus, gpus, memoryGb } = machine.type;
 	const free = { cpus, gpus, memory: memoryGb };
 	for (const { job } of machine.attempts.values()) {
@@ -31,17 +32,19 @@
 	return free;
 }
 
-/** Free capacity of machines, used up as replicas are thought to be put there. */
-export class FreeCapacity {
-	private readonly left = new Map<Machine, Amounts>();
+/** Simulates the placement of replicas: counts the capacity that they would leave on each machine. */
+export class SimulatedCapacity {
+	private readonly left = new Map<Machine, ResourceAmounts>();
 
-	constructor(private readonly freeOn: (machine: Machine) => Amounts) {}
+	constructor(private readonly freeOn: (machine: Machine) => ResourceAmounts) {}
 
 	/**
-	 * Puts so many tasks where they fit, and returns how many do not. `zones` counts the job's
-	 * tasks by zone, and these are added to it.
+	 * Deducts `count` tasks of the job from the machines on which they fit.
+	 *
+	 * @param zones The job's tasks by zone. The tasks that fit are added to it.
+	 * @returns How many of the tasks do not fit.
 	 */
-	take(spec: JobSpec, count: number, machines: Machine[], zones: Record<string, number>): number {
+	placeTasks(spec: JobSpec, count: number, machines: Machine[], zones: Record<string, number>): number {
 		let need = count;
 		for (const machine of machines) {
 			if (need === 0) break;
@@ -58,7 +61,7 @@
 		return need;
 	}
 
-	private leftOn(machine: Machine): Amounts {
+	private leftOn(machine: Machine): ResourceAmounts {
 		let left = this.left.get(machine);
 		if (!left) {
 			left = this.freeOn(machine);
@@ -68,6 +71,6 @@
 	}
 }
 
-function holds(left: Amounts, spec: JobSpec): boolean {
+function holds(left: ResourceAmounts, spec: JobSpec): boolean {
 	return left.cpus >= spec.cpus && left.gpus >= spec.gpus && left.memory >= spec.memoryGb;
 }
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -4,10 +4,11 @@
 import type { Grant, MachineCapacity } from "../../protocol/peer/messages.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import { placeableTasks } from "./first-fit.js";
-import { starved } from "./job-order.js";
+import { isStarved } from "./job-order.js";
 
-/** So long a job keeps off machines on which it failed, and off types that do not suit it. */
+/** A job is not placed on a machine for this long after one of its tasks failed there. */
 const avoidMs = 20_000;
+/** A job is not placed on machines of a type that does not suit it for this long after its last failure. */
 const avoidTypeMs = 60_000;
 
 export interface TeamGrant {
@@ -15,44 +16,48 @@
 	grant: Grant;
 }
 
-/** The moment of a decision, by the steady clock and by the time of day. */
-export interface Moment {
-	now: number;
-	date: number;
+/** The time of a decision, in milliseconds of both clocks. */
+export interface ClockReadings {
+	monotonicMs: number;
+	/** Time of day. */
+	wallClockMs: number;
 }
 
-/** One time through the jobs in their order. */
+/** One pass over the jobs, in scheduling order. */
 interface GrantPass {
 	jobs: Job[];
-	/** Most tasks of a job that this pass grants. */
+	/** Limits the tasks granted to a job in this and earlier passes. */
 	most: number;
-	/** Up to which part of teams' quotas. */
+	/** The part of a team's quota up to which tasks are granted. */
 	bound: QuotaBound;
 }
 
-/** Who may start how much now: guarantees first, then borrowing; urgent before the rest. */
-export function grantsFor(
+/**
+ * Decides how many tasks of each job may start now. One task of each starved job comes first, then work within the
+ * teams' guarantees, then work that borrows up to the teams' limits; each pass follows the order of `jobs`.
+ */
+export function computeGrants(
 	clusterState: ClusterState,
 	jobs: Job[],
 	views: MachineCapacity[],
-	moment: Moment,
+	moment: ClockReadings,
 ): TeamGrant[] {
 	const allocation = new Allocation(clusterState, views);
 	const passes: GrantPass[] = [
-		{ jobs: jobs.filter((job) => starved(job, moment.date)), most: 1, bound: "limit" },
+		{ jobs: jobs.filter((job) => isStarved(job, moment.wallClockMs)), most: 1, bound: "limit" },
 		{ jobs, most: Number.POSITIVE_INFINITY, bound: "guaranteed" },
 		{ jobs, most: Number.POSITIVE_INFINITY, bound: "limit" },
 	];
 	for (const pass of passes) allocation.run(pass);
 	return [...allocation.counts].map(([job, count]) => ({
 		team: job.spec.team,
-		grant: grantOf(job, count, views, moment.now),
+		grant: grantOf(job, count, views, moment.monotonicMs),
 	}));
 }
 
-/** Room promised in one placement cycle. */
+/** The capacity and the quota granted in one placement cycle. */
 class Allocation {
-	/** Tasks granted, by job in the order of the first grant. */
+	/** Tasks granted to each job, in the order of their first grants. */
 	readonly counts = new Map<Job, number>();
 	private freeCpus = 0;
 	private readonly byTeam = new Map<string, { cpus: number; gpus: number }>();
@@ -77,7 +82,8 @@
 				this.clusterState.quotas.room(spec, bound, team),
 				Math.ceil(this.freeCpus / spec.cpus),
 			);
-			// Room promised to work that cannot use it would be kept from work that can.
+			// Capacity granted to a job that cannot use it would be withheld from jobs that can.
+
 			if (count > 0) count = Math.min(count, this.usableTasks(job) - already);
 			if (count <= 0) continue;
 			this.counts.set(job, already + count);
@@ -89,7 +95,10 @@
 		}
 	}
 
-	/** Tasks of the job that the machines could take, worked out once for jobs with the same demands. */
+	/**
+	 * Returns how many tasks of the job fit on the machines, computed once for all jobs with the same demands. The result
+	 * for a job with zone constraints depends on where its own tasks run.
+	 */
 	private usableTasks(job: Job): number {
 		const { spec } = job;
 		const zoneRule = spec.singleZone || spec.spreadZones;
@@ -103,7 +112,10 @@
 	}
 }
 
-/** For a while only: there may be no others, and what was wrong there may be over. */
+/**
+ * Returns the machines to avoid because of recent failures. They are avoided for a limited time only: there may be no
+ * others, and the cause of the failures may have disappeared. A job that fails everywhere avoids none.
+ */
 function machinesToAvoid(job: Job, views: MachineCapacity[], now: number): string[] {
 	if (job.failures.everywhere) return [];
 	const sinceMs = now - job.failures.lastAt;
--- a/src/coordination/placement/job-order.ts
+++ b/src/coordination/placement/job-order.ts
@@ -1,20 +1,22 @@
 import type { Job } from "../../bookkeeping/job.js";
 import type { TeamQuota } from "../../protocol/model/team-quota.js";
 
-/** Best effort work counts as this many times as long as it is. */
+/** The remaining time of a best-effort job is multiplied by this in the scheduling order. */
 const bestEffortFactor = 1.2;
 
 /**
- * Each second of waiting counts as so many seconds less to do. A job that is longer by n
- * seconds is thus overtaken only by those that came at most n over this later.
+ * Each second of a job's age is counted as this many seconds less of remaining time. A job that is n seconds longer
+ * than others is therefore overtaken only by jobs that were accepted at most n / ageingWeight seconds after it.
  */
 const ageingWeight = 0.5;
-/** Of a job of which nothing has begun for this long, one task goes before everything. */
+/** One task of a job that has waited this long without any task started is granted before all other work. */
 const starvedS = 150;
 
 /**
- * Seconds that the job still needs if it had its team's whole limit, or an even part
- * of the machines if that is less.
+ * Returns the seconds that the job still takes if it runs on all cores of its team's limit, or on an equal share of
+ * the fleet's cores if that is smaller.
+ *
+ * @param evenCpus The cores of that share.
  */
 export function remainingSeconds(job: Job, team: TeamQuota | undefined, evenCpus: number): number {
 	const { spec } = job;
@@ -27,19 +29,19 @@
 	return Math.max(0, date - job.acceptedAt) / 1000;
 }
 
-/** Nothing of it has begun for so long that it would be counted as starved. */
-export function starved(job: Job, date: number): boolean {
+/** True if the job has waited longer than the starvation threshold and none of its tasks has started. */
+export function isStarved(job: Job, date: number): boolean {
 	return job.attempts.size === 0 && job.doneTasks.count === 0 && ageS(job, date) > starvedS;
 }
 
-/** So many times its deadline a job is still worth something to its user. */
+/** A late job is assumed to be of use to its user until this multiple of its deadline. */
 const lateTimes = 1.5;
 
 /**
- * The time of day by which the job should be done. Work that cannot make its deadline any
- * more has no claim to go before work that still can: by due time alone, one job that is
- * late already makes the next one late, and so on. It then goes by half as long again, and
- * behind the others once that is past as well.
+ * Returns the time of day, in milliseconds, by which the job is ordered. Ordering by deadlines alone would cascade: a
+ * job that is already late delays the next one past its deadline, and so on. So a job that can no longer meet its
+ * deadline is ordered by the later time until which it is still of use, and once it cannot meet that either, after
+ * all jobs that can meet theirs.
  */
 function dueAt(job: Job, date: number): number {
 	const { deadlineS } = job.spec;
@@ -51,22 +53,21 @@
 	return ready <= late ? late : late + beyondAnyDeadlineMs;
 }
 
-/** Longer than any deadline, so that the order among those past hope stays that of their due times. */
+/** Exceeds any deadline: jobs that can meet no due time come last, and keep the order of their due times. */
 const beyondAnyDeadlineMs = 1e12;
 
 /**
- * The order in which jobs are served. Critical work comes before urgent work and
- * that before the rest; by due time among those with one that can be met, and else the shortest
- * remaining first: a team's limit is fixed, so this is what lets most jobs end
- * early. Best effort work yields to normal work of little more than its length, no more:
- * strictly behind, it would wait for the longest array of its team.
+ * Returns the jobs in scheduling order. Critical jobs come before urgent ones, and those before all others. Critical
+ * and urgent jobs are ordered by due time, then, like all others, by shortest remaining time: a team's limit is fixed,
+ * so this order lets the largest number of jobs end early. A best-effort job comes after normal jobs that are not much
+ * longer than itself. It does not come after all normal jobs, since it would then wait for the longest array of its team.
  *
- * Shortest first alone would starve the largest array as long as smaller ones come.
- * So waiting counts.
+ * Shortest remaining time alone would starve the largest array as long as smaller jobs arrive, so a job's age is
+ * deducted from its remaining time.
  *
- * `date` is the time of day, since a job's age must outlast a change of leader.
+ * @param date The time of day in milliseconds: a job's age must survive a change of leader, and monotonic time does not.
  */
-export function servingOrder(
+export function schedulingOrder(
 	jobs: Job[],
 	teamOf: (name: string) => TeamQuota | undefined,
 	date: number,
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -6,40 +6,43 @@
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
-/** A job of which nothing has begun for this long may have a machine reserved. */
+/** A machine may be reserved for a job that has waited this long without any task started. */
 const waitsForRoomS = 60;
-/** Most machines that are reserved at a time, as a part of those that are open. */
+/** Limits the machines reserved at a time, as a fraction of the schedulable machines. */
 const mostReservedPart = 0.05;
-/** Machines looked through for the one that has room soonest. */
+/** Limits the machines searched for the one on which the task fits soonest; a random sample of more. */
 const machinesSampled = 100;
 const everyMs = 1000;
-/** What was waited for so long is not stopped at once for work of more right. */
+/**
+ * A task started on a reserved machine is protected from preemption for this long, so that a task that has waited
+ * long is not stopped at once for work of higher priority.
+ */
 const keptMs = 60_000;
 
-/** Each look costs a search of all machines for every kind of demand. */
+/** Ends a search after this many rejected demands, since each one costs a search of all machines. */
 const demandsPerLook = 8;
-/** Estimates are often wrong: a machine that has no room after this is given up for another. */
+/** A reservation expires if the task does not fit by then: estimated run times are often wrong. */
 const longestMs = 90_000;
 
 interface Reservation {
 	machine: Machine;
-	/** Steady time. */
+	/** Monotonic time. */
 	until: number;
 }
 
 interface Prospect {
 	machine: Machine;
-	/** Seconds until the machine has room, going by estimates. */
+	/** Estimated seconds until the task fits on the machine. */
 	seconds: number;
-	/** Tasks that have to end for that. */
+	/** Number of tasks that have to end before it fits. */
 	ends: number;
 }
 
 /**
- * Wide tasks never start beside small ones: whatever comes free is taken by the next small task. Once
- * a job has waited for long, a machine is kept free of new work until one of its tasks fits there.
- * Only what has nowhere to start at all is served, one task for each job: the rest of it follows in
- * the order of service.
+ * Reserves machines for tasks that need a large part of a machine. Without a reservation such tasks would never start
+ * beside small ones, since the next small task takes all capacity that is released. Once a job has waited long, a
+ * machine accepts no new work until one of the job's tasks fits there. Only jobs of which no task has started get a
+ * reservation, for one task each; the other tasks of the job follow in scheduling order.
  */
 export class MachineReservations {
 	private nextLookAt = 0;
@@ -52,7 +55,12 @@
 		private readonly log: Log,
 	) {}
 
-	/** Starts what has room by now and reserves machines for what waits. Called before each placement. */
+	/**
+	 * Starts the tasks that fit on their reserved machines and reserves further machines. Called before each placement.
+	 *
+	 * @param date Time of day in milliseconds.
+	 * @returns The attempts that were assigned.
+	 */
 	update(now: number, date: number): Attempt[] {
 		const started = this.startReserved(now);
 		if (now >= this.nextLookAt) {
@@ -78,15 +86,15 @@
 		return started;
 	}
 
-	/** Jobs whose reserved machine has room by now. */
-	startable(): Job[] {
+	/** Returns the jobs of which a task fits on the reserved machine. */
+	startableJobs(): Job[] {
 		const ready = [...this.reservations].filter(([job, { machine }]) =>
 			machine.capacity.hasRoomFor(job.spec),
 		);
 		return ready.map(([job]) => job);
 	}
 
-	/** The machine is still this leader's. */
+	/** True if the machine has not been removed from the cluster state. */
 	private holds(machine: Machine): boolean {
 		return this.clusterState.machines.get(machine.id) === machine;
 	}
@@ -97,7 +105,7 @@
 		this.clusterState.requestPlacement();
 	}
 
-	/** The widest first, and of those the oldest. */
+	/** Returns the jobs that need a reservation: those with the most cores per task first, the oldest first among equals. */
 	private waitingForRoom(now: number, date: number): Job[] {
 		return [...this.clusterState.jobs.values()]
 			.filter(
@@ -116,13 +124,13 @@
 			(m) => m.schedulable && !m.health.onProbation,
 		);
 		const most = Math.max(1, Math.floor(open.length * mostReservedPart));
-		/** Demands that were looked at: what is not wide, or has no machine, is so for all jobs with them. */
+		/** Demands for which the search found no machine or needs no reservation: the result is the same for all their jobs. */
 		const unserved = new Set<string>();
 		for (const job of jobs) {
 			if (this.reservations.size >= most || unserved.size >= demandsPerLook) return;
 			if (unserved.has(job.demandKey)) continue;
 			const best = this.soonest(job, open, now);
-			// Room that one end makes is given out in the order of service.
+			// A task that fits as soon as one other task ends needs no reservation: it is placed in scheduling order.
 			if (!best || best.ends < 2) {
 				unserved.add(job.demandKey);
 				continue;
@@ -144,7 +152,7 @@
 		return best;
 	}
 
-	/** null: replicas, which do not end, take too much of it. */
+	/** Estimates when a task of the job fits on the machine; null: never, since replicas, which do not end, use too much of it. */
 	private prospect(machine: Machine, { spec }: Job, now: number): Prospect | null {
 		const left = {
 			cpus: machine.capacity.freeCpus,
@@ -173,7 +181,7 @@
 	}
 }
 
-/** Nothing of the job has begun, and nothing but room is in the way. */
+/** True if no task of the job has started, and only a lack of capacity prevents it. */
 function stillWaits(job: Job): boolean {
 	if (job.hadReservation || job.isService || job.over || job.finalizing || job.failures.onSeveralMachines)
 		return false;
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -10,19 +10,23 @@
 import type { LeaderQuotaPort } from "../ports/team-quota.js";
 import { ownerOf } from "../sharding/rendezvous-hash.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import { placeFirstFit, sampleOf } from "./first-fit.js";
-import { grantsFor, type TeamGrant } from "./grants.js";
-import { servingOrder } from "./job-order.js";
+import { placeFirstFit, randomSample } from "./first-fit.js";
+import { computeGrants, type TeamGrant } from "./grants.js";
+import { schedulingOrder } from "./job-order.js";
 import { MachineReservations } from "./machine-reservations.js";
 import type { QuotaAdmission } from "./quota-admission.js";
 
-/** A job that its placer does not know is placed by the leader for so long. */
+/** The leader itself places a job for this long after its placer reported the job as unknown. */
 const placedHereMs = 5000;
-/** So long after the leader a placer may come to know a job, where team quota is in use. */
+/**
+ * With team quota, a job that a placer reports as unknown within this time after the leader loaded it stays with the
+ * placer, whose store replica may lag this far behind.
+ */
 const copyLagMs = 1000;
-/** Stands for no bound on tasks where a machine is not on trial. */
+/** The value of `MachineCapacity.slots` for machines that are not on probation: no limit on the number of tasks. */
 const manySlots = 100_000;
 
+/** A placement request whose proposal has not been received. */
 interface Outstanding {
 	cycle: number;
 	sentAt: number;
@@ -30,28 +34,30 @@
 
 export interface PlacementOptions {
 	/** This node. */
-	self: string;
+	node: string;
 	clusterState: ClusterState;
-	peerMonitor: FailureDetector;
+	failureDetector: FailureDetector;
 	peers: PeerMessenger;
-	time: Clock;
+	clock: Clock;
 	random: RandomGenerator;
 	log: Log;
-	/** Least time between cycles, silence after which a placer is given up, machines in a view. */
-	cycleMs: number;
-	silentMs: number;
-	sample: number;
-	/** Most remaining seconds that a task is counted for. */
+	/** Least time between two cycles. */
+	cycleIntervalMs: number;
+	/** A placer that has not answered a request within this time is marked unresponsive. */
+	placerTimeoutMs: number;
+	/** Limits the machines whose capacity is offered in one cycle; a random sample of more. */
+	maxMachinesPerCycle: number;
+	/** Limits the remaining seconds that are counted for a task. */
 	capS: number;
-	/** Team quota, where it is in use. */
+	/** null: team quota is off. */
 	quota: { admission: QuotaAdmission; leaderQuota: LeaderQuotaPort } | null;
-	/** A start was decided; it goes out with the answer to the machine's report. */
-	decided(attempt: Attempt): void;
+	/** Called with each attempt that was assigned to a machine, whose start command has yet to be sent. */
+	onAttemptAssigned(attempt: Attempt): void;
 }
 
 /**
- * Shares out what waits: the leader decides how much of each job may start, each team's placer
- * proposes where, and every single start is checked against the leader's own tables.
+ * Places waiting tasks. The leader decides how many tasks of each job may start, each team's placer proposes machines
+ * for them, and the leader checks every single start against its own state.
  */
 export class PlacementCycle {
 	private readonly clusterState: ClusterState;
@@ -65,45 +71,49 @@
 		this.reserved = new MachineReservations(
 			options.clusterState,
 			options.capS,
-			(machines, most) => sampleOf(machines, most, options.random),
+			(machines, most) => randomSample(machines, most, options.random),
 			options.log,
 		);
 	}
 
-	/** No placer is being waited for. */
-	get settled(): boolean {
+	/** True if no placement request is outstanding. */
+	get idle(): boolean {
 		return this.outstanding.size === 0;
 	}
 
-	/** After each batch of commands. */
+	/** Runs a cycle if one is requested and due. Called after each batch of actions. */
 	run(now: number): void {
 		if (!this.clusterState.placementRequested || now < this.nextAt) return;
 		this.clusterState.clearPlacementRequest();
-		this.nextAt = now + this.options.cycleMs;
+		this.nextAt = now + this.options.cycleIntervalMs;
 		if (this.clusterState.reconciled) this.place(now);
 	}
 
-	/** The process stood still: proposals for tables of before are not waited for, and nobody was silent. */
-	stalled(): void {
+	/**
+	 * Discards the outstanding requests after a process pause: their proposals would be for the state before the pause,
+	 * and placers that seem to have exceeded the timeout may have answered.
+	 */
+	onProcessPause(): void {
 		this.outstanding.clear();
 		this.clusterState.requestPlacement();
 	}
 
-	inOrder(jobs: Job[]): Job[] {
+	/** Returns the jobs in scheduling order. */
+	inSchedulingOrder(jobs: Job[]): Job[] {
 		const { quotas, schedulableCpus: cpus } = this.clusterState;
 		const teams = new Set(jobs.map((job) => job.spec.team)).size;
-		return servingOrder(
+		return schedulingOrder(
 			jobs,
 			(team) => quotas.quotaOf(team),
-			this.options.time.date().getTime(),
+			this.options.clock.date().getTime(),
 			cpus > 0 ? cpus / Math.max(1, teams) : Number.POSITIVE_INFINITY,
 		);
 	}
 
 	private place(now: number): void {
 		this.giveUpSilent(now);
-		for (const attempt of this.reserved.update(now, this.options.time.date().getTime()))
-			this.options.decided(attempt);
+		for (const attempt of this.reserved.update(now, this.options.clock.date().getTime()))
+			this.options.onAttemptAssigned(attempt);
 		this.admitHere(now);
 		const views = this.views();
 		if (views.length === 0) return;
@@ -112,46 +122,54 @@
 		this.cycle += 1;
 		const order = [...shares.keys()].sort();
 		for (const [placer, grants] of shares) {
-			// Placers begin at different machines so that they seldom want the same place.
+			// Placers start at different machines, so that they seldom propose the same capacity.
 			const start = Math.floor((order.indexOf(placer) * views.length) / order.length);
-			if (placer === this.options.self) this.placeHere(views, grants, start);
+			if (placer === this.options.node) this.placeHere(views, grants, start);
 			else this.request(placer, views, grants, start, now);
 		}
 	}
 
-	/** This node itself starts what waits on reserved machines and what its placer does not know. */
+	/**
+	 * Requests allotments for the tasks that the leader's own node admits: those that fit on reserved machines, and those
+	 * of jobs that their placers do not know.
+	 */
 	private admitHere(now: number): void {
 		const { quota } = this.options;
-		if (!quota?.admission.on) return;
-		const needs = this.reserved.startable().map((job) => ({ job, tasks: 1 }));
+		if (!quota?.admission.enabled) return;
+		const needs = this.reserved.startableJobs().map((job) => ({ job, tasks: 1 }));
 		for (const job of this.clusterState.jobs.values())
 			if (job.placedByLeaderUntil > now && job.waitingTasks.length > 0)
 				needs.push({ job, tasks: job.waitingTasks.length });
-		quota.admission.admitHere(needs);
+		quota.admission.updateLeaderDemands(needs);
 	}
 
+	/** Returns the controller that places the job in this cycle; null: none can admit a task of it now. */
 	private placer(job: Job, live: readonly string[], now: number): string | null {
-		const { self, quota } = this.options;
+		const { node: self, quota } = this.options;
 		const here = job.placedByLeaderUntil > now;
-		if (here && (!quota?.admission.on || quota.admission.mayPlaceHere(job))) return self;
+		if (here && (!quota?.admission.enabled || quota.admission.leaderCanAdmit(job))) return self;
 		const preferred = ownerOf(job.spec.team, live) ?? self;
-		return quota?.admission.on ? quota.admission.placerFor(job, preferred, live) : preferred;
+		return quota?.admission.enabled ? quota.admission.placerFor(job, preferred, live) : preferred;
 	}
 
+	/** Drops outstanding requests that have timed out, and marks their placers unresponsive. */
 	private giveUpSilent(now: number): void {
 		for (const [node, { sentAt }] of this.outstanding) {
-			if (now - sentAt <= this.options.silentMs) continue;
+			if (now - sentAt <= this.options.placerTimeoutMs) continue;
 			this.outstanding.delete(node);
-			this.options.peerMonitor.markUnresponsive(node);
+			this.options.failureDetector.markUnresponsive(node);
 		}
 	}
 
-	/** Cheap cores fill first, so that dear machines are the ones to run empty and go back. */
+	/**
+	 * Returns the free capacity of the schedulable machines, or of a sample of them. Machines with cheap cores come first
+	 * and so are filled first, so that expensive machines run empty and can be deleted.
+	 */
 	private views(): MachineCapacity[] {
 		const open = [...this.clusterState.machines.values()].filter(
 			(m) => m.schedulable && m.capacity.freeCpus > 0 && m.capacity.reservedFor === null,
 		);
-		return sampleOf(open, this.options.sample, this.options.random)
+		return randomSample(open, this.options.maxMachinesPerCycle, this.options.random)
 			.sort((a, b) => pricePerCpu(a) - pricePerCpu(b) || b.capacity.freeCpus - a.capacity.freeCpus)
 			.map(capacityOf);
 	}
@@ -160,20 +178,20 @@
 		const waiting = [...this.clusterState.jobs.values()].filter(
 			(job) => job.hasReadyTask(now) && !job.finalizing,
 		);
-		return grantsFor(this.clusterState, this.inOrder(waiting), views, {
-			now,
-			date: this.options.time.date().getTime(),
+		return computeGrants(this.clusterState, this.inSchedulingOrder(waiting), views, {
+			monotonicMs: now,
+			wallClockMs: this.options.clock.date().getTime(),
 		});
 	}
 
 	private shares(grants: TeamGrant[], now: number): Map<string, Grant[]> {
-		const live = this.options.peerMonitor.liveControllers(now);
+		const live = this.options.failureDetector.liveControllers(now);
 		const shares = new Map<string, Grant[]>();
 		for (const { grant } of grants) {
 			const job = this.clusterState.jobs.get(grant.jobId);
 			const placer = job ? this.placer(job, live, now) : null;
 			if (placer === null) continue;
-			// A placer still at work on the last view may be using its teams' room already.
+			// A placer with an outstanding request may already be proposing tasks within the same quota.
 			if (this.outstanding.has(placer)) continue;
 			const share = shares.get(placer);
 			if (share) share.push(grant);
@@ -185,7 +203,7 @@
 	private placeHere(views: MachineCapacity[], grants: Grant[], start: number): void {
 		const copy = views.map((view) => ({ ...view }));
 		const placements = placeFirstFit(copy, grants, (id) => this.clusterState.jobs.get(id)?.spec, start);
-		this.issue(placements, this.options.self);
+		this.issue(placements, this.options.node);
 	}
 
 	private request(
@@ -197,7 +215,7 @@
 	): void {
 		this.outstanding.set(placer, { cycle: this.cycle, sentAt: now });
 		const { cycle, clusterState, options } = this;
-		const quota = options.quota?.admission.on ? options.quota.leaderQuota.termsFor(placer) : undefined;
+		const quota = options.quota?.admission.enabled ? options.quota.leaderQuota.termsFor(placer) : undefined;
 		options.peers.send(placer, {
 			kind: "placement-request",
 			term: clusterState.term,
@@ -209,25 +227,25 @@
 		});
 	}
 
-	/** Of an older cycle than the one asked for, a proposal is out of date. */
-	proposed(from: string, proposal: PlacementProposal, now: number): void {
+	/** Handles a placer's proposal. One that does not belong to the placer's outstanding request is out of date. */
+	onProposal(from: string, proposal: PlacementProposal, now: number): void {
 		const { quota } = this.options;
-		// Heard in any case: what was admitted and does not start is settled by that.
+		// Handled even if the proposal is out of date: admissions for tasks that do not start are settled by it.
 		const admitted = quota?.leaderQuota.heard(from, proposal.teamQuota) ?? false;
 		if (this.outstanding.get(from)?.cycle !== proposal.cycle) return;
 		this.outstanding.delete(from);
-		if (admitted || !quota?.admission.on) this.issue(proposal.placements, from);
-		// A placer that lags behind, or has missed a job, must not keep it from starting.
+		if (admitted || !quota?.admission.enabled) this.issue(proposal.placements, from);
+		// A job must not be prevented from starting by a placer whose store replica lags behind or lacks it.
 		for (const id of proposal.unknownJobs) {
 			const job = this.clusterState.jobs.get(id);
 			this.clusterState.requestPlacement();
-			// What the placer may admit would have to come here first: a copy that only lags is given time.
-			const lags = job !== undefined && quota?.admission.on === true && now - job.loadedAt < copyLagMs;
+			// The leader would need an allotment of its own first, so a replica that may only lag is given time.
+			const lags = job !== undefined && quota?.admission.enabled === true && now - job.loadedAt < copyLagMs;
 			if (job && !lags) job.placeByLeaderUntil(now + placedHereMs);
 		}
 	}
 
-	/** Checks every proposal against the leader's own tables. */
+	/** Assigns the proposed tasks, each of which is checked against the leader's own state. */
 	private issue(placements: Placement[], placer: string): void {
 		for (const { jobId: id, machineId, count } of placements) {
 			const job = this.clusterState.jobs.get(id);
@@ -236,7 +254,7 @@
 			for (let i = 0; i < count; i++) {
 				const attempt = this.clusterState.assignNextTask(job, machine, placer);
 				if (!attempt) break;
-				this.options.decided(attempt);
+				this.options.onAttemptAssigned(attempt);
 			}
 		}
 	}
@@ -246,6 +264,7 @@
 	return machine.hourlyPrice / machine.type.cpus;
 }
 
+/** Returns the machine's free capacity as a placement request contains it. */
 export function capacityOf(machine: Machine): MachineCapacity {
 	return {
 		id: machine.id,
--- a/src/coordination/placement/placer.ts
+++ b/src/coordination/placement/placer.ts
@@ -14,7 +14,7 @@
 		private readonly teamQuota: TeamQuotaPort | null,
 	) {}
 
-	/** The proposal for a request. With team quota only what this controller can admit is proposed. */
+	/** Returns the proposal for a request. With team quota it contains only tasks that this controller can admit. */
 	propose(request: PlacementRequest): PlacementProposal {
 		const { term, cycle, machines, grants, startIndex } = request;
 		const { jobs } = this.replica;
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -15,41 +15,41 @@
 	quota: TeamQuotaPort;
 	leaderQuota: LeaderQuotaPort;
 	clusterState: ClusterState;
-	peerMonitor: FailureDetector;
-	orders: DirectCommandSender;
+	failureDetector: FailureDetector;
+	commandSender: DirectCommandSender;
 	/** Every node of the cluster. */
 	nodes: readonly string[];
-	/** What runs above a lowered limit is stopped after this; 0: never. */
+	/** Tasks of a team that has exceeded a lowered limit for this long are stopped; 0: never. */
 	preemptAfterMs: number;
-	/** Every controller has said that it takes part, now or under an earlier leader. */
-	servedByAll(): boolean;
+	/** True if every controller has reported, to this or an earlier leader, that it supports team quota. */
+	supportedByAllControllers(): boolean;
 	log: Log;
 }
 
 /**
- * The leader's use of team quota in one term: which controller admits a team's work, what this one
- * admits itself, and what a lowered limit stops. Until every controller takes part the leader's own
- * check of limits stands alone.
+ * Applies team quota in one term of the leader: decides which controller admits a team's tasks and which tasks the
+ * leader's own node admits, and stops tasks above a lowered limit. Until every controller supports team quota, only
+ * the leader's own check of limits applies.
  */
 export class QuotaAdmission {
 	private started = false;
-	/** Controllers that place, as of the last change. */
+	/** The live controllers, among which teams are divided. */
 	private placers: readonly string[] = [];
 	private nextLimitsAt = 0;
 	private nextScrubAt = 0;
-	/** What this node has asked for itself, by team. */
+	/** By team, the job for which the leader's own node has requested an allotment. */
 	private needs = new Map<string, Job>();
-	/** Steady time since which a team has run above a lower limit. */
+	/** Monotonic time since which each team has exceeded a lowered limit. */
 	private readonly excessSince = new Map<string, number>();
 
 	constructor(private readonly options: QuotaAdmissionOptions) {}
 
-	/** Whether starts need an allotment. */
-	get on(): boolean {
+	/** True if the start of a task requires an allotment. */
+	get enabled(): boolean {
 		return this.started;
 	}
 
-	/** Called often, with authority. */
+	/** Called in each tick of the leader, with authority. */
 	tick(now: number): void {
 		if (!this.started) this.considerStart();
 		if (!this.started) return;
@@ -61,7 +61,7 @@
 		for (const team of [...this.options.clusterState.quotas.teams]) this.followLimit(team, now);
 	}
 
-	/** The leader's own count and the charges are kept apart, so each shows a fault of the other. */
+	/** Compares the leader's own usage counts with the charges. They are kept separately, so that each reveals faults of the other. */
 	private scrub(now: number): void {
 		if (now < this.nextScrubAt) return;
 		this.nextScrubAt = now + scrubEveryMs;
@@ -69,19 +69,19 @@
 		this.options.leaderQuota.scrub([...quotas.teams].map((team) => ({ team, ...quotas.usage(team) })));
 	}
 
-	/** Only once all that may run is known, so that it can be charged. */
+	/** Enables admission, once reconciliation has found all tasks that may be running, so that they can be charged. */
 	private considerStart(): void {
 		const { clusterState, leaderQuota, log } = this.options;
-		if (!clusterState.reconciled || !this.options.servedByAll()) return;
+		if (!clusterState.reconciled || !this.options.supportedByAllControllers()) return;
 		this.started = true;
 		clusterState.enableAdmission(leaderQuota);
 		leaderQuota.start();
 		log.info({}, "team quota enabled");
 	}
 
-	/** Allotments follow the placers, which change when controllers come and go. */
+	/** Makes the placer of each team the preferred holder of its allotment. Placers change with the live controllers. */
 	private preferPlacers(now: number): void {
-		const { clusterState, peerMonitor, leaderQuota, nodes } = this.options;
+		const { clusterState, failureDetector: peerMonitor, leaderQuota, nodes } = this.options;
 		const live = peerMonitor.liveControllers(now);
 		if (live.join() === this.placers.join()) return;
 		this.placers = live;
@@ -89,7 +89,7 @@
 			leaderQuota.prefer(team, ownerOf(team, live) ?? leaderQuota.self, nodes);
 	}
 
-	/** Who can admit a task of the job now: its team's placer, or another that still holds an allotment. */
+	/** Returns the controller that can admit a task of the job now: its team's placer, or another holder; null: none. */
 	placerFor(job: Job, preferred: string, live: readonly string[]): string | null {
 		const demand = taskDemandOf(job.spec);
 		const { leaderQuota } = this.options;
@@ -97,12 +97,16 @@
 		return live.find((node) => leaderQuota.hasRoom(demand, node)) ?? null;
 	}
 
-	mayPlaceHere(job: Job): boolean {
+	/** True if the leader's own node can admit a task of the job now. */
+	leaderCanAdmit(job: Job): boolean {
 		return this.options.leaderQuota.hasRoom(taskDemandOf(job.spec), this.options.leaderQuota.self);
 	}
 
-	/** Tasks that this node itself has to admit, since nobody else can place them: one job of each team. */
-	admitHere(needed: Iterable<{ job: Job; tasks: number }>): void {
+	/**
+	 * Requests allotments for tasks that only the leader's own node can place, for one job of each team, and withdraws
+	 * the requests for teams that no longer have any.
+	 */
+	updateLeaderDemands(needed: Iterable<{ job: Job; tasks: number }>): void {
 		const needs = new Map<string, Job>();
 		for (const { job, tasks } of needed) {
 			if (needs.has(job.spec.team)) continue;
@@ -113,7 +117,7 @@
 		this.needs = needs;
 	}
 
-	/** What this node places for a team anyway is not asked for apart. */
+	/** Skips teams whose placer is the leader's own node: it is their preferred holder anyway. */
 	private need(job: Job, tasks: number): void {
 		const { leaderQuota } = this.options;
 		if (ownerOf(job.spec.team, this.placers) !== leaderQuota.self)
@@ -122,7 +126,10 @@
 
 	// --- limits ---
 
-	/** The leader's own check goes by the limit that allotments go by. */
+	/**
+	 * Applies the limit on which allotments are based to the leader's own check as well, and stops tasks of a team that
+	 * has exceeded a lowered limit for too long.
+	 */
 	private followLimit(team: string, now: number): void {
 		const { quota, clusterState, leaderQuota } = this.options;
 		const limits = quota.limits(team);
@@ -138,9 +145,9 @@
 		if (preemptAfterMs > 0 && now - since >= preemptAfterMs) this.stopExcess(team, excess);
 	}
 
-	/** The latest starts of the least rank end first. */
+	/** Stops tasks until the excess is covered: those of the lowest priority first, the latest first among equals. */
 	private stopExcess(team: string, excess: { cpus: number; gpus: number }): void {
-		const { clusterState, orders, log } = this.options;
+		const { clusterState, commandSender: orders, log } = this.options;
 		const running = [...clusterState.jobs.values()]
 			.filter((job) => job.spec.team === team)
 			.flatMap((job) => [...job.attempts.values()])
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -1,18 +1,18 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Job } from "../../bookkeeping/job.js";
-import { sampleOf } from "../placement/first-fit.js";
+import { randomSample } from "../placement/first-fit.js";
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "../workers/direct-command-sender.js";
 import { chooseVictims } from "./preemption-planner.js";
 
 const everyMs = 500;
-/** Room may come by itself for so long after a job came to be known. */
+/** Delay between the loading of a job and preemption for it, in which capacity may become free by itself. */
 const patienceMs = 700;
-/** Times that a task needs to save which it gets when it is stopped. */
+/** A preempted task gets this multiple of its checkpoint time to save a checkpoint. */
 const graceFactor = 2;
 
-/** Stops tasks for waiting ones of more right, after a moment in which room may come by itself. */
+/** Stops running tasks so that waiting tasks of higher priority, or within their team's guarantee, can start. */
 export class PreemptionCycle {
 	private nextAt = 0;
 
@@ -24,14 +24,14 @@
 		private readonly log: Log,
 	) {}
 
-	/** Called often, with authority. */
+	/** Called in each tick of the leader, with authority. */
 	tick(now: number): void {
 		if (now < this.nextAt || !this.clusterState.reconciled) return;
 		this.nextAt = now + everyMs;
 		const waiting = [...this.clusterState.jobs.values()].filter((job) => mayPreempt(job, now));
 		if (waiting.length === 0) return;
 		const victims = chooseVictims(this.clusterState, this.inOrder(waiting), now, (machines, most) =>
-			sampleOf(machines, most, this.random),
+			randomSample(machines, most, this.random),
 		);
 		if (victims.length === 0) return;
 		for (const victim of victims) {
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -7,24 +7,27 @@
 import type { ClusterState } from "../state/cluster-state.js";
 
 /**
- * Which running tasks to stop so that waiting ones of more right can start. Only
- * two reasons count: higher priority, or a team's guarantee against work that
- * another team runs beyond its own.
+ * Chooses the running tasks to stop so that waiting tasks can start. There are only two reasons to preempt a task: the
+ * waiting task has a higher priority, or it is within its team's guarantee and the running one is beyond its own team's.
  */
 
-/** Tasks of one job that a pass makes room for, at least, and with a large fleet for each open machine. */
+/**
+ * A pass provides capacity for at most this many tasks of one job, or for this many per machine of the fleet if that is
+ * more.
+ */
 const leastPerPass = 8;
 const perMachineAndPass = 0.01;
+/** Sums of decimals drift; amounts that differ by less are equal. */
 const slack = 1e-6;
-/** Nothing is stopped for tasks that places freed in this time will hold. */
+/** Tasks expected to end within this time provide capacity for as many waiting tasks, for which nothing is preempted. */
 const turnoverS = 1;
 
 /**
- * Places that come free by themselves before long. A large fleet with short tasks frees
- * dozens a second, and whoever is first in the order of service gets them: stopping
- * work there throws it away for nothing.
+ * Estimates how many tasks end by themselves within the horizon, in all and by team. In a large fleet with short tasks
+ * dozens end every second, and the first jobs in scheduling order take their places: preempting tasks for those jobs
+ * would lose work for nothing.
  */
-export function placesSoonFree(clusterState: ClusterState): { all: number; byTeam: Map<string, number> } {
+export function expectedTaskEnds(clusterState: ClusterState): { all: number; byTeam: Map<string, number> } {
 	let all = 0;
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
@@ -36,8 +39,8 @@
 	return { all, byTeam };
 }
 
-/** Core seconds thrown away by stopping the attempt now. */
-export function costOfStopping(attempt: Attempt, now: number): number {
+/** Returns the CPU seconds of work that are lost if the attempt is stopped now. */
+export function preemptionCost(attempt: Attempt, now: number): number {
 	const { spec } = attempt.job;
 	if (attempt.runningSince === null) return 0;
 	const elapsedS = (now - attempt.runningSince) / 1000;
@@ -45,9 +48,10 @@
 	return lost * spec.cpus;
 }
 
+/** True if the attempt may be stopped for other work at all. */
 function stoppable(attempt: Attempt, now: number): boolean {
 	if (attempt.protectedFromPreemption(now)) return false;
-	// A replica that was stopped would only be started elsewhere.
+	// Replicas do not end: one that was stopped would have to start elsewhere.
 	return (
 		attempt.stop === null &&
 		!attempt.job.isService &&
@@ -56,12 +60,13 @@
 	);
 }
 
-/** Work mostly done is not thrown away. */
+/** True if the attempt saves checkpoints or has run for less than half of its estimated time. */
 function cheapToStop(attempt: Attempt, now: number): boolean {
 	if (attempt.runningSince === null || attempt.job.spec.checkpointIntervalS > 0) return true;
 	return now - attempt.runningSince < 0.5 * attempt.job.estimatedRunS * 1000;
 }
 
+/** True if the team's tasks exceed its guarantee once `freedCpus` are released. */
 function beyondGuarantee(clusterState: ClusterState, team: string, freedCpus: number): boolean {
 	const quota = clusterState.quotas.quotaOf(team);
 	return (
@@ -69,7 +74,7 @@
 	);
 }
 
-/** Machines looked through for work to stop; with more than this, a sample of them stands for all. */
+/** Limits the machines searched for tasks to stop; a random sample of more. */
 const planSample = 150;
 
 interface Amount {
@@ -79,23 +84,26 @@
 }
 
 /**
- * One pass. It costs in proportion to the machines and attempts once, and then to what
- * is found: with a backlog of hundreds of jobs a search of all machines for each task
- * would take longer than there is between two passes.
+ * One pass over the waiting jobs. It reads all machines and attempts once; the cost of the rest is in proportion to what
+ * is found. With a backlog of hundreds of jobs, a search of all machines for each task would take longer than the time
+ * between two passes.
  */
 class PreemptionRound {
 	readonly victims = new Set<Attempt>();
-	/** Cores by team that victims, and what was stopped before, will free, less what is promised. */
+	/** By team, the cores that stopped attempts will release, minus those that this pass has assigned to waiting tasks. */
 	private readonly freed = new Map<string, number>();
-	/** What will be free on a machine beside what is free now, less what is promised. */
+	/** By machine, what stopped attempts will release, minus what this pass has assigned to waiting tasks. */
 	private readonly extra = new Map<Machine, Amount>();
-	/** Open machines with anything free, now or soon. */
+	/** Available machines on which cores are free or will be released. */
 	private readonly withRoom = new Set<Machine>();
+	/** Machines that accept new tasks. */
 	private readonly open: Machine[];
 	private readonly sampledMachines: Machine[];
+	/** Attempts that may be preempted, those with the lowest cost first. */
 	private readonly cheapest = new Map<Machine, Attempt[]>();
+	/** Attempts that may be preempted for a job of the same team, by the job's rank and team; those with the lowest cost last. */
 	private readonly own = new Map<string, Attempt[]>();
-	/** Kinds of work for which there was nothing to stop: the next job of the kind finds nothing either. */
+	/** Demands for which nothing could be preempted: the search for the next job with the same demand would fail too. */
 	private readonly unservable = new Set<string>();
 
 	constructor(
@@ -104,7 +112,7 @@
 		private readonly sample: (machines: Machine[]) => Machine[],
 	) {
 		this.open = [...clusterState.machines.values()].filter(takesWork);
-		// What was stopped before and has not ended yet is on its way to being free.
+		// Attempts that were stopped earlier and have not ended yet will release their capacity.
 		for (const machine of clusterState.machines.values()) {
 			for (const attempt of machine.attempts.values()) if (attempt.stop !== null) this.free(attempt);
 		}
@@ -113,6 +121,7 @@
 		this.sampledMachines = sample(this.open);
 	}
 
+	/** Adds a task's demand to what the team and the machine will release, or subtracts it. */
 	private add(machine: Machine, { spec }: Job, sign: 1 | -1): void {
 		this.freed.set(spec.team, (this.freed.get(spec.team) ?? 0) + sign * spec.cpus);
 		const on = this.extra.get(machine) ?? { cpus: 0, memory: 0, gpus: 0 };
@@ -132,7 +141,7 @@
 		if (takesWork(attempt.machine)) this.withRoom.add(attempt.machine);
 	}
 
-	/** What is left on the machine once a task of the job is there too. */
+	/** Returns what remains of the machine's free and released capacity once a task of the job is placed on it. */
 	private roomOn(machine: Machine, { spec }: Job): Amount {
 		const more = this.extra.get(machine);
 		return {
@@ -142,11 +151,12 @@
 		};
 	}
 
+	/** Returns the cores that the team uses after all releases so far, plus the additional ones. */
 	private used(team: string, more: number): number {
 		return this.clusterState.quotas.usage(team).cpus - (this.freed.get(team) ?? 0) + more;
 	}
 
-	/** Finds a place for one more task of the job; false if nothing more can be done for it. */
+	/** Provides capacity for one more task of the job, by preemption if necessary; false if that is not possible. */
 	serve(job: Job, { guaranteed, limit }: TeamQuota): boolean {
 		const { spec } = job;
 		const urgent = isUrgent(job);
@@ -157,7 +167,7 @@
 		return (urgent || withinGuarantee) && this.stopFor(job, withinGuarantee);
 	}
 
-	/** Its own team's limit comes first: lower work of the same team makes room. */
+	/** Preempts lower-priority tasks of the job's own team until one more task of the job is within the team's limit. */
 	private makeRoomInTeam(job: Job, limit: number): void {
 		const { team, cpus } = job.spec;
 		if (this.used(team, cpus) <= limit + slack) return;
@@ -169,7 +179,7 @@
 		}
 	}
 
-	/** A place that is free, or will be without anything more being stopped. */
+	/** Assigns the task capacity that is free or will be released without further preemption; false: there is none. */
 	private takeFree(job: Job): boolean {
 		for (const machine of this.withRoom) {
 			if (!machineAllowed(job.spec, machine) || !enough(this.roomOn(machine, job))) continue;
@@ -179,6 +189,7 @@
 		return false;
 	}
 
+	/** Preempts the tasks that cost least for one more task of the job; false: there are none. */
 	private stopFor(job: Job, withinGuarantee: boolean): boolean {
 		const kind = kindOf(job, withinGuarantee);
 		if (kind !== null && this.unservable.has(kind)) return false;
@@ -192,13 +203,14 @@
 		return true;
 	}
 
+	/** True if the attempt may be stopped for a task of the job. */
 	private eligible(a: Attempt, job: Job, withinGuarantee: boolean): boolean {
 		if (this.victims.has(a)) return false;
 		const urgent = isUrgent(job);
 		const other = a.job.spec.team;
 		if (other === job.spec.team) return urgent && a.job.rank > job.rank;
-		// Placing serves guarantees before borrowing. Taking a guaranteed place for borrowed
-		// work would only have it taken back, each time at the cost of what had run.
+		// Placement grants guarantees before borrowing. Guaranteed work that was preempted for work that borrows would
+		// preempt it in turn, and each preemption loses what has run.
 		const borrowed = beyondGuarantee(
 			this.clusterState,
 			other,
@@ -208,27 +220,29 @@
 		return withinGuarantee && borrowed && a.job.rank >= job.rank;
 	}
 
-	/** What may be stopped on the machine at all, what costs least first. */
+	/** Returns the attempts on the machine that may be preempted, those with the lowest cost first. */
 	private candidates(machine: Machine): Attempt[] {
 		let list = this.cheapest.get(machine);
 		if (!list) {
 			list = [...machine.attempts.values()]
 				.filter((a) => stoppable(a, this.now) && cheapToStop(a, this.now))
-				.sort((a, b) => costOfStopping(a, this.now) - costOfStopping(b, this.now));
+				.sort((a, b) => preemptionCost(a, this.now) - preemptionCost(b, this.now));
 			this.cheapest.set(machine, list);
 		}
 		return list;
 	}
 
 	/**
-	 * A sample of all would hold few of the machines that work with rare demands may use: replicas
-	 * that need ordinary machines waited for a pass whose sample had one of a handful.
+	 * Returns the machines to search for the job. A job with machine constraints gets a sample of the machines that it
+	 * allows. A sample of all machines would contain few of these or none: replicas that need on-demand machines would
+	 * wait for a pass whose sample happens to contain one.
 	 */
 	private machinesFor(job: Job): Machine[] {
 		if (!isRestricted(job.spec)) return this.sampledMachines;
 		return this.sample(this.open.filter((machine) => machineAllowed(job.spec, machine)));
 	}
 
+	/** Returns the machine on which one more task of the job costs least, with the attempts to stop; null: there is none. */
 	private cheapestPlan(job: Job, withinGuarantee: boolean): { machine: Machine; attempts: Attempt[] } | null {
 		let best: { machine: Machine; attempts: Attempt[]; cost: number } | null = null;
 		for (const machine of this.machinesFor(job)) {
@@ -239,7 +253,7 @@
 				if (enough(room) || (best !== null && cost >= best.cost)) break;
 				if (!this.eligible(a, job, withinGuarantee)) continue;
 				attempts.push(a);
-				cost += costOfStopping(a, this.now);
+				cost += preemptionCost(a, this.now);
 				room.cpus += a.job.spec.cpus;
 				room.memory += a.job.spec.memoryGb;
 				room.gpus += a.job.spec.gpus;
@@ -249,7 +263,7 @@
 		return best;
 	}
 
-	/** Lower work of the job's own team, what costs least last. */
+	/** Returns the lower-priority attempts of the job's team that may be preempted, those with the lowest cost last. */
 	private ownVictims(job: Job): Attempt[] {
 		const key = `${job.rank}/${job.spec.team}`;
 		let own = this.own.get(key);
@@ -260,7 +274,7 @@
 				for (const a of other.attempts.values())
 					if (stoppable(a, this.now) && cheapToStop(a, this.now)) own.push(a);
 			}
-			own.sort((a, b) => costOfStopping(b, this.now) - costOfStopping(a, this.now));
+			own.sort((a, b) => preemptionCost(b, this.now) - preemptionCost(a, this.now));
 			this.own.set(key, own);
 		}
 		return own;
@@ -271,13 +285,16 @@
 	return job.rank < priorityRank.normal;
 }
 
-/** Work for which the same can be stopped; null: demands for types, zones and kinds are rare, each by itself. */
+/**
+ * Returns a key shared by all jobs for which the same attempts can be preempted; null for a job with machine constraints,
+ * which are rare and differ from job to job.
+ */
 function kindOf({ spec, rank }: Job, withinGuarantee: boolean): string | null {
 	if (isRestricted(spec)) return null;
 	return JSON.stringify([spec.team, rank, withinGuarantee, spec.cpus, spec.memoryGb, spec.gpus]);
 }
 
-/** Not every machine may be used for it. */
+/** True if the job does not allow every machine. */
 function isRestricted({ machineTypes: types, zone, allowSpot: spot }: JobSpec): boolean {
 	return types !== null || zone !== null || !spot;
 }
@@ -286,10 +303,16 @@
 	return machine.schedulable && !machine.health.onProbation && machine.capacity.reservedFor === null;
 }
 
+/** True if no remaining amount is negative. */
 function enough(room: Amount): boolean {
 	return room.cpus >= -slack && room.memory >= -slack && room.gpus >= -slack;
 }
 
+/**
+ * Chooses the attempts to stop for the waiting jobs, which are given in scheduling order.
+ *
+ * @param sample Returns at most `most` of the machines.
+ */
 export function chooseVictims(
 	clusterState: ClusterState,
 	waiting: Job[],
@@ -298,16 +321,16 @@
 ): Attempt[] {
 	const pass = new PreemptionRound(clusterState, now, (machines) => sample(machines, planSample));
 	const mostPerPass = Math.max(leastPerPass, Math.ceil(clusterState.machines.size * perMachineAndPass));
-	const soonFree = placesSoonFree(clusterState);
+	const soonFree = expectedTaskEnds(clusterState);
 	for (const job of waiting) {
 		if (pass.victims.size >= mostPerPass * 3) break;
 		const { spec } = job;
 		const quota = clusterState.quotas.quotaOf(spec.team);
 		if (!quota) continue;
-		// A team at its limit gets only the places that it frees itself.
+		// A team at its limit can only take the places of its own tasks.
 		const atLimit = !clusterState.quotas.fitsLimit(spec);
 		const own = soonFree.byTeam.get(spec.team) ?? 0;
-		// Which machines they come free on nobody knows, and a replica can't wait for the next.
+		// It is not known on which machines tasks will end, and a replica cannot wait for the right one.
 		const served = job.isService
 			? 0
 			: Math.floor(Math.min(soonFree.all, atLimit ? own : soonFree.all, job.waitingTasks.length));
--- a/tests/coordination/fleet/cloud-inventory.test.ts
+++ b/tests/coordination/fleet/cloud-inventory.test.ts
@@ -9,12 +9,12 @@
 import { mediumType } from "../../support/specs.js";
 
 const pageSize = 500;
-/** The cloud refuses calls that come faster than this. */
+/** The cloud rejects calls at shorter intervals. */
 const callIntervalMs = 1000;
 
 describe("reading the machine list of a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines: the list is read to its end at a call a second, then the cloud has a rest`, async () => {
+		test(`${size} machines: the whole list is read at one call a second, and is not read again for at least as long`, async () => {
 			const clock = new FakeTime();
 			const clusterState = new ClusterState({ term: 1, teams: [], machineTypes: [mediumType] });
 			let calls = 0;
@@ -47,7 +47,7 @@
 			);
 
 			let elapsedMs = 0;
-			for (; !inventory.looked && elapsedMs < 60_000; elapsedMs += 100) {
+			for (; !inventory.firstReadFinished && elapsedMs < 60_000; elapsedMs += 100) {
 				inventory.tick(clock.now());
 				await clock.advance(100);
 			}
--- a/tests/coordination/fleet/drain.test.ts
+++ b/tests/coordination/fleet/drain.test.ts
@@ -9,25 +9,30 @@
 import { tablesWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
-test("work that waits beside a marked machine with room has its mark taken back, in time", async () => {
+test("draining of a machine is cancelled for a job that fits on it and has waited for 20 s", async () => {
 	const time = new FakeTime();
 	const clusterState = tablesWith(4, 16);
-	const [first] = [...clusterState.machines.values()] as [Machine];
-	const busy = clusterState.addJob("j-1", specOf("j-1", { taskCount: 3, cpus: 4, estimatedRunS: 300 }), 0, 1);
-	busy.resetWaitingTasks();
-	// What runs is nearly done, so that the load lies between the marks and the counters do nothing.
+	const [drainingMachine] = [...clusterState.machines.values()] as [Machine];
+	const runningJob = clusterState.addJob(
+		"j-1",
+		specOf("j-1", { taskCount: 3, cpus: 4, estimatedRunS: 300 }),
+		0,
+		1,
+	);
+	runningJob.resetWaitingTasks();
+	// The running tasks are nearly done, so the load lies between the thresholds and the counters trigger nothing.
 	for (const machine of [...clusterState.machines.values()].slice(1)) {
-		const attempt = clusterState.assignNextTask(busy, machine);
+		const attempt = clusterState.assignNextTask(runningJob, machine);
 		if (attempt) attempt.noteState("running", -1e6);
 	}
-	first.lifecycle.startDraining();
-	const waits = clusterState.addJob(
+	drainingMachine.lifecycle.startDraining();
+	const waitingJob = clusterState.addJob(
 		"j-2",
 		specOf("j-2", { team: "blue", taskCount: 1, cpus: 4, estimatedRunS: 300 }),
 		0,
 		2,
 	);
-	waits.resetWaitingTasks();
+	waitingJob.resetWaitingTasks();
 	const fleet = new Fleet({
 		clusterState,
 		cloud: {
@@ -36,28 +41,34 @@
 			deleteMachines: async () => {},
 			listMachines: async () => ({ machines: [], more: false }),
 		},
-		time,
+		clock: time,
 		settings: defaultOperator(),
 		objectives: [],
 		listLagMs: 1000,
 		leaseMs: 10_000,
 		requestPrefix: "r",
-		hooks: { post: (run) => run(), authority: () => true, gone() {} },
+		hooks: { post: (run) => run(), active: () => true, onMachineDeleted() {} },
 		log: silentLog,
 	});
-	// Held: its one task runs, so nothing returns it while it is marked.
-	const running = new Attempt({ job: busy, taskIndex: 99, number: 1, machine: first, phase: "sent" });
+	// A running task keeps the draining machine from being deleted.
+	const running = new Attempt({
+		job: runningJob,
+		taskIndex: 99,
+		number: 1,
+		machine: drainingMachine,
+		phase: "sent",
+	});
 	running.noteState("running", 0);
-	first.hold(running);
-	first.capacity.releaseAll();
-	const run = async (ms: number) => {
+	drainingMachine.hold(running);
+	drainingMachine.capacity.releaseAll();
+	const tickFor = async (ms: number) => {
 		for (let t = 0; t < ms; t += 500) {
 			fleet.tick();
 			await time.advance(500);
 		}
 	};
-	await run(18_000);
-	assert.ok(first.lifecycle.draining, "it may still come in elsewhere");
-	await run(4000);
-	assert.ok(!first.lifecycle.draining);
+	await tickFor(18_000);
+	assert.ok(drainingMachine.lifecycle.draining, "the job may still start elsewhere");
+	await tickFor(4000);
+	assert.ok(!drainingMachine.lifecycle.draining);
 });
--- a/tests/coordination/fleet/replica-capacity.test.ts
+++ b/tests/coordination/fleet/replica-capacity.test.ts
@@ -15,7 +15,7 @@
 
 const teams = [{ name: "red", guaranteed: { cpus: 400, gpus: 0 }, limit: { cpus: 400, gpus: 0 } }];
 
-/** A fleet between tables and a cloud that rents whatever is asked for. */
+/** A fleet with a cluster state and a cloud that creates every machine requested. */
 class Setup {
 	readonly time = new FakeTime();
 	readonly clusterState = new ClusterState({ term: 1, teams, machineTypes: [type] });
@@ -35,13 +35,13 @@
 				deleteMachines: async () => {},
 				listMachines: async () => ({ machines: [], more: false }),
 			},
-			time: this.time,
+			clock: this.time,
 			settings: defaultOperator(),
 			objectives: startTimeObjectives(objectives),
 			listLagMs: 1000,
 			leaseMs: 10_000,
 			requestPrefix: "r",
-			hooks: { post: (run) => run(), authority: () => true, gone() {} },
+			hooks: { post: (run) => run(), active: () => true, onMachineDeleted() {} },
 			log: silentLog,
 		});
 	}
@@ -68,13 +68,13 @@
 		}
 	}
 
-	ordinary(): ScaleOutRequest[] {
+	onDemandRequests(): ScaleOutRequest[] {
 		return this.requests.filter((request) => !request.spot);
 	}
 }
 
-/** Fifty machines at work, so that the load lies between the marks. */
-function atWork(setup: Setup): void {
+/** Adds fifty busy machines, so that the load lies between the thresholds. */
+function addBusyMachines(setup: Setup): void {
 	const job = setup.job({ jobClass: "batch", taskCount: 100, cpus: 4, estimatedRunS: 1000 });
 	for (let i = 0; i < 50; i++) {
 		const machine = setup.machine(`n-${i}`, i % 2 ? "a" : "b", true);
@@ -92,31 +92,31 @@
 	share: 0.9,
 });
 
-test("a class that must start faster than any machine boots has ordinary machines up before its first job", async () => {
+test("on-demand machines are created for the first job of a class whose tasks must start sooner than any machine boots", async () => {
 	const setup = new Setup([startWithin("live", 12), startWithin("batch", 12), startWithin("slow", 40)]);
-	atWork(setup);
+	addBusyMachines(setup);
 	await setup.run(10);
 	const zones = () =>
 		setup
-			.ordinary()
+			.onDemandRequests()
 			.map((request) => request.zone)
 			.sort();
-	assert.deepEqual(zones(), ["a", "b", "c"], "in two zones, whichever of three is lost");
+	assert.deepEqual(zones(), ["a", "b", "c"], "enough in two zones, whichever of the three is lost");
 	await setup.run(20);
 	assert.equal(zones().length, 3, "and no more than that");
 });
 
-test("no room is kept ahead for arrays, for what may wait for a boot, or where nothing runs", async () => {
+test("no capacity is created in advance for array jobs, for classes that may wait for a boot, or while no job is live", async () => {
 	const arrays = new Setup([startWithin("batch", 12), startWithin("slow", 40)]);
-	atWork(arrays);
+	addBusyMachines(arrays);
 	await arrays.run(10);
-	assert.deepEqual(arrays.ordinary(), []);
-	const quiet = new Setup([startWithin("live", 12)]);
-	await quiet.run(10);
-	assert.deepEqual(quiet.requests, []);
+	assert.deepEqual(arrays.onDemandRequests(), []);
+	const withoutJobs = new Setup([startWithin("live", 12)]);
+	await withoutJobs.run(10);
+	assert.deepEqual(withoutJobs.requests, []);
 });
 
-test("while replicas wait for ordinary machines, idle spot machines go back all the same", async () => {
+test("while replicas wait for on-demand machines, idle spot machines drain all the same", async () => {
 	const setup = new Setup();
 	for (let i = 0; i < 20; i++) setup.machine(`n-${i}`, "a", true);
 	const spare = setup.machine("n-spare", "a", false);
@@ -130,11 +130,11 @@
 	});
 	await setup.run(10);
 	assert.ok([...setup.clusterState.machines.values()].some((m) => m.spot && m.lifecycle.draining));
-	assert.ok(!spare.lifecycle.draining, "it is there for the replica");
+	assert.ok(!spare.lifecycle.draining, "it is kept for the waiting replica");
 	assert.equal(live.waitingTasks.length, 1);
 });
 
-test("where the idlest machines are kept for replicas that may come, others are marked in their place", async () => {
+test("if the least busy machines are kept for expected replicas, others drain instead", async () => {
 	const setup = new Setup();
 	const live = setup.job({
 		jobClass: "live",
@@ -154,5 +154,8 @@
 	}
 	await setup.run(10);
 	assert.ok(spot.some((machine) => machine.lifecycle.draining));
-	assert.ok(kept.filter((machine) => !machine.lifecycle.draining).length >= 2, "as much as came lately");
+	assert.ok(
+		kept.filter((machine) => !machine.lifecycle.draining).length >= 2,
+		"as many as the recent job needs",
+	);
 });
--- a/tests/coordination/placement/first-fit.test.ts
+++ b/tests/coordination/placement/first-fit.test.ts
@@ -2,12 +2,16 @@
 import { test } from "node:test";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { placeableTasks, placeFirstFit, sampleOf } from "../../../src/coordination/placement/first-fit.js";
+import {
+	placeableTasks,
+	placeFirstFit,
+	randomSample,
+} from "../../../src/coordination/placement/first-fit.js";
 import type { JobSpec } from "../../../src/protocol/model/job.js";
 import type { Grant, MachineCapacity } from "../../../src/protocol/peer/messages.js";
 import { specOf } from "../../support/specs.js";
 
-test("first-fit never overfills a machine nor exceeds a grant, whatever the view", () => {
+test("first fit exceeds neither the capacity of a machine nor a grant, and respects the job's constraints, for any machines", () => {
 	const random = xoroshiro128plus(11);
 	for (let round = 0; round < 200; round++) {
 		const machines: MachineCapacity[] = Array.from({ length: uniformInt(random, 1, 8) }, (_, i) => ({
@@ -67,7 +71,7 @@
 	}
 });
 
-test("first-fit prefers machines that have the image", () => {
+test("first fit prefers machines that have the image cached", () => {
 	const view = (id: string, images: string[]): MachineCapacity => ({
 		id,
 		type: "small",
@@ -87,7 +91,7 @@
 	assert.deepEqual(placed, [{ jobId: "j", machineId: "n-2", count: 1 }]);
 });
 
-test("what machines could take of a job is counted by every demand and zone rule together", () => {
+test("the number of placeable tasks respects all demands and zone constraints of the job together", () => {
 	const view = (zone: string, cpus: number, memory: number, spot = true): MachineCapacity => ({
 		id: `${zone}-${cpus}`,
 		type: "small",
@@ -102,7 +106,7 @@
 	const views = [view("a", 4, 16), view("a", 2, 1), view("b", 3, 16, false)];
 	const count = (more: Partial<JobSpec>, zones = {}) =>
 		placeableTasks(specOf("j-1", { taskCount: 8, cpus: 1, memoryGb: 2, ...more }), zones, views);
-	assert.equal(count({}), 7, "not where memory is short");
+	assert.equal(count({}), 7, "none on the machine without enough memory");
 	assert.equal(count({ zone: "c" }), 0);
 	assert.equal(count({ allowSpot: false }), 3);
 	assert.equal(count({ singleZone: true }), 4);
@@ -110,7 +114,7 @@
 	assert.equal(count({ spreadZones: true, taskCount: 4 }, { a: 1 }), 3, "one more in a, two in b");
 });
 
-test("the last replica goes beside another of its job where there is no machine apart", () => {
+test("a replica is placed beside another of its job only if every machine that fits has one", () => {
 	const spec = specOf("j-1", { form: "service", taskCount: 2, cpus: 1 });
 	const machine: MachineCapacity = {
 		id: "n-1",
@@ -138,13 +142,13 @@
 	assert.deepEqual(
 		placeFirstFit([{ ...machine, cpus: 2 }, apart], [grant], () => spec),
 		[{ jobId: "j-1", machineId: "n-2", count: 1 }],
-		"apart first",
+		"the machine without a replica comes first",
 	);
 });
 
-test("a sample holds distinct machines and no more than asked for", () => {
+test("a sample contains distinct items, and no more than requested", () => {
 	const all = Array.from({ length: 50 }, (_, i) => i);
-	const some = sampleOf(all, 10, xoroshiro128plus(3));
+	const some = randomSample(all, 10, xoroshiro128plus(3));
 	assert.equal(new Set(some).size, 10);
-	assert.deepEqual(sampleOf(all, 50, xoroshiro128plus(3)), all);
+	assert.deepEqual(randomSample(all, 50, xoroshiro128plus(3)), all);
 });
--- a/tests/coordination/placement/job-order.test.ts
+++ b/tests/coordination/placement/job-order.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { servingOrder } from "../../../src/coordination/placement/job-order.js";
+import { schedulingOrder } from "../../../src/coordination/placement/job-order.js";
 import type { Priority } from "../../../src/protocol/model/job.js";
 import { tablesWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
-test("serving order: tiers, then due time, then shortest remaining; best effort yields a little", () => {
+test("scheduling order is by priority tier, due time and shortest remaining time; best effort follows normal work of equal length", () => {
 	const clusterState = tablesWith(0);
 	const add = (id: string, priority: Priority, tasks: number, deadlineS: number | null = null) =>
 		clusterState.addJob(id, specOf(id, { priority, taskCount: tasks, deadlineS }), 0, 1);
@@ -15,13 +15,15 @@
 	add("j-late", "urgent", 4, 90);
 	add("j-soon", "urgent", 4, 50);
 	add("j-crit", "critical", 4);
-	const order = servingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.quotaOf(t), 0).map(
-		(j) => j.id,
-	);
+	const order = schedulingOrder(
+		[...clusterState.jobs.values()],
+		(t) => clusterState.quotas.quotaOf(t),
+		0,
+	).map((j) => j.id);
 	assert.deepEqual(order, ["j-crit", "j-soon", "j-late", "j-short", "j-effort", "j-long"]);
 });
 
-test("work that cannot make its deadline any more does not make others late", () => {
+test("a job that can no longer meet its deadline does not delay jobs that can meet theirs", () => {
 	const clusterState = tablesWith(0);
 	const add = (id: string, deadlineS: number) =>
 		clusterState.addJob(id, specOf(id, { priority: "urgent", deadlineS, estimatedRunS: 10 }), 0, 1);
@@ -29,15 +31,15 @@
 	add("j-later", 29);
 	add("j-last", 60);
 	const order = (date: number) =>
-		servingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.quotaOf(t), date).map(
+		schedulingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.quotaOf(t), date).map(
 			(j) => j.id,
 		);
 	assert.deepEqual(order(0), ["j-soon", "j-later", "j-last"]);
-	assert.deepEqual(order(15_000), ["j-later", "j-soon", "j-last"], "j-soon has until 30 s now");
+	assert.deepEqual(order(15_000), ["j-later", "j-soon", "j-last"], "j-soon is now ordered by 30 s");
 	assert.deepEqual(
 		order(25_000),
 		["j-later", "j-last", "j-soon"],
-		"j-later has until 43.5 s, j-soon is past hope",
+		"j-later is ordered by 43.5 s, j-soon comes last",
 	);
 	assert.deepEqual(order(45_000), ["j-last", "j-soon", "j-later"]);
 });
--- a/tests/coordination/placement/machine-reservations-large-fleets.test.ts
+++ b/tests/coordination/placement/machine-reservations-large-fleets.test.ts
@@ -8,7 +8,7 @@
 
 describe("reservations in a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines with as many waiting jobs: an update searches for a few machines only`, () => {
+		test(`${size} machines with as many waiting jobs: an update searches the fleet only a few times`, () => {
 			const clusterState = largeFleet(size);
 			for (let i = 0; i < size; i++) {
 				const id = `j-${i}`;
--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -15,7 +15,7 @@
 
 describe("placement cycles of a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines: requests are messages that links take, and the tasks start`, async () => {
+		test(`${size} machines: placement requests stay within the message size limit of links, and the tasks start`, async () => {
 			const clock = new FakeTime();
 			const clusterState = largeFleet(size);
 			const settings = defaultOperator();
@@ -43,19 +43,19 @@
 			peerMonitor.messageReceived("c", 0);
 			let started = 0;
 			const cycle = new PlacementCycle({
-				self: "a",
+				node: "a",
 				clusterState,
-				peerMonitor,
+				failureDetector: peerMonitor,
 				peers,
 				quota: null,
-				time: clock,
+				clock,
 				random: xoroshiro128plus(1),
 				log: silentLog,
-				cycleMs: 200,
-				silentMs: 1000,
-				sample: settings.placing.sample,
+				cycleIntervalMs: 200,
+				placerTimeoutMs: 1000,
+				maxMachinesPerCycle: settings.placing.sample,
 				capS: 600,
-				decided: () => {
+				onAttemptAssigned: () => {
 					started += 1;
 				},
 			});
--- a/tests/coordination/placement/starvation.test.ts
+++ b/tests/coordination/placement/starvation.test.ts
@@ -3,49 +3,52 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Job } from "../../../src/bookkeeping/job.js";
-import { servingOrder, starved } from "../../../src/coordination/placement/job-order.js";
+import { isStarved, schedulingOrder } from "../../../src/coordination/placement/job-order.js";
 import { ClusterState } from "../../../src/coordination/state/cluster-state.js";
 import type { Priority } from "../../../src/protocol/model/job.js";
 import { tablesWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
-test("whatever stream of small jobs comes, the largest begins within four minutes and ends", () => {
+test("under a continuous stream of small jobs, the largest job starts within four minutes and most of its tasks start", () => {
 	for (const seed of [1, 2, 3, 4]) {
 		const random = xoroshiro128plus(seed);
 		const clusterState = tablesWith(0);
-		const jobs = new Map<string, { job: Job; left: number; began: number | null }>();
+		const jobs = new Map<string, { job: Job; unstarted: number; startedAtS: number | null }>();
 		const add = (id: string, tasks: number, at: number, priority: Priority) => {
 			const job = clusterState.addJob(id, specOf(id, { taskCount: tasks, cpus: 1, priority }), at * 1000, 1);
-			jobs.set(id, { job, left: tasks, began: null });
+			jobs.set(id, { job, unstarted: tasks, startedAtS: null });
 		};
-		// Eight tasks run at once, and small jobs come for nearly all of that, the first ones in a burst.
-		const free: number[] = Array.from({ length: 8 }, () => 0);
+		// Eight tasks run at once. Small jobs, many of them in an initial burst, demand nearly all of that capacity.
+		const slotFreeAtS: number[] = Array.from({ length: 8 }, () => 0);
 		add("j-largest", 60, 0, seed % 2 === 0 ? "best_effort" : "normal");
 		for (let i = 0; i < 60; i++) add(`j-first-${i}`, 3, 0, "normal");
 		for (let s = 0; s < 900; s++) {
 			if (s % 2 === 0) add(`j-${s}`, uniformInt(random, 1, 2), s, "normal");
 			const date = s * 1000;
-			for (let slot = 0; slot < free.length; slot++) {
-				if ((free[slot] as number) > s) continue;
-				const waiting = [...jobs.values()].filter((j) => j.left > 0).map((j) => j.job);
+			for (let slot = 0; slot < slotFreeAtS.length; slot++) {
+				if ((slotFreeAtS[slot] as number) > s) continue;
+				const waiting = [...jobs.values()].filter((j) => j.unstarted > 0).map((j) => j.job);
 				const next =
-					waiting.find((job) => starved(job, date)) ??
-					servingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date)[0];
+					waiting.find((job) => isStarved(job, date)) ??
+					schedulingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date)[0];
 				const entry = next && jobs.get(next.id);
 				if (!entry) continue;
-				entry.left -= 1;
-				entry.began ??= s;
-				entry.job.markTaskDone(entry.left);
-				free[slot] = s + 10;
+				entry.unstarted -= 1;
+				entry.startedAtS ??= s;
+				entry.job.markTaskDone(entry.unstarted);
+				slotFreeAtS[slot] = s + 10;
 			}
 		}
 		const largest = jobs.get("j-largest");
-		assert.ok(largest?.began != null && largest.began < 240, `seed ${seed}: began at ${largest?.began}`);
-		assert.ok(largest.left < 30, `seed ${seed}: ${largest.left} of 60 tasks never began`);
+		assert.ok(
+			largest?.startedAtS != null && largest.startedAtS < 240,
+			`seed ${seed}: started at ${largest?.startedAtS}`,
+		);
+		assert.ok(largest.unstarted < 30, `seed ${seed}: ${largest.unstarted} of 60 tasks were not started`);
 	}
 });
 
-test("with 1000 machines, 16 teams and a backlog of hundreds of arrays the largest still begin within four minutes", () => {
+test("with 1000 machines, 16 teams and a backlog of hundreds of array jobs, the largest jobs start within four minutes", () => {
 	const teams = Array.from({ length: 16 }, (_, i) => `team-${i}`);
 	const quota = { guaranteed: { cpus: 300, gpus: 0 }, limit: { cpus: 800, gpus: 0 } };
 	const clusterState = new ClusterState({
@@ -54,63 +57,71 @@
 		machineTypes: [],
 	});
 	const random = xoroshiro128plus(5);
-	const state = new Map<Job, { left: number; began: number | null }>();
+	const progress = new Map<Job, { unstarted: number; startedAtS: number | null }>();
 	const largest: Job[] = [];
 	const add = (team: string, tasks: number, atS: number, priority: Priority) => {
-		const id = `j-${state.size}`;
+		const id = `j-${progress.size}`;
 		const job = clusterState.addJob(
 			id,
 			specOf(id, { team, taskCount: tasks, cpus: 1, priority, estimatedRunS: 18 }),
 			atS * 1000,
 			1,
 		);
-		state.set(job, { left: tasks, began: null });
+		progress.set(job, { unstarted: tasks, startedAtS: null });
 		return job;
 	};
 	for (const [i, team] of teams.entries()) {
 		largest.push(add(team, 2500, 0, i % 2 === 0 ? "normal" : "best_effort"));
 		for (let n = 0; n < 20; n++) add(team, uniformInt(random, 100, 700), 0, "normal");
 	}
-	// 4000 tasks run at once, 18 s each; what comes later takes three quarters of that.
-	let free = 4000;
-	const used = new Map<string, number>();
-	const ends = new Map<number, Map<string, number>>();
+	// 4000 tasks run at once, 18 s each; the jobs that are submitted later demand three quarters of that capacity.
+	let freeSlots = 4000;
+	const runningByTeam = new Map<string, number>();
+	const endingByTime = new Map<number, Map<string, number>>();
 	const stepS = 2;
 	for (let s = 0; s < 320; s += stepS) {
 		for (let n = 0; n < 4; n++) {
 			add(teams[uniformInt(random, 0, 15)] as string, uniformInt(random, 20, 140), s, "normal");
 		}
-		for (const [team, n] of ends.get(s) ?? []) {
-			free += n;
-			used.set(team, (used.get(team) ?? 0) - n);
+		for (const [team, n] of endingByTime.get(s) ?? []) {
+			freeSlots += n;
+			runningByTeam.set(team, (runningByTeam.get(team) ?? 0) - n);
 		}
 		const date = s * 1000;
-		const waiting = [...state].filter(([, { left }]) => left > 0).map(([job]) => job);
-		const serve = (job: Job, most: number) => {
-			const entry = state.get(job) as { left: number; began: number | null };
+		const waiting = [...progress].filter(([, { unstarted }]) => unstarted > 0).map(([job]) => job);
+		const start = (job: Job, maxTasks: number) => {
+			const entry = progress.get(job) as { unstarted: number; startedAtS: number | null };
 			const { team } = job.spec;
-			const n = Math.min(entry.left, most, free, quota.limit.cpus - (used.get(team) ?? 0));
+			const n = Math.min(
+				entry.unstarted,
+				maxTasks,
+				freeSlots,
+				quota.limit.cpus - (runningByTeam.get(team) ?? 0),
+			);
 			if (n <= 0) return;
-			entry.left -= n;
-			entry.began ??= s;
-			for (let i = 0; i < n; i++) job.markTaskDone(entry.left + i);
-			free -= n;
-			used.set(team, (used.get(team) ?? 0) + n);
-			const at = ends.get(s + 18) ?? new Map<string, number>();
-			ends.set(s + 18, at.set(team, (at.get(team) ?? 0) + n));
+			entry.unstarted -= n;
+			entry.startedAtS ??= s;
+			for (let i = 0; i < n; i++) job.markTaskDone(entry.unstarted + i);
+			freeSlots -= n;
+			runningByTeam.set(team, (runningByTeam.get(team) ?? 0) + n);
+			const ending = endingByTime.get(s + 18) ?? new Map<string, number>();
+			endingByTime.set(s + 18, ending.set(team, (ending.get(team) ?? 0) + n));
 		};
-		for (const job of waiting) if (starved(job, date)) serve(job, 1);
-		for (const job of servingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date, 250)) {
-			if (free <= 0) break;
-			serve(job, Number.POSITIVE_INFINITY);
+		for (const job of waiting) if (isStarved(job, date)) start(job, 1);
+		for (const job of schedulingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date, 250)) {
+			if (freeSlots <= 0) break;
+			start(job, Number.POSITIVE_INFINITY);
 		}
 	}
 	for (const job of largest) {
-		const { began } = state.get(job) as { began: number | null };
-		assert.ok(began !== null && began < 240, `${job.id} of ${job.spec.team} began at ${began}`);
+		const { startedAtS } = progress.get(job) as { startedAtS: number | null };
+		assert.ok(
+			startedAtS !== null && startedAtS < 240,
+			`${job.id} of ${job.spec.team} started at ${startedAtS}`,
+		);
 	}
 	assert.ok(
-		[...state.values()].filter(({ left }) => left > 0).length > 100,
-		"there was a backlog to the end",
+		[...progress.values()].filter(({ unstarted }) => unstarted > 0).length > 100,
+		"a backlog remains until the end",
 	);
 });
--- a/tests/coordination/preemption/preemption-planner.test.ts
+++ b/tests/coordination/preemption/preemption-planner.test.ts
@@ -8,7 +8,7 @@
 import { small, tablesWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
-test("room for work that few machines may hold is sought on those, whatever the sample of all holds", () => {
+test("victims for a job with machine constraints are searched on the machines that it allows, whatever a sample of all contains", () => {
 	const clusterState = tablesWith(30, 400);
 	const ordinary = new Machine(
 		{ id: "n-ordinary", type: small, zone: "a", spot: false, origin: "heartbeat" },
@@ -41,15 +41,21 @@
 		2,
 	);
 	live.resetWaitingTasks();
-	const few = (machines: Machine[]) => machines.slice(0, 5);
-	const victims = chooseVictims(clusterState, [live], 1000, few);
+	const firstFive = (machines: Machine[]) => machines.slice(0, 5);
+	const victims = chooseVictims(clusterState, [live], 1000, firstFive);
 	assert.deepEqual(
 		victims.map((victim) => victim.machine.id),
 		["n-ordinary"],
 	);
 });
 
-function running(clusterState: ClusterState, id: string, more: Partial<JobSpec>, n: number, since: number) {
+function fillMachines(
+	clusterState: ClusterState,
+	id: string,
+	more: Partial<JobSpec>,
+	n: number,
+	since: number,
+) {
 	const job = clusterState.addJob(id, specOf(id, { taskCount: n, ...more }), 0, 1);
 	job.resetWaitingTasks();
 	for (const machine of clusterState.machines.values()) {
@@ -62,9 +68,9 @@
 	return job;
 }
 
-test("an urgent task takes the place of its own team's youngest lower work, no more than needed", () => {
+test("an urgent task preempts lower-priority tasks of its own team, and no more than it needs", () => {
 	const clusterState = tablesWith(2);
-	running(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
+	fillMachines(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
 	const urgent = clusterState.addJob(
 		"j-2",
 		specOf("j-2", { priority: "urgent", taskCount: 1, cpus: 2 }),
@@ -75,41 +81,45 @@
 	const victims = chooseVictims(clusterState, [urgent], 1000);
 	assert.equal(victims.length, 2);
 	for (const victim of victims) victim.requestStop("preempted", 0);
-	assert.equal(chooseVictims(clusterState, [urgent], 1500).length, 0, "what was stopped already is counted");
+	assert.equal(
+		chooseVictims(clusterState, [urgent], 1500).length,
+		0,
+		"tasks that were stopped earlier are counted as released",
+	);
 });
 
-test("work of the same priority is stopped only beyond a guarantee and for one", () => {
+test("a task of the same priority is preempted only if it is beyond its team's guarantee, for a task within its own team's", () => {
 	const clusterState = tablesWith(2);
-	running(clusterState, "j-1", { team: "blue", estimatedRunS: 100 }, 4, 0);
+	fillMachines(clusterState, "j-1", { team: "blue", estimatedRunS: 100 }, 4, 0);
 	const other = clusterState.addJob("j-2", specOf("j-2", { taskCount: 4 }), 0, 1);
 	other.resetWaitingTasks();
 	const victims = chooseVictims(clusterState, [other], 1000);
-	assert.equal(victims.length, 2, "blue runs 8 of 4 guaranteed cores, red has a right to 4");
+	assert.equal(victims.length, 2, "blue uses 8 cores and is guaranteed 4, red uses none and is guaranteed 4");
 	assert.ok(victims.every((v) => v.job.id === "j-1"));
 
-	const fair = tablesWith(1);
-	running(fair, "j-1", { team: "blue", estimatedRunS: 100 }, 2, 0);
-	const late = fair.addJob("j-2", specOf("j-2"), 0, 1);
-	late.resetWaitingTasks();
-	assert.deepEqual(chooseVictims(fair, [late], 1000), [], "blue is within its guarantee");
+	const withinGuarantee = tablesWith(1);
+	fillMachines(withinGuarantee, "j-1", { team: "blue", estimatedRunS: 100 }, 2, 0);
+	const waiting = withinGuarantee.addJob("j-2", specOf("j-2"), 0, 1);
+	waiting.resetWaitingTasks();
+	assert.deepEqual(chooseVictims(withinGuarantee, [waiting], 1000), [], "blue is within its guarantee");
 });
 
-test("a task more than half done is not thrown away", () => {
+test("a task that is more than half done is not preempted", () => {
 	const clusterState = tablesWith(2);
-	running(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
+	fillMachines(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
 	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", taskCount: 1 }), 0, 1);
 	urgent.resetWaitingTasks();
 	assert.equal(chooseVictims(clusterState, [urgent], 40_000).length, 2);
 	assert.deepEqual(chooseVictims(clusterState, [urgent], 60_000), []);
 });
 
-test("nothing is stopped for tasks that places coming free by themselves will hold", () => {
+test("nothing is preempted for tasks that can take the places of tasks about to end", () => {
 	for (const [estimatedRunS, stopped] of [
 		[100, 2],
 		[2, 0],
 	] as const) {
 		const clusterState = tablesWith(2);
-		running(clusterState, "j-1", { cpus: 1, team: "blue", estimatedRunS }, 8, 0);
+		fillMachines(clusterState, "j-1", { cpus: 1, team: "blue", estimatedRunS }, 8, 0);
 		const urgent = clusterState.addJob(
 			"j-2",
 			specOf("j-2", { priority: "urgent", taskCount: 1, cpus: 2 }),
@@ -119,10 +129,10 @@
 		urgent.resetWaitingTasks();
 		assert.equal(chooseVictims(clusterState, [urgent], 1000).length, stopped, `runs of ${estimatedRunS} s`);
 	}
-	// A team at its limit is helped by none but its own.
+	// For a team at its limit only the ends of its own tasks count.
 	const clusterState = tablesWith(2);
-	running(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
-	running(clusterState, "j-3", { cpus: 1, team: "blue", estimatedRunS: 1 }, 8, 0);
+	fillMachines(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
+	fillMachines(clusterState, "j-3", { cpus: 1, team: "blue", estimatedRunS: 1 }, 8, 0);
 	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", taskCount: 1 }), 0, 1);
 	urgent.resetWaitingTasks();
 	assert.equal(chooseVictims(clusterState, [urgent], 1000).length, 2);
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -3,7 +3,7 @@
 import type { Attempt } from "../../../src/bookkeeping/attempt.js";
 import type { Job } from "../../../src/bookkeeping/job.js";
 import type { Machine } from "../../../src/bookkeeping/machine.js";
-import { grantsFor } from "../../../src/coordination/placement/grants.js";
+import { computeGrants } from "../../../src/coordination/placement/grants.js";
 import { capacityOf } from "../../../src/coordination/placement/placement-cycle.js";
 import { ClusterState } from "../../../src/coordination/state/cluster-state.js";
 import { FaultAttribution } from "../../../src/coordination/workers/fault-attribution.js";
@@ -71,8 +71,8 @@
 	/** Machines that placement keeps the job off so long after its last failure. */
 	machinesAvoidedBy(job: Job, sinceMs: number): string[] {
 		const capacities = [...this.clusterState.machines.values()].map(capacityOf);
-		const moment = { now: job.failures.lastAt + sinceMs, date: 0 };
-		return grantsFor(this.clusterState, [job], capacities, moment)[0]?.grant.avoidedMachines ?? [];
+		const moment = { monotonicMs: job.failures.lastAt + sinceMs, wallClockMs: 0 };
+		return computeGrants(this.clusterState, [job], capacities, moment)[0]?.grant.avoidedMachines ?? [];
 	}
 }
 
