--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -7,113 +7,116 @@
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
-const leastPauseMs = 5000;
+const minReadIntervalMs = 5000;
 const retryMs = 1500;
 /** A read that takes longer is abandoned: its pages would be from times too far apart. */
-const mostReadMs = 60_000;
+const maxReadDurationMs = 60_000;
 /** A page whose request exceeded the cloud's rate limit is requested again after this. */
 const pageRetryMs = 500;
 /** Reading a long list must leave most of the cloud's rate limit to scale-out and scale-in. */
-const readTimePart = 1 / 3;
+const maxReadTimeFraction = 1 / 3;
 
 export interface CloudInventoryHooks {
-	post(command: () => void): void;
+	/** Runs the action in the process's serial executor. */
+	post(action: () => void): void;
 	/** True if the cloud has confirmed the machine's deletion. An outdated list may still contain it. */
 	isDeleted(machine: string): boolean;
 }
 
 /**
- * Reads the cloud's machine list periodically and reconciles the cluster state with it: unknown machines are added, and
- * failed ones are deleted. The list lags behind, so a machine that is missing from it may still exist.
+ * Reads the cloud's machine list periodically and reconciles the cluster state with it: unknown machines are
+ * added, and failed ones are deleted. The list lags behind, so a machine that is missing from it may still
+ * exist.
  */
 export class CloudInventory {
 	private reading = false;
-	private readingSince = -Infinity;
-	private nextRead = 0;
-	private names: Set<string> | null = null;
+	private readStartedAt = -Infinity;
+	private nextReadAt = 0;
+	private listedMachineIds: Set<string> | null = null;
 	/** True if the list has been read, or reading it has failed for another reason than the rate limit. */
 	firstReadFinished = false;
 
 	constructor(
 		private readonly clusterState: ClusterState,
 		private readonly cloud: CloudProvider,
-		private readonly time: Clock,
-		private readonly lagMs: number,
+		private readonly clock: Clock,
+		private readonly listLagMs: number,
 		private readonly hooks: CloudInventoryHooks,
 		private readonly log: Log,
 	) {}
 
 	/** Starts to read the list if a read is due. Called in each tick of the leader. */
 	tick(now: number): void {
-		if (this.reading || now < this.nextRead) return;
+		if (this.reading || now < this.nextReadAt) return;
 		this.reading = true;
-		this.readingSince = now;
-		this.read().then(
-			(machines) => this.hooks.post(() => this.received(machines)),
-			(error) => this.hooks.post(() => this.failed(error)),
+		this.readStartedAt = now;
+		this.readAllPages().then(
+			(machines) => this.hooks.post(() => this.onListRead(machines)),
+			(error) => this.hooks.post(() => this.onReadFailed(error)),
 		);
 	}
 
 	/** True if this leader has read the list and the machine was missing from the latest one. */
 	isMissing(machine: string): boolean {
-		return this.names !== null && !this.names.has(machine);
+		return this.listedMachineIds !== null && !this.listedMachineIds.has(machine);
 	}
 
-	private async read(): Promise<ListedMachine[]> {
+	private async readAllPages(): Promise<ListedMachine[]> {
 		const all: ListedMachine[] = [];
-		let after = "";
+		let afterId = "";
 		for (;;) {
-			const { machines, more } = await this.page(after);
+			const { machines, more } = await this.readPage(afterId);
 			all.push(...machines);
 			const last = machines.at(-1);
 			if (!more || !last) return all;
-			after = last.id;
+			afterId = last.id;
 		}
 	}
 
 	/** Reads a page, waiting for the rate limit: a list of thousands takes more calls than the permitted burst. */
-	private async page(after: string): Promise<MachineListPage> {
+	private async readPage(afterId: string): Promise<MachineListPage> {
 		for (;;) {
 			try {
-				return await this.cloud.listMachines(after);
+				return await this.cloud.listMachines(afterId);
 			} catch (error) {
-				const forItsRate = error instanceof CallError && error.status === 429;
-				if (!forItsRate || after === "" || this.time.now() - this.readingSince > mostReadMs) throw error;
+				const rateLimited = error instanceof CallError && error.status === 429;
+				if (!rateLimited || afterId === "" || this.clock.now() - this.readStartedAt > maxReadDurationMs)
+					throw error;
 			}
-			await new Promise<void>((resolve) => this.time.after(pageRetryMs, resolve));
+			await new Promise<void>((resolve) => this.clock.after(pageRetryMs, resolve));
 		}
 	}
 
-	private received(machines: ListedMachine[]): void {
-		const now = this.time.now();
-		const tookMs = now - this.readingSince;
+	private onListRead(machines: ListedMachine[]): void {
+		const now = this.clock.now();
+		const readDurationMs = now - this.readStartedAt;
 		this.reading = false;
 		this.firstReadFinished = true;
-		this.nextRead = now + Math.max(leastPauseMs, this.lagMs, tookMs / readTimePart);
-		this.names = new Set(machines.map((machine) => machine.id));
+		this.nextReadAt = now + Math.max(minReadIntervalMs, this.listLagMs, readDurationMs / maxReadTimeFraction);
+		this.listedMachineIds = new Set(machines.map((machine) => machine.id));
 		for (const listed of machines) if (!this.hooks.isDeleted(listed.id)) this.reconcile(listed, now);
-		this.dropUnlisted(this.names);
+		this.dropUnlisted(this.listedMachineIds);
 	}
 
-	private failed(error: unknown): void {
+	private onReadFailed(error: unknown): void {
 		this.reading = false;
-		this.nextRead = this.time.now() + retryMs;
+		this.nextReadAt = this.clock.now() + retryMs;
 		// While the cloud is unavailable scale-out is impossible anyway, so the first scaling round need not wait.
 		this.firstReadFinished ||= !(error instanceof CallError) || error.status !== 429;
-		this.log.debug({ err: String(error) }, "machine list not read");
+		this.log.debug({ err: String(error) }, "reading the machine list failed");
 	}
 
 	private reconcile(listed: ListedMachine, now: number): void {
-		const machine = this.clusterState.machines.get(listed.id) ?? this.takeIn(listed, now);
+		const machine = this.clusterState.machines.get(listed.id) ?? this.addListedMachine(listed, now);
 		if (!machine) return;
 		machine.agent.endpointLearned(listed.endpoint);
 		if (listed.status === "failed" && !machine.lifecycle.deleting) {
 			machine.lifecycle.startDeleting();
-			this.log.info({ machine: listed.id }, "machine failed");
+			this.log.info({ machineId: listed.id }, "machine failed");
 		}
 	}
 
-	private takeIn(listed: ListedMachine, now: number): Machine | null {
+	private addListedMachine(listed: ListedMachine, now: number): Machine | null {
 		const type = this.clusterState.machineTypes.get(listed.machineType);
 		if (!type) return null;
 		const machine = new Machine(
@@ -121,14 +124,14 @@
 			now - listed.ageS * 1000,
 		);
 		this.clusterState.addMachine(machine);
-		this.log.info({ machine: listed.id, status: listed.status }, "unknown machine listed");
+		this.log.info({ machineId: listed.id, status: listed.status }, "unknown machine listed");
 		return machine;
 	}
 
 	/** Drops machines that are known only from an earlier list, never sent a heartbeat and are no longer listed. */
-	private dropUnlisted(names: Set<string>): void {
+	private dropUnlisted(listedIds: Set<string>): void {
 		for (const machine of [...this.clusterState.machines.values()]) {
-			if (machine.lifecycle.onlyListed && !machine.agent.running && !names.has(machine.id))
+			if (machine.lifecycle.onlyListed && !machine.agent.running && !listedIds.has(machine.id))
 				this.clusterState.dropMachine(machine);
 		}
 	}
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -9,17 +9,20 @@
 import type { ReplicaCapacity } from "./replica-capacity.js";
 
 /** Draining of a machine is cancelled for a job that has waited this long with no task running. */
-const waitsBesideMarkedMs = 20_000;
+const cancelDrainingAfterMs = 20_000;
 
-interface Candidate {
+interface DrainCandidate {
 	machine: Machine;
 	/** Replicas run on it, which would have to be relocated. */
-	replicas: boolean;
-	/** CPU seconds of remaining work per hourly price: of two machines that are equally busy, the more expensive one drains. */
-	worth: number;
+	hasReplicas: boolean;
+	/**
+	 * CPU seconds of remaining work per hourly price: of two equally busy machines, the more expensive one
+	 * drains.
+	 */
+	remainingWorkPerPrice: number;
 }
 
-/** Chooses machines for draining, which accept no new tasks and are deleted once they are empty, and cancels draining. */
+/** Starts and cancels draining. A draining machine accepts no new tasks and is deleted once it is empty. */
 export class Drain {
 	constructor(
 		private readonly clusterState: ClusterState,
@@ -28,33 +31,39 @@
 	) {}
 
 	/** Starts draining the machines with the least remaining work per price, as many as the low threshold allows. */
-	startDraining(look: FleetSnapshot, replicas: ReplicaCapacity): void {
-		const ranked = this.ranked(look, replicas);
-		let marked = this.choose(ranked, look);
+	startDraining(snapshot: FleetSnapshot, replicaCapacity: ReplicaCapacity): void {
+		const candidates = this.rankCandidates(snapshot, replicaCapacity);
+		let chosen = this.chooseMachines(candidates, snapshot);
 		// Machines kept for expected replicas would be replaced by a scale-out at once, so others drain instead.
-		const left = look.machines.filter((machine) => !marked.has(machine));
-		const lacking = replicas.unplaceableExpectedSpec(look.machines, left);
-		if (lacking) {
-			const others = ranked.filter(({ machine }) => !machineAllowed(lacking, machine));
-			marked = this.choose(others, look);
+		const remaining = snapshot.machines.filter((machine) => !chosen.has(machine));
+		const unplaceableSpec = replicaCapacity.unplaceableExpectedSpec(snapshot.machines, remaining);
+		if (unplaceableSpec) {
+			const otherCandidates = candidates.filter(({ machine }) => !machineAllowed(unplaceableSpec, machine));
+			chosen = this.chooseMachines(otherCandidates, snapshot);
 		}
-		if (marked.size === 0) return;
-		for (const machine of marked) machine.lifecycle.startDraining();
-		this.log.info({ machines: [...marked].map((m) => m.id) }, "draining started");
+		if (chosen.size === 0) return;
+		for (const machine of chosen) machine.lifecycle.startDraining();
+		this.log.info({ machineIds: [...chosen].map((m) => m.id) }, "draining started");
 	}
 
 	/** Returns the first candidates, as many as the low threshold allows. */
-	private choose(ranked: Candidate[], look: FleetSnapshot): Set<Machine> {
-		const cores = ranked.map(({ machine }) => machine.type.cpus);
-		const lowPerCpu = this.climb.low * look.meanRemainingS;
-		const count = machinesToRemove(look.remainingWork, look.machines.length, look.cpus, cores, lowPerCpu);
-		const marked = new Set(ranked.slice(0, count).map(({ machine }) => machine));
-		this.keepForWaiting(marked, look.machines);
-		return marked;
+	private chooseMachines(candidates: DrainCandidate[], snapshot: FleetSnapshot): Set<Machine> {
+		const cpusOfCandidates = candidates.map(({ machine }) => machine.type.cpus);
+		const lowThresholdPerCpu = this.climb.low * snapshot.meanRemainingS;
+		const count = machinesToRemove(
+			snapshot.remainingWork,
+			snapshot.machines.length,
+			snapshot.cpus,
+			cpusOfCandidates,
+			lowThresholdPerCpu,
+		);
+		const chosen = new Set(candidates.slice(0, count).map(({ machine }) => machine));
+		this.keepForWaitingJobs(chosen, snapshot.machines);
+		return chosen;
 	}
 
 	/** Returns the service jobs with replicas that wait or have to leave their machines. */
-	private unsettled(): Job[] {
+	private jobsWithUnplacedReplicas(): Job[] {
 		return [...this.clusterState.jobs.values()].filter(
 			(job) =>
 				job.isService &&
@@ -63,60 +72,73 @@
 	}
 
 	/** Returns the machines that may drain: those without replicas first, then by remaining work per price. */
-	private ranked({ machines, now }: FleetSnapshot, replicas: ReplicaCapacity): Candidate[] {
+	private rankCandidates(
+		{ machines, now }: FleetSnapshot,
+		replicaCapacity: ReplicaCapacity,
+	): DrainCandidate[] {
 		// Machines created for replicas are idle until the replicas start, so they would rank first.
-		const unsettled = this.unsettled();
+		const jobsWithUnplacedReplicas = this.jobsWithUnplacedReplicas();
 		return machines
 			.filter(
 				(machine) =>
 					machine.capacity.reservedFor === null &&
-					!unsettled.some((job) => machineAllowed(job.spec, machine)),
+					!jobsWithUnplacedReplicas.some((job) => machineAllowed(job.spec, machine)),
 			)
-			.map((machine) => this.candidate(machine, now))
-			.filter((c) => !c.replicas || replicas.canRelocateReplicas(c.machine, machines))
-			.sort((a, b) => Number(a.replicas) - Number(b.replicas) || a.worth - b.worth);
+			.map((machine) => this.candidateOf(machine, now))
+			.filter((c) => !c.hasReplicas || replicaCapacity.canRelocateReplicas(c.machine, machines))
+			.sort(
+				(a, b) =>
+					Number(a.hasReplicas) - Number(b.hasReplicas) || a.remainingWorkPerPrice - b.remainingWorkPerPrice,
+			);
 	}
 
-	private candidate(machine: Machine, now: number): Candidate {
-		let left = 1;
-		let replicas = false;
+	private candidateOf(machine: Machine, now: number): DrainCandidate {
+		let remainingWork = 1;
+		let hasReplicas = false;
 		for (const attempt of machine.attempts.values()) {
-			left += remainingOfAttempt(attempt, now, this.climb.cap_s);
-			replicas ||= attempt.job.isService;
+			remainingWork += remainingOfAttempt(attempt, now, this.climb.cap_s);
+			hasReplicas ||= attempt.job.isService;
 		}
-		return { machine, replicas, worth: left / Math.max(machine.hourlyPrice, 1e-6) };
+		return {
+			machine,
+			hasReplicas,
+			remainingWorkPerPrice: remainingWork / Math.max(machine.hourlyPrice, 1e-6),
+		};
 	}
 
 	/**
-	 * Keeps, for each waiting job, one machine that can hold it. A machine created because no other could hold the job is
-	 * idle until it is up, so it would rank first.
+	 * Keeps, for each waiting job, one machine that can hold it. A machine created because no other could hold
+	 * the job is idle until it is up, so it would rank first.
 	 */
-	private keepForWaiting(marked: Set<Machine>, machines: Machine[]): void {
+	private keepForWaitingJobs(chosen: Set<Machine>, machines: Machine[]): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0) continue;
-			if (machines.some((m) => !marked.has(m) && couldHold(m, job))) continue;
+			if (machines.some((m) => !chosen.has(m) && couldHold(m, job))) continue;
 			const holder = machines.find((m) => couldHold(m, job));
-			if (holder) marked.delete(holder);
+			if (holder) chosen.delete(holder);
 		}
 	}
 
-	/** Cancels draining of machines until the load is at or below the high threshold; false: no machine was draining. */
-	cancelDraining(look: FleetSnapshot): boolean {
-		const highPerCpu = this.climb.high * look.meanRemainingS;
-		const back: string[] = [];
-		let { cpus } = look;
-		let count = look.machines.length;
+	/**
+	 * Cancels draining of machines until the load is at or below the high threshold; false: no machine was
+	 * draining.
+	 */
+	cancelDraining(snapshot: FleetSnapshot): boolean {
+		const highThresholdPerCpu = this.climb.high * snapshot.meanRemainingS;
+		const returnedToUse: string[] = [];
+		let { cpus } = snapshot;
+		let machineCount = snapshot.machines.length;
 		for (const machine of this.clusterState.machines.values()) {
 			if (!machine.lifecycle.draining || machine.lifecycle.deleting || machine.agent.leaseExpired) continue;
 			machine.lifecycle.cancelDraining();
-			back.push(machine.id);
+			returnedToUse.push(machine.id);
 			cpus += machine.type.cpus;
-			count += 1;
-			if (loadOf(look.remainingWork, count) <= highPerCpu * (cpus / count)) break;
+			machineCount += 1;
+			if (loadOf(snapshot.remainingWork, machineCount) <= highThresholdPerCpu * (cpus / machineCount)) break;
 		}
-		if (back.length === 0) return false;
+		if (returnedToUse.length === 0) return false;
 		this.clusterState.requestPlacement();
-		this.log.info({ machines: back }, "draining cancelled");
+		this.log.info({ machineIds: returnedToUse }, "draining cancelled");
 		return true;
 	}
 
@@ -127,20 +149,20 @@
 			if (!machineAllowed(job.spec, machine) || !machine.capacity.hasRoomFor(job.spec)) continue;
 			machine.lifecycle.cancelDraining();
 			this.clusterState.requestPlacement();
-			this.log.info({ machines: [machine.id], job: job.id }, "draining cancelled");
+			this.log.info({ machineIds: [machine.id], jobId: job.id }, "draining cancelled");
 			return true;
 		}
 		return false;
 	}
 
 	/**
-	 * Cancels draining of a machine for a job that has waited too long. Tasks on a draining machine may run for a long
-	 * time, and the job could wait as long if the load stays below the high threshold.
+	 * Cancels draining of a machine for a job that has waited too long. Tasks on a draining machine may run for a
+	 * long time, and the job could wait as long if the load stays below the high threshold.
 	 */
 	cancelDrainingForLongWaitingJob(now: number): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0 || job.attempts.size > 0) continue;
-			if (now - Math.max(job.loadedAt, job.failures.lastAt) < waitsBesideMarkedMs) continue;
+			if (now - Math.max(job.loadedAt, job.failures.lastAt) < cancelDrainingAfterMs) continue;
 			if (this.clusterState.hasRunnableTask(job, now) && this.cancelDrainingForJob(job)) return;
 		}
 	}
--- a/src/coordination/fleet/expected-services.ts
+++ b/src/coordination/fleet/expected-services.ts
@@ -3,12 +3,12 @@
 import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
 
 /** The cores kept for a class without a job so far, as a fraction of the schedulable cores. */
-const reservedPart = 0.02;
-const assumedMemoryGb = 3;
+const reservedCpuFraction = 0.02;
+const assumedReplicaMemoryGb = 3;
 
 /**
- * Returns the classes whose tasks must start sooner than any machine boots. Capacity for their first job has to be up
- * before the job is submitted.
+ * Returns the classes whose tasks must start sooner than any machine boots. Capacity for their first job has to
+ * be up before the job is submitted.
  */
 export function classesWithFastStart(
 	objectives: readonly StartTimeObjective[],
@@ -20,20 +20,20 @@
 }
 
 /**
- * Returns an assumed spec for the first jobs of a class. All that is known of them is that they must start at once, so
- * small replicas on on-demand machines, spread over zones, are assumed.
+ * Returns an assumed spec for the first jobs of a class. All that is known of them is that they must start at
+ * once, so small replicas on on-demand machines, spread over zones, are assumed.
  */
-export function assumedServiceSpec(name: string, cpusInUse: number): JobSpec {
+export function assumedServiceSpec(jobClass: string, schedulableCpus: number): JobSpec {
 	return {
-		id: `expected ${name}`,
+		id: `expected ${jobClass}`,
 		form: "service",
-		jobClass: name,
+		jobClass,
 		team: "",
 		priority: "critical",
-		taskCount: Math.max(1, Math.ceil(cpusInUse * reservedPart)),
+		taskCount: Math.max(1, Math.ceil(schedulableCpus * reservedCpuFraction)),
 		cpus: 1,
 		gpus: 0,
-		memoryGb: assumedMemoryGb,
+		memoryGb: assumedReplicaMemoryGb,
 		machineTypes: null,
 		zone: null,
 		singleZone: false,
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -7,30 +7,31 @@
 /** The quantities of the cluster state on which the hill climb is based. */
 
 /**
- * Returns the mean remaining seconds of a running task: half the mean estimated run time of the present tasks, weighted
- * by cores. The load thresholds are multiples of it, so that they have the same meaning for tasks of seconds and of hours.
+ * Returns the mean remaining seconds of a running task: half the mean estimated run time of the present tasks,
+ * weighted by cores. The load thresholds are multiples of it, so that they have the same meaning for tasks of
+ * seconds and of hours.
  */
 export function meanRemainingSeconds(clusterState: ClusterState, capS: number): number {
 	let cpus = 0;
 	let sum = 0;
 	for (const job of clusterState.jobs.values()) {
 		if (job.failures.everywhere || job.isService) continue;
-		const share = (job.waitingTasks.length + job.attempts.size) * job.spec.cpus;
-		cpus += share;
-		sum += share * Math.min(job.estimatedRunS, capS);
+		const jobCpus = (job.waitingTasks.length + job.attempts.size) * job.spec.cpus;
+		cpus += jobCpus;
+		sum += jobCpus * Math.min(job.estimatedRunS, capS);
 	}
 	return cpus > 0 ? Math.max(1, sum / cpus / 2) : 1;
 }
 
 /**
- * Returns the remaining work of all live jobs in CPU seconds. A team's limit bounds how fast its work can be done,
- * regardless of the fleet's size, so a team counts for at most as many cores as its limit allows, each loaded to the
- * high threshold.
+ * Returns the remaining work of all live jobs in CPU seconds. A team's limit bounds how fast its work can be
+ * done, regardless of the fleet's size, so a team counts for at most as many cores as its limit allows, each
+ * loaded to the high threshold.
  */
 export function remainingWork(
 	clusterState: ClusterState,
 	now: number,
-	secondsLeft: number,
+	meanRemainingS: number,
 	climb: HillClimbSettings,
 ): number {
 	const byTeam = new Map<string, number>();
@@ -38,22 +39,22 @@
 		// Machines must not be created for a job that fails on every machine.
 		if (job.failures.everywhere) continue;
 		const { team } = job.spec;
-		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingOfJob(job, now, secondsLeft, climb.cap_s));
+		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingWorkOfJob(job, now, meanRemainingS, climb.cap_s));
 	}
 	let sum = 0;
 	for (const [team, work] of byTeam) {
 		const limit = clusterState.quotas.quotaOf(team)?.limit.cpus ?? 0;
-		sum += Math.min(work, limit * climb.high * secondsLeft);
+		sum += Math.min(work, limit * climb.high * meanRemainingS);
 	}
 	return sum;
 }
 
 /**
- * Returns the job's remaining work in CPU seconds. Replicas do not end, so each of their cores counts for the mean of a
- * busy core. That lies between the thresholds and causes neither scale-out nor scale-in.
+ * Returns the job's remaining work in CPU seconds. Replicas do not end, so each of their cores counts for the
+ * mean of a busy core. That lies between the thresholds and causes neither scale-out nor scale-in.
  */
-function remainingOfJob(job: Job, now: number, secondsLeft: number, capS: number): number {
-	if (job.isService) return (job.waitingTasks.length + job.attempts.size) * job.spec.cpus * secondsLeft;
+function remainingWorkOfJob(job: Job, now: number, meanRemainingS: number, capS: number): number {
+	if (job.isService) return (job.waitingTasks.length + job.attempts.size) * job.spec.cpus * meanRemainingS;
 	let work = job.waitingTasks.length * remainingOfWaiting(job.spec.cpus, job.estimatedRunS, capS);
 	for (const attempt of job.attempts.values()) work += remainingOfAttempt(attempt, now, capS);
 	return work;
@@ -92,12 +93,12 @@
 	climb: HillClimbSettings,
 ): FleetSnapshot {
 	const machines = [...clusterState.machines.values()].filter((m) => m.countsAsCapacity);
-	const secondsLeft = meanRemainingSeconds(clusterState, climb.cap_s);
+	const meanRemainingS = meanRemainingSeconds(clusterState, climb.cap_s);
 	return {
 		now,
 		machines,
 		cpus: machines.reduce((sum, m) => sum + m.type.cpus, 0),
-		meanRemainingS: secondsLeft,
-		remainingWork: remainingWork(clusterState, now, secondsLeft, climb),
+		meanRemainingS,
+		remainingWork: remainingWork(clusterState, now, meanRemainingS, climb),
 	};
 }
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -17,7 +17,9 @@
 import { ScaleOut, type ScaleOutOutcome } from "./scale-out.js";
 
 export interface FleetHooks {
-	post(command: () => void): void;
+	/** Runs the action in the process's serial executor. */
+	post(action: () => void): void;
+	/** True while this process may act as the leader. */
 	active(): boolean;
 	/** The cloud has confirmed the machine's deletion: its record can be deleted, and its tasks wait again. */
 	onMachineDeleted(machine: Machine): void;
@@ -41,191 +43,212 @@
 }
 
 /**
- * The cloud's list lags behind and may lack the machines that the previous leader created last: a round that ran at the
- * start of the term would create them again.
+ * The cloud's list lags behind and may lack the machines that the previous leader created last: a round that
+ * ran at the start of the term would create them again.
  */
-const firstRoundMs = 500;
-const nextRoundSoonMs = 50;
+const firstRoundDelayMs = 500;
+const earlyRoundDelayMs = 50;
 
 /**
- * Adds and removes machines in rounds of the hill climb. Machines for replicas, and for jobs that no machine of the fleet
- * can hold, are requested regardless of the load.
+ * Adds and removes machines in rounds of the hill climb. Machines for replicas, and for jobs that no machine of
+ * the fleet can hold, are requested regardless of the load.
  */
 export class Fleet {
 	private readonly clusterState: ClusterState;
 	private readonly climb: OperatorSettings["climb"];
-	private readonly time: Clock;
+	private readonly clock: Clock;
 	private readonly log: Log;
-	private readonly list: CloudInventory;
-	private readonly returns: ScaleIn;
-	private readonly rentals: ScaleOut;
+	private readonly inventory: CloudInventory;
+	private readonly scaleIn: ScaleIn;
+	private readonly scaleOut: ScaleOut;
 	private readonly drain: Drain;
-	private readonly bootTimes: ProvisioningTimes;
-	private readonly replicas: ReplicaCapacity;
+	private readonly provisioningTimes: ProvisioningTimes;
+	private readonly replicaCapacity: ReplicaCapacity;
 	private counters: ScalingCounters = { up: 0, down: 0 };
-	private nextRound: number;
+	private nextRoundAt: number;
 
 	constructor(options: FleetOptions) {
-		const { clusterState, cloud, clock: time, settings, hooks, log } = options;
-		const { post, active: authority } = hooks;
+		const { clusterState, cloud, clock, settings, hooks, log } = options;
+		const { post, active } = hooks;
 		this.clusterState = clusterState;
-		this.time = time;
+		this.clock = clock;
 		this.climb = settings.climb;
 		this.log = log;
-		this.nextRound = time.now() + firstRoundMs;
-		const gone = (machine: Machine) => {
-			this.rentals.clearRefusal(machine);
+		this.nextRoundAt = clock.now() + firstRoundDelayMs;
+		const onMachineDeleted = (machine: Machine) => {
+			this.scaleOut.clearRefusal(machine);
 			hooks.onMachineDeleted(machine);
 		};
-		const isDeleted = (machine: string) => this.returns.isDeleted(machine);
-		this.bootTimes = new ProvisioningTimes(settings.machines.boot_times);
-		this.returns = new ScaleIn(
+		const isDeleted = (machine: string) => this.scaleIn.isDeleted(machine);
+		this.provisioningTimes = new ProvisioningTimes(settings.machines.boot_times);
+		this.scaleIn = new ScaleIn(
 			clusterState,
 			cloud,
-			time,
+			clock,
 			settings.machines.silent_extra_s * 1000,
-			this.bootTimes,
+			this.provisioningTimes,
 			options.leaseMs,
-			{ post, onMachineDeleted: gone },
+			{ post, onMachineDeleted },
 			log,
 		);
-		this.list = new CloudInventory(clusterState, cloud, time, options.listLagMs, { post, isDeleted }, log);
-		this.rentals = new ScaleOut(
+		this.inventory = new CloudInventory(
 			clusterState,
 			cloud,
-			time,
+			clock,
+			options.listLagMs,
+			{ post, isDeleted },
+			log,
+		);
+		this.scaleOut = new ScaleOut(
+			clusterState,
+			cloud,
+			clock,
 			settings.climb,
 			options.requestPrefix,
 			{
 				post,
-				active: authority,
+				active,
 				isDeleted,
-				isZoneIsolated: (zone) => this.returns.isZoneIsolated(zone),
-				onUnfilled: () => this.hurry(),
+				isZoneIsolated: (zone) => this.scaleIn.isZoneIsolated(zone),
+				onUnfilled: () => this.scheduleEarlyRound(),
 			},
 			log,
 		);
 		this.drain = new Drain(clusterState, settings.climb, log);
-		this.replicas = new ReplicaCapacity(clusterState, time, this.rentals, options.objectives, (job) =>
-			this.drain.cancelDrainingForJob(job),
+		this.replicaCapacity = new ReplicaCapacity(
+			clusterState,
+			clock,
+			this.scaleOut,
+			options.objectives,
+			(job) => this.drain.cancelDrainingForJob(job),
 		);
 	}
 
-	/** Called in each tick of the leader, with authority. */
+	/** Called in each tick of the leader, while it may act. */
 	tick(): void {
-		const now = this.time.now();
-		this.noteOverdue(now);
-		this.returns.tick(now);
-		this.list.tick(now);
-		if (now < this.nextRound || !this.list.firstReadFinished || !this.clusterState.reconciled) return;
-		this.nextRound = now + this.climb.round_s * 1000;
-		this.round(takeFleetSnapshot(this.clusterState, now, this.climb));
+		const now = this.clock.now();
+		this.updateOverdue(now);
+		this.scaleIn.tick(now);
+		this.inventory.tick(now);
+		if (now < this.nextRoundAt || !this.inventory.firstReadFinished || !this.clusterState.reconciled) return;
+		this.nextRoundAt = now + this.climb.round_s * 1000;
+		this.runRound(takeFleetSnapshot(this.clusterState, now, this.climb));
 	}
 
 	/** The machine has sent its first heartbeat to this leader. */
 	onMachineRunning(machine: Machine): void {
-		if (machine.lifecycle.createdByThisLeader) this.bootTimes.recordBoot(machine, this.time.now());
+		if (machine.lifecycle.createdByThisLeader) this.provisioningTimes.recordBoot(machine, this.clock.now());
 	}
 
 	/** True if the cloud has confirmed the machine's deletion. */
 	isDeleted(machine: string): boolean {
-		return this.returns.isDeleted(machine);
+		return this.scaleIn.isDeleted(machine);
 	}
 
 	/** True if this leader has read the cloud's machine list and the machine was missing from the latest one. */
 	isMissingFromCloudList(machine: string): boolean {
-		return this.list.isMissing(machine);
+		return this.inventory.isMissing(machine);
 	}
 
-	/** Updates which machines are overdue. An overdue machine does not count as capacity until its first heartbeat. */
-	private noteOverdue(now: number): void {
+	/**
+	 * Updates which machines are overdue. An overdue machine does not count as capacity until its first
+	 * heartbeat.
+	 */
+	private updateOverdue(now: number): void {
 		for (const machine of this.clusterState.machines.values()) {
-			const before = machine.lifecycle.overdue;
-			machine.lifecycle.setOverdue(this.bootTimes.isOverdue(machine, now));
-			if (before || !machine.lifecycle.overdue) continue;
+			const wasOverdue = machine.lifecycle.overdue;
+			machine.lifecycle.setOverdue(this.provisioningTimes.isOverdue(machine, now));
+			if (wasOverdue || !machine.lifecycle.overdue) continue;
 			const { id, type, zone, lifecycle } = machine;
 			const bootingS = Math.round((now - lifecycle.requestedAt) / 1000);
-			this.log.info({ machine: id, type: type.name, zone, bootingS }, "machine overdue");
+			this.log.info({ machineId: id, machineType: type.name, zone, bootingS }, "machine overdue");
 		}
 	}
 
-	/** Schedules a round almost immediately, with the up counter set so that a load above the high threshold scales out. */
-	private hurry(): void {
-		this.nextRound = Math.min(this.nextRound, this.time.now() + nextRoundSoonMs);
+	/** Schedules an early round, with the up counter set so that any load above the high threshold scales out. */
+	private scheduleEarlyRound(): void {
+		this.nextRoundAt = Math.min(this.nextRoundAt, this.clock.now() + earlyRoundDelayMs);
 		this.counters.up = this.climb.up_past;
 	}
 
-	private round(look: FleetSnapshot): void {
-		if (this.replicas.ensureCapacity(look)) return;
-		const count = look.machines.length;
-		// Without jobs the fleet shrinks to no machines. The first waiting job then scales out, regardless of the counters.
-		if (count === 0) {
-			this.grow(look);
+	private runRound(snapshot: FleetSnapshot): void {
+		if (this.replicaCapacity.ensureCapacity(snapshot)) return;
+		const machineCount = snapshot.machines.length;
+		// Without jobs the fleet shrinks to no machines. The first waiting job then scales out, regardless of the
+		// counters.
+		if (machineCount === 0) {
+			this.addCapacity(snapshot);
 			return;
 		}
-		if (this.serveUnheld(look)) return;
-		this.drain.cancelDrainingForLongWaitingJob(look.now);
+		if (this.addMachineForUnplaceableJob(snapshot)) return;
+		this.drain.cancelDrainingForLongWaitingJob(snapshot.now);
 		const { counters, action } = nextScalingDecision(
 			this.counters,
-			loadOf(look.remainingWork, count),
-			this.clusterState.jobs.size === 0 ? count + 1 : count,
-			(look.cpus / count) * look.meanRemainingS,
+			loadOf(snapshot.remainingWork, machineCount),
+			this.clusterState.jobs.size === 0 ? machineCount + 1 : machineCount,
+			(snapshot.cpus / machineCount) * snapshot.meanRemainingS,
 			this.climb,
 		);
 		this.counters = counters;
-		if (action !== "up" && counters.up === 0) this.rentals.onLoadNormal();
-		const { remainingWork: work, cpus } = look;
-		this.log.debug({ work: Math.round(work), n: count, cpus, ...counters, action }, "scaling round");
-		if (action === "up") this.grow(look);
-		else if (action === "down") this.drain.startDraining(look, this.replicas);
+		if (action !== "up" && counters.up === 0) this.scaleOut.onLoadNormal();
+		const { remainingWork, cpus } = snapshot;
+		this.log.debug(
+			{ remainingWork: Math.round(remainingWork), machines: machineCount, cpus, ...counters, action },
+			"scaling round",
+		);
+		if (action === "up") this.addCapacity(snapshot);
+		else if (action === "down") this.drain.startDraining(snapshot, this.replicaCapacity);
 	}
 
-	/** Cancels draining or, if no machine drains, requests machines for the oldest job for which the cloud has an offer. */
-	private grow(look: FleetSnapshot): void {
-		if (!this.anyWaiting(look.now) || this.drain.cancelDraining(look)) return;
-		for (const job of this.waitingByAge(look.now))
-			if (this.rentFor(job, look.remainingWork, look) !== "nothing to be had") return;
+	/**
+	 * Cancels draining or, if no machine drains, requests machines for the oldest job for which the cloud has an
+	 * offer.
+	 */
+	private addCapacity(snapshot: FleetSnapshot): void {
+		if (!this.anyRunnableTask(snapshot.now) || this.drain.cancelDraining(snapshot)) return;
+		for (const job of this.waitingJobsByAge(snapshot.now))
+			if (this.requestMachineFor(job, snapshot.remainingWork, snapshot) !== "no offer") return;
 	}
 
-	private rentFor(job: Job, work: number, look: FleetSnapshot): ScaleOutOutcome {
-		return this.rentals.request({ spec: job.spec, remainingWork: work }, look);
+	private requestMachineFor(job: Job, remainingWork: number, snapshot: FleetSnapshot): ScaleOutOutcome {
+		return this.scaleOut.request({ spec: job.spec, remainingWork }, snapshot);
 	}
 
-	private anyWaiting(now: number): boolean {
+	private anyRunnableTask(now: number): boolean {
 		for (const job of this.clusterState.jobs.values())
 			if (this.clusterState.hasRunnableTask(job, now)) return true;
 		return false;
 	}
 
 	/**
-	 * Returns the jobs for which machines can be created, oldest first: if there is no offer for the oldest, the next may
-	 * allow another type or zone. Of jobs with the same demands only the first is returned. Jobs that fail everywhere
-	 * come last.
+	 * Returns the jobs for which machines can be created, oldest first: if there is no offer for the oldest, the
+	 * next may allow another type or zone. Of jobs with the same demands only the first is returned. Jobs that
+	 * fail everywhere come last.
 	 */
-	private waitingByAge(now: number): Job[] {
+	private waitingJobsByAge(now: number): Job[] {
 		const byDemand = new Map<string, Job>();
-		const before = (a: Job, b: Job) =>
+		const isBefore = (a: Job, b: Job) =>
 			a.failures.everywhere === b.failures.everywhere ? a.acceptedAt < b.acceptedAt : b.failures.everywhere;
 		for (const job of this.clusterState.jobs.values()) {
 			// `ReplicaCapacity` requests machines for replicas, and only of the kinds that they need.
 			if (job.isService || !this.clusterState.hasRunnableTask(job, now)) continue;
-			const best = byDemand.get(job.demandKey);
-			if (!best || before(job, best)) byDemand.set(job.demandKey, job);
+			const first = byDemand.get(job.demandKey);
+			if (!first || isBefore(job, first)) byDemand.set(job.demandKey, job);
 		}
-		return [...byDemand.values()].sort((a, b) => (before(a, b) ? -1 : 1));
+		return [...byDemand.values()].sort((a, b) => (isBefore(a, b) ? -1 : 1));
 	}
 
 	/**
-	 * Cancels draining of a machine or requests one for a job that no machine of the fleet could hold, even if empty; the
-	 * round ends with that. If neither is possible the round continues, since other jobs need machines too. This includes
-	 * jobs that fail everywhere: the cause may have disappeared, and they are tried again.
+	 * Cancels draining of a machine or requests one for a job that no machine of the fleet could hold, even if
+	 * empty; the round ends with that. If neither is possible the round continues, since other jobs need machines
+	 * too. This includes jobs that fail everywhere: the cause may have disappeared, and they are tried again.
 	 */
-	private serveUnheld(look: FleetSnapshot): boolean {
+	private addMachineForUnplaceableJob(snapshot: FleetSnapshot): boolean {
 		for (const job of this.clusterState.jobs.values()) {
-			if (!job.hasReadyTask(look.now)) continue;
-			if (look.machines.some((m) => couldHold(m, job))) continue;
-			if (this.rentals.requestPending || this.drain.cancelDrainingForJob(job)) return true;
-			if (this.rentFor(job, 0, look) === "asked") return true;
+			if (!job.hasReadyTask(snapshot.now)) continue;
+			if (snapshot.machines.some((m) => couldHold(m, job))) continue;
+			if (this.scaleOut.requestPending || this.drain.cancelDrainingForJob(job)) return true;
+			if (this.requestMachineFor(job, 0, snapshot) === "requested") return true;
 		}
 		return false;
 	}
--- a/src/coordination/fleet/hill-climb.ts
+++ b/src/coordination/fleet/hill-climb.ts
@@ -26,25 +26,25 @@
 export type ScalingAction = "up" | "down" | "none";
 
 /** Returns the load: remaining work divided by the number of machines minus one half. */
-export function loadOf(work: number, machines: number): number {
-	return work / (machines - 0.5);
+export function loadOf(remainingWork: number, machineCount: number): number {
+	return remainingWork / (machineCount - 0.5);
 }
 
 /**
  * Returns the counters after a round, and what to do.
  *
- * @param unit What the thresholds are multiples of: the mean cores of a machine times the mean remaining seconds of a
- *   running task.
+ * @param thresholdUnit The load of which the thresholds are multiples: the mean cores of a machine times the
+ *   mean remaining seconds of a running task.
  */
 export function nextScalingDecision(
 	counters: ScalingCounters,
 	load: number,
-	machines: number,
-	unit: number,
+	machineCount: number,
+	thresholdUnit: number,
 	settings: HillClimbSettings,
 ): { counters: ScalingCounters; action: ScalingAction } {
-	const high = settings.high * unit;
-	const low = settings.low * unit;
+	const high = settings.high * thresholdUnit;
+	const low = settings.low * thresholdUnit;
 	if (load > high) {
 		const up = counters.up + Math.floor(load / high);
 		return up > settings.up_past
@@ -52,7 +52,7 @@
 			: { counters: { up, down: 0 }, action: "none" };
 	}
 	if (load <= low) {
-		if (machines <= 1) return { counters: { up: 0, down: counters.down }, action: "none" };
+		if (machineCount <= 1) return { counters: { up: 0, down: counters.down }, action: "none" };
 		const down = counters.down + 1;
 		return down >= settings.down_at
 			? { counters: { up: 0, down: 0 }, action: "down" }
@@ -61,55 +61,60 @@
 	return { counters: { up: 0, down: 0 }, action: "none" };
 }
 
-/** Returns how many machines of a type bring the load down to the high threshold, at most `most`. */
+/** Returns how many machines of a type bring the load down to the high threshold, at most `maxAdded`. */
 export function machinesToAdd(
-	work: number,
-	machines: number,
+	remainingWork: number,
+	machineCount: number,
 	cpus: number,
 	typeCpus: number,
-	highPerCpu: number,
-	most: number,
+	highThresholdPerCpu: number,
+	maxAdded: number,
 ): number {
-	let k = 0;
-	while (k < most) {
-		const n = machines + k;
-		if (n > 0) {
-			const mean = (cpus + k * typeCpus) / n;
-			if (loadOf(work, n) <= highPerCpu * mean) break;
+	let added = 0;
+	while (added < maxAdded) {
+		const machinesAfter = machineCount + added;
+		if (machinesAfter > 0) {
+			const meanCpus = (cpus + added * typeCpus) / machinesAfter;
+			if (loadOf(remainingWork, machinesAfter) <= highThresholdPerCpu * meanCpus) break;
 		}
-		k += 1;
+		added += 1;
 	}
-	return k;
+	return added;
 }
 
 /**
- * Returns how many of the candidates can be removed, in their order, until the load would exceed the low threshold. This
- * is the counterpart of `machinesToCut`, so that a fleet of hundreds does not shrink by one machine at a time. At most an
- * eighth of the fleet is removed at once: load comes in waves, and replacing a machine that was removed too early takes a
- * boot.
+ * Returns how many of the candidates can be removed, in their order, until the load would exceed the low
+ * threshold. This is the counterpart of `machinesToAdd`, so that a fleet of hundreds does not shrink by one
+ * machine at a time. At most an eighth of the fleet is removed at once: load comes in waves, and replacing a
+ * machine that was removed too early takes a boot.
  *
- * @param leaving The cores of each candidate.
+ * @param cpusOfCandidates The cores of each candidate.
  */
 export function machinesToRemove(
-	work: number,
-	machines: number,
+	remainingWork: number,
+	machineCount: number,
 	cpus: number,
-	leaving: readonly number[],
-	lowPerCpu: number,
+	cpusOfCandidates: readonly number[],
+	lowThresholdPerCpu: number,
 ): number {
-	const most = Math.max(1, Math.floor(machines / 8));
-	let left = cpus;
-	for (let k = 0; k < leaving.length; k++) {
-		if (k === most) return k;
-		left -= leaving[k] as number;
-		const n = machines - k - 1;
+	const maxRemoved = Math.max(1, Math.floor(machineCount / 8));
+	let remainingCpus = cpus;
+	for (let removed = 0; removed < cpusOfCandidates.length; removed++) {
+		if (removed === maxRemoved) return removed;
+		remainingCpus -= cpusOfCandidates[removed] as number;
+		const machinesAfter = machineCount - removed - 1;
 		// The first removal was decided by the down counter, and does not depend on the load after it.
-		if (k > 0 && (n < 1 || loadOf(work, n) > lowPerCpu * (left / n))) return k;
+		if (
+			removed > 0 &&
+			(machinesAfter < 1 ||
+				loadOf(remainingWork, machinesAfter) > lowThresholdPerCpu * (remainingCpus / machinesAfter))
+		)
+			return removed;
 	}
-	return leaving.length;
+	return cpusOfCandidates.length;
 }
 
-/** A kind of machine that the cloud offers: a type in a zone, as a spot machine or not. */
+/** A kind of machine that the cloud offers: a type in a zone, as a spot or on-demand machine. */
 export interface MachineOffer {
 	type: MachineType;
 	zone: string;
@@ -119,7 +124,7 @@
 
 /** Returns a key that identifies the offer. */
 export function offerKey(offer: Pick<MachineOffer, "type" | "zone" | "spot">): string {
-	return `${offer.type.name}|${offer.zone}|${offer.spot ? "spot" : "ordinary"}`;
+	return `${offer.type.name}|${offer.zone}|${offer.spot ? "spot" : "on-demand"}`;
 }
 
 /** Returns all offers whose machines could hold a task of the job. */
@@ -140,16 +145,16 @@
 const expectedUseS = 120;
 
 /**
- * Returns the offers by the cost of a core that would be used, cheapest first. The cost of a machine that is larger than
- * needed is spread over the needed cores, and the cost of its boot time over the use that follows.
+ * Returns the offers by the cost of a core that would be used, cheapest first. The cost of a machine that is
+ * larger than needed is spread over the needed cores, and the cost of its boot time over the use that follows.
  */
 export function rankOffers(offers: MachineOffer[], spec: JobSpec, neededCpus: number): MachineOffer[] {
 	const cost = (offer: MachineOffer) => {
-		const usable = Math.min(tasksHeld(spec, offer.type) * spec.cpus, Math.max(neededCpus, spec.cpus));
-		return (offer.hourlyPrice * (offer.type.bootS + expectedUseS)) / expectedUseS / usable;
+		const usedCpus = Math.min(tasksHeld(spec, offer.type) * spec.cpus, Math.max(neededCpus, spec.cpus));
+		return (offer.hourlyPrice * (offer.type.bootS + expectedUseS)) / expectedUseS / usedCpus;
 	};
 	return offers
 		.map((offer) => ({ offer, cost: cost(offer) }))
 		.sort((a, b) => a.cost - b.cost || b.offer.type.cpus - a.offer.type.cpus)
-		.map((x) => x.offer);
+		.map((ranked) => ranked.offer);
 }
--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -7,7 +7,7 @@
 import type { Log } from "../ports/log.js";
 import type { KeyValueStore } from "../ports/store.js";
 
-const refreshEveryMs = 60_000;
+const refreshIntervalMs = 60_000;
 const retryMs = 700;
 
 export interface MachineTypeCatalogOptions {
@@ -15,7 +15,8 @@
 	store: KeyValueStore;
 	clock: Clock;
 	log: Log;
-	post(command: () => void): void;
+	/** Runs the action in the process's serial executor. */
+	post(action: () => void): void;
 	/** The term in which this process may act for the controllers; null: it may not. */
 	authorizedTerm(): number | null;
 	/** The machine types in the state service; null: there are none. */
@@ -25,11 +26,11 @@
 }
 
 /**
- * The machine types that the cloud offers. The leader reads them periodically, since their prices change, and writes
- * them to the store, so that a starting node can check submissions without the cloud.
+ * The machine types that the cloud offers. The leader reads them periodically, since their prices change, and
+ * writes them to the store, so that a starting node can check submissions without the cloud.
  */
 export class MachineTypeCatalog {
-	private latest: MachineType[] | null = null;
+	private latestTypes: MachineType[] | null = null;
 	private reading = false;
 	private nextReadAt = 0;
 
@@ -37,39 +38,39 @@
 
 	/** null: they have been read neither from the cloud nor from the state service. */
 	get types(): MachineType[] | null {
-		return this.latest ?? this.options.storedTypes();
+		return this.latestTypes ?? this.options.storedTypes();
 	}
 
-	/** Starts to read the types if a read is due. Called in each tick, with authority. */
+	/** Starts to read the types if a read is due. Called in each tick of a leader that may act. */
 	tick(): void {
-		const { clock: time, cloud, post } = this.options;
-		if (this.reading || time.now() < this.nextReadAt) return;
+		const { clock, cloud, post } = this.options;
+		if (this.reading || clock.now() < this.nextReadAt) return;
 		this.reading = true;
 		cloud.machineTypes().then(
-			(types) => post(() => this.received(types)),
-			(error) => post(() => this.failed(error)),
+			(types) => post(() => this.onTypesRead(types)),
+			(error) => post(() => this.onReadFailed(error)),
 		);
 	}
 
-	private received(types: MachineType[]): void {
+	private onTypesRead(types: MachineType[]): void {
 		this.reading = false;
 		if (types.length === 0) return;
-		this.nextReadAt = this.options.clock.now() + refreshEveryMs;
-		this.latest = types;
+		this.nextReadAt = this.options.clock.now() + refreshIntervalMs;
+		this.latestTypes = types;
 		this.options.onRefreshed(types);
-		this.store(types);
+		this.writeToStore(types);
 	}
 
-	private failed(error: unknown): void {
+	private onReadFailed(error: unknown): void {
 		this.reading = false;
 		this.nextReadAt = this.options.clock.now() + retryMs;
-		this.options.log.debug({ err: String(error) }, "machine types not read");
+		this.options.log.debug({ err: String(error) }, "reading the machine types failed");
 	}
 
-	private store(types: MachineType[]): void {
-		const { store, log, post, authorizedTerm: authority, storedTypes: stored } = this.options;
-		const term = authority();
-		if (term === null || sameTypes(stored() ?? [], types)) return;
+	private writeToStore(types: MachineType[]): void {
+		const { store, log, post, authorizedTerm, storedTypes } = this.options;
+		const term = authorizedTerm();
+		if (term === null || sameTypes(storedTypes() ?? [], types)) return;
 		const value = encodeMachineTypes(types);
 		store
 			.compareAndSwap([{ key: keys.leader, revision: term }], [{ put: keys.machineTypes, value }], "user")
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -6,62 +6,64 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "../workers/direct-command-sender.js";
 
-const everyMs = 300;
+const cycleIntervalMs = 300;
 /** Replicas of a job are relocated one at a time, unless their machine is reclaimed within this time. */
-const takenSoonMs = 15_000;
+const imminentReclaimMs = 15_000;
 
 /**
- * Relocates replicas from machines that are leaving the fleet. A task must not run on two machines, so capacity is
- * reserved on another machine first, then the replica is stopped, and it starts there as soon as its end is proved.
+ * Relocates replicas from machines that are leaving the fleet. A task must not run on two machines, so capacity
+ * is reserved on another machine first, then the replica is stopped, and it starts there as soon as its end is
+ * proved.
  */
 export class ReplicaRelocation {
-	private nextAt = 0;
+	private nextCycleAt = 0;
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly orders: DirectCommandSender,
+		private readonly commandSender: DirectCommandSender,
 		private readonly log: Log,
 	) {}
 
-	/** Called in each tick of the leader, with authority. */
+	/** Called in each tick of the leader, while it may act. */
 	tick(now: number): void {
-		if (now < this.nextAt || !this.clusterState.reconciled) return;
-		this.nextAt = now + everyMs;
-		const moved: Attempt[] = [];
+		if (now < this.nextCycleAt || !this.clusterState.reconciled) return;
+		this.nextCycleAt = now + cycleIntervalMs;
+		const relocating: Attempt[] = [];
 		for (const machine of this.clusterState.machines.values())
-			if (machine.leaving && !machine.agent.leaseExpired) moved.push(...this.moveFrom(machine, now));
-		if (moved.length === 0) return;
-		const replicas = moved.map(({ taskId }) => taskId);
-		this.log.info({ replicas }, "replicas relocating");
-		this.orders.stop(moved);
+			if (machine.leaving && !machine.agent.leaseExpired) relocating.push(...this.relocateFrom(machine, now));
+		if (relocating.length === 0) return;
+		const taskIds = relocating.map(({ taskId }) => taskId);
+		this.log.info({ taskIds }, "relocating replicas");
+		this.commandSender.stop(relocating);
 	}
 
-	private moveFrom(machine: Machine, now: number): Attempt[] {
-		const takenSoon = machine.lifecycle.reclaimAt !== null && machine.lifecycle.reclaimAt - now < takenSoonMs;
-		const moved: Attempt[] = [];
+	private relocateFrom(machine: Machine, now: number): Attempt[] {
+		const reclaimImminent =
+			machine.lifecycle.reclaimAt !== null && machine.lifecycle.reclaimAt - now < imminentReclaimMs;
+		const relocating: Attempt[] = [];
 		for (const attempt of machine.attempts.values()) {
 			const { job } = attempt;
 			if (!job.isService || attempt.stop !== null || attempt.phase === "assigned") continue;
-			if (!takenSoon && [...job.attempts.values()].some((a) => a.relocationTarget !== null)) continue;
+			if (!reclaimImminent && [...job.attempts.values()].some((a) => a.relocationTarget !== null)) continue;
 			const target = this.targetFor(attempt);
 			if (!target) continue;
 			attempt.relocateTo(target);
-			moved.push(attempt);
+			relocating.push(attempt);
 		}
-		return moved;
+		return relocating;
 	}
 
 	/**
-	 * Returns the machine to which the replica can be relocated, preferably one without another replica of the job, then
-	 * one with its image cached; null: there is none.
+	 * Returns the machine to which the replica can be relocated, preferably one without another replica of the
+	 * job, then one with its image cached; null: there is none.
 	 */
 	private targetFor(attempt: Attempt): Machine | null {
 		const { job } = attempt;
 		const { spec } = job;
-		const zones = tasksByZoneWithout(job, [attempt]);
-		const beside = new Set([...job.attempts.values()].map((a) => a.machine));
+		const tasksByZone = tasksByZoneWithout(job, [attempt]);
+		const machinesOfJob = new Set([...job.attempts.values()].map((a) => a.machine));
 		let best: Machine | null = null;
-		let bestWorth = -1;
+		let bestScore = -1;
 		for (const machine of this.clusterState.machines.values()) {
 			if (
 				!machine.schedulable ||
@@ -70,11 +72,11 @@
 				!machineAllowed(spec, machine)
 			)
 				continue;
-			if (!machine.capacity.hasRoomFor(spec) || zoneRoom(spec, zones, machine.zone) < 1) continue;
-			const worth = (beside.has(machine) ? 0 : 2) + (machine.capacity.images.has(spec.image) ? 1 : 0);
-			if (worth <= bestWorth) continue;
+			if (!machine.capacity.hasRoomFor(spec) || zoneRoom(spec, tasksByZone, machine.zone) < 1) continue;
+			const score = (machinesOfJob.has(machine) ? 0 : 2) + (machine.capacity.images.has(spec.image) ? 1 : 0);
+			if (score <= bestScore) continue;
 			best = machine;
-			bestWorth = worth;
+			bestScore = score;
 		}
 		return best;
 	}
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -13,12 +13,12 @@
 import { type MachineOffer, machinesToAdd, offerKey, offersFor, rankOffers } from "./hill-climb.js";
 
 /** An offer whose cores cost more than this multiple of the best offer's is not requested at once. */
-const dearFrom = 2;
+const expensiveFactor = 2;
 /** A request without a definite response is repeated for this long. */
-const rentalTriesMs = 60_000;
+const requestTimeoutMs = 60_000;
 const retryMs = 500;
-/** The cloud's limit. */
-const mostPerCall = 50;
+/** The cloud's limit on the machines of one call. */
+const maxMachinesPerCall = 50;
 
 /** A need of machines for replicas, which is independent of the load. */
 export interface ReplicaNeed {
@@ -40,19 +40,21 @@
 }
 
 /**
- * The result of a scale-out request: it was sent; it is not to be sent now; or no offer can meet the need, so that
- * another need may be tried.
+ * The result of a scale-out request: it was sent; it is not to be sent now; or no offer can meet the need, so
+ * that another need may be tried.
  */
-export type ScaleOutOutcome = "asked" | "not now" | "nothing to be had";
+export type ScaleOutOutcome = "requested" | "deferred" | "no offer";
 
-interface Rental {
+interface PendingRequest {
 	request: ScaleOutRequest;
 	type: MachineType;
 	firstSentAt: number;
 }
 
 export interface ScaleOutHooks {
-	post(command: () => void): void;
+	/** Runs the action in the process's serial executor. */
+	post(action: () => void): void;
+	/** True while this process may act as the leader. */
 	active(): boolean;
 	/** More machines are needed than the request created: the next round should not wait for the counters. */
 	onUnfilled(): void;
@@ -63,15 +65,15 @@
 /** Chooses machines to create and requests them from the cloud, one request at a time. */
 export class ScaleOut {
 	private readonly refusedUntil = new Map<string, number>();
-	private rental: Rental | null = null;
+	private pendingRequest: PendingRequest | null = null;
 	/** Number of successive requests for which only expensive offers were available. */
-	private patience = 0;
+	private deferredRequests = 0;
 	private requestNumber = 0;
 
 	constructor(
 		private readonly clusterState: ClusterState,
 		private readonly cloud: CloudProvider,
-		private readonly time: Clock,
+		private readonly clock: Clock,
 		private readonly climb: OperatorSettings["climb"],
 		/** The prefix of all request names; never used by another term or process. */
 		private readonly requestPrefix: string,
@@ -81,12 +83,12 @@
 
 	/** True if a request is pending. */
 	get requestPending(): boolean {
-		return this.rental !== null;
+		return this.pendingRequest !== null;
 	}
 
 	/** Called when the load is no longer high: the wait for an expensive offer starts anew. */
 	onLoadNormal(): void {
-		this.patience = 0;
+		this.deferredRequests = 0;
 	}
 
 	/** Makes the offer available again after a refusal: one of its machines was deleted, so there may be capacity. */
@@ -94,119 +96,137 @@
 		this.refusedUntil.delete(offerKey(offer));
 	}
 
-	request(need: ScaleOutNeed, look: FleetSnapshot): ScaleOutOutcome {
-		if (this.rental) return "not now";
-		const machines = look.machines.length;
-		const most = this.climb.most_machines;
-		if (most > 0 && machines >= most) return "not now";
-		const usable = usableCpus(this.clusterState);
-		const byLoad = machines > 0 && need.remainingWork > 0;
-		if (byLoad && look.cpus >= usable) return "not now";
-		const wanted = need.replicas?.expectedCpus ?? Math.max(usable - look.cpus, need.spec.cpus);
+	/** Requests machines for the need, if it can be met now. */
+	request(need: ScaleOutNeed, snapshot: FleetSnapshot): ScaleOutOutcome {
+		if (this.pendingRequest) return "deferred";
+		const machineCount = snapshot.machines.length;
+		const maxMachines = this.climb.most_machines;
+		if (maxMachines > 0 && machineCount >= maxMachines) return "deferred";
+		const cpusWithinLimits = usableCpus(this.clusterState);
+		const loadDriven = machineCount > 0 && need.remainingWork > 0;
+		if (loadDriven && snapshot.cpus >= cpusWithinLimits) return "deferred";
+		const neededCpus =
+			need.replicas?.expectedCpus ?? Math.max(cpusWithinLimits - snapshot.cpus, need.spec.cpus);
 		const offers = rankOffers(
 			offersFor(need.spec, [...this.clusterState.machineTypes.values()]),
 			need.spec,
-			wanted,
+			neededCpus,
 		);
-		const offer = offers.find((o) => this.isOpen(o, need, look.now));
-		if (!offer) return "nothing to be had";
-		if (this.tooDear(offer, offers[0] as MachineOffer, byLoad)) return "not now";
-		let count = this.countOf(need, offer, look, usable);
-		if (most > 0) count = Math.min(count, most - machines);
-		this.send(offer, Math.max(1, Math.min(mostPerCall, count)), look.now);
-		return "asked";
+		const offer = offers.find((o) => this.isAvailable(o, need, snapshot.now));
+		if (!offer) return "no offer";
+		if (this.isTooExpensive(offer, offers[0] as MachineOffer, loadDriven)) return "deferred";
+		let count = this.machinesToRequest(need, offer, snapshot, cpusWithinLimits);
+		if (maxMachines > 0) count = Math.min(count, maxMachines - machineCount);
+		this.send(offer, Math.max(1, Math.min(maxMachinesPerCall, count)), snapshot.now);
+		return "requested";
 	}
 
 	/** True if the offer may be requested: its zone may be used, and it was not refused recently. */
-	private isOpen(offer: MachineOffer, need: ScaleOutNeed, now: number): boolean {
+	private isAvailable(offer: MachineOffer, need: ScaleOutNeed, now: number): boolean {
 		if (this.hooks.isZoneIsolated(offer.zone) || need.replicas?.fullZones.has(offer.zone)) return false;
 		return (this.refusedUntil.get(offerKey(offer)) ?? 0) <= now;
 	}
 
 	/** True if the offer is not to be requested yet: the more expensive it is, the longer the load must stay high. */
-	private tooDear(offer: MachineOffer, cheapest: MachineOffer, byLoad: boolean): boolean {
-		const dearness = pricePerCpu(offer) / pricePerCpu(cheapest);
-		this.patience += 1;
-		if (byLoad && dearness > dearFrom && this.patience <= 2 * dearness * this.climb.up_past) return true;
-		this.patience = 0;
+	private isTooExpensive(offer: MachineOffer, cheapest: MachineOffer, loadDriven: boolean): boolean {
+		const priceRatio = hourlyPricePerCpu(offer) / hourlyPricePerCpu(cheapest);
+		this.deferredRequests += 1;
+		if (
+			loadDriven &&
+			priceRatio > expensiveFactor &&
+			this.deferredRequests <= 2 * priceRatio * this.climb.up_past
+		)
+			return true;
+		this.deferredRequests = 0;
 		return false;
 	}
 
 	/** Returns how many machines of the offer the need takes. */
-	private countOf(
-		{ spec, remainingWork: work, replicas }: ScaleOutNeed,
+	private machinesToRequest(
+		{ spec, remainingWork, replicas }: ScaleOutNeed,
 		{ type }: MachineOffer,
-		look: FleetSnapshot,
-		usable: number,
+		snapshot: FleetSnapshot,
+		cpusWithinLimits: number,
 	) {
 		if (replicas) {
-			const here = spec.spreadZones
+			const replicasInZone = spec.spreadZones
 				? Math.min(replicas.replicaCount, Math.ceil(spec.taskCount / 2))
 				: replicas.replicaCount;
-			return Math.ceil(here / tasksHeld(spec, type));
+			return Math.ceil(replicasInZone / tasksHeld(spec, type));
 		}
-		const highPerCpu = this.climb.high * look.meanRemainingS;
-		const count = machinesToAdd(work, look.machines.length, look.cpus, type.cpus, highPerCpu, mostPerCall);
+		const highThresholdPerCpu = this.climb.high * snapshot.meanRemainingS;
+		const count = machinesToAdd(
+			remainingWork,
+			snapshot.machines.length,
+			snapshot.cpus,
+			type.cpus,
+			highThresholdPerCpu,
+			maxMachinesPerCall,
+		);
 		// Cores beyond the teams' limits would be idle.
-		return Math.min(count, Math.ceil(Math.max(0, usable - look.cpus) / type.cpus));
+		return Math.min(count, Math.ceil(Math.max(0, cpusWithinLimits - snapshot.cpus) / type.cpus));
 	}
 
 	private send({ type, zone, spot }: MachineOffer, count: number, now: number): void {
 		this.requestNumber += 1;
 		const name = `${this.requestPrefix}-${this.requestNumber}`;
-		this.rental = { request: { name, machineType: type.name, zone, spot, count }, type, firstSentAt: now };
-		this.call(this.rental);
+		this.pendingRequest = {
+			request: { name, machineType: type.name, zone, spot, count },
+			type,
+			firstSentAt: now,
+		};
+		this.callCloud(this.pendingRequest);
 	}
 
-	private call(rental: Rental): void {
-		this.cloud.createMachines(rental.request).then(
-			(ids) => this.hooks.post(() => this.rented(rental, ids)),
-			(error) => this.hooks.post(() => this.failed(rental, error)),
+	private callCloud(pending: PendingRequest): void {
+		this.cloud.createMachines(pending.request).then(
+			(ids) => this.hooks.post(() => this.onCreated(pending, ids)),
+			(error) => this.hooks.post(() => this.onRequestFailed(pending, error)),
 		);
 	}
 
-	private rented(rental: Rental, ids: string[]): void {
-		const { request } = rental;
-		const now = this.time.now();
-		this.rental = null;
-		for (const id of ids) this.expect(id, rental, now);
-		if (ids.length > 0) this.log.info({ ...request, got: ids.length }, "scale-out complete");
+	private onCreated(pending: PendingRequest, ids: string[]): void {
+		const { request } = pending;
+		const now = this.clock.now();
+		this.pendingRequest = null;
+		for (const id of ids) this.addMachine(id, pending, now);
+		if (ids.length > 0) this.log.info({ ...request, created: ids.length }, "scale-out complete");
 		else this.log.debug({ ...request }, "scale-out refused: no capacity");
-		if (ids.length < request.count) this.refuse(rental, now);
-		// Machines that this offer could not provide are requested from the next one, and those beyond the cloud's limit
-		// per call in another call, without waiting for the counters.
-		if (ids.length < request.count || request.count === mostPerCall) this.hooks.onUnfilled();
+		if (ids.length < request.count) this.recordRefusal(pending, now);
+		// Machines that this offer could not provide are requested from the next one, and those beyond the cloud's
+		// limit per call in another call, without waiting for the counters.
+		if (ids.length < request.count || request.count === maxMachinesPerCall) this.hooks.onUnfilled();
 	}
 
-	private failed(rental: Rental, error: unknown): void {
-		const now = this.time.now();
+	private onRequestFailed(pending: PendingRequest, error: unknown): void {
+		const now = this.clock.now();
 		const rejected = error instanceof CallError && error.outcome === "rejected";
-		if (rejected || now - rental.firstSentAt > rentalTriesMs) {
-			this.rental = null;
-			this.refuse(rental, now);
-			this.log.info({ ...rental.request, err: String(error) }, "scale-out abandoned");
+		if (rejected || now - pending.firstSentAt > requestTimeoutMs) {
+			this.pendingRequest = null;
+			this.recordRefusal(pending, now);
+			this.log.info({ ...pending.request, err: String(error) }, "scale-out abandoned");
 			return;
 		}
 		// The request may have been executed: repeating it under the same name yields the same machines.
-		this.time.after(retryMs, () =>
+		this.clock.after(retryMs, () =>
 			this.hooks.post(() => {
-				if (this.rental === rental && this.hooks.active()) this.call(rental);
-				else this.rental = null;
+				if (this.pendingRequest === pending && this.hooks.active()) this.callCloud(pending);
+				else this.pendingRequest = null;
 			}),
 		);
 	}
 
-	private refuse({ type, request: { zone, spot } }: Rental, now: number): void {
+	private recordRefusal({ type, request: { zone, spot } }: PendingRequest, now: number): void {
 		this.refusedUntil.set(offerKey({ type, zone, spot }), now + this.climb.refusal_s * 1000);
 	}
 
-	private expect(id: string, { type, request: { zone, spot } }: Rental, now: number): void {
+	private addMachine(id: string, { type, request: { zone, spot } }: PendingRequest, now: number): void {
 		if (this.clusterState.machines.has(id) || this.hooks.isDeleted(id)) return;
 		const machine = new Machine({ id, type, zone, spot, origin: "created" }, now);
 		this.clusterState.addMachine(machine);
 	}
 }
 
-function pricePerCpu(offer: MachineOffer): number {
+function hourlyPricePerCpu(offer: MachineOffer): number {
 	return offer.hourlyPrice / offer.type.cpus;
 }
--- a/src/coordination/placement/free-capacity.ts
+++ b/src/coordination/placement/free-capacity.ts
@@ -32,45 +32,45 @@
 	return free;
 }
 
-/** Simulates the placement of replicas: counts the capacity that they would leave on each machine. */
+/** Simulates the placement of replicas: tracks the capacity that would remain on each machine. */
 export class SimulatedCapacity {
-	private readonly left = new Map<Machine, ResourceAmounts>();
+	private readonly remainingByMachine = new Map<Machine, ResourceAmounts>();
 
-	constructor(private readonly freeOn: (machine: Machine) => ResourceAmounts) {}
+	constructor(private readonly initialResources: (machine: Machine) => ResourceAmounts) {}
 
 	/**
 	 * Deducts `count` tasks of the job from the machines on which they fit.
 	 *
-	 * @param zones The job's tasks by zone. The tasks that fit are added to it.
+	 * @param tasksByZone The job's tasks by zone. The tasks that fit are added to it.
 	 * @returns How many of the tasks do not fit.
 	 */
-	placeTasks(spec: JobSpec, count: number, machines: Machine[], zones: Record<string, number>): number {
-		let need = count;
+	placeTasks(spec: JobSpec, count: number, machines: Machine[], tasksByZone: Record<string, number>): number {
+		let unplaced = count;
 		for (const machine of machines) {
-			if (need === 0) break;
+			if (unplaced === 0) break;
 			if (!machineAllowed(spec, machine)) continue;
-			const left = this.leftOn(machine);
-			while (need > 0 && holds(left, spec) && zoneRoom(spec, zones, machine.zone) >= 1) {
-				left.cpus -= spec.cpus;
-				left.gpus -= spec.gpus;
-				left.memory -= spec.memoryGb;
-				zones[machine.zone] = (zones[machine.zone] ?? 0) + 1;
-				need -= 1;
+			const remaining = this.remainingOn(machine);
+			while (unplaced > 0 && taskFits(remaining, spec) && zoneRoom(spec, tasksByZone, machine.zone) >= 1) {
+				remaining.cpus -= spec.cpus;
+				remaining.gpus -= spec.gpus;
+				remaining.memory -= spec.memoryGb;
+				tasksByZone[machine.zone] = (tasksByZone[machine.zone] ?? 0) + 1;
+				unplaced -= 1;
 			}
 		}
-		return need;
+		return unplaced;
 	}
 
-	private leftOn(machine: Machine): ResourceAmounts {
-		let left = this.left.get(machine);
-		if (!left) {
-			left = this.freeOn(machine);
-			this.left.set(machine, left);
+	private remainingOn(machine: Machine): ResourceAmounts {
+		let remaining = this.remainingByMachine.get(machine);
+		if (!remaining) {
+			remaining = this.initialResources(machine);
+			this.remainingByMachine.set(machine, remaining);
 		}
-		return left;
+		return remaining;
 	}
 }
 
-function holds(left: ResourceAmounts, spec: JobSpec): boolean {
-	return left.cpus >= spec.cpus && left.gpus >= spec.gpus && left.memory >= spec.memoryGb;
+function taskFits(remaining: ResourceAmounts, spec: JobSpec): boolean {
+	return remaining.cpus >= spec.cpus && remaining.gpus >= spec.gpus && remaining.memory >= spec.memoryGb;
 }
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -7,9 +7,9 @@
 import { isStarved } from "./job-order.js";
 
 /** A job is not placed on a machine for this long after one of its tasks failed there. */
-const avoidMs = 20_000;
+const avoidFailedMachinesMs = 20_000;
 /** A job is not placed on machines of a type that does not suit it for this long after its last failure. */
-const avoidTypeMs = 60_000;
+const avoidUnfitTypesMs = 60_000;
 
 export interface TeamGrant {
 	team: string;
@@ -27,110 +27,119 @@
 interface GrantPass {
 	jobs: Job[];
 	/** Limits the tasks granted to a job in this and earlier passes. */
-	most: number;
+	maxTasksPerJob: number;
 	/** The part of a team's quota up to which tasks are granted. */
-	bound: QuotaBound;
+	quotaBound: QuotaBound;
 }
 
 /**
- * Decides how many tasks of each job may start now. One task of each starved job comes first, then work within the
- * teams' guarantees, then work that borrows up to the teams' limits; each pass follows the order of `jobs`.
+ * Decides how many tasks of each job may start now. One task of each starved job comes first, then work within
+ * the teams' guarantees, then work that borrows up to the teams' limits; each pass follows the order of `jobs`.
  */
 export function computeGrants(
 	clusterState: ClusterState,
 	jobs: Job[],
-	views: MachineCapacity[],
-	moment: ClockReadings,
+	capacities: MachineCapacity[],
+	clockReadings: ClockReadings,
 ): TeamGrant[] {
-	const allocation = new Allocation(clusterState, views);
+	const allocation = new GrantAllocation(clusterState, capacities);
 	const passes: GrantPass[] = [
-		{ jobs: jobs.filter((job) => isStarved(job, moment.wallClockMs)), most: 1, bound: "limit" },
-		{ jobs, most: Number.POSITIVE_INFINITY, bound: "guaranteed" },
-		{ jobs, most: Number.POSITIVE_INFINITY, bound: "limit" },
+		{
+			jobs: jobs.filter((job) => isStarved(job, clockReadings.wallClockMs)),
+			maxTasksPerJob: 1,
+			quotaBound: "limit",
+		},
+		{ jobs, maxTasksPerJob: Number.POSITIVE_INFINITY, quotaBound: "guaranteed" },
+		{ jobs, maxTasksPerJob: Number.POSITIVE_INFINITY, quotaBound: "limit" },
 	];
-	for (const pass of passes) allocation.run(pass);
-	return [...allocation.counts].map(([job, count]) => ({
+	for (const pass of passes) allocation.runPass(pass);
+	return [...allocation.grantedTasks].map(([job, count]) => ({
 		team: job.spec.team,
-		grant: grantOf(job, count, views, moment.monotonicMs),
+		grant: grantOf(job, count, capacities, clockReadings.monotonicMs),
 	}));
 }
 
 /** The capacity and the quota granted in one placement cycle. */
-class Allocation {
+class GrantAllocation {
 	/** Tasks granted to each job, in the order of their first grants. */
-	readonly counts = new Map<Job, number>();
-	private freeCpus = 0;
-	private readonly byTeam = new Map<string, { cpus: number; gpus: number }>();
-	private readonly usable = new Map<string, number>();
+	readonly grantedTasks = new Map<Job, number>();
+	private remainingCpus = 0;
+	private readonly grantedByTeam = new Map<string, { cpus: number; gpus: number }>();
+	private readonly placeableTasksByKey = new Map<string, number>();
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly views: MachineCapacity[],
+		private readonly capacities: MachineCapacity[],
 	) {
-		for (const view of views) this.freeCpus += view.cpus;
+		for (const capacity of capacities) this.remainingCpus += capacity.cpus;
 	}
 
-	run({ jobs, most, bound }: GrantPass): void {
+	runPass({ jobs, maxTasksPerJob, quotaBound }: GrantPass): void {
 		for (const job of jobs) {
-			if (this.freeCpus <= 0) return;
+			if (this.remainingCpus <= 0) return;
 			const { spec } = job;
-			const team = this.byTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
-			const already = this.counts.get(job) ?? 0;
-			const waiting = Math.min(job.waitingTasks.length, job.failures.everywhere ? 1 : most) - already;
+			const grantedToTeam = this.grantedByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
+			const grantedBefore = this.grantedTasks.get(job) ?? 0;
+			const ungranted =
+				Math.min(job.waitingTasks.length, job.failures.everywhere ? 1 : maxTasksPerJob) - grantedBefore;
 			let count = Math.min(
-				waiting,
-				this.clusterState.quotas.room(spec, bound, team),
-				Math.ceil(this.freeCpus / spec.cpus),
+				ungranted,
+				this.clusterState.quotas.room(spec, quotaBound, grantedToTeam),
+				Math.ceil(this.remainingCpus / spec.cpus),
 			);
 			// Capacity granted to a job that cannot use it would be withheld from jobs that can.
-
-			if (count > 0) count = Math.min(count, this.usableTasks(job) - already);
+			if (count > 0) count = Math.min(count, this.placeableTasksOf(job) - grantedBefore);
 			if (count <= 0) continue;
-			this.counts.set(job, already + count);
-			this.byTeam.set(spec.team, {
-				cpus: team.cpus + count * spec.cpus,
-				gpus: team.gpus + count * spec.gpus,
+			this.grantedTasks.set(job, grantedBefore + count);
+			this.grantedByTeam.set(spec.team, {
+				cpus: grantedToTeam.cpus + count * spec.cpus,
+				gpus: grantedToTeam.gpus + count * spec.gpus,
 			});
-			this.freeCpus -= count * spec.cpus;
+			this.remainingCpus -= count * spec.cpus;
 		}
 	}
 
 	/**
-	 * Returns how many tasks of the job fit on the machines, computed once for all jobs with the same demands. The result
-	 * for a job with zone constraints depends on where its own tasks run.
+	 * Returns how many tasks of the job fit on the machines, computed once for all jobs with the same demands.
+	 * The result for a job with zone constraints depends on where its own tasks run.
 	 */
-	private usableTasks(job: Job): number {
+	private placeableTasksOf(job: Job): number {
 		const { spec } = job;
-		const zoneRule = spec.singleZone || spec.spreadZones;
-		const key = zoneRule ? job.id : job.demandKey;
-		let count = this.usable.get(key);
+		const hasZoneConstraint = spec.singleZone || spec.spreadZones;
+		const key = hasZoneConstraint ? job.id : job.demandKey;
+		let count = this.placeableTasksByKey.get(key);
 		if (count === undefined) {
-			count = placeableTasks(spec, zoneRule ? tasksByZone(job) : {}, this.views);
-			this.usable.set(key, count);
+			count = placeableTasks(spec, hasZoneConstraint ? tasksByZone(job) : {}, this.capacities);
+			this.placeableTasksByKey.set(key, count);
 		}
 		return count;
 	}
 }
 
 /**
- * Returns the machines to avoid because of recent failures. They are avoided for a limited time only: there may be no
- * others, and the cause of the failures may have disappeared. A job that fails everywhere avoids none.
+ * Returns the machines to avoid because of recent failures. They are avoided for a limited time only: there may
+ * be no others, and the cause of the failures may have disappeared. A job that fails everywhere avoids none.
  */
-function machinesToAvoid(job: Job, views: MachineCapacity[], now: number): string[] {
+function machinesToAvoid(job: Job, capacities: MachineCapacity[], now: number): string[] {
 	if (job.failures.everywhere) return [];
-	const sinceMs = now - job.failures.lastAt;
-	const machines = sinceMs <= avoidMs ? [...job.failures.machines].map((machine) => machine.id) : [];
-	if (job.failures.unfitTypes.size === 0 || sinceMs > avoidTypeMs) return machines;
-	const unfit = views.filter((view) => job.failures.unfitTypes.has(view.type)).map((view) => view.id);
-	return [...new Set([...machines, ...unfit])];
+	const sinceLastFailureMs = now - job.failures.lastAt;
+	const failedMachines =
+		sinceLastFailureMs <= avoidFailedMachinesMs
+			? [...job.failures.machines].map((machine) => machine.id)
+			: [];
+	if (job.failures.unfitTypes.size === 0 || sinceLastFailureMs > avoidUnfitTypesMs) return failedMachines;
+	const unfitMachines = capacities
+		.filter((view) => job.failures.unfitTypes.has(view.type))
+		.map((view) => view.id);
+	return [...new Set([...failedMachines, ...unfitMachines])];
 }
 
-function grantOf(job: Job, count: number, views: MachineCapacity[], now: number): Grant {
+function grantOf(job: Job, count: number, capacities: MachineCapacity[], now: number): Grant {
 	const { spec } = job;
 	return {
 		jobId: job.id,
 		count,
-		avoidedMachines: machinesToAvoid(job, views, now),
+		avoidedMachines: machinesToAvoid(job, capacities, now),
 		tasksByZone: spec.singleZone || spec.spreadZones ? tasksByZone(job) : {},
 		...(job.isService && { replicaMachines: [...job.attempts.values()].map((a) => a.machine.id) }),
 	};
--- a/src/coordination/placement/quota-admission.ts
+++ b/src/coordination/placement/quota-admission.ts
@@ -8,8 +8,8 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { DirectCommandSender } from "../workers/direct-command-sender.js";
 
-const limitsEveryMs = 500;
-const scrubEveryMs = 10_000;
+const limitCheckIntervalMs = 500;
+const chargeVerificationIntervalMs = 10_000;
 
 export interface QuotaAdmissionOptions {
 	quota: TeamQuotaPort;
@@ -27,18 +27,18 @@
 }
 
 /**
- * Applies team quota in one term of the leader: decides which controller admits a team's tasks and which tasks the
- * leader's own node admits, and stops tasks above a lowered limit. Until every controller supports team quota, only
- * the leader's own check of limits applies.
+ * Applies team quota in one term of the leader: decides which controller admits a team's tasks and which tasks
+ * the leader's own node admits, and stops tasks above a lowered limit. Until every controller supports team
+ * quota, only the leader's own check of limits applies.
  */
 export class QuotaAdmission {
-	private started = false;
+	private admissionStarted = false;
 	/** The live controllers, among which teams are divided. */
 	private placers: readonly string[] = [];
-	private nextLimitsAt = 0;
-	private nextScrubAt = 0;
+	private nextLimitCheckAt = 0;
+	private nextVerificationAt = 0;
 	/** By team, the job for which the leader's own node has requested an allotment. */
-	private needs = new Map<string, Job>();
+	private leaderDemandJobs = new Map<string, Job>();
 	/** Monotonic time since which each team has exceeded a lowered limit. */
 	private readonly excessSince = new Map<string, number>();
 
@@ -46,55 +46,67 @@
 
 	/** True if the start of a task requires an allotment. */
 	get enabled(): boolean {
-		return this.started;
+		return this.admissionStarted;
 	}
 
-	/** Called in each tick of the leader, with authority. */
+	/** Called in each tick of the leader, while it may act. */
 	tick(now: number): void {
-		if (!this.started) this.considerStart();
-		if (!this.started) return;
-		this.preferPlacers(now);
+		if (!this.admissionStarted) this.startIfReady();
+		if (!this.admissionStarted) return;
+		this.updatePreferredHolders(now);
 		this.options.leaderQuota.tick();
-		this.scrub(now);
-		if (now < this.nextLimitsAt) return;
-		this.nextLimitsAt = now + limitsEveryMs;
-		for (const team of [...this.options.clusterState.quotas.teams]) this.followLimit(team, now);
+		this.verifyCharges(now);
+		if (now < this.nextLimitCheckAt) return;
+		this.nextLimitCheckAt = now + limitCheckIntervalMs;
+		for (const team of [...this.options.clusterState.quotas.teams]) this.applyLimit(team, now);
 	}
 
-	/** Compares the leader's own usage counts with the charges. They are kept separately, so that each reveals faults of the other. */
-	private scrub(now: number): void {
-		if (now < this.nextScrubAt) return;
-		this.nextScrubAt = now + scrubEveryMs;
+	/**
+	 * Compares the leader's own usage counts with the charges. Each is kept separately and reveals faults of the
+	 * other.
+	 */
+	private verifyCharges(now: number): void {
+		if (now < this.nextVerificationAt) return;
+		this.nextVerificationAt = now + chargeVerificationIntervalMs;
 		const { quotas } = this.options.clusterState;
 		this.options.leaderQuota.scrub([...quotas.teams].map((team) => ({ team, ...quotas.usage(team) })));
 	}
 
-	/** Enables admission, once reconciliation has found all tasks that may be running, so that they can be charged. */
-	private considerStart(): void {
+	/**
+	 * Enables admission, once reconciliation has found all tasks that may be running, so that they can be
+	 * charged.
+	 */
+	private startIfReady(): void {
 		const { clusterState, leaderQuota, log } = this.options;
 		if (!clusterState.reconciled || !this.options.supportedByAllControllers()) return;
-		this.started = true;
+		this.admissionStarted = true;
 		clusterState.enableAdmission(leaderQuota);
 		leaderQuota.start();
 		log.info({}, "team quota enabled");
 	}
 
-	/** Makes the placer of each team the preferred holder of its allotment. Placers change with the live controllers. */
-	private preferPlacers(now: number): void {
-		const { clusterState, failureDetector: peerMonitor, leaderQuota, nodes } = this.options;
-		const live = peerMonitor.liveControllers(now);
-		if (live.join() === this.placers.join()) return;
-		this.placers = live;
+	/**
+	 * Makes the placer of each team the preferred holder of its allotment. Placers change with the live
+	 * controllers.
+	 */
+	private updatePreferredHolders(now: number): void {
+		const { clusterState, failureDetector, leaderQuota, nodes } = this.options;
+		const liveNodes = failureDetector.liveControllers(now);
+		if (liveNodes.join() === this.placers.join()) return;
+		this.placers = liveNodes;
 		for (const team of clusterState.quotas.teams)
-			leaderQuota.prefer(team, ownerOf(team, live) ?? leaderQuota.self, nodes);
+			leaderQuota.prefer(team, ownerOf(team, liveNodes) ?? leaderQuota.self, nodes);
 	}
 
-	/** Returns the controller that can admit a task of the job now: its team's placer, or another holder; null: none. */
-	placerFor(job: Job, preferred: string, live: readonly string[]): string | null {
+	/**
+	 * Returns the controller that can admit a task of the job now: its team's placer, or another holder; null:
+	 * none.
+	 */
+	placerFor(job: Job, preferred: string, liveNodes: readonly string[]): string | null {
 		const demand = taskDemandOf(job.spec);
 		const { leaderQuota } = this.options;
 		if (leaderQuota.hasRoom(demand, preferred)) return preferred;
-		return live.find((node) => leaderQuota.hasRoom(demand, node)) ?? null;
+		return liveNodes.find((node) => leaderQuota.hasRoom(demand, node)) ?? null;
 	}
 
 	/** True if the leader's own node can admit a task of the job now. */
@@ -103,22 +115,22 @@
 	}
 
 	/**
-	 * Requests allotments for tasks that only the leader's own node can place, for one job of each team, and withdraws
-	 * the requests for teams that no longer have any.
+	 * Requests allotments for tasks that only the leader's own node can place, for one job of each team, and
+	 * withdraws the requests for teams that no longer have any.
 	 */
-	updateLeaderDemands(needed: Iterable<{ job: Job; tasks: number }>): void {
-		const needs = new Map<string, Job>();
-		for (const { job, tasks } of needed) {
-			if (needs.has(job.spec.team)) continue;
-			needs.set(job.spec.team, job);
-			this.need(job, tasks);
+	updateLeaderDemands(demands: Iterable<{ job: Job; tasks: number }>): void {
+		const jobsByTeam = new Map<string, Job>();
+		for (const { job, tasks } of demands) {
+			if (jobsByTeam.has(job.spec.team)) continue;
+			jobsByTeam.set(job.spec.team, job);
+			this.setLeaderDemand(job, tasks);
 		}
-		for (const [team, job] of this.needs) if (!needs.has(team)) this.need(job, 0);
-		this.needs = needs;
+		for (const [team, job] of this.leaderDemandJobs) if (!jobsByTeam.has(team)) this.setLeaderDemand(job, 0);
+		this.leaderDemandJobs = jobsByTeam;
 	}
 
 	/** Skips teams whose placer is the leader's own node: it is their preferred holder anyway. */
-	private need(job: Job, tasks: number): void {
+	private setLeaderDemand(job: Job, tasks: number): void {
 		const { leaderQuota } = this.options;
 		if (ownerOf(job.spec.team, this.placers) !== leaderQuota.self)
 			leaderQuota.need(taskDemandOf(job.spec), tasks);
@@ -127,10 +139,10 @@
 	// --- limits ---
 
 	/**
-	 * Applies the limit on which allotments are based to the leader's own check as well, and stops tasks of a team that
-	 * has exceeded a lowered limit for too long.
+	 * Applies the limit on which allotments are based to the leader's own check as well, and stops tasks of a
+	 * team that has exceeded a lowered limit for too long.
 	 */
-	private followLimit(team: string, now: number): void {
+	private applyLimit(team: string, now: number): void {
 		const { quota, clusterState, leaderQuota } = this.options;
 		const limits = quota.limits(team);
 		if (limits) clusterState.quotas.setQuota(limits);
@@ -139,32 +151,32 @@
 			this.excessSince.delete(team);
 			return;
 		}
-		const since = this.excessSince.get(team) ?? now;
-		this.excessSince.set(team, since);
+		const excessStartedAt = this.excessSince.get(team) ?? now;
+		this.excessSince.set(team, excessStartedAt);
 		const { preemptAfterMs } = this.options;
-		if (preemptAfterMs > 0 && now - since >= preemptAfterMs) this.stopExcess(team, excess);
+		if (preemptAfterMs > 0 && now - excessStartedAt >= preemptAfterMs) this.stopExcessTasks(team, excess);
 	}
 
 	/** Stops tasks until the excess is covered: those of the lowest priority first, the latest first among equals. */
-	private stopExcess(team: string, excess: { cpus: number; gpus: number }): void {
-		const { clusterState, commandSender: orders, log } = this.options;
+	private stopExcessTasks(team: string, excess: { cpus: number; gpus: number }): void {
+		const { clusterState, commandSender, log } = this.options;
 		const running = [...clusterState.jobs.values()]
 			.filter((job) => job.spec.team === team)
 			.flatMap((job) => [...job.attempts.values()])
 			.sort((a, b) => b.job.rank - a.job.rank || b.number - a.number);
-		const left = { ...excess };
+		const remainingExcess = { ...excess };
 		const stopped: Attempt[] = [];
 		for (const attempt of running) {
-			if (left.cpus <= 0 && left.gpus <= 0) break;
+			if (remainingExcess.cpus <= 0 && remainingExcess.gpus <= 0) break;
 			const { cpus, gpus, checkpointCostS } = attempt.job.spec;
-			left.cpus -= cpus;
-			left.gpus -= gpus;
+			remainingExcess.cpus -= cpus;
+			remainingExcess.gpus -= gpus;
 			if (attempt.stop !== null) continue;
 			attempt.requestStop("team limit lowered", checkpointCostS);
 			stopped.push(attempt);
 		}
 		if (stopped.length === 0) return;
-		log.info({ team, tasks: stopped.length }, "stopping tasks above a lowered limit");
-		orders.stop(stopped);
+		log.info({ team, tasks: stopped.length }, "stopping tasks above a lowered team limit");
+		commandSender.stop(stopped);
 	}
 }
--- a/src/coordination/preemption/preemption-cycle.ts
+++ b/src/coordination/preemption/preemption-cycle.ts
@@ -6,44 +6,47 @@
 import type { DirectCommandSender } from "../workers/direct-command-sender.js";
 import { chooseVictims } from "./preemption-planner.js";
 
-const everyMs = 500;
+const cycleIntervalMs = 500;
 /** Delay between the loading of a job and preemption for it, in which capacity may become free by itself. */
-const patienceMs = 700;
+const minWaitMs = 700;
 /** A preempted task gets this multiple of its checkpoint time to save a checkpoint. */
-const graceFactor = 2;
+const checkpointGraceFactor = 2;
 
 /** Stops running tasks so that waiting tasks of higher priority, or within their team's guarantee, can start. */
 export class PreemptionCycle {
-	private nextAt = 0;
+	private nextCycleAt = 0;
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly orders: DirectCommandSender,
-		private readonly inOrder: (jobs: Job[]) => Job[],
+		private readonly commandSender: DirectCommandSender,
+		private readonly inSchedulingOrder: (jobs: Job[]) => Job[],
 		private readonly random: RandomGenerator,
 		private readonly log: Log,
 	) {}
 
-	/** Called in each tick of the leader, with authority. */
+	/** Called in each tick of the leader, while it may act. */
 	tick(now: number): void {
-		if (now < this.nextAt || !this.clusterState.reconciled) return;
-		this.nextAt = now + everyMs;
+		if (now < this.nextCycleAt || !this.clusterState.reconciled) return;
+		this.nextCycleAt = now + cycleIntervalMs;
 		const waiting = [...this.clusterState.jobs.values()].filter((job) => mayPreempt(job, now));
 		if (waiting.length === 0) return;
-		const victims = chooseVictims(this.clusterState, this.inOrder(waiting), now, (machines, most) =>
-			randomSample(machines, most, this.random),
+		const victims = chooseVictims(
+			this.clusterState,
+			this.inSchedulingOrder(waiting),
+			now,
+			(machines, maxSize) => randomSample(machines, maxSize, this.random),
 		);
 		if (victims.length === 0) return;
 		for (const victim of victims) {
 			const { checkpointIntervalS, checkpointCostS } = victim.job.spec;
-			victim.requestStop("preempted", checkpointIntervalS > 0 ? graceFactor * checkpointCostS : 0);
+			victim.requestStop("preempted", checkpointIntervalS > 0 ? checkpointGraceFactor * checkpointCostS : 0);
 		}
-		this.log.debug({ tasks: victims.map(({ taskId }) => taskId) }, "tasks preempted");
-		this.orders.stop(victims);
+		this.log.debug({ taskIds: victims.map(({ taskId }) => taskId) }, "tasks preempted");
+		this.commandSender.stop(victims);
 	}
 }
 
 function mayPreempt(job: Job, now: number): boolean {
 	if (!job.hasReadyTask(now) || job.finalizing || job.failures.everywhere) return false;
-	return now - job.loadedAt > patienceMs;
+	return now - job.loadedAt > minWaitMs;
 }
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -7,36 +7,40 @@
 import type { ClusterState } from "../state/cluster-state.js";
 
 /**
- * Chooses the running tasks to stop so that waiting tasks can start. There are only two reasons to preempt a task: the
- * waiting task has a higher priority, or it is within its team's guarantee and the running one is beyond its own team's.
+ * Chooses the running tasks to stop so that waiting tasks can start. There are only two reasons to preempt a
+ * task: the waiting task has a higher priority, or it is within its team's guarantee and the running one is
+ * beyond its own team's.
  */
 
 /**
- * A pass provides capacity for at most this many tasks of one job, or for this many per machine of the fleet if that is
- * more.
+ * A pass provides capacity for a limited number of tasks of one job, and stops at most three times as many tasks for all jobs.
+ * The limit is in proportion to the machines of the fleet, with a minimum.
  */
-const leastPerPass = 8;
-const perMachineAndPass = 0.01;
+const minTaskLimitPerJob = 8;
+const taskLimitPerMachine = 0.01;
 /** Sums of decimals drift; amounts that differ by less are equal. */
-const slack = 1e-6;
-/** Tasks expected to end within this time provide capacity for as many waiting tasks, for which nothing is preempted. */
-const turnoverS = 1;
+const tolerance = 1e-6;
+/**
+ * Tasks expected to end within this time provide capacity for as many waiting tasks, for which nothing is
+ * preempted.
+ */
+const taskEndHorizonS = 1;
 
 /**
- * Estimates how many tasks end by themselves within the horizon, in all and by team. In a large fleet with short tasks
- * dozens end every second, and the first jobs in scheduling order take their places: preempting tasks for those jobs
- * would lose work for nothing.
+ * Estimates how many tasks end by themselves within the horizon, in all and by team. In a large fleet with
+ * short tasks dozens end every second, and the first jobs in scheduling order take their places: preempting
+ * tasks for those jobs would lose work for nothing.
  */
-export function expectedTaskEnds(clusterState: ClusterState): { all: number; byTeam: Map<string, number> } {
-	let all = 0;
+export function expectedTaskEnds(clusterState: ClusterState): { total: number; byTeam: Map<string, number> } {
+	let total = 0;
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
 		if (job.isService) continue;
-		const places = (turnoverS * job.attempts.size) / job.estimatedRunS;
-		all += places;
-		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + places);
+		const ends = (taskEndHorizonS * job.attempts.size) / job.estimatedRunS;
+		total += ends;
+		byTeam.set(job.spec.team, (byTeam.get(job.spec.team) ?? 0) + ends);
 	}
-	return { all, byTeam };
+	return { total, byTeam };
 }
 
 /** Returns the CPU seconds of work that are lost if the attempt is stopped now. */
@@ -44,12 +48,12 @@
 	const { spec } = attempt.job;
 	if (attempt.runningSince === null) return 0;
 	const elapsedS = (now - attempt.runningSince) / 1000;
-	const lost = spec.checkpointIntervalS > 0 ? Math.min(elapsedS, spec.checkpointCostS) : elapsedS;
-	return lost * spec.cpus;
+	const lostS = spec.checkpointIntervalS > 0 ? Math.min(elapsedS, spec.checkpointCostS) : elapsedS;
+	return lostS * spec.cpus;
 }
 
 /** True if the attempt may be stopped for other work at all. */
-function stoppable(attempt: Attempt, now: number): boolean {
+function isPreemptible(attempt: Attempt, now: number): boolean {
 	if (attempt.protectedFromPreemption(now)) return false;
 	// Replicas do not end: one that was stopped would have to start elsewhere.
 	return (
@@ -61,223 +65,244 @@
 }
 
 /** True if the attempt saves checkpoints or has run for less than half of its estimated time. */
-function cheapToStop(attempt: Attempt, now: number): boolean {
+function losesLittleWork(attempt: Attempt, now: number): boolean {
 	if (attempt.runningSince === null || attempt.job.spec.checkpointIntervalS > 0) return true;
 	return now - attempt.runningSince < 0.5 * attempt.job.estimatedRunS * 1000;
 }
 
 /** True if the team's tasks exceed its guarantee once `freedCpus` are released. */
-function beyondGuarantee(clusterState: ClusterState, team: string, freedCpus: number): boolean {
+function exceedsGuarantee(clusterState: ClusterState, team: string, freedCpus: number): boolean {
 	const quota = clusterState.quotas.quotaOf(team);
 	return (
-		quota !== undefined && clusterState.quotas.usage(team).cpus - freedCpus > quota.guaranteed.cpus + slack
+		quota !== undefined &&
+		clusterState.quotas.usage(team).cpus - freedCpus > quota.guaranteed.cpus + tolerance
 	);
 }
 
 /** Limits the machines searched for tasks to stop; a random sample of more. */
-const planSample = 150;
+const maxSampledMachines = 150;
 
-interface Amount {
+interface ResourceAmounts {
 	cpus: number;
 	memory: number;
 	gpus: number;
 }
 
 /**
- * One pass over the waiting jobs. It reads all machines and attempts once; the cost of the rest is in proportion to what
- * is found. With a backlog of hundreds of jobs, a search of all machines for each task would take longer than the time
- * between two passes.
+ * One pass over the waiting jobs. It reads all machines and attempts once; the cost of the rest is in
+ * proportion to what is found. With a backlog of hundreds of jobs, a search of all machines for each task would
+ * take longer than the time between two passes.
  */
-class PreemptionRound {
+class PreemptionPass {
 	readonly victims = new Set<Attempt>();
-	/** By team, the cores that stopped attempts will release, minus those that this pass has assigned to waiting tasks. */
-	private readonly freed = new Map<string, number>();
+	/**
+	 * By team, the cores that stopped attempts will release, minus those that this pass has assigned to waiting
+	 * tasks.
+	 */
+	private readonly releasedCpus = new Map<string, number>();
 	/** By machine, what stopped attempts will release, minus what this pass has assigned to waiting tasks. */
-	private readonly extra = new Map<Machine, Amount>();
+	private readonly expectedReleases = new Map<Machine, ResourceAmounts>();
 	/** Available machines on which cores are free or will be released. */
-	private readonly withRoom = new Set<Machine>();
+	private readonly machinesWithCapacity = new Set<Machine>();
 	/** Machines that accept new tasks. */
-	private readonly open: Machine[];
+	private readonly availableMachines: Machine[];
 	private readonly sampledMachines: Machine[];
 	/** Attempts that may be preempted, those with the lowest cost first. */
-	private readonly cheapest = new Map<Machine, Attempt[]>();
-	/** Attempts that may be preempted for a job of the same team, by the job's rank and team; those with the lowest cost last. */
-	private readonly own = new Map<string, Attempt[]>();
-	/** Demands for which nothing could be preempted: the search for the next job with the same demand would fail too. */
-	private readonly unservable = new Set<string>();
+	private readonly candidatesByMachine = new Map<Machine, Attempt[]>();
+	/**
+	 * Attempts that may be preempted for a job of the same team, by the job's rank and team, those with the
+	 * lowest cost last.
+	 */
+	private readonly candidatesByTeam = new Map<string, Attempt[]>();
+	/**
+	 * Demands for which nothing could be preempted: the search for the next job with the same demand would fail
+	 * too.
+	 */
+	private readonly unsatisfiableDemands = new Set<string>();
 
 	constructor(
 		private readonly clusterState: ClusterState,
 		private readonly now: number,
-		private readonly sample: (machines: Machine[]) => Machine[],
+		private readonly sampleMachines: (machines: Machine[]) => Machine[],
 	) {
-		this.open = [...clusterState.machines.values()].filter(takesWork);
+		this.availableMachines = [...clusterState.machines.values()].filter(acceptsNewTasks);
 		// Attempts that were stopped earlier and have not ended yet will release their capacity.
 		for (const machine of clusterState.machines.values()) {
-			for (const attempt of machine.attempts.values()) if (attempt.stop !== null) this.free(attempt);
+			for (const attempt of machine.attempts.values()) if (attempt.stop !== null) this.countRelease(attempt);
 		}
-		for (const m of this.open)
-			if (m.capacity.freeCpus + (this.extra.get(m)?.cpus ?? 0) > slack) this.withRoom.add(m);
-		this.sampledMachines = sample(this.open);
+		for (const m of this.availableMachines)
+			if (m.capacity.freeCpus + (this.expectedReleases.get(m)?.cpus ?? 0) > tolerance)
+				this.machinesWithCapacity.add(m);
+		this.sampledMachines = sampleMachines(this.availableMachines);
 	}
 
 	/** Adds a task's demand to what the team and the machine will release, or subtracts it. */
-	private add(machine: Machine, { spec }: Job, sign: 1 | -1): void {
-		this.freed.set(spec.team, (this.freed.get(spec.team) ?? 0) + sign * spec.cpus);
-		const on = this.extra.get(machine) ?? { cpus: 0, memory: 0, gpus: 0 };
-		on.cpus += sign * spec.cpus;
-		on.memory += sign * spec.memoryGb;
-		on.gpus += sign * spec.gpus;
-		this.extra.set(machine, on);
+	private adjustRelease(machine: Machine, { spec }: Job, sign: 1 | -1): void {
+		this.releasedCpus.set(spec.team, (this.releasedCpus.get(spec.team) ?? 0) + sign * spec.cpus);
+		const release = this.expectedReleases.get(machine) ?? { cpus: 0, memory: 0, gpus: 0 };
+		release.cpus += sign * spec.cpus;
+		release.memory += sign * spec.memoryGb;
+		release.gpus += sign * spec.gpus;
+		this.expectedReleases.set(machine, release);
 	}
 
-	private free(attempt: Attempt): void {
-		this.add(attempt.machine, attempt.job, 1);
+	private countRelease(attempt: Attempt): void {
+		this.adjustRelease(attempt.machine, attempt.job, 1);
 	}
 
-	private take(attempt: Attempt): void {
+	private addVictim(attempt: Attempt): void {
 		this.victims.add(attempt);
-		this.free(attempt);
-		if (takesWork(attempt.machine)) this.withRoom.add(attempt.machine);
+		this.countRelease(attempt);
+		if (acceptsNewTasks(attempt.machine)) this.machinesWithCapacity.add(attempt.machine);
 	}
 
 	/** Returns what remains of the machine's free and released capacity once a task of the job is placed on it. */
-	private roomOn(machine: Machine, { spec }: Job): Amount {
-		const more = this.extra.get(machine);
+	private capacityAfterPlacing(machine: Machine, { spec }: Job): ResourceAmounts {
+		const release = this.expectedReleases.get(machine);
 		return {
-			cpus: machine.capacity.freeCpus + (more?.cpus ?? 0) - spec.cpus,
-			memory: machine.capacity.freeMemoryGb + (more?.memory ?? 0) - spec.memoryGb,
-			gpus: machine.capacity.freeGpus + (more?.gpus ?? 0) - spec.gpus,
+			cpus: machine.capacity.freeCpus + (release?.cpus ?? 0) - spec.cpus,
+			memory: machine.capacity.freeMemoryGb + (release?.memory ?? 0) - spec.memoryGb,
+			gpus: machine.capacity.freeGpus + (release?.gpus ?? 0) - spec.gpus,
 		};
 	}
 
 	/** Returns the cores that the team uses after all releases so far, plus the additional ones. */
-	private used(team: string, more: number): number {
-		return this.clusterState.quotas.usage(team).cpus - (this.freed.get(team) ?? 0) + more;
+	private usedCpus(team: string, additionalCpus: number): number {
+		return this.clusterState.quotas.usage(team).cpus - (this.releasedCpus.get(team) ?? 0) + additionalCpus;
 	}
 
 	/** Provides capacity for one more task of the job, by preemption if necessary; false if that is not possible. */
-	serve(job: Job, { guaranteed, limit }: TeamQuota): boolean {
+	provideForOneTask(job: Job, { guaranteed, limit }: TeamQuota): boolean {
 		const { spec } = job;
 		const urgent = isUrgent(job);
-		if (urgent) this.makeRoomInTeam(job, limit.cpus);
-		if (this.used(spec.team, spec.cpus) > limit.cpus + slack) return false;
-		if (this.takeFree(job)) return true;
-		const withinGuarantee = this.used(spec.team, spec.cpus) <= guaranteed.cpus + slack;
-		return (urgent || withinGuarantee) && this.stopFor(job, withinGuarantee);
+		if (urgent) this.preemptWithinTeam(job, limit.cpus);
+		if (this.usedCpus(spec.team, spec.cpus) > limit.cpus + tolerance) return false;
+		if (this.claimFreeCapacity(job)) return true;
+		const withinGuarantee = this.usedCpus(spec.team, spec.cpus) <= guaranteed.cpus + tolerance;
+		return (urgent || withinGuarantee) && this.preemptFor(job, withinGuarantee);
 	}
 
-	/** Preempts lower-priority tasks of the job's own team until one more task of the job is within the team's limit. */
-	private makeRoomInTeam(job: Job, limit: number): void {
+	/**
+	 * Preempts lower-priority tasks of the job's own team until one more task of the job is within the team's
+	 * limit.
+	 */
+	private preemptWithinTeam(job: Job, limit: number): void {
 		const { team, cpus } = job.spec;
-		if (this.used(team, cpus) <= limit + slack) return;
-		const own = this.ownVictims(job);
-		while (this.used(team, cpus) > limit + slack) {
-			const next = own.pop();
+		if (this.usedCpus(team, cpus) <= limit + tolerance) return;
+		const candidates = this.candidatesOfTeam(job);
+		while (this.usedCpus(team, cpus) > limit + tolerance) {
+			const next = candidates.pop();
 			if (!next) return;
-			if (!this.victims.has(next)) this.take(next);
+			if (!this.victims.has(next)) this.addVictim(next);
 		}
 	}
 
-	/** Assigns the task capacity that is free or will be released without further preemption; false: there is none. */
-	private takeFree(job: Job): boolean {
-		for (const machine of this.withRoom) {
-			if (!machineAllowed(job.spec, machine) || !enough(this.roomOn(machine, job))) continue;
-			this.add(machine, job, -1);
+	/**
+	 * Assigns the task capacity that is free or will be released without further preemption; false: there is
+	 * none.
+	 */
+	private claimFreeCapacity(job: Job): boolean {
+		for (const machine of this.machinesWithCapacity) {
+			if (!machineAllowed(job.spec, machine) || !isSufficient(this.capacityAfterPlacing(machine, job)))
+				continue;
+			this.adjustRelease(machine, job, -1);
 			return true;
 		}
 		return false;
 	}
 
 	/** Preempts the tasks that cost least for one more task of the job; false: there are none. */
-	private stopFor(job: Job, withinGuarantee: boolean): boolean {
-		const kind = kindOf(job, withinGuarantee);
-		if (kind !== null && this.unservable.has(kind)) return false;
+	private preemptFor(job: Job, withinGuarantee: boolean): boolean {
+		const demand = preemptionDemandKey(job, withinGuarantee);
+		if (demand !== null && this.unsatisfiableDemands.has(demand)) return false;
 		const plan = this.cheapestPlan(job, withinGuarantee);
 		if (!plan) {
-			if (kind !== null) this.unservable.add(kind);
+			if (demand !== null) this.unsatisfiableDemands.add(demand);
 			return false;
 		}
-		for (const attempt of plan.attempts) this.take(attempt);
-		this.add(plan.machine, job, -1);
+		for (const attempt of plan.attempts) this.addVictim(attempt);
+		this.adjustRelease(plan.machine, job, -1);
 		return true;
 	}
 
 	/** True if the attempt may be stopped for a task of the job. */
-	private eligible(a: Attempt, job: Job, withinGuarantee: boolean): boolean {
-		if (this.victims.has(a)) return false;
+	private mayPreempt(attempt: Attempt, job: Job, withinGuarantee: boolean): boolean {
+		if (this.victims.has(attempt)) return false;
 		const urgent = isUrgent(job);
-		const other = a.job.spec.team;
-		if (other === job.spec.team) return urgent && a.job.rank > job.rank;
-		// Placement grants guarantees before borrowing. Guaranteed work that was preempted for work that borrows would
-		// preempt it in turn, and each preemption loses what has run.
-		const borrowed = beyondGuarantee(
+		const otherTeam = attempt.job.spec.team;
+		if (otherTeam === job.spec.team) return urgent && attempt.job.rank > job.rank;
+		// Placement grants guarantees before borrowing. Guaranteed work that was preempted for work that borrows
+		// would preempt it in turn, and each preemption loses what has run.
+		const beyondGuarantee = exceedsGuarantee(
 			this.clusterState,
-			other,
-			(this.freed.get(other) ?? 0) + a.job.spec.cpus - slack * 2,
+			otherTeam,
+			(this.releasedCpus.get(otherTeam) ?? 0) + attempt.job.spec.cpus - tolerance * 2,
 		);
-		if (urgent && a.job.rank > job.rank) return withinGuarantee || borrowed;
-		return withinGuarantee && borrowed && a.job.rank >= job.rank;
+		if (urgent && attempt.job.rank > job.rank) return withinGuarantee || beyondGuarantee;
+		return withinGuarantee && beyondGuarantee && attempt.job.rank >= job.rank;
 	}
 
 	/** Returns the attempts on the machine that may be preempted, those with the lowest cost first. */
-	private candidates(machine: Machine): Attempt[] {
-		let list = this.cheapest.get(machine);
-		if (!list) {
-			list = [...machine.attempts.values()]
-				.filter((a) => stoppable(a, this.now) && cheapToStop(a, this.now))
+	private candidatesOn(machine: Machine): Attempt[] {
+		let candidates = this.candidatesByMachine.get(machine);
+		if (!candidates) {
+			candidates = [...machine.attempts.values()]
+				.filter((a) => isPreemptible(a, this.now) && losesLittleWork(a, this.now))
 				.sort((a, b) => preemptionCost(a, this.now) - preemptionCost(b, this.now));
-			this.cheapest.set(machine, list);
+			this.candidatesByMachine.set(machine, candidates);
 		}
-		return list;
+		return candidates;
 	}
 
 	/**
-	 * Returns the machines to search for the job. A job with machine constraints gets a sample of the machines that it
-	 * allows. A sample of all machines would contain few of these or none: replicas that need on-demand machines would
-	 * wait for a pass whose sample happens to contain one.
+	 * Returns the machines to search for the job. A job with machine constraints gets a sample of the machines
+	 * that it allows. A sample of all machines would contain few of these or none: replicas that need on-demand
+	 * machines would wait for a pass whose sample happens to contain one.
 	 */
-	private machinesFor(job: Job): Machine[] {
-		if (!isRestricted(job.spec)) return this.sampledMachines;
-		return this.sample(this.open.filter((machine) => machineAllowed(job.spec, machine)));
+	private machinesToSearch(job: Job): Machine[] {
+		if (!hasMachineConstraints(job.spec)) return this.sampledMachines;
+		return this.sampleMachines(this.availableMachines.filter((machine) => machineAllowed(job.spec, machine)));
 	}
 
-	/** Returns the machine on which one more task of the job costs least, with the attempts to stop; null: there is none. */
+	/** Returns the machine on which capacity for one more task costs least, with the attempts to stop; null: none. */
 	private cheapestPlan(job: Job, withinGuarantee: boolean): { machine: Machine; attempts: Attempt[] } | null {
 		let best: { machine: Machine; attempts: Attempt[]; cost: number } | null = null;
-		for (const machine of this.machinesFor(job)) {
-			const room = this.roomOn(machine, job);
+		for (const machine of this.machinesToSearch(job)) {
+			const capacity = this.capacityAfterPlacing(machine, job);
 			const attempts: Attempt[] = [];
 			let cost = 0;
-			for (const a of this.candidates(machine)) {
-				if (enough(room) || (best !== null && cost >= best.cost)) break;
-				if (!this.eligible(a, job, withinGuarantee)) continue;
+			for (const a of this.candidatesOn(machine)) {
+				if (isSufficient(capacity) || (best !== null && cost >= best.cost)) break;
+				if (!this.mayPreempt(a, job, withinGuarantee)) continue;
 				attempts.push(a);
 				cost += preemptionCost(a, this.now);
-				room.cpus += a.job.spec.cpus;
-				room.memory += a.job.spec.memoryGb;
-				room.gpus += a.job.spec.gpus;
+				capacity.cpus += a.job.spec.cpus;
+				capacity.memory += a.job.spec.memoryGb;
+				capacity.gpus += a.job.spec.gpus;
 			}
-			if (enough(room) && (best === null || cost < best.cost)) best = { machine, attempts, cost };
+			if (isSufficient(capacity) && (best === null || cost < best.cost)) best = { machine, attempts, cost };
 		}
 		return best;
 	}
 
-	/** Returns the lower-priority attempts of the job's team that may be preempted, those with the lowest cost last. */
-	private ownVictims(job: Job): Attempt[] {
+	/**
+	 * Returns the lower-priority attempts of the job's team that may be preempted, those with the lowest cost
+	 * last.
+	 */
+	private candidatesOfTeam(job: Job): Attempt[] {
 		const key = `${job.rank}/${job.spec.team}`;
-		let own = this.own.get(key);
-		if (!own) {
-			own = [];
+		let candidates = this.candidatesByTeam.get(key);
+		if (!candidates) {
+			candidates = [];
 			for (const other of this.clusterState.jobs.values()) {
 				if (other.spec.team !== job.spec.team || other.rank <= job.rank) continue;
 				for (const a of other.attempts.values())
-					if (stoppable(a, this.now) && cheapToStop(a, this.now)) own.push(a);
+					if (isPreemptible(a, this.now) && losesLittleWork(a, this.now)) candidates.push(a);
 			}
-			own.sort((a, b) => preemptionCost(b, this.now) - preemptionCost(a, this.now));
-			this.own.set(key, own);
+			candidates.sort((a, b) => preemptionCost(b, this.now) - preemptionCost(a, this.now));
+			this.candidatesByTeam.set(key, candidates);
 		}
-		return own;
+		return candidates;
 	}
 }
 
@@ -286,58 +311,64 @@
 }
 
 /**
- * Returns a key shared by all jobs for which the same attempts can be preempted; null for a job with machine constraints,
- * which are rare and differ from job to job.
+ * Returns a key shared by all jobs for which the same attempts can be preempted; null for a job with machine
+ * constraints, which are rare and differ from job to job.
  */
-function kindOf({ spec, rank }: Job, withinGuarantee: boolean): string | null {
-	if (isRestricted(spec)) return null;
+function preemptionDemandKey({ spec, rank }: Job, withinGuarantee: boolean): string | null {
+	if (hasMachineConstraints(spec)) return null;
 	return JSON.stringify([spec.team, rank, withinGuarantee, spec.cpus, spec.memoryGb, spec.gpus]);
 }
 
 /** True if the job does not allow every machine. */
-function isRestricted({ machineTypes: types, zone, allowSpot: spot }: JobSpec): boolean {
-	return types !== null || zone !== null || !spot;
+function hasMachineConstraints({ machineTypes, zone, allowSpot }: JobSpec): boolean {
+	return machineTypes !== null || zone !== null || !allowSpot;
 }
 
-function takesWork(machine: Machine): boolean {
+function acceptsNewTasks(machine: Machine): boolean {
 	return machine.schedulable && !machine.health.onProbation && machine.capacity.reservedFor === null;
 }
 
 /** True if no remaining amount is negative. */
-function enough(room: Amount): boolean {
-	return room.cpus >= -slack && room.memory >= -slack && room.gpus >= -slack;
+function isSufficient(capacity: ResourceAmounts): boolean {
+	return capacity.cpus >= -tolerance && capacity.memory >= -tolerance && capacity.gpus >= -tolerance;
 }
 
 /**
  * Chooses the attempts to stop for the waiting jobs, which are given in scheduling order.
  *
- * @param sample Returns at most `most` of the machines.
+ * @param sample Returns at most `maxSize` of the machines.
  */
 export function chooseVictims(
 	clusterState: ClusterState,
 	waiting: Job[],
 	now: number,
-	sample: (machines: Machine[], most: number) => Machine[] = (machines) => machines,
+	sample: (machines: Machine[], maxSize: number) => Machine[] = (machines) => machines,
 ): Attempt[] {
-	const pass = new PreemptionRound(clusterState, now, (machines) => sample(machines, planSample));
-	const mostPerPass = Math.max(leastPerPass, Math.ceil(clusterState.machines.size * perMachineAndPass));
-	const soonFree = expectedTaskEnds(clusterState);
+	const pass = new PreemptionPass(clusterState, now, (machines) => sample(machines, maxSampledMachines));
+	const maxTasksPerJob = Math.max(
+		minTaskLimitPerJob,
+		Math.ceil(clusterState.machines.size * taskLimitPerMachine),
+	);
+	const taskEnds = expectedTaskEnds(clusterState);
 	for (const job of waiting) {
-		if (pass.victims.size >= mostPerPass * 3) break;
+		if (pass.victims.size >= maxTasksPerJob * 3) break;
 		const { spec } = job;
 		const quota = clusterState.quotas.quotaOf(spec.team);
 		if (!quota) continue;
 		// A team at its limit can only take the places of its own tasks.
 		const atLimit = !clusterState.quotas.fitsLimit(spec);
-		const own = soonFree.byTeam.get(spec.team) ?? 0;
+		const taskEndsOfTeam = taskEnds.byTeam.get(spec.team) ?? 0;
 		// It is not known on which machines tasks will end, and a replica cannot wait for the right one.
-		const served = job.isService
+		const placedWithoutPreemption = job.isService
 			? 0
-			: Math.floor(Math.min(soonFree.all, atLimit ? own : soonFree.all, job.waitingTasks.length));
-		soonFree.all -= served;
-		if (atLimit) soonFree.byTeam.set(spec.team, own - served);
-		let left = Math.min(job.waitingTasks.length - served, mostPerPass);
-		while (left > 0 && pass.victims.size < mostPerPass * 3 && pass.serve(job, quota)) left -= 1;
+			: Math.floor(
+					Math.min(taskEnds.total, atLimit ? taskEndsOfTeam : taskEnds.total, job.waitingTasks.length),
+				);
+		taskEnds.total -= placedWithoutPreemption;
+		if (atLimit) taskEnds.byTeam.set(spec.team, taskEndsOfTeam - placedWithoutPreemption);
+		let remainingTasks = Math.min(job.waitingTasks.length - placedWithoutPreemption, maxTasksPerJob);
+		while (remainingTasks > 0 && pass.victims.size < maxTasksPerJob * 3 && pass.provideForOneTask(job, quota))
+			remainingTasks -= 1;
 	}
 	return [...pass.victims];
 }
--- a/tests/coordination/fleet/cloud-inventory.test.ts
+++ b/tests/coordination/fleet/cloud-inventory.test.ts
@@ -14,7 +14,7 @@
 
 describe("reading the machine list of a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines: the whole list is read at one call a second, and is not read again for at least as long`, async () => {
+		test(`${size} machines: the whole list is read at one call a second, then not read for as long`, async () => {
 			const clock = new FakeTime();
 			const clusterState = new ClusterState({ term: 1, teams: [], machineTypes: [mediumType] });
 			let calls = 0;
--- a/tests/coordination/placement/first-fit.test.ts
+++ b/tests/coordination/placement/first-fit.test.ts
@@ -38,7 +38,7 @@
 			specs.set(spec.id, spec);
 			return { jobId: spec.id, count: uniformInt(random, 1, 20), avoidedMachines: ["n-0"], tasksByZone: {} };
 		});
-		const free = new Map(machines.map((m) => [m.id, { ...m }]));
+		const remaining = new Map(machines.map((m) => [m.id, { ...m }]));
 		const placed = placeFirstFit(
 			machines.map((m) => ({ ...m })),
 			grants,
@@ -49,7 +49,7 @@
 		const zones = new Map<string, Map<string, number>>();
 		for (const p of placed) {
 			const spec = specs.get(p.jobId) as JobSpec;
-			const m = free.get(p.machineId) as MachineCapacity;
+			const m = remaining.get(p.machineId) as MachineCapacity;
 			m.cpus -= p.count * spec.cpus;
 			m.memory -= p.count * spec.memoryGb;
 			m.slots -= p.count;
@@ -60,7 +60,7 @@
 			assert.notEqual(p.machineId, "n-0");
 			assert.ok(spec.allowSpot || !m.spot);
 		}
-		for (const m of free.values()) assert.ok(m.cpus >= 0 && m.memory >= 0 && m.slots >= 0);
+		for (const m of remaining.values()) assert.ok(m.cpus >= 0 && m.memory >= 0 && m.slots >= 0);
 		for (const g of grants) {
 			const spec = specs.get(g.jobId) as JobSpec;
 			assert.ok((count.get(g.jobId) ?? 0) <= g.count);
@@ -138,17 +138,17 @@
 		placeFirstFit([machine], [grant], () => spec),
 		[{ jobId: "j-1", machineId: "n-1", count: 1 }],
 	);
-	const apart = { ...machine, id: "n-2", cpus: 2 };
+	const withoutReplica = { ...machine, id: "n-2", cpus: 2 };
 	assert.deepEqual(
-		placeFirstFit([{ ...machine, cpus: 2 }, apart], [grant], () => spec),
+		placeFirstFit([{ ...machine, cpus: 2 }, withoutReplica], [grant], () => spec),
 		[{ jobId: "j-1", machineId: "n-2", count: 1 }],
 		"the machine without a replica comes first",
 	);
 });
 
 test("a sample contains distinct items, and no more than requested", () => {
-	const all = Array.from({ length: 50 }, (_, i) => i);
-	const some = randomSample(all, 10, xoroshiro128plus(3));
-	assert.equal(new Set(some).size, 10);
-	assert.deepEqual(randomSample(all, 50, xoroshiro128plus(3)), all);
+	const items = Array.from({ length: 50 }, (_, i) => i);
+	const sample = randomSample(items, 10, xoroshiro128plus(3));
+	assert.equal(new Set(sample).size, 10);
+	assert.deepEqual(randomSample(items, 50, xoroshiro128plus(3)), items);
 });
--- a/tests/coordination/placement/job-order.test.ts
+++ b/tests/coordination/placement/job-order.test.ts
@@ -30,8 +30,8 @@
 	add("j-soon", 20);
 	add("j-later", 29);
 	add("j-last", 60);
-	const order = (date: number) =>
-		schedulingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.quotaOf(t), date).map(
+	const order = (wallClockMs: number) =>
+		schedulingOrder([...clusterState.jobs.values()], (t) => clusterState.quotas.quotaOf(t), wallClockMs).map(
 			(j) => j.id,
 		);
 	assert.deepEqual(order(0), ["j-soon", "j-later", "j-last"]);
--- a/tests/coordination/placement/starvation.test.ts
+++ b/tests/coordination/placement/starvation.test.ts
@@ -24,13 +24,13 @@
 		for (let i = 0; i < 60; i++) add(`j-first-${i}`, 3, 0, "normal");
 		for (let s = 0; s < 900; s++) {
 			if (s % 2 === 0) add(`j-${s}`, uniformInt(random, 1, 2), s, "normal");
-			const date = s * 1000;
+			const wallClockMs = s * 1000;
 			for (let slot = 0; slot < slotFreeAtS.length; slot++) {
 				if ((slotFreeAtS[slot] as number) > s) continue;
 				const waiting = [...jobs.values()].filter((j) => j.unstarted > 0).map((j) => j.job);
 				const next =
-					waiting.find((job) => isStarved(job, date)) ??
-					schedulingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date)[0];
+					waiting.find((job) => isStarved(job, wallClockMs)) ??
+					schedulingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), wallClockMs)[0];
 				const entry = next && jobs.get(next.id);
 				if (!entry) continue;
 				entry.unstarted -= 1;
@@ -87,7 +87,7 @@
 			freeSlots += n;
 			runningByTeam.set(team, (runningByTeam.get(team) ?? 0) - n);
 		}
-		const date = s * 1000;
+		const wallClockMs = s * 1000;
 		const waiting = [...progress].filter(([, { unstarted }]) => unstarted > 0).map(([job]) => job);
 		const start = (job: Job, maxTasks: number) => {
 			const entry = progress.get(job) as { unstarted: number; startedAtS: number | null };
@@ -107,8 +107,13 @@
 			const ending = endingByTime.get(s + 18) ?? new Map<string, number>();
 			endingByTime.set(s + 18, ending.set(team, (ending.get(team) ?? 0) + n));
 		};
-		for (const job of waiting) if (isStarved(job, date)) start(job, 1);
-		for (const job of schedulingOrder(waiting, (team) => clusterState.quotas.quotaOf(team), date, 250)) {
+		for (const job of waiting) if (isStarved(job, wallClockMs)) start(job, 1);
+		for (const job of schedulingOrder(
+			waiting,
+			(team) => clusterState.quotas.quotaOf(team),
+			wallClockMs,
+			250,
+		)) {
 			if (freeSlots <= 0) break;
 			start(job, Number.POSITIVE_INFINITY);
 		}
