--- a/src/coordination/fleet/hill-climb.ts
+++ b/src/coordination/fleet/hill-climb.ts
@@ -13,7 +13,7 @@
 	up_past: number;
 	/** The down counter triggers draining when it reaches this. */
 	down_at: number;
-	/** Limits the remaining seconds that are counted for a task. */
+	/** The maximum remaining seconds that are counted for a task. */
 	cap_s: number;
 }
 
@@ -86,7 +86,7 @@
  * Returns how many of the candidates can be removed, in their order, until the load would exceed the low
  * threshold. This is the counterpart of `machinesToAdd`, so that a fleet of hundreds does not shrink by one
  * machine at a time. At most an eighth of the fleet is removed at once: load comes in waves, and replacing a
- * machine that was removed too early takes a boot.
+ * machine that was removed too early takes as long as a boot.
  *
  * @param cpusOfCandidates The cores of each candidate.
  */
--- a/src/coordination/fleet/replica-relocation.ts
+++ b/src/coordination/fleet/replica-relocation.ts
@@ -13,7 +13,7 @@
 /**
  * Relocates replicas from machines that are leaving the fleet. A task must not run on two machines, so capacity
  * is reserved on another machine first, then the replica is stopped, and it starts there as soon as its end is
- * proved.
+ * confirmed.
  */
 export class ReplicaRelocation {
 	private nextCycleAt = 0;
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -24,7 +24,7 @@
 	onMachineDeleted(machine: Machine): void;
 }
 
-/** Deletes machines. The cloud's response proves that they, and all tasks on them, are gone. */
+/** Deletes machines. The cloud's response confirms that they, and all tasks on them, no longer exist. */
 export class ScaleIn {
 	private readonly deletedAtById = new Map<string, number>();
 	private deletionInFlight = false;
@@ -103,7 +103,7 @@
 	private deletionReason(machine: Machine, now: number): string | null {
 		if (machine.lifecycle.deleting) return "deletion requested before";
 		// Tasks on a machine that is reclaimed count as running until its lease has expired. Deleting the machine
-		// first proves at once that they are gone.
+		// first confirms at once that they have ended.
 		if (machine.lifecycle.reclaimAt !== null && now >= machine.lifecycle.reclaimAt - reclaimLeadMs)
 			return "spot reclaim imminent";
 		const unreconciled = this.clusterState.unreconciledMachines.has(machine);
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -20,7 +20,7 @@
 /** The cloud's limit on the machines of one call. */
 const maxMachinesPerCall = 50;
 
-/** A need of machines for replicas, which is independent of the load. */
+/** A need for machines to run replicas, which is independent of the load. */
 export interface ReplicaNeed {
 	/** Replicas that fit on no machine. */
 	replicaCount: number;
@@ -30,7 +30,7 @@
 	fullZones: ReadonlySet<string>;
 }
 
-/** A need of machines. */
+/** A need for machines. */
 export interface ScaleOutNeed {
 	/** The job of which the machines must be able to hold a task. */
 	spec: JobSpec;
@@ -141,7 +141,7 @@
 		return false;
 	}
 
-	/** Returns how many machines of the offer the need takes. */
+	/** Returns how many machines of the offer to request for the need. */
 	private machinesToRequest(
 		{ spec, remainingWork, replicas }: ScaleOutNeed,
 		{ type }: MachineOffer,
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -65,7 +65,7 @@
 
 /**
  * Places one placer's grants by first fit, in their order. Machines that have the image cached come first, then
- * the others, each in the given order, starting at `start` and wrapping around. Deducts the placed tasks from
+ * the others, each in the given order, starting at `startIndex` and wrapping around. Deducts the placed tasks from
  * the free amounts of `machines`.
  */
 export function placeFirstFit(
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -26,7 +26,7 @@
 /** One pass over the jobs, in scheduling order. */
 interface GrantPass {
 	jobs: Job[];
-	/** Limits the tasks granted to a job in this and earlier passes. */
+	/** The maximum number of tasks granted to a job in this and earlier passes. */
 	maxTasksPerJob: number;
 	/** The part of a team's quota up to which tasks are granted. */
 	quotaBound: QuotaBound;
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -8,9 +8,9 @@
 
 /** A machine may be reserved for a job that has waited this long without any task started. */
 const minWaitS = 60;
-/** Limits the machines reserved at a time, as a fraction of the schedulable machines. */
+/** The maximum number of machines reserved at a time, as a fraction of the schedulable machines. */
 const maxReservedFraction = 0.05;
-/** Limits the machines searched for the one on which the task fits soonest; a random sample of more. */
+/** The number of machines searched for the one on which a task fits soonest; of more, a random sample is searched. */
 const maxSampledMachines = 100;
 const searchIntervalMs = 1000;
 /**
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -41,13 +41,13 @@
 	clock: Clock;
 	random: RandomGenerator;
 	log: Log;
-	/** Least time between two cycles. */
+	/** The minimum time between two cycles. */
 	cycleIntervalMs: number;
 	/** A placer that has not answered a request within this time is marked unresponsive. */
 	placerTimeoutMs: number;
-	/** Limits the machines whose capacity is offered in one cycle; a random sample of more. */
+	/** The number of machines whose capacity is offered in one cycle; of more, a random sample is offered. */
 	maxMachinesPerCycle: number;
-	/** Limits the remaining seconds that are counted for a task. */
+	/** The maximum remaining seconds that are counted for a task. */
 	capS: number;
 	/** null: team quota is off. */
 	quota: { admission: QuotaAdmission; leaderQuota: LeaderQuotaPort } | null;
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -13,8 +13,8 @@
  */
 
 /**
- * A pass provides capacity for a limited number of tasks of one job, and stops at most three times as many tasks for all jobs.
- * The limit is in proportion to the machines of the fleet, with a minimum.
+ * A pass provides capacity for a limited number of tasks of each job, and stops at most three times as many tasks
+ * in all. The limit is in proportion to the machines of the fleet, with a minimum.
  */
 const minTaskLimitPerJob = 8;
 const taskLimitPerMachine = 0.01;
@@ -79,7 +79,7 @@
 	);
 }
 
-/** Limits the machines searched for tasks to stop; a random sample of more. */
+/** The number of machines searched for tasks to stop; of more, a random sample is searched. */
 const maxSampledMachines = 150;
 
 interface ResourceAmounts {
