--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -27,7 +27,7 @@
 					largestMessageBytes = Math.max(largestMessageBytes, encodeFrame(encodePeerMessage(message)).length);
 				},
 			};
-			const peerMonitor = new FailureDetector({
+			const failureDetector = new FailureDetector({
 				term: 7,
 				beganAt: 0,
 				platform: platform as unknown as PlatformSettings,
@@ -39,13 +39,13 @@
 				resign: () => assert.fail("resigned"),
 				log: silentLog,
 			});
-			peerMonitor.messageReceived("b", 0);
-			peerMonitor.messageReceived("c", 0);
+			failureDetector.messageReceived("b", 0);
+			failureDetector.messageReceived("c", 0);
 			let started = 0;
 			const cycle = new PlacementCycle({
 				node: "a",
 				clusterState,
-				failureDetector: peerMonitor,
+				failureDetector,
 				peers,
 				quota: null,
 				clock,
