--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -81,12 +81,12 @@
 	const machineTypes: MachineTypeCatalog = new MachineTypeCatalog({
 		cloud: ports.cloud,
 		store,
-		time: clock,
+		clock,
 		log,
 		post,
-		authority: () => leadership.authorizedTerm(),
-		stored: () => replica.machineTypes?.value ?? null,
-		refreshed: (types) => termSupervisor.leader?.onMachineTypesRefreshed(types),
+		authorizedTerm: () => leadership.authorizedTerm(),
+		storedTypes: () => replica.machineTypes?.value ?? null,
+		onRefreshed: (types) => termSupervisor.leader?.onMachineTypesRefreshed(types),
 	});
 	const termSupervisor: TermSupervisor = new TermSupervisor({
 		platform,
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -5,21 +5,24 @@
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import type { FleetSnapshot } from "./fleet-load.js";
-import { type HillClimbSettings, loadOf, machinesToSpare } from "./hill-climb.js";
+import { type HillClimbSettings, loadOf, machinesToRemove } from "./hill-climb.js";
 import type { ReplicaCapacity } from "./replica-capacity.js";
 
-/** A job of which nothing runs has waited so long when a marked machine is asked for room. */
-const waitsBesideMarkedMs = 20_000;
+/** Draining of a machine is cancelled for a job that has waited this long with no task running. */
+const cancelDrainingAfterMs = 20_000;
 
-interface Candidate {
+interface DrainCandidate {
 	machine: Machine;
-	/** It has replicas, which would have to move. */
-	replicas: boolean;
-	/** Remaining work for its price: of two that are about as busy, the dear one goes. */
-	worth: number;
+	/** Replicas run on it, which would have to be relocated. */
+	hasReplicas: boolean;
+	/**
+	 * CPU seconds of remaining work per hourly price: of two equally busy machines, the more expensive one
+	 * drains.
+	 */
+	remainingWorkPerPrice: number;
 }
 
-/** Marks machines to run empty and go back, and takes marks back. */
+/** Starts and cancels draining. A draining machine accepts no new tasks and is deleted once it is empty. */
 export class Drain {
 	constructor(
 		private readonly clusterState: ClusterState,
@@ -27,34 +30,40 @@
 		private readonly log: Log,
 	) {}
 
-	/** Marks those with the least remaining work for their price, as many as the load spares. */
-	startDraining(look: FleetSnapshot, replicas: ReplicaCapacity): void {
-		const ranked = this.ranked(look, replicas);
-		let marked = this.choose(ranked, look);
-		// What is kept for replicas that may come would be rented again at once: others go in its place.
-		const left = look.machines.filter((machine) => !marked.has(machine));
-		const lacking = replicas.lackingRoom(look.machines, left);
-		if (lacking) {
-			const others = ranked.filter(({ machine }) => !machineAllowed(lacking, machine));
-			marked = this.choose(others, look);
+	/** Starts draining the machines with the least remaining work per price, as many as the low threshold allows. */
+	startDraining(snapshot: FleetSnapshot, replicaCapacity: ReplicaCapacity): void {
+		const candidates = this.rankCandidates(snapshot, replicaCapacity);
+		let chosen = this.chooseMachines(candidates, snapshot);
+		// Machines kept for expected replicas would be replaced by a scale-out at once, so others drain instead.
+		const remaining = snapshot.machines.filter((machine) => !chosen.has(machine));
+		const unplaceableSpec = replicaCapacity.unplaceableExpectedSpec(snapshot.machines, remaining);
+		if (unplaceableSpec) {
+			const otherCandidates = candidates.filter(({ machine }) => !machineAllowed(unplaceableSpec, machine));
+			chosen = this.chooseMachines(otherCandidates, snapshot);
 		}
-		if (marked.size === 0) return;
-		for (const machine of marked) machine.lifecycle.startDraining();
-		this.log.info({ machines: [...marked].map((m) => m.id) }, "draining started");
+		if (chosen.size === 0) return;
+		for (const machine of chosen) machine.lifecycle.startDraining();
+		this.log.info({ machineIds: [...chosen].map((m) => m.id) }, "draining started");
 	}
 
-	/** The first of the candidates, as many as the load spares. */
-	private choose(ranked: Candidate[], look: FleetSnapshot): Set<Machine> {
-		const cores = ranked.map(({ machine }) => machine.type.cpus);
-		const lowPerCpu = this.climb.low * look.secondsLeft;
-		const count = machinesToSpare(look.work, look.machines.length, look.cpus, cores, lowPerCpu);
-		const marked = new Set(ranked.slice(0, count).map(({ machine }) => machine));
-		this.keepForWaiting(marked, look.machines);
-		return marked;
+	/** Returns the first candidates, as many as the low threshold allows. */
+	private chooseMachines(candidates: DrainCandidate[], snapshot: FleetSnapshot): Set<Machine> {
+		const cpusOfCandidates = candidates.map(({ machine }) => machine.type.cpus);
+		const lowThresholdPerCpu = this.climb.low * snapshot.meanRemainingS;
+		const count = machinesToRemove(
+			snapshot.remainingWork,
+			snapshot.machines.length,
+			snapshot.cpus,
+			cpusOfCandidates,
+			lowThresholdPerCpu,
+		);
+		const chosen = new Set(candidates.slice(0, count).map(({ machine }) => machine));
+		this.keepForWaitingJobs(chosen, snapshot.machines);
+		return chosen;
 	}
 
-	/** Standing jobs of which replicas wait, or have to leave their machines. */
-	private unsettled(): Job[] {
+	/** Returns the service jobs with replicas that wait or have to leave their machines. */
+	private jobsWithUnplacedReplicas(): Job[] {
 		return [...this.clusterState.jobs.values()].filter(
 			(job) =>
 				job.isService &&
@@ -62,82 +71,99 @@
 		);
 	}
 
-	private ranked({ machines, now }: FleetSnapshot, replicas: ReplicaCapacity): Candidate[] {
-		// What was rented for replicas is the idlest of all until they are there.
-		const unsettled = this.unsettled();
+	/** Returns the machines that may drain: those without replicas first, then by remaining work per price. */
+	private rankCandidates(
+		{ machines, now }: FleetSnapshot,
+		replicaCapacity: ReplicaCapacity,
+	): DrainCandidate[] {
+		// Machines created for replicas are idle until the replicas start, so they would rank first.
+		const jobsWithUnplacedReplicas = this.jobsWithUnplacedReplicas();
 		return machines
 			.filter(
 				(machine) =>
 					machine.capacity.reservedForJob === null &&
-					!unsettled.some((job) => machineAllowed(job.spec, machine)),
+					!jobsWithUnplacedReplicas.some((job) => machineAllowed(job.spec, machine)),
 			)
-			.map((machine) => this.candidate(machine, now))
-			.filter((c) => !c.replicas || replicas.couldLeave(c.machine, machines))
-			.sort((a, b) => Number(a.replicas) - Number(b.replicas) || a.worth - b.worth);
+			.map((machine) => this.candidateOf(machine, now))
+			.filter((c) => !c.hasReplicas || replicaCapacity.canRelocateReplicas(c.machine, machines))
+			.sort(
+				(a, b) =>
+					Number(a.hasReplicas) - Number(b.hasReplicas) || a.remainingWorkPerPrice - b.remainingWorkPerPrice,
+			);
 	}
 
-	private candidate(machine: Machine, now: number): Candidate {
-		let left = 1;
-		let replicas = false;
+	private candidateOf(machine: Machine, now: number): DrainCandidate {
+		let remainingWork = 1;
+		let hasReplicas = false;
 		for (const attempt of machine.attempts.values()) {
-			left += remainingCpuSecondsOfAttempt(attempt, now, this.climb.cap_s);
-			replicas ||= attempt.job.isService;
+			remainingWork += remainingCpuSecondsOfAttempt(attempt, now, this.climb.cap_s);
+			hasReplicas ||= attempt.job.isService;
 		}
-		return { machine, replicas, worth: left / Math.max(machine.hourlyPrice, 1e-6) };
+		return {
+			machine,
+			hasReplicas,
+			remainingWorkPerPrice: remainingWork / Math.max(machine.hourlyPrice, 1e-6),
+		};
 	}
 
-	/** Rented because nothing else could hold some work, a machine is the idlest of all until it is up. */
-	private keepForWaiting(marked: Set<Machine>, machines: Machine[]): void {
+	/**
+	 * Keeps, for each waiting job, one machine that can hold it. A machine created because no other could hold
+	 * the job is idle until it is up, so it would rank first.
+	 */
+	private keepForWaitingJobs(chosen: Set<Machine>, machines: Machine[]): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0) continue;
-			if (machines.some((m) => !marked.has(m) && fitsEmptyMachine(m, job))) continue;
+			if (machines.some((m) => !chosen.has(m) && fitsEmptyMachine(m, job))) continue;
 			const holder = machines.find((m) => fitsEmptyMachine(m, job));
-			if (holder) marked.delete(holder);
+			if (holder) chosen.delete(holder);
 		}
 	}
 
-	/** Takes marks back until the load is down to the high mark; false if there was none. */
-	cancelDraining(look: FleetSnapshot): boolean {
-		const highPerCpu = this.climb.high * look.secondsLeft;
-		const back: string[] = [];
-		let { cpus } = look;
-		let count = look.machines.length;
+	/**
+	 * Cancels draining of machines until the load is at or below the high threshold; false: no machine was
+	 * draining.
+	 */
+	cancelDraining(snapshot: FleetSnapshot): boolean {
+		const highThresholdPerCpu = this.climb.high * snapshot.meanRemainingS;
+		const returnedToUse: string[] = [];
+		let { cpus } = snapshot;
+		let machineCount = snapshot.machines.length;
 		for (const machine of this.clusterState.machines.values()) {
 			if (!machine.lifecycle.draining || machine.lifecycle.deleting || machine.agent.leaseExpired) continue;
 			machine.lifecycle.cancelDraining();
-			back.push(machine.id);
+			returnedToUse.push(machine.id);
 			cpus += machine.type.cpus;
-			count += 1;
-			if (loadOf(look.work, count) <= highPerCpu * (cpus / count)) break;
+			machineCount += 1;
+			if (loadOf(snapshot.remainingWork, machineCount) <= highThresholdPerCpu * (cpus / machineCount)) break;
 		}
-		if (back.length === 0) return false;
+		if (returnedToUse.length === 0) return false;
 		this.clusterState.requestPlacement();
-		this.log.info({ machines: back }, "draining cancelled");
+		this.log.info({ machineIds: returnedToUse }, "draining cancelled");
 		return true;
 	}
 
-	/** Takes back the mark of a machine with room for the job; false if there is none. */
-	cancelDrainingFor(job: Job): boolean {
+	/** Cancels draining of one machine on which a task of the job fits; false: there is none. */
+	cancelDrainingForJob(job: Job): boolean {
 		for (const machine of this.clusterState.machines.values()) {
 			if (!machine.lifecycle.draining || !machine.usable) continue;
 			if (!machineAllowed(job.spec, machine) || !machine.capacity.fits(job.spec)) continue;
 			machine.lifecycle.cancelDraining();
 			this.clusterState.requestPlacement();
-			this.log.info({ machines: [machine.id], job: job.id }, "draining cancelled");
+			this.log.info({ machineIds: [machine.id], jobId: job.id }, "draining cancelled");
 			return true;
 		}
 		return false;
 	}
 
 	/**
-	 * Tasks on a marked machine may run for long. Work that waits all that time, though the load
-	 * is below the high mark, is let in.
+	 * Cancels draining of a machine for a job that has waited too long. Tasks on a draining machine may run for a
+	 * long time, and the job could wait as long if the load stays below the high threshold.
 	 */
-	cancelDrainingForWaiting(now: number): void {
+	cancelDrainingForLongWaitingJob(now: number): void {
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0 || job.attempts.size > 0) continue;
-			if (now - Math.max(job.loadedAt, job.failures.lastFailureAt) < waitsBesideMarkedMs) continue;
-			if (this.clusterState.hasRunnableTask(job, now) && this.cancelDrainingFor(job)) return;
+			if (now - Math.max(job.loadedAt, job.failures.lastFailureAt) < cancelDrainingAfterMs) continue;
+			if (this.clusterState.hasRunnableTask(job, now) && this.cancelDrainingForJob(job)) return;
 		}
 	}
 }
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -7,63 +7,63 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { HillClimbSettings } from "./hill-climb.js";
 
-/** What the hill climb measures of the leader's tables. */
+/** The quantities of the cluster state on which the hill climb is based. */
 
 /**
- * Seconds of work that a busy core has left on the average: half an estimated
- * run of the present tasks. The marks are multiples of it, so that they mean the
- * same for tasks of seconds and of hours.
+ * Returns the mean remaining seconds of a running task: half the mean estimated run time of the present tasks,
+ * weighted by cores. The load thresholds are multiples of it, so that they have the same meaning for tasks of
+ * seconds and of hours.
  */
-export function meanSecondsLeft(clusterState: ClusterState, capS: number): number {
+export function meanRemainingSeconds(clusterState: ClusterState, capS: number): number {
 	let cpus = 0;
 	let sum = 0;
 	for (const job of clusterState.jobs.values()) {
 		if (job.failures.failsEverywhere || job.isService) continue;
-		const share = (job.waitingTasks.length + job.attempts.size) * job.spec.cpus;
-		cpus += share;
-		sum += share * Math.min(job.estimatedRunS, capS);
+		const jobCpus = (job.waitingTasks.length + job.attempts.size) * job.spec.cpus;
+		cpus += jobCpus;
+		sum += jobCpus * Math.min(job.estimatedRunS, capS);
 	}
 	return cpus > 0 ? Math.max(1, sum / cpus / 2) : 1;
 }
 
 /**
- * Remaining work of all live jobs in core seconds. A team's limit bounds how fast its work can
- * be done, whatever is rented, so a team counts at most for as many cores as its
- * limit allows, each loaded to the high mark.
+ * Returns the remaining work of all live jobs in CPU seconds. A team's limit bounds how fast its work can be
+ * done, regardless of the fleet's size, so a team counts for at most as many cores as its limit allows, each
+ * loaded to the high threshold.
  */
 export function remainingWork(
 	clusterState: ClusterState,
 	now: number,
-	secondsLeft: number,
+	meanRemainingS: number,
 	climb: HillClimbSettings,
 ): number {
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
-		// Work that fails wherever it goes must not rent machines.
+		// Machines must not be created for a job that fails on every machine.
 		if (job.failures.failsEverywhere) continue;
 		const { team } = job.spec;
-		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingOfJob(job, now, secondsLeft, climb.cap_s));
+		byTeam.set(team, (byTeam.get(team) ?? 0) + remainingWorkOfJob(job, now, meanRemainingS, climb.cap_s));
 	}
 	let sum = 0;
 	for (const [team, work] of byTeam) {
 		const limit = clusterState.quotas.quotaOf(team)?.limit.cpus ?? 0;
-		sum += Math.min(work, limit * climb.high * secondsLeft);
+		sum += Math.min(work, limit * climb.high * meanRemainingS);
 	}
 	return sum;
 }
 
 /**
- * Replicas are not work that ends. A core that one takes counts as an ordinary busy core does
- * on the average, which lies between the marks: it neither rents nor returns machines.
+ * Returns the job's remaining work in CPU seconds. Replicas do not end, so each of their cores counts for the
+ * mean of a busy core. That lies between the thresholds and causes neither scale-out nor scale-in.
  */
-function remainingOfJob(job: Job, now: number, secondsLeft: number, capS: number): number {
-	if (job.isService) return (job.waitingTasks.length + job.attempts.size) * job.spec.cpus * secondsLeft;
+function remainingWorkOfJob(job: Job, now: number, meanRemainingS: number, capS: number): number {
+	if (job.isService) return (job.waitingTasks.length + job.attempts.size) * job.spec.cpus * meanRemainingS;
 	let work = job.waitingTasks.length * remainingCpuSecondsOfWaiting(job.spec.cpus, job.estimatedRunS, capS);
 	for (const attempt of job.attempts.values()) work += remainingCpuSecondsOfAttempt(attempt, now, capS);
 	return work;
 }
 
-/** Cores that the teams' limits let the present work use at once. */
+/** Returns the cores that the present tasks can use at the same time within the teams' limits. */
 export function usableCpus(clusterState: ClusterState): number {
 	const byTeam = new Map<string, number>();
 	for (const job of clusterState.jobs.values()) {
@@ -77,29 +77,31 @@
 	return sum;
 }
 
-/** One look at the fleet by the hill climb. */
+/** The state of the fleet in one round of the hill climb. */
 export interface FleetSnapshot {
 	now: number;
-	/** Machines that count as capacity, there or on its way, and their cores. */
+	/** Machines that count as capacity, running or being provisioned. */
 	machines: Machine[];
+	/** The cores of these machines. */
 	cpus: number;
-	secondsLeft: number;
-	/** Remaining work in core seconds. */
-	work: number;
+	/** Mean remaining seconds of a running task. */
+	meanRemainingS: number;
+	/** Remaining work of all live jobs, in CPU seconds. */
+	remainingWork: number;
 }
 
-export function fleetSnapshot(
+export function takeFleetSnapshot(
 	clusterState: ClusterState,
 	now: number,
 	climb: HillClimbSettings,
 ): FleetSnapshot {
 	const machines = [...clusterState.machines.values()].filter((m) => m.countsAsCapacity);
-	const secondsLeft = meanSecondsLeft(clusterState, climb.cap_s);
+	const meanRemainingS = meanRemainingSeconds(clusterState, climb.cap_s);
 	return {
 		now,
 		machines,
 		cpus: machines.reduce((sum, m) => sum + m.type.cpus, 0),
-		secondsLeft,
-		work: remainingWork(clusterState, now, secondsLeft, climb),
+		meanRemainingS,
+		remainingWork: remainingWork(clusterState, now, meanRemainingS, climb),
 	};
 }
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -9,7 +9,7 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import { CloudInventory } from "./cloud-inventory.js";
 import { Drain } from "./drain.js";
-import { type FleetSnapshot, fleetSnapshot } from "./fleet-load.js";
+import { type FleetSnapshot, takeFleetSnapshot } from "./fleet-load.js";
 import { loadOf, nextScalingDecision, type ScalingCounters } from "./hill-climb.js";
 import { ProvisioningTimes } from "./provisioning-times.js";
 import { ReplicaCapacity } from "./replica-capacity.js";
@@ -17,214 +17,240 @@
 import { ScaleOut, type ScaleOutOutcome } from "./scale-out.js";
 
 export interface FleetHooks {
-	post(command: () => void): void;
-	authority(): boolean;
-	/** A machine is proved gone: its record may go, and its tasks wait again. */
-	gone(machine: Machine): void;
+	/** Runs the action in the process's serial executor. */
+	post(action: () => void): void;
+	/** True while this process may act as the leader. */
+	active(): boolean;
+	/** The cloud has confirmed the machine's deletion: its record can be deleted, and its tasks wait again. */
+	onMachineDeleted(machine: Machine): void;
 }
 
 export interface FleetOptions {
 	clusterState: ClusterState;
 	cloud: CloudProvider;
-	time: Clock;
+	clock: Clock;
 	settings: OperatorSettings;
-	/** How soon tasks of which classes are to start. */
+	/** The times within which the tasks of some classes should start. */
 	objectives: readonly StartTimeObjective[];
-	/** How late the cloud's machine list is. */
+	/** The maximum lag of the cloud's machine list. */
 	listLagMs: number;
-	/** Lease of a worker. */
+	/** Duration of a worker's lease. */
 	leaseMs: number;
-	/** Begins the names of rental requests; never used by another term or process. */
+	/** The prefix of the names of scale-out requests; never used by another term or process. */
 	requestPrefix: string;
 	hooks: FleetHooks;
 	log: Log;
 }
 
 /**
- * Machines that the leader before rented last are not listed yet: a first round before the
- * first list would rent them again.
+ * The cloud's list lags behind and may lack the machines that the previous leader created last: a round that
+ * ran at the start of the term would create them again.
  */
-const firstRoundMs = 500;
-const nextRoundSoonMs = 50;
+const firstRoundDelayMs = 500;
+const earlyRoundDelayMs = 50;
 
-/** Rents and returns machines: the rounds of the hill climb and their exceptions. */
+/**
+ * Adds and removes machines in rounds of the hill climb. Machines for replicas, and for jobs that no machine of
+ * the fleet can hold, are requested regardless of the load.
+ */
 export class Fleet {
 	private readonly clusterState: ClusterState;
 	private readonly climb: OperatorSettings["climb"];
-	private readonly time: Clock;
+	private readonly clock: Clock;
 	private readonly log: Log;
-	private readonly list: CloudInventory;
-	private readonly returns: ScaleIn;
-	private readonly rentals: ScaleOut;
+	private readonly inventory: CloudInventory;
+	private readonly scaleIn: ScaleIn;
+	private readonly scaleOut: ScaleOut;
 	private readonly drain: Drain;
-	private readonly bootTimes: ProvisioningTimes;
-	private readonly replicas: ReplicaCapacity;
+	private readonly provisioningTimes: ProvisioningTimes;
+	private readonly replicaCapacity: ReplicaCapacity;
 	private counters: ScalingCounters = { up: 0, down: 0 };
-	private nextRound: number;
+	private nextRoundAt: number;
 
 	constructor(options: FleetOptions) {
-		const { clusterState, cloud, time, settings, hooks, log } = options;
-		const { post, authority } = hooks;
+		const { clusterState, cloud, clock, settings, hooks, log } = options;
+		const { post, active } = hooks;
 		this.clusterState = clusterState;
-		this.time = time;
+		this.clock = clock;
 		this.climb = settings.climb;
 		this.log = log;
-		this.nextRound = time.now() + firstRoundMs;
-		const gone = (machine: Machine) => {
-			this.rentals.allowAgain(machine);
-			hooks.gone(machine);
+		this.nextRoundAt = clock.now() + firstRoundDelayMs;
+		const onMachineDeleted = (machine: Machine) => {
+			this.scaleOut.clearRefusal(machine);
+			hooks.onMachineDeleted(machine);
 		};
-		const isDeleted = (machine: string) => this.returns.isDeleted(machine);
-		this.bootTimes = new ProvisioningTimes(settings.machines.boot_times);
-		this.returns = new ScaleIn(
+		const isDeleted = (machine: string) => this.scaleIn.isDeleted(machine);
+		this.provisioningTimes = new ProvisioningTimes(settings.machines.boot_times);
+		this.scaleIn = new ScaleIn(
 			clusterState,
 			cloud,
-			time,
+			clock,
 			settings.machines.silent_extra_s * 1000,
-			this.bootTimes,
+			this.provisioningTimes,
 			options.leaseMs,
-			{ post, gone },
+			{ post, onMachineDeleted },
+			log,
+		);
+		this.inventory = new CloudInventory(
+			clusterState,
+			cloud,
+			clock,
+			options.listLagMs,
+			{ post, isDeleted },
 			log,
 		);
-		this.list = new CloudInventory(clusterState, cloud, time, options.listLagMs, { post, isDeleted }, log);
-		this.rentals = new ScaleOut(
+		this.scaleOut = new ScaleOut(
 			clusterState,
 			cloud,
-			time,
+			clock,
 			settings.climb,
 			options.requestPrefix,
 			{
 				post,
-				authority,
+				active,
 				isDeleted,
-				isCutOff: (zone) => this.returns.isCutOff(zone),
-				unfilled: () => this.hurry(),
+				isZoneIsolated: (zone) => this.scaleIn.isZoneIsolated(zone),
+				onUnfilled: () => this.scheduleEarlyRound(),
 			},
 			log,
 		);
 		this.drain = new Drain(clusterState, settings.climb, log);
-		this.replicas = new ReplicaCapacity(clusterState, time, this.rentals, options.objectives, (job) =>
-			this.drain.cancelDrainingFor(job),
+		this.replicaCapacity = new ReplicaCapacity(
+			clusterState,
+			clock,
+			this.scaleOut,
+			options.objectives,
+			(job) => this.drain.cancelDrainingForJob(job),
 		);
 	}
 
-	/** Called a few times a second, in the queue, with authority. */
+	/** Called in each tick of the leader, while it may act. */
 	tick(): void {
-		const now = this.time.now();
-		this.noteOverdue(now);
-		this.returns.tick(now);
-		this.list.tick(now);
-		if (now < this.nextRound || !this.list.looked || !this.clusterState.reconciled) return;
-		this.nextRound = now + this.climb.round_s * 1000;
-		this.round(fleetSnapshot(this.clusterState, now, this.climb));
+		const now = this.clock.now();
+		this.updateOverdue(now);
+		this.scaleIn.tick(now);
+		this.inventory.tick(now);
+		if (now < this.nextRoundAt || !this.inventory.firstReadFinished || !this.clusterState.reconciled) return;
+		this.nextRoundAt = now + this.climb.round_s * 1000;
+		this.runRound(takeFleetSnapshot(this.clusterState, now, this.climb));
 	}
 
-	/** The machine has reported to this leader for the first time. */
+	/** The machine has sent its first heartbeat to this leader. */
 	onMachineRunning(machine: Machine): void {
-		if (machine.lifecycle.createdByThisLeader) this.bootTimes.noteUp(machine, this.time.now());
+		if (machine.lifecycle.createdByThisLeader) this.provisioningTimes.recordBoot(machine, this.clock.now());
 	}
 
-	/** The machine's return was answered. */
+	/** True if the cloud has confirmed the machine's deletion. */
 	isDeleted(machine: string): boolean {
-		return this.returns.isDeleted(machine);
+		return this.scaleIn.isDeleted(machine);
 	}
 
-	/** The cloud has named its machines to this leader, and this one is not among them. */
-	unlisted(machine: string): boolean {
-		return this.list.lacks(machine);
+	/** True if this leader has read the cloud's machine list and the machine was missing from the latest one. */
+	isMissingFromCloudList(machine: string): boolean {
+		return this.inventory.isMissing(machine);
 	}
 
-	/** What was rented and is late no longer counts as coming; it does again once it is up. */
-	private noteOverdue(now: number): void {
+	/**
+	 * Updates which machines are overdue. An overdue machine does not count as capacity until its first
+	 * heartbeat.
+	 */
+	private updateOverdue(now: number): void {
 		for (const machine of this.clusterState.machines.values()) {
-			const before = machine.lifecycle.overdue;
-			machine.lifecycle.setOverdue(this.bootTimes.isOverdue(machine, now));
-			if (before || !machine.lifecycle.overdue) continue;
+			const wasOverdue = machine.lifecycle.overdue;
+			machine.lifecycle.setOverdue(this.provisioningTimes.isOverdue(machine, now));
+			if (wasOverdue || !machine.lifecycle.overdue) continue;
 			const { id, type, zone, lifecycle } = machine;
 			const bootingS = Math.round((now - lifecycle.requestedAt) / 1000);
-			this.log.info({ machine: id, type: type.name, zone, bootingS }, "machine overdue");
+			this.log.info({ machineId: id, machineType: type.name, zone, bootingS }, "machine overdue");
 		}
 	}
 
-	/** The up counter acts again in a round that comes at once. */
-	private hurry(): void {
-		this.nextRound = Math.min(this.nextRound, this.time.now() + nextRoundSoonMs);
+	/** Schedules an early round, with the up counter set so that any load above the high threshold scales out. */
+	private scheduleEarlyRound(): void {
+		this.nextRoundAt = Math.min(this.nextRoundAt, this.clock.now() + earlyRoundDelayMs);
 		this.counters.up = this.climb.up_past;
 	}
 
-	private round(look: FleetSnapshot): void {
-		if (this.replicas.serve(look)) return;
-		const count = look.machines.length;
-		// With nothing to run, no machine is kept; the first job to wait rents one.
-		if (count === 0) {
-			this.grow(look);
+	private runRound(snapshot: FleetSnapshot): void {
+		if (this.replicaCapacity.ensureCapacity(snapshot)) return;
+		const machineCount = snapshot.machines.length;
+		// Without jobs the fleet shrinks to no machines. The first waiting job then scales out, regardless of the
+		// counters.
+		if (machineCount === 0) {
+			this.addCapacity(snapshot);
 			return;
 		}
-		if (this.serveUnheld(look)) return;
-		this.drain.cancelDrainingForWaiting(look.now);
+		if (this.addMachineForUnplaceableJob(snapshot)) return;
+		this.drain.cancelDrainingForLongWaitingJob(snapshot.now);
 		const { counters, action } = nextScalingDecision(
 			this.counters,
-			loadOf(look.work, count),
-			this.clusterState.jobs.size === 0 ? count + 1 : count,
-			(look.cpus / count) * look.secondsLeft,
+			loadOf(snapshot.remainingWork, machineCount),
+			this.clusterState.jobs.size === 0 ? machineCount + 1 : machineCount,
+			(snapshot.cpus / machineCount) * snapshot.meanRemainingS,
 			this.climb,
 		);
 		this.counters = counters;
-		if (action !== "up" && counters.up === 0) this.rentals.loadIsDown();
-		const { work, cpus } = look;
-		this.log.debug({ work: Math.round(work), n: count, cpus, ...counters, action }, "scaling round");
-		if (action === "up") this.grow(look);
-		else if (action === "down") this.drain.startDraining(look, this.replicas);
+		if (action !== "up" && counters.up === 0) this.scaleOut.onLoadNormal();
+		const { remainingWork, cpus } = snapshot;
+		this.log.debug(
+			{ remainingWork: Math.round(remainingWork), machines: machineCount, cpus, ...counters, action },
+			"scaling round",
+		);
+		if (action === "up") this.addCapacity(snapshot);
+		else if (action === "down") this.drain.startDraining(snapshot, this.replicaCapacity);
 	}
 
-	/** Takes marks back, or else rents for the oldest work for which something is to be had. */
-	private grow(look: FleetSnapshot): void {
-		if (!this.anyWaiting(look.now) || this.drain.cancelDraining(look)) return;
-		for (const job of this.waitingByAge(look.now))
-			if (this.rentFor(job, look.work, look) !== "nothing to be had") return;
+	/**
+	 * Cancels draining or, if no machine drains, requests machines for the oldest job for which the cloud has an
+	 * offer.
+	 */
+	private addCapacity(snapshot: FleetSnapshot): void {
+		if (!this.anyRunnableTask(snapshot.now) || this.drain.cancelDraining(snapshot)) return;
+		for (const job of this.waitingJobsByAge(snapshot.now))
+			if (this.requestMachineFor(job, snapshot.remainingWork, snapshot) !== "no offer") return;
 	}
 
-	private rentFor(job: Job, work: number, look: FleetSnapshot): ScaleOutOutcome {
-		return this.rentals.request({ spec: job.spec, work }, look);
+	private requestMachineFor(job: Job, remainingWork: number, snapshot: FleetSnapshot): ScaleOutOutcome {
+		return this.scaleOut.request({ spec: job.spec, remainingWork }, snapshot);
 	}
 
-	private anyWaiting(now: number): boolean {
+	private anyRunnableTask(now: number): boolean {
 		for (const job of this.clusterState.jobs.values())
 			if (this.clusterState.hasRunnableTask(job, now)) return true;
 		return false;
 	}
 
 	/**
-	 * Jobs that machines can be rented for, oldest first: where nothing is to be had for the
-	 * oldest, the next may want another type or zone. Of jobs with the same demands one stands
-	 * for all; what fails everywhere comes last.
+	 * Returns the jobs for which machines can be created, oldest first: if there is no offer for the oldest, the
+	 * next may allow another type or zone. Of jobs with the same demands only the first is returned. Jobs that
+	 * fail everywhere come last.
 	 */
-	private waitingByAge(now: number): Job[] {
+	private waitingJobsByAge(now: number): Job[] {
 		const byDemand = new Map<string, Job>();
-		const before = (a: Job, b: Job) =>
+		const isBefore = (a: Job, b: Job) =>
 			a.failures.failsEverywhere === b.failures.failsEverywhere
 				? a.acceptedAt < b.acceptedAt
 				: b.failures.failsEverywhere;
 		for (const job of this.clusterState.jobs.values()) {
-			// Replicas have machines rented by themselves, and of no other kind than they need.
+			// `ReplicaCapacity` requests machines for replicas, and only of the kinds that they need.
 			if (job.isService || !this.clusterState.hasRunnableTask(job, now)) continue;
-			const best = byDemand.get(job.demandKey);
-			if (!best || before(job, best)) byDemand.set(job.demandKey, job);
+			const first = byDemand.get(job.demandKey);
+			if (!first || isBefore(job, first)) byDemand.set(job.demandKey, job);
 		}
-		return [...byDemand.values()].sort((a, b) => (before(a, b) ? -1 : 1));
+		return [...byDemand.values()].sort((a, b) => (isBefore(a, b) ? -1 : 1));
 	}
 
 	/**
-	 * For a job that no counted machine could hold one is unmarked or rented, and that is this
-	 * round. Where neither can be had the round goes on: the others want machines too. What
-	 * failed everywhere may do so no more, and is tried again as well.
+	 * Cancels draining of a machine or requests one for a job that no machine of the fleet could hold, even if
+	 * empty; the round ends with that. If neither is possible the round continues, since other jobs need machines
+	 * too. This includes jobs that fail everywhere: the cause may have disappeared, and they are tried again.
 	 */
-	private serveUnheld(look: FleetSnapshot): boolean {
+	private addMachineForUnplaceableJob(snapshot: FleetSnapshot): boolean {
 		for (const job of this.clusterState.jobs.values()) {
-			if (!job.hasReadyTask(look.now)) continue;
-			if (look.machines.some((m) => fitsEmptyMachine(m, job))) continue;
-			if (this.rentals.pending || this.drain.cancelDrainingFor(job)) return true;
-			if (this.rentFor(job, 0, look) === "asked") return true;
+			if (!job.hasReadyTask(snapshot.now)) continue;
+			if (snapshot.machines.some((m) => fitsEmptyMachine(m, job))) continue;
+			if (this.scaleOut.requestPending || this.drain.cancelDrainingForJob(job)) return true;
+			if (this.requestMachineFor(job, 0, snapshot) === "requested") return true;
 		}
 		return false;
 	}
--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -7,75 +7,76 @@
 import type { Log } from "../ports/log.js";
 import type { KeyValueStore } from "../ports/store.js";
 
-const refreshEveryMs = 60_000;
+const refreshIntervalMs = 60_000;
 const retryMs = 700;
 
 export interface MachineTypeCatalogOptions {
 	cloud: CloudProvider;
 	store: KeyValueStore;
-	time: Clock;
+	clock: Clock;
 	log: Log;
-	post(command: () => void): void;
-	/** The term while this process may act for the controllers, else null. */
-	authority(): number | null;
-	/** What the state service has. */
-	stored(): MachineType[] | null;
-	/** The cloud has answered. */
-	refreshed(types: MachineType[]): void;
+	/** Runs the action in the process's serial executor. */
+	post(action: () => void): void;
+	/** The term in which this process may act for the controllers; null: it may not. */
+	authorizedTerm(): number | null;
+	/** The machine types in the state service; null: there are none. */
+	storedTypes(): MachineType[] | null;
+	/** Called with the machine types that were read from the cloud. */
+	onRefreshed(types: MachineType[]): void;
 }
 
 /**
- * The machine types that the cloud offers. The leader reads them now and then, for their prices, and
- * keeps them in the store, so that a starting node can check submissions without the cloud.
+ * The machine types that the cloud offers. The leader reads them periodically, since their prices change, and
+ * writes them to the store, so that a starting node can check submissions without the cloud.
  */
 export class MachineTypeCatalog {
-	private latest: MachineType[] | null = null;
+	private latestTypes: MachineType[] | null = null;
 	private reading = false;
 	private nextReadAt = 0;
 
 	constructor(private readonly options: MachineTypeCatalogOptions) {}
 
-	/** null: neither the cloud nor the state service has told any. */
+	/** null: they have been read neither from the cloud nor from the state service. */
 	get types(): MachineType[] | null {
-		return this.latest ?? this.options.stored();
+		return this.latestTypes ?? this.options.storedTypes();
 	}
 
-	/** Called often, with authority. */
+	/** Starts to read the types if a read is due. Called in each tick of a leader that may act. */
 	tick(): void {
-		const { time, cloud, post } = this.options;
-		if (this.reading || time.now() < this.nextReadAt) return;
+		const { clock, cloud, post } = this.options;
+		if (this.reading || clock.now() < this.nextReadAt) return;
 		this.reading = true;
 		cloud.machineTypes().then(
-			(types) => post(() => this.received(types)),
-			(error) => post(() => this.failed(error)),
+			(types) => post(() => this.onTypesRead(types)),
+			(error) => post(() => this.onReadFailed(error)),
 		);
 	}
 
-	private received(types: MachineType[]): void {
+	private onTypesRead(types: MachineType[]): void {
 		this.reading = false;
 		if (types.length === 0) return;
-		this.nextReadAt = this.options.time.now() + refreshEveryMs;
-		this.latest = types;
-		this.options.refreshed(types);
-		this.store(types);
+		this.nextReadAt = this.options.clock.now() + refreshIntervalMs;
+		this.latestTypes = types;
+		this.options.onRefreshed(types);
+		this.writeToStore(types);
 	}
 
-	private failed(error: unknown): void {
+	private onReadFailed(error: unknown): void {
 		this.reading = false;
-		this.nextReadAt = this.options.time.now() + retryMs;
-		this.options.log.debug({ err: String(error) }, "machine types not read");
+		this.nextReadAt = this.options.clock.now() + retryMs;
+		this.options.log.debug({ err: String(error) }, "reading the machine types failed");
 	}
 
-	private store(types: MachineType[]): void {
-		const { store, log, post, authority, stored } = this.options;
-		const term = authority();
-		if (term === null || sameTypes(stored() ?? [], types)) return;
+	private writeToStore(types: MachineType[]): void {
+		const { store, log, post, authorizedTerm, storedTypes } = this.options;
+		const term = authorizedTerm();
+		if (term === null || sameTypes(storedTypes() ?? [], types)) return;
 		const value = encodeMachineTypes(types);
 		store
 			.compareAndSwap([{ key: keys.leader, revision: term }], [{ put: keys.machineTypes, value }], "user")
 			.catch((error) =>
 				post(() => {
-					// Too many types for one value: they are read from the cloud then, by each leader.
+					// The types are too many for one value. Each leader then reads them from the cloud.
 					if (error instanceof CallError && error.outcome === "rejected")
 						log.error({ key: keys.machineTypes, err: error.message }, "record rejected by the store");
 					else this.nextReadAt = 0;
@@ -84,7 +85,7 @@
 	}
 }
 
-/** Prices of spot machines move all the time; only what submissions depend on is compared. */
+/** Compares only what submissions depend on: the prices of spot machines change constantly. */
 function sameTypes(a: MachineType[], b: MachineType[]): boolean {
 	const summary = (types: MachineType[]) =>
 		JSON.stringify(types.map((t) => [t.name, t.cpus, t.gpus, t.memoryGb, t.bootS, t.zones]));
--- a/src/coordination/fleet/provisioning-times.ts
+++ b/src/coordination/fleet/provisioning-times.ts
@@ -1,68 +1,81 @@
 import type { Machine } from "../../bookkeeping/machine.js";
 
-/** Machines usually boot in up to this many times the stated time. */
-const usualBootTimes = 1.6;
-/** Of what was observed lately, so much more is still usual. */
-const observedFactor = 1.2;
-/** Boots of a type that are remembered. */
-const bootsKept = 8;
-/** With others of its type up that were rented with or after it, a machine is given up after so many stated times. */
-const overtakenBootTimes = 2;
-/** Where nothing says that it is the machine and not all of its type, it is given this many times as long. */
-const patience = 2;
-/** A stated boot time of a few seconds leaves no room for delays on the way. */
-const leastBootS = 30;
+/** Machines usually boot within this multiple of the stated boot time. */
+const usualBootFactor = 1.6;
+/** A boot that takes up to this multiple of the longest recent boot of the type is still usual. */
+const observedBootFactor = 1.2;
+/** The number of recent boots recorded for each type. */
+const maxRecordedBoots = 8;
+/**
+ * The boot timeout of a machine that was overtaken by another of its type, requested with it or later, as a
+ * multiple of the stated boot time.
+ */
+const overtakenTimeoutFactor = 2;
+/**
+ * The configured boot timeout is multiplied by this while no machine of the type has overtaken the machine: the
+ * whole type may boot slowly.
+ */
+const noEvidenceTimeoutFactor = 2;
+/**
+ * Shorter stated boot times are raised to this, since they leave no margin for delays of requests and
+ * heartbeats.
+ */
+const minStatedBootS = 30;
 
-interface TypeBoots {
-	/** Durations of the latest boots. */
+/** The boots of one machine type that this leader has observed. */
+interface BootHistory {
+	/** Durations of the most recent boots. */
 	durationsMs: number[];
-	/** When the latest rented machine that is up was rented. */
-	latestRentedAt: number;
+	/** Monotonic time of the latest request whose machine is up. */
+	latestRequestedAt: number;
 }
 
 /**
- * How long machines take to come up, by what this leader has seen of each type. Some take several
- * times as long as stated and a few never come up. Those that are late no longer count as coming
- * capacity; those that others overtook go back.
+ * Decides, from the boots of each type that this leader has observed, whether a machine is overdue and whether
+ * its boot has timed out. Some machines take several times the stated boot time, and a few never come up.
+ * Overdue machines no longer count as capacity, and those whose boot has timed out are deleted.
  */
 export class ProvisioningTimes {
-	private readonly byType = new Map<string, TypeBoots>();
+	private readonly historyByType = new Map<string, BootHistory>();
 
 	constructor(
-		/** Stated boot times after which a machine is given up that nothing is known against or for. */
-		private readonly bootTimes: number,
+		/** The configured boot timeout, as a multiple of the stated boot time. */
+		private readonly bootTimeoutFactor: number,
 	) {}
 
-	/** A machine that this leader rented has reported for the first time. */
-	noteUp({ type, lifecycle }: Machine, now: number): void {
+	/** Records the boot of a machine that this leader requested, at its first heartbeat. */
+	recordBoot({ type, lifecycle }: Machine, now: number): void {
 		const { requestedAt } = lifecycle;
-		const boots = this.byType.get(type.name) ?? { durationsMs: [], latestRentedAt: -Infinity };
-		this.byType.set(type.name, boots);
-		boots.durationsMs.push(now - requestedAt);
-		if (boots.durationsMs.length > bootsKept) boots.durationsMs.shift();
-		boots.latestRentedAt = Math.max(boots.latestRentedAt, requestedAt);
+		const history = this.historyByType.get(type.name) ?? { durationsMs: [], latestRequestedAt: -Infinity };
+		this.historyByType.set(type.name, history);
+		history.durationsMs.push(now - requestedAt);
+		if (history.durationsMs.length > maxRecordedBoots) history.durationsMs.shift();
+		history.latestRequestedAt = Math.max(history.latestRequestedAt, requestedAt);
 	}
 
-	/** It should be up by now, and another is to be had in its place. */
+	/** True if the machine takes longer than usual to come up; another may be created in its place. */
 	isOverdue(machine: Machine, now: number): boolean {
 		if (machine.agent.running) return false;
-		const observed = Math.max(0, ...(this.byType.get(machine.type.name)?.durationsMs ?? []));
+		const longestBootMs = Math.max(0, ...(this.historyByType.get(machine.type.name)?.durationsMs ?? []));
 		return (
 			now - machine.lifecycle.requestedAt >
-			Math.max(statedMs(machine) * usualBootTimes, observed * observedFactor)
+			Math.max(statedBootMs(machine) * usualBootFactor, longestBootMs * observedBootFactor)
 		);
 	}
 
-	/** It will hardly come up any more. */
-	isGivenUp(machine: Machine, now: number): boolean {
+	/** True if the machine is unlikely to come up and should be deleted. */
+	isBootTimedOut(machine: Machine, now: number): boolean {
 		if (machine.agent.running) return false;
-		const age = now - machine.lifecycle.requestedAt;
-		const latest = this.byType.get(machine.type.name)?.latestRentedAt ?? -Infinity;
-		const times = latest >= machine.lifecycle.requestedAt ? overtakenBootTimes : this.bootTimes * patience;
-		return age > statedMs(machine) * times && this.isOverdue(machine, now);
+		const ageMs = now - machine.lifecycle.requestedAt;
+		const latestRequestedAt = this.historyByType.get(machine.type.name)?.latestRequestedAt ?? -Infinity;
+		const timeoutFactor =
+			latestRequestedAt >= machine.lifecycle.requestedAt
+				? overtakenTimeoutFactor
+				: this.bootTimeoutFactor * noEvidenceTimeoutFactor;
+		return ageMs > statedBootMs(machine) * timeoutFactor && this.isOverdue(machine, now);
 	}
 }
 
-function statedMs({ type }: Machine): number {
-	return Math.max(leastBootS, type.bootS) * 1000;
+function statedBootMs({ type }: Machine): number {
+	return Math.max(minStatedBootS, type.bootS) * 1000;
 }
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -3,65 +3,74 @@
 import { tasksByZone, tasksByZoneExcluding, zoneTaskHeadroom } from "../../bookkeeping/zone-rules.js";
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { StartTimeObjective } from "../../protocol/settings/objectives.js";
-import { FreeCapacity, freeBesideReplicas, freeOn } from "../placement/free-capacity.js";
+import { freeOrPreemptibleResources, freeResources, SimulatedCapacity } from "../placement/free-capacity.js";
 import type { Clock } from "../ports/clock.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import { assumedReplicas, classesWithFastStart } from "./expected-services.js";
+import { assumedServiceSpec, classesWithFastStart } from "./expected-services.js";
 import type { FleetSnapshot } from "./fleet-load.js";
 import type { ScaleOut, ScaleOutNeed } from "./scale-out.js";
 
-/** Standing jobs that came so lately are expected once more. */
-const expectedMs = 60_000;
+/** A service job submitted within this time is expected to be submitted once more. */
+const recentJobWindowMs = 60_000;
 
-/** Other work makes room for waiting replicas, as a rule within this time. */
-const preemptionMs = 3000;
+/** Preemption usually provides capacity for waiting replicas within this time. */
+const preemptionWindowMs = 3000;
 
-/** Replicas that the machines given have no room for, and where those with room were put. */
-interface Shortage {
+/** Replicas of a job that do not fit on the machines. */
+interface ReplicaShortage {
 	spec: JobSpec;
-	count: number;
-	zones: Record<string, number>;
+	replicaCount: number;
+	/** The job's replicas by zone, including the simulated placement of those that fit. */
+	replicasByZone: Record<string, number>;
 }
 
 /**
- * Capacity for replicas, which can't wait for the load to rise: what has no room gets a machine
- * rented by itself, and as many replicas as came lately have room kept for them ahead.
+ * Requests machines for replicas, which cannot wait for the load to rise: for those that fit nowhere and, in
+ * advance, for as many as were submitted recently.
  */
 export class ReplicaCapacity {
-	/** Classes whose jobs have been arrays in this term. */
+	/** Classes with an array job in this term. */
 	private readonly arrayClasses = new Set<string>();
-	/** Since when replicas of a job have waited. */
+	/** Monotonic time since which each service job has had waiting replicas. */
 	private readonly waitingSince = new Map<Job, number>();
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly time: Clock,
-		private readonly rentals: ScaleOut,
+		private readonly clock: Clock,
+		private readonly scaleOut: ScaleOut,
 		private readonly objectives: readonly StartTimeObjective[],
-		/** Takes back the mark of a machine with room for the job; false if there is none. */
-		private readonly unmarkFor: (job: Job) => boolean,
+		/** Cancels draining of one machine on which a task of the job fits; false: there is none. */
+		private readonly cancelDrainingFor: (job: Job) => boolean,
 	) {}
 
-	/** True if something was done, or is on its way, for replicas in this round. */
-	serve(look: FleetSnapshot): boolean {
-		this.noteWaiting(look.now);
-		const free = new FreeCapacity(freeOn);
-		const besideReplicas = new FreeCapacity(freeBesideReplicas);
+	/**
+	 * Provides capacity for replicas; true if that was necessary and a request is pending or draining was
+	 * cancelled.
+	 */
+	ensureCapacity(snapshot: FleetSnapshot): boolean {
+		this.updateWaitingSince(snapshot.now);
+		const freeCapacity = new SimulatedCapacity(freeResources);
+		const capacityWithPreemption = new SimulatedCapacity(freeOrPreemptibleResources);
 		for (const job of this.clusterState.jobs.values()) {
 			if (!job.isService) continue;
-			const shortage = this.shortageOfWaiting(
+			const shortageOfWaiting = this.shortageOfWaiting(
 				job,
-				look,
-				this.mayPreempt(job, look.now) ? besideReplicas : free,
+				snapshot,
+				this.expectsPreemption(job, snapshot.now) ? capacityWithPreemption : freeCapacity,
 			);
-			const wanted = shortage ?? this.shortageOfLeaving(job, look, free);
-			if (!wanted) continue;
-			if (this.rentals.pending || this.unmarkFor(job) || this.rent(wanted, look)) return true;
+			const shortage = shortageOfWaiting ?? this.shortageOfLeaving(job, snapshot, freeCapacity);
+			if (!shortage) continue;
+			if (
+				this.scaleOut.requestPending ||
+				this.cancelDrainingFor(job) ||
+				this.requestMachines(shortage, snapshot)
+			)
+				return true;
 		}
-		return this.serveExpected(look);
+		return this.ensureExpectedCapacity(snapshot);
 	}
 
-	private noteWaiting(now: number): void {
+	private updateWaitingSince(now: number): void {
 		for (const job of this.waitingSince.keys())
 			if (job.waitingTasks.length === 0) this.waitingSince.delete(job);
 		for (const job of this.clusterState.jobs.values())
@@ -69,116 +78,148 @@
 				this.waitingSince.set(job, now);
 	}
 
-	/** For a while its replicas are expected to take the room of work that yields to them. */
-	private mayPreempt(job: Job, now: number): boolean {
-		return now - (this.waitingSince.get(job) ?? now) < preemptionMs;
+	/** True while the job's waiting replicas are expected to get capacity by preemption. */
+	private expectsPreemption(job: Job, now: number): boolean {
+		return now - (this.waitingSince.get(job) ?? now) < preemptionWindowMs;
 	}
 
-	/** Replicas that wait, beyond the room that is up or on its way. */
-	private shortageOfWaiting(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
-		if (!job.hasReadyTask(look.now)) return null;
-		return shortageOf(job, job.waitingTasks.length, look, room, tasksByZone(job));
+	/** Returns the waiting replicas that do not fit on machines that are running or being provisioned. */
+	private shortageOfWaiting(
+		job: Job,
+		snapshot: FleetSnapshot,
+		capacity: SimulatedCapacity,
+	): ReplicaShortage | null {
+		if (!job.hasReadyTask(snapshot.now)) return null;
+		return shortageOf(job, job.waitingTasks.length, snapshot, capacity, tasksByZone(job));
 	}
 
-	/** Replicas that have to leave their machine and have no room elsewhere; nothing yields to them. */
-	private shortageOfLeaving(job: Job, look: FleetSnapshot, room: FreeCapacity): Shortage | null {
+	/** Returns the replicas that have to leave their machine and fit nowhere else. Nothing is preempted for them. */
+	private shortageOfLeaving(
+		job: Job,
+		snapshot: FleetSnapshot,
+		capacity: SimulatedCapacity,
+	): ReplicaShortage | null {
 		const leaving = [...job.attempts.values()].filter(
 			(a) => a.machine.needsEvacuation && a.relocationTarget === null,
 		);
 		if (leaving.length === 0) return null;
-		return shortageOf(job, leaving.length, look, room, tasksByZoneExcluding(job, leaving));
+		return shortageOf(job, leaving.length, snapshot, capacity, tasksByZoneExcluding(job, leaving));
 	}
 
 	/**
-	 * A machine takes longer to boot than a replica may wait. So what came in the last minute is
-	 * expected to come once more, and has room kept on machines that it may use. Work that is
-	 * not standing can run there meanwhile: replicas go before it.
+	 * Provides capacity for expected replicas. A machine takes longer to boot than a replica may wait, so the
+	 * service jobs of the last minute are expected to be submitted once more, and capacity is kept on machines
+	 * that they may use. Array jobs can run there meanwhile, since replicas preempt them.
 	 */
-	private serveExpected(look: FleetSnapshot): boolean {
-		const { machines } = look;
-		const shortage = this.shortageOfExpected(machines) ?? this.shortageWithoutAZone(machines);
-		return shortage !== null && (this.rentals.pending || this.rent(shortage, look));
+	private ensureExpectedCapacity(snapshot: FleetSnapshot): boolean {
+		const { machines } = snapshot;
+		const shortage = this.shortageOfExpected(machines) ?? this.shortageAfterZoneLoss(machines);
+		return shortage !== null && (this.scaleOut.requestPending || this.requestMachines(shortage, snapshot));
 	}
 
-	/** Expected work that would lack room if only these of the machines were left; null: none would. */
-	lackingRoom(machines: Machine[], left: Machine[]): JobSpec | null {
-		const shortage = this.shortageOfExpected(left);
+	/**
+	 * Returns an expected job that would lack capacity on the remaining machines; null: none would.
+	 *
+	 * @param machines The machines of the fleet now.
+	 * @param remaining Those that would remain.
+	 */
+	unplaceableExpectedSpec(machines: Machine[], remaining: Machine[]): JobSpec | null {
+		const shortage = this.shortageOfExpected(remaining);
 		if (shortage) return shortage.spec;
-		// Where there is no room in enough zones in any case, nothing is kept for the loss of one.
-		if (this.shortageWithoutAZone(machines)) return null;
-		return this.shortageWithoutAZone(left)?.spec ?? null;
+		// If the fleet cannot tolerate the loss of a zone now, no machine is kept for that case.
+		if (this.shortageAfterZoneLoss(machines)) return null;
+		return this.shortageAfterZoneLoss(remaining)?.spec ?? null;
 	}
 
-	/** The first of the expected jobs that would not find room on the machines. */
-	private shortageOfExpected(machines: Machine[]): Shortage | null {
-		const room = new FreeCapacity(freeBesideReplicas);
-		for (const spec of this.expected()) {
-			const zones: Record<string, number> = {};
-			const count = room.take(spec, spec.taskCount, machines, zones);
-			if (count > 0) return { spec, count, zones };
+	/** Returns the shortage of the first expected job that does not fit on the machines; null: all fit. */
+	private shortageOfExpected(machines: Machine[]): ReplicaShortage | null {
+		const capacity = new SimulatedCapacity(freeOrPreemptibleResources);
+		for (const spec of this.expectedSpecs()) {
+			const replicasByZone: Record<string, number> = {};
+			const unplaced = capacity.placeTasks(spec, spec.taskCount, machines, replicasByZone);
+			if (unplaced > 0) return { spec, replicaCount: unplaced, replicasByZone };
 		}
 		return null;
 	}
 
 	/**
-	 * Replicas that are spread over zones have nowhere to go when one of only two zones with
-	 * machines for them is cut off: a machine elsewhere boots for longer than they may wait. So
-	 * what is expected has room whichever zone is lost.
+	 * Returns the shortage of the first expected job that would not fit after the loss of some zone; null: all
+	 * fit. If machines for replicas that are spread over zones existed in only two zones and one were isolated,
+	 * they could not be placed: a machine in a third zone takes longer to boot than they may wait.
 	 */
-	private shortageWithoutAZone(machines: Machine[]): Shortage | null {
-		const spread = this.expected().filter((spec) => spec.spreadZones && spec.zone === null);
-		if (spread.length === 0) return null;
-		for (const lost of new Set(machines.map((machine) => machine.zone))) {
-			const left = machines.filter((machine) => machine.zone !== lost);
-			const room = new FreeCapacity(freeBesideReplicas);
-			for (const spec of spread) {
-				const zones: Record<string, number> = {};
-				const count = room.take(spec, spec.taskCount, left, zones);
-				// As many as the spread allows are taken to be in the lost zone: nothing is rented there.
-				if (count > 0) return { spec, count, zones: { ...zones, [lost]: spec.taskCount } };
+	private shortageAfterZoneLoss(machines: Machine[]): ReplicaShortage | null {
+		const spreadSpecs = this.expectedSpecs().filter((spec) => spec.spreadZones && spec.zone === null);
+		if (spreadSpecs.length === 0) return null;
+		for (const lostZone of new Set(machines.map((machine) => machine.zone))) {
+			const remaining = machines.filter((machine) => machine.zone !== lostZone);
+			const capacity = new SimulatedCapacity(freeOrPreemptibleResources);
+			for (const spec of spreadSpecs) {
+				const replicasByZone: Record<string, number> = {};
+				const unplaced = capacity.placeTasks(spec, spec.taskCount, remaining, replicasByZone);
+				// The lost zone counts as full, so that no machine is requested there.
+				if (unplaced > 0)
+					return {
+						spec,
+						replicaCount: unplaced,
+						replicasByZone: { ...replicasByZone, [lostZone]: spec.taskCount },
+					};
 			}
 		}
 		return null;
 	}
 
-	private expected(): JobSpec[] {
-		const date = this.time.date().getTime();
+	/**
+	 * Returns the specs of the service jobs expected next: those submitted within the last minute and, if any job
+	 * is live, an assumed one for each class with a fast start that has had neither an older service job nor an
+	 * array job.
+	 */
+	private expectedSpecs(): JobSpec[] {
+		const wallClockMs = this.clock.date().getTime();
 		const specs: JobSpec[] = [];
-		/** Classes with a job of more than a minute ago: what comes of them shows. */
-		const known = new Set<string>();
-		for (const { isService: standing, spec, acceptedAt: at } of this.clusterState.jobs.values()) {
-			if (!standing) this.arrayClasses.add(spec.jobClass);
-			else if (date - at <= expectedMs) specs.push(spec);
-			else known.add(spec.jobClass);
+		/** Classes with a service job older than a minute: those show what to expect, so nothing is assumed. */
+		const classesWithOlderJobs = new Set<string>();
+		for (const { isService, spec, acceptedAt } of this.clusterState.jobs.values()) {
+			if (!isService) this.arrayClasses.add(spec.jobClass);
+			else if (wallClockMs - acceptedAt <= recentJobWindowMs) specs.push(spec);
+			else classesWithOlderJobs.add(spec.jobClass);
 		}
 		if (this.clusterState.jobs.size === 0) return specs;
-		for (const name of classesWithFastStart(this.objectives, this.clusterState.machineTypes.values()))
-			if (!known.has(name) && !this.arrayClasses.has(name))
-				specs.push(assumedReplicas(name, this.clusterState.schedulableCpus));
+		for (const jobClass of classesWithFastStart(this.objectives, this.clusterState.machineTypes.values()))
+			if (!classesWithOlderJobs.has(jobClass) && !this.arrayClasses.has(jobClass))
+				specs.push(assumedServiceSpec(jobClass, this.clusterState.schedulableCpus));
 		return specs;
 	}
 
-	private rent({ spec, count, zones }: Shortage, look: FleetSnapshot): boolean {
-		const fullZones = new Set(Object.keys(zones).filter((zone) => zoneTaskHeadroom(spec, zones, zone) < 1));
-		// More are on their way as a rule, so a machine for many may be worth its price.
-		let comingCpus = count * spec.cpus;
-		for (const expected of this.expected()) comingCpus += expected.taskCount * expected.cpus;
-		const need: ScaleOutNeed = { spec, work: 0, replicas: { count, comingCpus, fullZones } };
-		return this.rentals.request(need, look) === "asked";
+	private requestMachines(
+		{ spec, replicaCount, replicasByZone }: ReplicaShortage,
+		snapshot: FleetSnapshot,
+	): boolean {
+		const fullZones = new Set(
+			Object.keys(replicasByZone).filter((zone) => zoneTaskHeadroom(spec, replicasByZone, zone) < 1),
+		);
+		// More replicas usually follow, so a machine that holds many may be worth its price.
+		let expectedCpus = replicaCount * spec.cpus;
+		for (const expected of this.expectedSpecs()) expectedCpus += expected.taskCount * expected.cpus;
+		const need: ScaleOutNeed = {
+			spec,
+			remainingWork: 0,
+			replicas: { replicaCount, expectedCpus, fullZones },
+		};
+		return this.scaleOut.request(need, snapshot) === "requested";
 	}
 
 	/**
-	 * With replicas on it, a machine is worth draining only if it is all but empty and they have
-	 * room elsewhere now.
+	 * True if a machine with replicas may drain: at most a quarter of its cores are in use, and its replicas fit
+	 * on other running machines now.
 	 */
-	couldLeave(machine: Machine, machines: Machine[]): boolean {
+	canRelocateReplicas(machine: Machine, machines: Machine[]): boolean {
 		if (machine.capacity.usedCpus > machine.type.cpus / 4) return false;
-		const others = machines.filter((m) => m !== machine && m.agent.running && !m.health.onProbation);
-		const room = new FreeCapacity(freeOn);
+		const targets = machines.filter((m) => m !== machine && m.agent.running && !m.health.onProbation);
+		const capacity = new SimulatedCapacity(freeResources);
 		for (const attempt of machine.attempts.values()) {
 			if (!attempt.job.isService) continue;
-			const zones = tasksByZoneExcluding(attempt.job, [attempt]);
-			if (room.take(attempt.job.spec, 1, others, zones) > 0) return false;
+			const replicasByZone = tasksByZoneExcluding(attempt.job, [attempt]);
+			if (capacity.placeTasks(attempt.job.spec, 1, targets, replicasByZone) > 0) return false;
 		}
 		return true;
 	}
@@ -186,11 +227,11 @@
 
 function shortageOf(
 	{ spec }: Job,
-	wanted: number,
-	look: FleetSnapshot,
-	room: FreeCapacity,
-	zones: Record<string, number>,
-): Shortage | null {
-	const count = room.take(spec, wanted, look.machines, zones);
-	return count > 0 ? { spec, count, zones } : null;
+	replicaCount: number,
+	snapshot: FleetSnapshot,
+	capacity: SimulatedCapacity,
+	replicasByZone: Record<string, number>,
+): ReplicaShortage | null {
+	const unplaced = capacity.placeTasks(spec, replicaCount, snapshot.machines, replicasByZone);
+	return unplaced > 0 ? { spec, replicaCount: unplaced, replicasByZone } : null;
 }
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -10,196 +10,223 @@
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 import { type FleetSnapshot, usableCpus } from "./fleet-load.js";
-import { type MachineOffer, machinesToCut, offerKey, offersFor, rankOffers } from "./hill-climb.js";
+import { type MachineOffer, machinesToAdd, offerKey, offersFor, rankOffers } from "./hill-climb.js";
 
-/** An offer this many times as dear as the cheapest of its kind is not taken at once. */
-const dearFrom = 2;
-const rentalTriesMs = 60_000;
+/** An offer whose cores cost more than this multiple of the best offer's is not requested at once. */
+const expensiveFactor = 2;
+/** A request without a definite response is repeated for this long. */
+const requestTimeoutMs = 60_000;
 const retryMs = 500;
-/** The cloud's own bound. */
-const mostPerCall = 50;
+/** The cloud's limit on the machines of one call. */
+const maxMachinesPerCall = 50;
 
-/** Machines wanted for replicas, by themselves and whatever the load is. */
+/** A need for machines to run replicas, which is independent of the load. */
 export interface ReplicaNeed {
-	/** Replicas that have no room. */
-	count: number;
-	/** Cores that replicas will want before long. */
-	comingCpus: number;
-	/** Zones in which no more of them may be. */
+	/** Replicas that fit on no machine. */
+	replicaCount: number;
+	/** Cores of these replicas and of those expected next. */
+	expectedCpus: number;
+	/** Zones in which the job's zone constraints allow no more replicas. */
 	fullZones: ReadonlySet<string>;
 }
 
-/** What machines are wanted for. */
+/** A need for machines. */
 export interface ScaleOutNeed {
-	/** The work that they must be able to hold. */
+	/** The job of which the machines must be able to hold a task. */
 	spec: JobSpec;
-	/** Remaining work that is to be brought down to the high mark; 0: one machine, at once. */
-	work: number;
+	/** The remaining work for which the load is to be brought down to the high threshold; 0: one machine, at once. */
+	remainingWork: number;
 	replicas?: ReplicaNeed;
 }
 
-export type ScaleOutOutcome = "asked" | "not now" | "nothing to be had";
+/**
+ * The result of a scale-out request: it was sent; it is not to be sent now; or no offer can meet the need, so
+ * that another need may be tried.
+ */
+export type ScaleOutOutcome = "requested" | "deferred" | "no offer";
 
-interface Rental {
+interface PendingRequest {
 	request: ScaleOutRequest;
 	type: MachineType;
 	firstSentAt: number;
 }
 
 export interface ScaleOutHooks {
-	post(command: () => void): void;
-	authority(): boolean;
-	/** More is wanted than this call gave: the next round need not wait for the counters. */
-	unfilled(): void;
+	/** Runs the action in the process's serial executor. */
+	post(action: () => void): void;
+	/** True while this process may act as the leader. */
+	active(): boolean;
+	/** More machines are needed than the request created: the next round should not wait for the counters. */
+	onUnfilled(): void;
 	isDeleted(machine: string): boolean;
-	isCutOff(zone: string): boolean;
+	isZoneIsolated(zone: string): boolean;
 }
 
-/** Chooses what to rent and asks the cloud for it, one request at a time. */
+/** Chooses machines to create and requests them from the cloud, one request at a time. */
 export class ScaleOut {
 	private readonly refusedUntil = new Map<string, number>();
-	private rental: Rental | null = null;
-	/** Times in a row that the up counter acted with nothing but dear offers left. */
-	private patience = 0;
+	private pendingRequest: PendingRequest | null = null;
+	/** Number of successive requests for which only expensive offers were available. */
+	private deferredRequests = 0;
 	private requestNumber = 0;
 
 	constructor(
 		private readonly clusterState: ClusterState,
 		private readonly cloud: CloudProvider,
-		private readonly time: Clock,
+		private readonly clock: Clock,
 		private readonly climb: OperatorSettings["climb"],
-		/** Begins the names of all requests; never used by another term or process. */
+		/** The prefix of all request names; never used by another term or process. */
 		private readonly requestPrefix: string,
 		private readonly hooks: ScaleOutHooks,
 		private readonly log: Log,
 	) {}
 
-	/** A request is on its way. */
-	get pending(): boolean {
-		return this.rental !== null;
+	/** True if a request is pending. */
+	get requestPending(): boolean {
+		return this.pendingRequest !== null;
 	}
 
-	/** The load is no longer high. */
-	loadIsDown(): void {
-		this.patience = 0;
+	/** Called when the load is no longer high: the wait for an expensive offer starts anew. */
+	onLoadNormal(): void {
+		this.deferredRequests = 0;
 	}
 
-	/** A machine of it is gone, so there may be another, whatever was refused before. */
-	allowAgain(offer: Pick<MachineOffer, "type" | "zone" | "spot">): void {
+	/** Makes the offer available again after a refusal: one of its machines was deleted, so there may be capacity. */
+	clearRefusal(offer: Pick<MachineOffer, "type" | "zone" | "spot">): void {
 		this.refusedUntil.delete(offerKey(offer));
 	}
 
-	request(need: ScaleOutNeed, look: FleetSnapshot): ScaleOutOutcome {
-		if (this.rental) return "not now";
-		const machines = look.machines.length;
-		const most = this.climb.most_machines;
-		if (most > 0 && machines >= most) return "not now";
-		const usable = usableCpus(this.clusterState);
-		const byLoad = machines > 0 && need.work > 0;
-		if (byLoad && look.cpus >= usable) return "not now";
-		const wanted = need.replicas?.comingCpus ?? Math.max(usable - look.cpus, need.spec.cpus);
+	/** Requests machines for the need, if it can be met now. */
+	request(need: ScaleOutNeed, snapshot: FleetSnapshot): ScaleOutOutcome {
+		if (this.pendingRequest) return "deferred";
+		const machineCount = snapshot.machines.length;
+		const maxMachines = this.climb.most_machines;
+		if (maxMachines > 0 && machineCount >= maxMachines) return "deferred";
+		const cpusWithinLimits = usableCpus(this.clusterState);
+		const loadDriven = machineCount > 0 && need.remainingWork > 0;
+		if (loadDriven && snapshot.cpus >= cpusWithinLimits) return "deferred";
+		const neededCpus =
+			need.replicas?.expectedCpus ?? Math.max(cpusWithinLimits - snapshot.cpus, need.spec.cpus);
 		const offers = rankOffers(
 			offersFor(need.spec, [...this.clusterState.machineTypes.values()]),
 			need.spec,
-			wanted,
+			neededCpus,
 		);
-		const offer = offers.find((o) => this.isOpen(o, need, look.now));
-		if (!offer) return "nothing to be had";
-		if (this.tooDear(offer, offers[0] as MachineOffer, byLoad)) return "not now";
-		let count = this.countOf(need, offer, look, usable);
-		if (most > 0) count = Math.min(count, most - machines);
-		this.send(offer, Math.max(1, Math.min(mostPerCall, count)), look.now);
-		return "asked";
+		const offer = offers.find((o) => this.isAvailable(o, need, snapshot.now));
+		if (!offer) return "no offer";
+		if (this.isTooExpensive(offer, offers[0] as MachineOffer, loadDriven)) return "deferred";
+		let count = this.machinesToRequest(need, offer, snapshot, cpusWithinLimits);
+		if (maxMachines > 0) count = Math.min(count, maxMachines - machineCount);
+		this.send(offer, Math.max(1, Math.min(maxMachinesPerCall, count)), snapshot.now);
+		return "requested";
 	}
 
-	private isOpen(offer: MachineOffer, need: ScaleOutNeed, now: number): boolean {
-		if (this.hooks.isCutOff(offer.zone) || need.replicas?.fullZones.has(offer.zone)) return false;
+	/** True if the offer may be requested: its zone may be used, and it was not refused recently. */
+	private isAvailable(offer: MachineOffer, need: ScaleOutNeed, now: number): boolean {
+		if (this.hooks.isZoneIsolated(offer.zone) || need.replicas?.fullZones.has(offer.zone)) return false;
 		return (this.refusedUntil.get(offerKey(offer)) ?? 0) <= now;
 	}
 
-	/** Dear machines are rented only when the load stays high for longer, by as much as they cost more. */
-	private tooDear(offer: MachineOffer, cheapest: MachineOffer, byLoad: boolean): boolean {
-		const dearness = pricePerCpu(offer) / pricePerCpu(cheapest);
-		this.patience += 1;
-		if (byLoad && dearness > dearFrom && this.patience <= 2 * dearness * this.climb.up_past) return true;
-		this.patience = 0;
+	/** True if the offer is not to be requested yet: the more expensive it is, the longer the load must stay high. */
+	private isTooExpensive(offer: MachineOffer, cheapest: MachineOffer, loadDriven: boolean): boolean {
+		const priceRatio = hourlyPricePerCpu(offer) / hourlyPricePerCpu(cheapest);
+		this.deferredRequests += 1;
+		if (
+			loadDriven &&
+			priceRatio > expensiveFactor &&
+			this.deferredRequests <= 2 * priceRatio * this.climb.up_past
+		)
+			return true;
+		this.deferredRequests = 0;
 		return false;
 	}
 
-	private countOf(
-		{ spec, work, replicas }: ScaleOutNeed,
+	/** Returns how many machines of the offer to request for the need. */
+	private machinesToRequest(
+		{ spec, remainingWork, replicas }: ScaleOutNeed,
 		{ type }: MachineOffer,
-		look: FleetSnapshot,
-		usable: number,
+		snapshot: FleetSnapshot,
+		cpusWithinLimits: number,
 	) {
 		if (replicas) {
-			const here = spec.spreadZones
-				? Math.min(replicas.count, Math.ceil(spec.taskCount / 2))
-				: replicas.count;
-			return Math.ceil(here / maxTasksPerMachine(spec, type));
+			const replicasInZone = spec.spreadZones
+				? Math.min(replicas.replicaCount, Math.ceil(spec.taskCount / 2))
+				: replicas.replicaCount;
+			return Math.ceil(replicasInZone / maxTasksPerMachine(spec, type));
 		}
-		const highPerCpu = this.climb.high * look.secondsLeft;
-		const count = machinesToCut(work, look.machines.length, look.cpus, type.cpus, highPerCpu, mostPerCall);
-		// Cores beyond what the teams' limits allow would stand idle.
-		return Math.min(count, Math.ceil(Math.max(0, usable - look.cpus) / type.cpus));
+		const highThresholdPerCpu = this.climb.high * snapshot.meanRemainingS;
+		const count = machinesToAdd(
+			remainingWork,
+			snapshot.machines.length,
+			snapshot.cpus,
+			type.cpus,
+			highThresholdPerCpu,
+			maxMachinesPerCall,
+		);
+		// Cores beyond the teams' limits would be idle.
+		return Math.min(count, Math.ceil(Math.max(0, cpusWithinLimits - snapshot.cpus) / type.cpus));
 	}
 
 	private send({ type, zone, spot }: MachineOffer, count: number, now: number): void {
 		this.requestNumber += 1;
 		const name = `${this.requestPrefix}-${this.requestNumber}`;
-		this.rental = { request: { name, machineType: type.name, zone, spot, count }, type, firstSentAt: now };
-		this.call(this.rental);
+		this.pendingRequest = {
+			request: { name, machineType: type.name, zone, spot, count },
+			type,
+			firstSentAt: now,
+		};
+		this.callCloud(this.pendingRequest);
 	}
 
-	private call(rental: Rental): void {
-		this.cloud.createMachines(rental.request).then(
-			(ids) => this.hooks.post(() => this.rented(rental, ids)),
-			(error) => this.hooks.post(() => this.failed(rental, error)),
+	private callCloud(pending: PendingRequest): void {
+		this.cloud.createMachines(pending.request).then(
+			(ids) => this.hooks.post(() => this.onCreated(pending, ids)),
+			(error) => this.hooks.post(() => this.onRequestFailed(pending, error)),
 		);
 	}
 
-	private rented(rental: Rental, ids: string[]): void {
-		const { request } = rental;
-		const now = this.time.now();
-		this.rental = null;
-		for (const id of ids) this.expect(id, rental, now);
-		if (ids.length > 0) this.log.info({ ...request, got: ids.length }, "scale-out complete");
+	private onCreated(pending: PendingRequest, ids: string[]): void {
+		const { request } = pending;
+		const now = this.clock.now();
+		this.pendingRequest = null;
+		for (const id of ids) this.addMachine(id, pending, now);
+		if (ids.length > 0) this.log.info({ ...request, created: ids.length }, "scale-out complete");
 		else this.log.debug({ ...request }, "scale-out refused: no capacity");
-		if (ids.length < request.count) this.refuse(rental, now);
-		// What one offer could not give is asked of the next, and what one call could not
-		// ask for of another, without waiting for more rounds.
-		if (ids.length < request.count || request.count === mostPerCall) this.hooks.unfilled();
+		if (ids.length < request.count) this.recordRefusal(pending, now);
+		// Machines that this offer could not provide are requested from the next one, and those beyond the cloud's
+		// limit per call in another call, without waiting for the counters.
+		if (ids.length < request.count || request.count === maxMachinesPerCall) this.hooks.onUnfilled();
 	}
 
-	private failed(rental: Rental, error: unknown): void {
-		const now = this.time.now();
+	private onRequestFailed(pending: PendingRequest, error: unknown): void {
+		const now = this.clock.now();
 		const rejected = error instanceof CallError && error.outcome === "rejected";
-		if (rejected || now - rental.firstSentAt > rentalTriesMs) {
-			this.rental = null;
-			this.refuse(rental, now);
-			this.log.info({ ...rental.request, err: String(error) }, "scale-out abandoned");
+		if (rejected || now - pending.firstSentAt > requestTimeoutMs) {
+			this.pendingRequest = null;
+			this.recordRefusal(pending, now);
+			this.log.info({ ...pending.request, err: String(error) }, "scale-out abandoned");
 			return;
 		}
-		// Perhaps it was carried out: the same name gets the same machines.
-		this.time.after(retryMs, () =>
+		// The request may have been executed: repeating it under the same name yields the same machines.
+		this.clock.after(retryMs, () =>
 			this.hooks.post(() => {
-				if (this.rental === rental && this.hooks.authority()) this.call(rental);
-				else this.rental = null;
+				if (this.pendingRequest === pending && this.hooks.active()) this.callCloud(pending);
+				else this.pendingRequest = null;
 			}),
 		);
 	}
 
-	private refuse({ type, request: { zone, spot } }: Rental, now: number): void {
+	private recordRefusal({ type, request: { zone, spot } }: PendingRequest, now: number): void {
 		this.refusedUntil.set(offerKey({ type, zone, spot }), now + this.climb.refusal_s * 1000);
 	}
 
-	private expect(id: string, { type, request: { zone, spot } }: Rental, now: number): void {
+	private addMachine(id: string, { type, request: { zone, spot } }: PendingRequest, now: number): void {
 		if (this.clusterState.machines.has(id) || this.hooks.isDeleted(id)) return;
 		const machine = new Machine({ id, type, zone, spot, origin: "created" }, now);
 		this.clusterState.addMachine(machine);
 	}
 }
 
-function pricePerCpu(offer: MachineOffer): number {
-	return offer.price / offer.type.cpus;
+function hourlyPricePerCpu(offer: MachineOffer): number {
+	return offer.hourlyPrice / offer.type.cpus;
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -130,7 +130,7 @@
 		const now = clock.now();
 		placement.run(now);
 		for (const machine of clusterState.consumeRelocationTargets()) heartbeats.onRelocationAssigned(machine);
-		if (placement.settled) {
+		if (placement.idle) {
 			heartbeats.sendStarts(now);
 			if (!clusterState.placementRequested) heartbeats.releaseAwaitingPlacement();
 		}
@@ -147,7 +147,7 @@
 		tickDelay.onProcessPause(clock.now());
 		heartbeats.refuseAll();
 		failover.onProcessPause(pausedMs);
-		placement.stalled();
+		placement.onProcessPause();
 	}
 
 	// --- workers ---
@@ -195,7 +195,7 @@
 		if (authority.ended || message.term !== authority.term) return;
 		const now = clock.now();
 		failureDetector.messageReceived(from, now);
-		if (message.kind === "placement-proposal") placement.proposed(from, message, now);
+		if (message.kind === "placement-proposal") placement.onProposal(from, message, now);
 		if (message.kind !== "leader-heartbeat-reply") return;
 		failureDetector.heartbeatReplyReceived(from, message, now);
 		if (message.teamQuota !== undefined) leaderQuota?.handleReply(from, message.teamQuota);
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -6,175 +6,193 @@
 import type { Log } from "../ports/log.js";
 import type { ClusterState } from "../state/cluster-state.js";
 
-/** A job of which nothing has begun for this long may have a machine reserved. */
-const waitsForRoomS = 60;
-/** Most machines that are reserved at a time, as a part of those that are open. */
-const mostReservedPart = 0.05;
-/** Machines looked through for the one that has room soonest. */
-const machinesSampled = 100;
-const everyMs = 1000;
-/** What was waited for so long is not stopped at once for work of more right. */
-const keptMs = 60_000;
-
-/** Each look costs a search of all machines for every kind of demand. */
-const demandsPerLook = 8;
-/** Estimates are often wrong: a machine that has no room after this is given up for another. */
-const longestMs = 90_000;
+/** A machine may be reserved for a job that has waited this long without any task started. */
+const minWaitS = 60;
+/** The maximum number of machines reserved at a time, as a fraction of the schedulable machines. */
+const maxReservedFraction = 0.05;
+/** The number of machines searched for the one on which a task fits soonest; of more, a random sample is searched. */
+const maxSampledMachines = 100;
+const searchIntervalMs = 1000;
+/**
+ * A task started on a reserved machine is protected from preemption for this long, so that a task that has
+ * waited long is not stopped at once for work of higher priority.
+ */
+const preemptionProtectionMs = 60_000;
+
+/** Ends a search after this many rejected demands, since each one costs a search of all machines. */
+const maxRejectedDemands = 8;
+/** A reservation expires if the task does not fit by then: estimated run times are often wrong. */
+const reservationTimeoutMs = 90_000;
 
 interface Reservation {
 	machine: Machine;
-	/** Steady time. */
-	until: number;
+	/** Monotonic time. */
+	expiresAt: number;
 }
 
-interface Prospect {
+interface ReservationCandidate {
 	machine: Machine;
-	/** Seconds until the machine has room, going by estimates. */
-	seconds: number;
-	/** Tasks that have to end for that. */
-	ends: number;
+	/** Estimated seconds until the task fits on the machine. */
+	availableInS: number;
+	/** Number of tasks that have to end before it fits. */
+	endingTasks: number;
 }
 
 /**
- * Wide tasks never start beside small ones: whatever comes free is taken by the next small task. Once
- * a job has waited for long, a machine is kept free of new work until one of its tasks fits there.
- * Only what has nowhere to start at all is served, one task for each job: the rest of it follows in
- * the order of service.
+ * Reserves machines for tasks that need a large part of a machine. Without a reservation such tasks would never
+ * start beside small ones, since the next small task takes all capacity that is released. Once a job has waited
+ * long, a machine accepts no new work until one of the job's tasks fits there. Only jobs of which no task has
+ * started get a reservation, for one task each; the other tasks of the job follow in scheduling order.
  */
 export class MachineReservations {
-	private nextLookAt = 0;
+	private nextSearchAt = 0;
 	private readonly reservations = new Map<Job, Reservation>();
 
 	constructor(
 		private readonly clusterState: ClusterState,
 		private readonly capS: number,
-		private readonly sample: (machines: Machine[], most: number) => Machine[],
+		private readonly sampleMachines: (machines: Machine[], maxSize: number) => Machine[],
 		private readonly log: Log,
 	) {}
 
-	/** Starts what has room by now and reserves machines for what waits. Called before each placement. */
-	update(now: number, date: number): Attempt[] {
-		const started = this.startReserved(now);
-		if (now >= this.nextLookAt) {
-			this.nextLookAt = now + everyMs;
-			this.reserveFor(this.waitingForRoom(now, date), now);
+	/**
+	 * Starts the tasks that fit on their reserved machines and reserves further machines. Called before each
+	 * placement.
+	 *
+	 * @param wallClockMs Time of day in milliseconds.
+	 * @returns The attempts that were assigned.
+	 */
+	update(now: number, wallClockMs: number): Attempt[] {
+		const started = this.startOnReservedMachines(now);
+		if (now >= this.nextSearchAt) {
+			this.nextSearchAt = now + searchIntervalMs;
+			this.reserveMachines(this.jobsWithoutCapacity(now, wallClockMs), now);
 		}
 		return started;
 	}
 
-	private startReserved(now: number): Attempt[] {
+	private startOnReservedMachines(now: number): Attempt[] {
 		const started: Attempt[] = [];
-		for (const [job, { machine, until }] of this.reservations) {
+		for (const [job, { machine, expiresAt }] of this.reservations) {
 			const attempt = this.clusterState.assignNextTask(job, machine);
 			if (attempt) {
-				attempt.protectFromPreemption(now + keptMs);
+				attempt.protectFromPreemption(now + preemptionProtectionMs);
 				job.markReservationUsed();
 				started.push(attempt);
-				this.log.info({ job: job.id, machine: machine.id }, "reservation used");
+				this.log.info({ jobId: job.id, machineId: machine.id }, "reservation used");
 			}
-			const usable = machine.schedulable && this.holds(machine) && now < until;
-			if (attempt || !usable || !stillWaits(job)) this.release(job, machine);
+			const usable = machine.schedulable && this.isCurrent(machine) && now < expiresAt;
+			if (attempt || !usable || !waitsOnlyForCapacity(job)) this.cancelReservation(job, machine);
 		}
 		return started;
 	}
 
-	/** Jobs whose reserved machine has room by now. */
-	startable(): Job[] {
-		const ready = [...this.reservations].filter(([job, { machine }]) => machine.capacity.fits(job.spec));
-		return ready.map(([job]) => job);
+	/** Returns the jobs of which a task fits on the reserved machine. */
+	startableJobs(): Job[] {
+		const startable = [...this.reservations].filter(([job, { machine }]) => machine.capacity.fits(job.spec));
+		return startable.map(([job]) => job);
 	}
 
-	/** The machine is still this leader's. */
-	private holds(machine: Machine): boolean {
+	/** True if the machine has not been removed from the cluster state. */
+	private isCurrent(machine: Machine): boolean {
 		return this.clusterState.machines.get(machine.id) === machine;
 	}
 
-	private release(job: Job, machine: Machine): void {
+	private cancelReservation(job: Job, machine: Machine): void {
 		this.reservations.delete(job);
 		machine.capacity.cancelJobReservation();
 		this.clusterState.requestPlacement();
 	}
 
-	/** The widest first, and of those the oldest. */
-	private waitingForRoom(now: number, date: number): Job[] {
+	/**
+	 * Returns the jobs that wait for capacity: those with the most cores per task first, the oldest first among
+	 * equals.
+	 */
+	private jobsWithoutCapacity(now: number, wallClockMs: number): Job[] {
 		return [...this.clusterState.jobs.values()]
 			.filter(
 				(job) =>
-					stillWaits(job) &&
+					waitsOnlyForCapacity(job) &&
 					!this.reservations.has(job) &&
-					date - job.acceptedAt > waitsForRoomS * 1000 &&
+					wallClockMs - job.acceptedAt > minWaitS * 1000 &&
 					this.clusterState.hasRunnableTask(job, now),
 			)
 			.sort((a, b) => b.spec.cpus - a.spec.cpus || a.acceptedAt - b.acceptedAt);
 	}
 
-	private reserveFor(jobs: Job[], now: number): void {
+	private reserveMachines(jobs: Job[], now: number): void {
 		if (jobs.length === 0) return;
-		const open = [...this.clusterState.machines.values()].filter(
+		const schedulable = [...this.clusterState.machines.values()].filter(
 			(m) => m.schedulable && !m.health.onProbation,
 		);
-		const most = Math.max(1, Math.floor(open.length * mostReservedPart));
-		/** Demands that were looked at: what is not wide, or has no machine, is so for all jobs with them. */
-		const unserved = new Set<string>();
+		const maxReservations = Math.max(1, Math.floor(schedulable.length * maxReservedFraction));
+		/**
+		 * Demands that need no reservation or for which there is no machine: the same holds for every job with
+		 * them.
+		 */
+		const rejectedDemands = new Set<string>();
 		for (const job of jobs) {
-			if (this.reservations.size >= most || unserved.size >= demandsPerLook) return;
-			if (unserved.has(job.demandKey)) continue;
-			const best = this.soonest(job, open, now);
-			// Room that one end makes is given out in the order of service.
-			if (!best || best.ends < 2) {
-				unserved.add(job.demandKey);
+			if (this.reservations.size >= maxReservations || rejectedDemands.size >= maxRejectedDemands) return;
+			if (rejectedDemands.has(job.demandKey)) continue;
+			const best = this.soonestAvailable(job, schedulable, now);
+			// A task that fits as soon as one other task ends needs no reservation: it is placed in scheduling order.
+			if (!best || best.endingTasks < 2) {
+				rejectedDemands.add(job.demandKey);
 				continue;
 			}
 			best.machine.capacity.reserveForJob(job);
-			this.reservations.set(job, { machine: best.machine, until: now + longestMs });
-			const inS = Math.round(best.seconds);
-			this.log.info({ job: job.id, machine: best.machine.id, inS }, "machine reserved");
+			this.reservations.set(job, { machine: best.machine, expiresAt: now + reservationTimeoutMs });
+			const availableInS = Math.round(best.availableInS);
+			this.log.info({ jobId: job.id, machineId: best.machine.id, availableInS }, "machine reserved");
 		}
 	}
 
-	private soonest(job: Job, open: Machine[], now: number): Prospect | null {
-		const able = open.filter(
+	private soonestAvailable(job: Job, schedulable: Machine[], now: number): ReservationCandidate | null {
+		const eligible = schedulable.filter(
 			(machine) => machine.capacity.reservedForJob === null && fitsEmptyMachine(machine, job),
 		);
-		let best: Prospect | null = null;
-		for (const machine of this.sample(able, machinesSampled)) {
-			const prospect = this.prospect(machine, job, now);
-			if (prospect && (best === null || prospect.seconds < best.seconds)) best = prospect;
+		let best: ReservationCandidate | null = null;
+		for (const machine of this.sampleMachines(eligible, maxSampledMachines)) {
+			const candidate = this.candidateFor(machine, job, now);
+			if (candidate && (best === null || candidate.availableInS < best.availableInS)) best = candidate;
 		}
 		return best;
 	}
 
-	/** null: replicas, which do not end, take too much of it. */
-	private prospect(machine: Machine, { spec }: Job, now: number): Prospect | null {
-		const left = {
+	/**
+	 * Estimates when a task of the job fits on the machine; null: never, since replicas, which do not end, use
+	 * too much of it.
+	 */
+	private candidateFor(machine: Machine, { spec }: Job, now: number): ReservationCandidate | null {
+		const free = {
 			cpus: machine.capacity.freeCpus,
 			gpus: machine.capacity.freeGpus,
 			memory: machine.capacity.freeMemoryGb,
 		};
-		const ending = [...machine.attempts.values()]
+		const runningTasks = [...machine.attempts.values()]
 			.filter((attempt) => !attempt.job.isService)
 			.map((attempt) => ({
 				spec: attempt.job.spec,
 				seconds: remainingCpuSecondsOfAttempt(attempt, now, this.capS) / attempt.job.spec.cpus,
 			}))
 			.sort((a, b) => a.seconds - b.seconds);
-		let ends = 0;
-		let seconds = 0;
-		while (left.cpus < spec.cpus || left.gpus < spec.gpus || left.memory < spec.memoryGb) {
-			const next = ending[ends];
+		let endingTasks = 0;
+		let availableInS = 0;
+		while (free.cpus < spec.cpus || free.gpus < spec.gpus || free.memory < spec.memoryGb) {
+			const next = runningTasks[endingTasks];
 			if (!next) return null;
-			ends += 1;
-			seconds = next.seconds;
-			left.cpus += next.spec.cpus;
-			left.gpus += next.spec.gpus;
-			left.memory += next.spec.memoryGb;
+			endingTasks += 1;
+			availableInS = next.seconds;
+			free.cpus += next.spec.cpus;
+			free.gpus += next.spec.gpus;
+			free.memory += next.spec.memoryGb;
 		}
-		return { machine, seconds, ends };
+		return { machine, availableInS, endingTasks };
 	}
 }
 
-/** Nothing of the job has begun, and nothing but room is in the way. */
-function stillWaits(job: Job): boolean {
+/** True if no task of the job has started, and only a lack of capacity prevents it. */
+function waitsOnlyForCapacity(job: Job): boolean {
 	if (
 		job.reservationUsed ||
 		job.isService ||
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -10,242 +10,264 @@
 import type { LeaderQuotaPort } from "../ports/team-quota.js";
 import { ownerOf } from "../sharding/rendezvous-hash.js";
 import type { ClusterState } from "../state/cluster-state.js";
-import { placeFirstFit, sampleOf } from "./first-fit.js";
-import { grantsFor, type TeamGrant } from "./grants.js";
-import { servingOrder } from "./job-order.js";
+import { placeFirstFit, randomSample } from "./first-fit.js";
+import { computeGrants, type TeamGrant } from "./grants.js";
+import { schedulingOrder } from "./job-order.js";
 import { MachineReservations } from "./machine-reservations.js";
 import type { QuotaAdmission } from "./quota-admission.js";
 
-/** A job that its placer does not know is placed by the leader for so long. */
-const placedHereMs = 5000;
-/** So long after the leader a placer may come to know a job, where team quota is in use. */
-const copyLagMs = 1000;
-/** Stands for no bound on tasks where a machine is not on trial. */
-const manySlots = 100_000;
+/** The leader itself places a job for this long after its placer reported the job as unknown. */
+const leaderPlacementMs = 5000;
+/**
+ * With team quota, a job that a placer reports as unknown within this time after the leader loaded it stays
+ * with the placer, whose store replica may lag this far behind.
+ */
+const replicaLagMs = 1000;
+/** The value of `MachineCapacity.slots` for machines that are not on probation: no limit on the number of tasks. */
+const unlimitedSlots = 100_000;
 
-interface Outstanding {
+/** A placement request whose proposal has not been received. */
+interface OutstandingRequest {
 	cycle: number;
 	sentAt: number;
 }
 
 export interface PlacementOptions {
 	/** This node. */
-	self: string;
+	node: string;
 	clusterState: ClusterState;
-	peerMonitor: FailureDetector;
+	failureDetector: FailureDetector;
 	peers: PeerMessenger;
-	time: Clock;
+	clock: Clock;
 	random: RandomGenerator;
 	log: Log;
-	/** Least time between cycles, silence after which a placer is given up, machines in a view. */
-	cycleMs: number;
-	silentMs: number;
-	sample: number;
-	/** Most remaining seconds that a task is counted for. */
+	/** The minimum time between two cycles. */
+	cycleIntervalMs: number;
+	/** A placer that has not answered a request within this time is marked unresponsive. */
+	placerTimeoutMs: number;
+	/** The number of machines whose capacity is offered in one cycle; of more, a random sample is offered. */
+	maxMachinesPerCycle: number;
+	/** The maximum remaining seconds that are counted for a task. */
 	capS: number;
-	/** Team quota, where it is in use. */
+	/** null: team quota is off. */
 	quota: { admission: QuotaAdmission; leaderQuota: LeaderQuotaPort } | null;
-	/** A start was decided; it goes out with the answer to the machine's report. */
-	decided(attempt: Attempt): void;
+	/** Called with each attempt that was assigned to a machine, whose start command has yet to be sent. */
+	onAttemptAssigned(attempt: Attempt): void;
 }
 
 /**
- * Shares out what waits: the leader decides how much of each job may start, each team's placer
- * proposes where, and every single start is checked against the leader's own tables.
+ * Places waiting tasks. The leader decides how many tasks of each job may start, each team's placer proposes
+ * machines for them, and the leader checks every single start against its own state.
  */
 export class PlacementCycle {
 	private readonly clusterState: ClusterState;
-	private readonly outstanding = new Map<string, Outstanding>();
-	private readonly reserved: MachineReservations;
+	private readonly outstandingRequests = new Map<string, OutstandingRequest>();
+	private readonly reservations: MachineReservations;
 	private cycle = 0;
-	private nextAt = 0;
+	private nextCycleAt = 0;
 
 	constructor(private readonly options: PlacementOptions) {
 		this.clusterState = options.clusterState;
-		this.reserved = new MachineReservations(
+		this.reservations = new MachineReservations(
 			options.clusterState,
 			options.capS,
-			(machines, most) => sampleOf(machines, most, options.random),
+			(machines, maxSize) => randomSample(machines, maxSize, options.random),
 			options.log,
 		);
 	}
 
-	/** No placer is being waited for. */
-	get settled(): boolean {
-		return this.outstanding.size === 0;
+	/** True if no placement request is outstanding. */
+	get idle(): boolean {
+		return this.outstandingRequests.size === 0;
 	}
 
-	/** After each batch of commands. */
+	/** Runs a cycle if one is requested and due. Called after each batch of actions. */
 	run(now: number): void {
-		if (!this.clusterState.placementRequested || now < this.nextAt) return;
+		if (!this.clusterState.placementRequested || now < this.nextCycleAt) return;
 		this.clusterState.clearPlacementRequest();
-		this.nextAt = now + this.options.cycleMs;
-		if (this.clusterState.reconciled) this.place(now);
+		this.nextCycleAt = now + this.options.cycleIntervalMs;
+		if (this.clusterState.reconciled) this.runCycle(now);
 	}
 
-	/** The process stood still: proposals for tables of before are not waited for, and nobody was silent. */
-	stalled(): void {
-		this.outstanding.clear();
+	/**
+	 * Discards the outstanding requests after a process pause: their proposals would be for the state before the
+	 * pause, and placers that seem to have exceeded the timeout may have answered.
+	 */
+	onProcessPause(): void {
+		this.outstandingRequests.clear();
 		this.clusterState.requestPlacement();
 	}
 
-	inOrder(jobs: Job[]): Job[] {
-		const { quotas, schedulableCpus: cpus } = this.clusterState;
-		const teams = new Set(jobs.map((job) => job.spec.team)).size;
-		return servingOrder(
+	/** Returns the jobs in scheduling order. */
+	inSchedulingOrder(jobs: Job[]): Job[] {
+		const { quotas, schedulableCpus } = this.clusterState;
+		const teamCount = new Set(jobs.map((job) => job.spec.team)).size;
+		return schedulingOrder(
 			jobs,
 			(team) => quotas.quotaOf(team),
-			this.options.time.date().getTime(),
-			cpus > 0 ? cpus / Math.max(1, teams) : Number.POSITIVE_INFINITY,
+			this.options.clock.date().getTime(),
+			schedulableCpus > 0 ? schedulableCpus / Math.max(1, teamCount) : Number.POSITIVE_INFINITY,
 		);
 	}
 
-	private place(now: number): void {
-		this.giveUpSilent(now);
-		for (const attempt of this.reserved.update(now, this.options.time.date().getTime()))
-			this.options.decided(attempt);
-		this.admitHere(now);
-		const views = this.views();
-		if (views.length === 0) return;
-		const shares = this.shares(this.grants(views, now), now);
-		if (shares.size === 0) return;
+	private runCycle(now: number): void {
+		this.dropUnresponsivePlacers(now);
+		for (const attempt of this.reservations.update(now, this.options.clock.date().getTime()))
+			this.options.onAttemptAssigned(attempt);
+		this.updateLeaderDemands(now);
+		const capacities = this.sampledCapacities();
+		if (capacities.length === 0) return;
+		const grantsByPlacer = this.groupByPlacer(this.grantsForWaitingJobs(capacities, now), now);
+		if (grantsByPlacer.size === 0) return;
 		this.cycle += 1;
-		const order = [...shares.keys()].sort();
-		for (const [placer, grants] of shares) {
-			// Placers begin at different machines so that they seldom want the same place.
-			const start = Math.floor((order.indexOf(placer) * views.length) / order.length);
-			if (placer === this.options.self) this.placeHere(views, grants, start);
-			else this.request(placer, views, grants, start, now);
+		const placers = [...grantsByPlacer.keys()].sort();
+		for (const [placer, grants] of grantsByPlacer) {
+			// Placers start at different machines, so that they seldom propose the same capacity.
+			const startIndex = Math.floor((placers.indexOf(placer) * capacities.length) / placers.length);
+			if (placer === this.options.node) this.placeLocally(capacities, grants, startIndex);
+			else this.sendRequest(placer, capacities, grants, startIndex, now);
 		}
 	}
 
-	/** This node itself starts what waits on reserved machines and what its placer does not know. */
-	private admitHere(now: number): void {
+	/**
+	 * Requests allotments for the tasks that the leader's own node admits: those that fit on reserved machines,
+	 * and those of jobs that their placers do not know.
+	 */
+	private updateLeaderDemands(now: number): void {
 		const { quota } = this.options;
-		if (!quota?.admission.on) return;
-		const needs = this.reserved.startable().map((job) => ({ job, tasks: 1 }));
+		if (!quota?.admission.enabled) return;
+		const demands = this.reservations.startableJobs().map((job) => ({ job, tasks: 1 }));
 		for (const job of this.clusterState.jobs.values())
 			if (job.placedByLeaderUntil > now && job.waitingTasks.length > 0)
-				needs.push({ job, tasks: job.waitingTasks.length });
-		quota.admission.admitHere(needs);
+				demands.push({ job, tasks: job.waitingTasks.length });
+		quota.admission.updateLeaderDemands(demands);
 	}
 
-	private placer(job: Job, live: readonly string[], now: number): string | null {
-		const { self, quota } = this.options;
-		const here = job.placedByLeaderUntil > now;
-		if (here && (!quota?.admission.on || quota.admission.mayPlaceHere(job))) return self;
-		const preferred = ownerOf(job.spec.team, live) ?? self;
-		return quota?.admission.on ? quota.admission.placerFor(job, preferred, live) : preferred;
+	/** Returns the controller that places the job in this cycle; null: none can admit a task of it now. */
+	private placerFor(job: Job, liveNodes: readonly string[], now: number): string | null {
+		const { node, quota } = this.options;
+		const placedByLeader = job.placedByLeaderUntil > now;
+		if (placedByLeader && (!quota?.admission.enabled || quota.admission.leaderCanAdmit(job))) return node;
+		const preferred = ownerOf(job.spec.team, liveNodes) ?? node;
+		return quota?.admission.enabled ? quota.admission.placerFor(job, preferred, liveNodes) : preferred;
 	}
 
-	private giveUpSilent(now: number): void {
-		for (const [node, { sentAt }] of this.outstanding) {
-			if (now - sentAt <= this.options.silentMs) continue;
-			this.outstanding.delete(node);
-			this.options.peerMonitor.markUnresponsive(node);
+	/** Drops outstanding requests that have timed out, and marks their placers unresponsive. */
+	private dropUnresponsivePlacers(now: number): void {
+		for (const [node, { sentAt }] of this.outstandingRequests) {
+			if (now - sentAt <= this.options.placerTimeoutMs) continue;
+			this.outstandingRequests.delete(node);
+			this.options.failureDetector.markUnresponsive(node);
 		}
 	}
 
-	/** Cheap cores fill first, so that dear machines are the ones to run empty and go back. */
-	private views(): MachineCapacity[] {
-		const open = [...this.clusterState.machines.values()].filter(
+	/**
+	 * Returns the free capacity of the schedulable machines, or of a sample of them. Machines with cheap cores
+	 * come first and so are filled first, so that expensive machines run empty and can be deleted.
+	 */
+	private sampledCapacities(): MachineCapacity[] {
+		const schedulable = [...this.clusterState.machines.values()].filter(
 			(m) => m.schedulable && m.capacity.freeCpus > 0 && m.capacity.reservedForJob === null,
 		);
-		return sampleOf(open, this.options.sample, this.options.random)
-			.sort((a, b) => pricePerCpu(a) - pricePerCpu(b) || b.capacity.freeCpus - a.capacity.freeCpus)
+		return randomSample(schedulable, this.options.maxMachinesPerCycle, this.options.random)
+			.sort(
+				(a, b) => hourlyPricePerCpu(a) - hourlyPricePerCpu(b) || b.capacity.freeCpus - a.capacity.freeCpus,
+			)
 			.map(capacityOf);
 	}
 
-	private grants(views: MachineCapacity[], now: number): TeamGrant[] {
+	private grantsForWaitingJobs(capacities: MachineCapacity[], now: number): TeamGrant[] {
 		const waiting = [...this.clusterState.jobs.values()].filter(
 			(job) => job.hasReadyTask(now) && !job.finalizing,
 		);
-		return grantsFor(this.clusterState, this.inOrder(waiting), views, {
-			now,
-			date: this.options.time.date().getTime(),
+		return computeGrants(this.clusterState, this.inSchedulingOrder(waiting), capacities, {
+			monotonicMs: now,
+			wallClockMs: this.options.clock.date().getTime(),
 		});
 	}
 
-	private shares(grants: TeamGrant[], now: number): Map<string, Grant[]> {
-		const live = this.options.peerMonitor.liveControllers(now);
-		const shares = new Map<string, Grant[]>();
+	private groupByPlacer(grants: TeamGrant[], now: number): Map<string, Grant[]> {
+		const liveNodes = this.options.failureDetector.liveControllers(now);
+		const grantsByPlacer = new Map<string, Grant[]>();
 		for (const { grant } of grants) {
 			const job = this.clusterState.jobs.get(grant.jobId);
-			const placer = job ? this.placer(job, live, now) : null;
+			const placer = job ? this.placerFor(job, liveNodes, now) : null;
 			if (placer === null) continue;
-			// A placer still at work on the last view may be using its teams' room already.
-			if (this.outstanding.has(placer)) continue;
-			const share = shares.get(placer);
-			if (share) share.push(grant);
-			else shares.set(placer, [grant]);
+			// A placer with an outstanding request may already be proposing tasks within the same quota.
+			if (this.outstandingRequests.has(placer)) continue;
+			const grantsOfPlacer = grantsByPlacer.get(placer);
+			if (grantsOfPlacer) grantsOfPlacer.push(grant);
+			else grantsByPlacer.set(placer, [grant]);
 		}
-		return shares;
+		return grantsByPlacer;
 	}
 
-	private placeHere(views: MachineCapacity[], grants: Grant[], start: number): void {
-		const copy = views.map((view) => ({ ...view }));
-		const placements = placeFirstFit(copy, grants, (id) => this.clusterState.jobs.get(id)?.spec, start);
-		this.issue(placements, this.options.self);
+	private placeLocally(capacities: MachineCapacity[], grants: Grant[], startIndex: number): void {
+		const copy = capacities.map((capacity) => ({ ...capacity }));
+		const placements = placeFirstFit(copy, grants, (id) => this.clusterState.jobs.get(id)?.spec, startIndex);
+		this.assignPlacements(placements, this.options.node);
 	}
 
-	private request(
+	private sendRequest(
 		placer: string,
 		machines: MachineCapacity[],
 		grants: Grant[],
-		start: number,
+		startIndex: number,
 		now: number,
 	): void {
-		this.outstanding.set(placer, { cycle: this.cycle, sentAt: now });
+		this.outstandingRequests.set(placer, { cycle: this.cycle, sentAt: now });
 		const { cycle, clusterState, options } = this;
-		const quota = options.quota?.admission.on ? options.quota.leaderQuota.nextUpdate(placer) : undefined;
+		const quota = options.quota?.admission.enabled ? options.quota.leaderQuota.nextUpdate(placer) : undefined;
 		options.peers.send(placer, {
 			kind: "placement-request",
 			term: clusterState.term,
 			cycle,
-			startIndex: start,
+			startIndex,
 			machines,
 			grants,
 			...(quota !== undefined && { teamQuota: quota }),
 		});
 	}
 
-	/** Of an older cycle than the one asked for, a proposal is out of date. */
-	proposed(from: string, proposal: PlacementProposal, now: number): void {
+	/** Handles a placer's proposal. One that does not belong to the placer's outstanding request is out of date. */
+	onProposal(from: string, proposal: PlacementProposal, now: number): void {
 		const { quota } = this.options;
-		// Heard in any case: what was admitted and does not start is settled by that.
-		const admitted = quota?.leaderQuota.handleReply(from, proposal.teamQuota) ?? false;
-		if (this.outstanding.get(from)?.cycle !== proposal.cycle) return;
-		this.outstanding.delete(from);
-		if (admitted || !quota?.admission.on) this.issue(proposal.placements, from);
-		// A placer that lags behind, or has missed a job, must not keep it from starting.
+		// Handled even if the proposal is out of date: admissions for tasks that do not start are settled by it.
+		const admissionsValid = quota?.leaderQuota.handleReply(from, proposal.teamQuota) ?? false;
+		if (this.outstandingRequests.get(from)?.cycle !== proposal.cycle) return;
+		this.outstandingRequests.delete(from);
+		if (admissionsValid || !quota?.admission.enabled) this.assignPlacements(proposal.placements, from);
+		// A job must not be prevented from starting by a placer whose store replica lags behind or lacks it.
 		for (const id of proposal.unknownJobs) {
 			const job = this.clusterState.jobs.get(id);
 			this.clusterState.requestPlacement();
-			// What the placer may admit would have to come here first: a copy that only lags is given time.
-			const lags = job !== undefined && quota?.admission.on === true && now - job.loadedAt < copyLagMs;
-			if (job && !lags) job.placeByLeaderUntil(now + placedHereMs);
+			// The leader would need an allotment of its own first, so a replica that may only lag is given time.
+			const replicaMayLag =
+				job !== undefined && quota?.admission.enabled === true && now - job.loadedAt < replicaLagMs;
+			if (job && !replicaMayLag) job.placeByLeaderUntil(now + leaderPlacementMs);
 		}
 	}
 
-	/** Checks every proposal against the leader's own tables. */
-	private issue(placements: Placement[], placer: string): void {
-		for (const { jobId: id, machineId, count } of placements) {
-			const job = this.clusterState.jobs.get(id);
+	/** Assigns the proposed tasks, each of which is checked against the leader's own state. */
+	private assignPlacements(placements: Placement[], placer: string): void {
+		for (const { jobId, machineId, count } of placements) {
+			const job = this.clusterState.jobs.get(jobId);
 			const machine = this.clusterState.machines.get(machineId);
 			if (!job || !machine) continue;
 			for (let i = 0; i < count; i++) {
 				const attempt = this.clusterState.assignNextTask(job, machine, placer);
 				if (!attempt) break;
-				this.options.decided(attempt);
+				this.options.onAttemptAssigned(attempt);
 			}
 		}
 	}
 }
 
-function pricePerCpu(machine: Machine): number {
+function hourlyPricePerCpu(machine: Machine): number {
 	return machine.hourlyPrice / machine.type.cpus;
 }
 
+/** Returns the machine's free capacity as a placement request contains it. */
 export function capacityOf(machine: Machine): MachineCapacity {
 	return {
 		id: machine.id,
@@ -255,7 +277,7 @@
 		cpus: machine.capacity.freeCpus,
 		gpus: machine.capacity.freeGpus,
 		memory: machine.capacity.freeMemoryGb,
-		slots: machine.health.onProbation ? Math.max(0, 1 - machine.attempts.size) : manySlots,
+		slots: machine.health.onProbation ? Math.max(0, 1 - machine.attempts.size) : unlimitedSlots,
 		images: [...machine.capacity.cachedImages],
 	};
 }
--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -15,7 +15,7 @@
 
 describe("placement cycles of a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines: requests are messages that links take, and the tasks start`, async () => {
+		test(`${size} machines: placement requests stay within the message size limit of links, and the tasks start`, async () => {
 			const clock = new FakeTime();
 			const clusterState = largeFleet(size);
 			const settings = defaultOperator();
@@ -27,7 +27,7 @@
 					largestMessageBytes = Math.max(largestMessageBytes, encodeFrame(encodePeerMessage(message)).length);
 				},
 			};
-			const peerMonitor = new FailureDetector({
+			const failureDetector = new FailureDetector({
 				term: 7,
 				termStartedAt: 0,
 				platform: platform as unknown as PlatformSettings,
@@ -39,23 +39,23 @@
 				resign: () => assert.fail("resigned"),
 				log: silentLog,
 			});
-			peerMonitor.messageReceived("b", 0);
-			peerMonitor.messageReceived("c", 0);
+			failureDetector.messageReceived("b", 0);
+			failureDetector.messageReceived("c", 0);
 			let started = 0;
 			const cycle = new PlacementCycle({
-				self: "a",
+				node: "a",
 				clusterState,
-				peerMonitor,
+				failureDetector,
 				peers,
 				quota: null,
-				time: clock,
+				clock,
 				random: xoroshiro128plus(1),
 				log: silentLog,
-				cycleMs: 200,
-				silentMs: 1000,
-				sample: settings.placing.sample,
+				cycleIntervalMs: 200,
+				placerTimeoutMs: 1000,
+				maxMachinesPerCycle: settings.placing.sample,
 				capS: 600,
-				decided: () => {
+				onAttemptAssigned: () => {
 					started += 1;
 				},
 			});
--- a/tests/coordination/workers/fault-attribution.test.ts
+++ b/tests/coordination/workers/fault-attribution.test.ts
@@ -3,7 +3,7 @@
 import type { Attempt } from "../../../src/bookkeeping/attempt.js";
 import type { Job } from "../../../src/bookkeeping/job.js";
 import type { Machine } from "../../../src/bookkeeping/machine.js";
-import { grantsFor } from "../../../src/coordination/placement/grants.js";
+import { computeGrants } from "../../../src/coordination/placement/grants.js";
 import { capacityOf } from "../../../src/coordination/placement/placement-cycle.js";
 import { ClusterState } from "../../../src/coordination/state/cluster-state.js";
 import { FaultAttribution } from "../../../src/coordination/workers/fault-attribution.js";
@@ -71,8 +71,8 @@
 	/** Returns the machines that placement avoids for the job at this time after its last failure. */
 	machinesAvoidedBy(job: Job, sinceLastFailureMs: number): string[] {
 		const capacities = [...this.clusterState.machines.values()].map(capacityOf);
-		const clockReadings = { now: job.failures.lastFailureAt + sinceLastFailureMs, date: 0 };
-		return grantsFor(this.clusterState, [job], capacities, clockReadings)[0]?.grant.avoidedMachines ?? [];
+		const clockReadings = { monotonicMs: job.failures.lastFailureAt + sinceLastFailureMs, wallClockMs: 0 };
+		return computeGrants(this.clusterState, [job], capacities, clockReadings)[0]?.grant.avoidedMachines ?? [];
 	}
 }
 
