--- a/packages/team-quota/src/allotment-writer.ts
+++ b/packages/team-quota/src/allotment-writer.ts
@@ -17,30 +17,30 @@
 export interface AllotmentWriterOptions {
 	values: StoredValues;
 	store: QuotaStore;
-	/** Holds as long as this process leads: a condition of every write. */
+	/** A condition of every write, which holds only while this process is the leader. */
 	leaderCondition: StoredCondition;
-	/** Most values that one transaction may change. */
+	/** Maximum number of values that one transaction may change. */
 	mostChanges: number;
-	/** Steady time in milliseconds. */
+	/** Monotonic time in milliseconds. */
 	now(): number;
-	/** Back into the queue of the process that owns all this. */
+	/** Runs the command in the queue of the process that owns this object. */
 	post(command: () => void): void;
 	log: QuotaLog;
-	/** These teams' records are other than they were. */
+	/** Called with the teams whose records have changed. */
 	learned(teams: readonly string[]): void;
-	/** An allotment of the team has changed in size. */
+	/** Called when the size of an allotment of the team has changed. */
 	moved(team: string): void;
 }
 
 const writeEveryMs = 100;
 const retryMs = 300;
-/** The state service takes 64 KiB in a request. */
+/** The state service accepts requests of up to 64 KiB. */
 const mostBytesPerWrite = 40 * 1024;
 
 /**
- * Writes records by compare-and-set, one transaction at a time, and says what came of it. A write without
- * an answer may be carried out late: its conditions keep it from undoing anything written since, and the
- * values are read before they are written again.
+ * Writes records by compare-and-set, one transaction at a time, and reports the changed records. A write
+ * without an answer may still be executed later: its conditions prevent it from overwriting anything
+ * written since, and the values are read again before the next write.
  */
 export class AllotmentWriter {
 	private ended = false;
@@ -53,12 +53,12 @@
 		this.ended = true;
 	}
 
-	/** Whether something may be written now. */
+	/** True if no request is in flight and the minimum interval since the last write has passed. */
 	get ready(): boolean {
 		return !this.writing && this.options.now() >= this.nextWrite;
 	}
 
-	/** As many of the records as one transaction may change; the others are for the next. */
+	/** Writes as many of the records as fit into one transaction; the caller passes the others again later. */
 	write(records: readonly QuotaRecord[]): void {
 		const { values, leaderCondition, store, post, now } = this.options;
 		if (records.length === 0) return;
@@ -93,7 +93,10 @@
 	private uncertain(changes: StoredChange[], error: unknown): void {
 		this.writing = false;
 		this.nextWrite = this.options.now() + retryMs;
-		this.options.log.info({ err: String(error) }, "allotments not written");
+		this.options.log.info(
+			{ err: String(error) },
+			"allotment write has no known result, reading the values back",
+		);
 		if (!this.ended) this.readBack(changes.map(({ key }) => key));
 	}
 
@@ -114,7 +117,7 @@
 		);
 	}
 
-	/** A stored value, whoever wrote it and whichever way the news came. */
+	/** Applies a stored value, whether it comes from a write of this process, a watch event or a read. */
 	learn(key: string, value: unknown, revision: number): void {
 		const { values, log } = this.options;
 		const before = new Map([...values.teams].map((team) => [team, values.record(team)]));
@@ -125,7 +128,10 @@
 		for (const [message, fields] of moves.lines()) log.info(fields, message);
 	}
 
-	/** Each recall, loss and change of limit once, with its reason. */
+	/**
+	 * Collects the log entries for changes between two versions of a record: limits, recalls with
+	 * reasons, removals.
+	 */
 	private noteChange(moves: MoveLog, before: QuotaRecord | undefined, after: QuotaRecord | undefined): void {
 		if (!before || !after) return;
 		const { team, revision, inForce } = after;
@@ -140,9 +146,9 @@
 		}
 		for (const { node, incarnation } of before.allotments) {
 			const held = allotmentOf(after, node);
-			if (!held) moves.add("allotments given up", node, null, team);
+			if (!held) moves.add("allotments removed", node, null, team);
 			else if (held.incarnation !== incarnation)
-				moves.add("allotments of an ended process", node, null, team);
+				moves.add("allotments replaced after the holder process ended", node, null, team);
 		}
 	}
 }
--- a/packages/team-quota/src/amount.ts
+++ b/packages/team-quota/src/amount.ts
@@ -1,8 +1,8 @@
 import * as v from "valibot";
 
 /**
- * CPUs and accelerators in thousandths. Whole numbers, so that sums are exact: the invariant of a
- * record is checked with `<=` and no tolerance.
+ * CPUs and accelerators in thousandths. The numbers are integers, so sums are exact and the invariants of
+ * a record are checked with `<=` and no tolerance.
  */
 export interface Amount {
 	readonly cpus: number;
@@ -10,9 +10,9 @@
 }
 
 const perUnit = 1000;
-/** Stands for no limit. Sums of many of these are still exact. */
+/** Represents no limit. Small enough that sums of many such values are still exact. */
 export const unlimited = 2 ** 44;
-/** Sizes that are not whole thousandths come with the errors of binary fractions. */
+/** Absorbs the floating-point error of sizes such as 0.1 + 0.2, in thousandths. */
 const roundingError = 1e-6;
 
 export const nothing: Amount = { cpus: 0, gpus: 0 };
@@ -30,19 +30,22 @@
 	return Math.min(unlimited, Math.max(0, round(units * perUnit)));
 }
 
-/** What a task takes: never less than it is. */
+/** Returns the amount that a task needs, rounded up so that it is never charged too little. */
 export function demandAmount(cpus: number, gpus: number): Amount {
 	const up = (value: number) => Math.ceil(value - roundingError);
 	return { cpus: thousandths(cpus, up), gpus: thousandths(gpus, up) };
 }
 
-/** What a limit allows: never more than it is. Infinity is no limit. */
+/**
+ * Returns the amount that a limit allows, rounded down so that it never allows too much. Infinity is no
+ * limit.
+ */
 export function limitAmount(cpus: number, gpus: number): Amount {
 	const down = (value: number) => Math.floor(value + roundingError);
 	return { cpus: thousandths(cpus, down), gpus: thousandths(gpus, down) };
 }
 
-/** In CPUs or accelerators; Infinity for no limit. */
+/** Converts thousandths to CPUs or accelerators; Infinity for no limit. */
 export function inUnits(value: number): number {
 	return value >= unlimited ? Number.POSITIVE_INFINITY : value / perUnit;
 }
@@ -52,7 +55,7 @@
 }
 
 export const plus = (a: Amount, b: Amount): Amount => combine(a, b, (x, y) => x + y);
-/** Never below nothing. */
+/** Subtracts each dimension; the result is never below zero. */
 export const minus = (a: Amount, b: Amount): Amount => combine(a, b, (x, y) => Math.max(0, x - y));
 export const lesser = (a: Amount, b: Amount): Amount => combine(a, b, Math.min);
 export const greater = (a: Amount, b: Amount): Amount => combine(a, b, Math.max);
@@ -67,7 +70,7 @@
 	return total;
 }
 
-/** How many times the size fits into the room. */
+/** Returns how many tasks of the size fit into the available amount. */
 export function countWithin(room: Amount, size: Amount): number {
 	const byCpus = size.cpus > 0 ? Math.floor(room.cpus / size.cpus) : Number.POSITIVE_INFINITY;
 	const byGpus = size.gpus > 0 ? Math.floor(room.gpus / size.gpus) : Number.POSITIVE_INFINITY;
--- a/packages/team-quota/src/charges.ts
+++ b/packages/team-quota/src/charges.ts
@@ -1,6 +1,9 @@
 import { type Amount, minus, nothing, plus } from "./amount.js";
 
-/** What one task takes of its team's limit until it is proved over, and whose allotment that comes from. */
+/**
+ * The amount that one task uses of its team's limit until it is proved to have ended, and the node
+ * against whose allotment it counts.
+ */
 export interface Charge {
 	readonly team: string;
 	node: string;
@@ -12,7 +15,10 @@
 	readonly charges: Set<Charge>;
 }
 
-/** What runs or may run, by team and by the controller whose allotment it was admitted against. */
+/**
+ * The charges of tasks that run or may run, by team and by the controller against whose allotment they
+ * count.
+ */
 export class ChargeBook {
 	private readonly teams = new Map<string, Map<string, NodeCharges>>();
 
@@ -41,7 +47,7 @@
 		this.changed(charge.team, charge.node);
 	}
 
-	/** The tasks go on, and count against another controller's allotment from here on. */
+	/** Moves all charges of the team from one controller's allotment to another's; the tasks keep running. */
 	moveAll(team: string, from: string, to: string): void {
 		const node = this.teams.get(team)?.get(from);
 		if (!node || from === to) return;
--- a/packages/team-quota/src/commands.ts
+++ b/packages/team-quota/src/commands.ts
@@ -4,7 +4,7 @@
 import { allotted, type LimitTerms, type QuotaRecord, unallotted } from "./record.js";
 import type { QuotaRow, QuotaStore } from "./stored-values.js";
 
-/** What `ramphub quota` does, on the state service alone. */
+/** The operations of `ramphub quota`. They use only the state service, no controller. */
 
 interface ShownAmount {
 	/** null: no limit. */
@@ -17,10 +17,13 @@
 	guarantee: ShownAmount;
 }
 
+/** Printed as JSON by `ramphub quota show --json`, as are the types around it: the field names are fixed. */
 export interface ShownAllotment {
 	node: string;
+	/** Incarnation of the process that holds the allotment. */
 	process: string;
 	amount: ShownAmount;
+	/** Part of the amount that is being reclaimed from the holder, and why. */
 	reclaiming: ShownAmount;
 	reason: string | null;
 }
@@ -30,6 +33,7 @@
 	revision: number;
 	allotted: ShownAmount;
 	unallotted: ShownAmount;
+	/** A lower limit that is not in force yet, and why not. */
 	pending: (ShownTerms & { revision: number; requestedAt: string; why: string }) | null;
 	allotments: ShownAllotment[];
 }
@@ -37,7 +41,7 @@
 /** The state service holds no record of the team. */
 export class UnknownTeamError extends Error {}
 
-/** Others changed the records again and again meanwhile. */
+/** Every attempt to write conflicted with a write by someone else. */
 export class ContendedError extends Error {}
 
 const mostTries = 8;
@@ -51,7 +55,7 @@
 	return { limit: shownAmount(limit), guarantee: shownAmount(guarantee) };
 }
 
-/** A record in CPUs and accelerators, for people and programs. */
+/** Returns a record in CPUs and accelerators, as text and JSON output show it. */
 export function shownTeam(record: QuotaRecord): ShownTeam {
 	const { team, revision, inForce, pending, allotments } = record;
 	return {
@@ -82,7 +86,7 @@
 	faults: { key: string; team: string; fault: string }[];
 }
 
-/** All teams, or the one that is named. */
+/** Returns the records of all teams, or of the given one. */
 export async function showQuotas(store: QuotaStore, prefix: string, team?: string): Promise<ShownQuotas> {
 	const shown: ShownQuotas = { teams: [], faults: [] };
 	for (const { key, value } of await store.rows(prefix)) {
@@ -104,7 +108,7 @@
 	row: QuotaRow;
 	records: Map<string, QuotaRecord>;
 	record: QuotaRecord;
-	/** What other teams are guaranteed. */
+	/** Sum of the other teams' guarantees. */
 	others: Amount;
 }
 
@@ -124,7 +128,7 @@
 	return { ...found, others };
 }
 
-/** Changes a team's limit or guarantee; what the record says afterwards. */
+/** Changes a team's limit or guarantee and returns the new record. */
 export async function setQuota(
 	store: QuotaStore,
 	prefix: string,
--- a/packages/team-quota/src/holder-registry.ts
+++ b/packages/team-quota/src/holder-registry.ts
@@ -1,57 +1,60 @@
 import { clockDrift } from "./holder.js";
 import type { HolderReply, QuotaTerms, TeamTerms } from "./terms.js";
 
-/** One process of another controller, as the manager has heard of it in this term. */
+/** The state that the manager keeps for a process of another controller during this term. */
 interface HolderProcess {
 	incarnation: string;
 	heardAt: number;
 	lastReply: number;
-	/** The last reply that was echoed to it, and when that one had arrived. */
+	/** The last reply that was echoed to the process, and when that reply was received. */
 	echo: number;
 	echoArrivedAt: number;
 	sent: number;
 	confirmed: number;
 	settledBatch: number;
-	/** By team: number of the first message that carries the present terms, and the present cap. */
+	/**
+	 * By team: number of the first message with the current team update, and of the first with the
+	 * current cap.
+	 */
 	readonly termsChangedAt: Map<string, number>;
 	readonly capChangedAt: Map<string, number>;
 }
 
 export interface RegistryOptions {
-	/** Steady time at which the term began. */
+	/** Monotonic time at which the term began, in milliseconds. */
 	beganAt: number;
 	expiryMs: number;
 	marginMs: number;
-	/** A holder not heard for this long gets nothing more. */
+	/** A holder that has not replied for this long receives no more work or allotments. */
 	silentMs: number;
 }
 
-/** What a reply has brought. */
+/** The result of processing a holder's reply. */
 export interface Heard {
-	/** Its batch is new and from the process that holds the allotments: its admissions count. */
+	/** True if the batch is new and from the process that holds the allotments, so its admissions are valid. */
 	batchCounts: boolean;
 }
 
 const endedKept = 50;
 
 /**
- * The processes that hold allotments. Knows which process of a node is the present one, what it has
- * confirmed, and until when it may admit anything.
+ * The processes that hold allotments: which process of a node is the current one, which messages it has
+ * confirmed, and until when it may admit tasks.
  *
- * A holder's allotment is sound for `expiryMs` after the sending of a reply that was echoed to it.
- * Counted from the arrival of that reply, with drift, this side waits for longer. In a new term the
- * echoes of the leader before count from the beginning of the term at the latest, since they were
- * sent with its authority.
+ * A holder may use its allotment for `expiryMs` after it sent a reply that the leader has echoed to it.
+ * The registry counts from the receipt of that reply and adds the clock drift, so it always waits longer
+ * than the holder. Echoes of the previous leader were sent during its authority, hence before the new
+ * term began: in a new term the expiry counts from the beginning of the term or later.
  */
 export class HolderRegistry {
 	private readonly present = new Map<string, HolderProcess>();
-	/** A process that is not known to be the present one of its node. */
+	/** By node: a process that has not yet proved to be the current one of its node. */
 	private readonly candidates = new Map<string, HolderProcess>();
 	private readonly ended = new Set<string>();
 
 	constructor(private readonly options: RegistryOptions) {}
 
-	/** A process that is known to have ended: what comes from it is late. */
+	/** Records that a process has ended, so that its delayed replies are ignored. */
 	noteEnded(incarnation: string): void {
 		this.ended.add(incarnation);
 		if (this.ended.size > endedKept) this.ended.delete(this.ended.values().next().value as string);
@@ -67,7 +70,8 @@
 		if (current?.incarnation === reply.incarnation) return this.note(current, reply, now);
 		const candidate = this.candidateOf(node, reply.incarnation, now);
 		this.note(candidate, reply, now);
-		// Late words of an earlier process must not displace a later one: only a live one confirms.
+		// A delayed reply of an earlier process must not replace a later process: only a live one confirms
+		// messages.
 		if (candidate.confirmed > 0) this.replace(node, candidate);
 		return { batchCounts: false };
 	}
@@ -108,13 +112,13 @@
 		return { batchCounts };
 	}
 
-	/** Heard lately, so that work and allotments may go to it. */
+	/** True if the node's process has replied recently enough to receive work and allotments. */
 	usable(node: string, now: number): boolean {
 		const process = this.present.get(node);
 		return process !== undefined && now - process.heardAt <= this.options.silentMs;
 	}
 
-	/** Whether the process that has the allotment can no longer admit anything against it. */
+	/** True if the process that holds the allotment can no longer admit anything against it. */
 	lost(node: string, incarnation: string, now: number): boolean {
 		const process = this.present.get(node);
 		if (process && process.incarnation !== incarnation) return true;
@@ -123,7 +127,7 @@
 		return now > from + expiryMs * (1 + 2 * clockDrift) + marginMs;
 	}
 
-	/** The node's terms for the team have changed. */
+	/** Schedules the team's allotment for the node's next message, since it or its cap has changed. */
 	changed(node: string, team: string, cap: boolean): void {
 		const process = this.present.get(node);
 		if (!process) return;
@@ -131,13 +135,13 @@
 		if (cap) process.capChangedAt.set(team, process.sent + 1);
 	}
 
-	/** The node's process has confirmed the present cap. */
+	/** True if the node's process has confirmed a message with the current cap. */
 	knowsCap(node: string, team: string): boolean {
 		const process = this.present.get(node);
 		return process !== undefined && process.confirmed >= (process.capChangedAt.get(team) ?? 0);
 	}
 
-	/** The next message for the node, or null where nothing has been heard of it. */
+	/** Returns the next message for the node, or null if no process of it has replied. */
 	termsFor(node: string, withTeams: boolean, teamTerms: (team: string) => TeamTerms): QuotaTerms | null {
 		const present = this.present.get(node);
 		const candidate = this.candidates.get(node);
--- a/packages/team-quota/src/holder.ts
+++ b/packages/team-quota/src/holder.ts
@@ -1,15 +1,15 @@
 import { type Amount, countWithin, minus, nothing, plus, times } from "./amount.js";
 import type { HolderReply, QuotaTerms, TeamTerms, Wanted } from "./terms.js";
 
-/** Steady clocks of two machines drift apart by at most this part. */
+/** Maximum relative drift between the monotonic clocks of two machines. */
 export const clockDrift = 0.001;
 
 export type RefusalReason =
-	/** The team's tasks take all of its limit. */
+	/** The team's tasks use the whole limit. */
 	| "team at its limit"
-	/** There is room, and another controller holds it. */
+	/** The limit is not used up, but the unused part is not in this controller's allotment. */
 	| "allotment is elsewhere"
-	/** The leader has not been heard for too long. */
+	/** The leader has not echoed a recent reply of this controller. */
 	| "allotment expired";
 
 export type Admission =
@@ -19,36 +19,39 @@
 export interface HolderOptions {
 	/** This process. */
 	incarnation: string;
-	/** Steady time in milliseconds. */
+	/** Monotonic time in milliseconds. */
 	now(): number;
-	/** An allotment may be used for so long after the sending of a reply that the leader has echoed. */
+	/** An allotment may be used for this long after a reply was sent that the leader has echoed. */
 	expiryMs: number;
-	/** Kept free at the end of that. */
+	/** Safety margin subtracted from `expiryMs`. */
 	marginMs: number;
 }
 
 interface KnownTerms extends TeamTerms {
-	/** Steady time at which they came. */
+	/** Monotonic time of receipt, in milliseconds. */
 	heardAt: number;
 }
 
-/** What is left of a limit is told with other news only, so it is believed for so long. */
+/**
+ * The unused part of a limit is sent only together with other changes of the team, so it is used only
+ * while recent.
+ */
 const freeKnownMs = 1000;
-/** Replies whose sending is remembered; the leader echoes one of the latest. */
+/** Number of replies whose send times are kept; the leader echoes one of the latest. */
 const repliesKept = 64;
 const retryAtLimitMs = 1000;
 const retryElsewhereMs = 200;
 const retryExpiredMs = 500;
 
 /**
- * One controller's allotments, and what it has admitted against them. Admitting is synchronous and
- * writes nothing. What is not known to be over, or never to start, counts as used.
+ * One controller's allotments and its admissions against them. Admission is synchronous and writes
+ * nothing. An admission counts as used until its task is known to have ended or never to start.
  */
 export class AllotmentHolder {
 	private term = -1;
 	private lastNumber = 0;
 	private readonly teams = new Map<string, KnownTerms>();
-	/** Admissions of batches that the leader has not settled, by batch and team. */
+	/** Admitted amounts of the batches that the leader has not settled, by batch number and team. */
 	private readonly unsettled = new Map<number, Map<string, Amount>>();
 	private open = new Map<string, Amount>();
 	private batch = 0;
@@ -58,7 +61,7 @@
 
 	constructor(private readonly options: HolderOptions) {}
 
-	/** Until when admissions stand on an allotment that nobody else can have. */
+	/** Monotonic time until which no other controller can hold this controller's allotments. */
 	get validUntil(): number {
 		return this.soundUntil;
 	}
@@ -68,8 +71,8 @@
 	}
 
 	/**
-	 * From the leader of the term. Terms of an earlier leader, for an earlier process of this node, or
-	 * older than what is known say nothing.
+	 * Applies an update from the leader of the term. Updates of an earlier leader, for an earlier process of
+	 * this node, or older than the last one applied are ignored.
 	 */
 	takeTerms(term: number, terms: QuotaTerms): void {
 		if (term < this.term || terms.incarnation !== this.options.incarnation) return;
@@ -83,12 +86,15 @@
 		this.renew(terms.echo);
 	}
 
-	/** This process leads from now on: what it knew as a holder is of an earlier term. */
+	/** Discards the holder state of earlier terms, since this process is the leader of the term. */
 	leads(term: number): void {
 		if (term > this.term) this.beginTerm(term);
 	}
 
-	/** No leader of an earlier term starts anything any more: what it was sent and did not start is void. */
+	/**
+	 * A leader of an earlier term starts nothing any more: admissions that it received and did not start
+	 * are void.
+	 */
 	private beginTerm(term: number): void {
 		this.term = term;
 		this.lastNumber = 0;
@@ -98,7 +104,10 @@
 		this.soundUntil = Number.NEGATIVE_INFINITY;
 	}
 
-	/** The leader takes nothing away from this process for a while after it received that reply. */
+	/**
+	 * Extends the validity: the leader revokes no allotment within `expiryMs` after it received the
+	 * echoed reply.
+	 */
 	private renew(echo: number): void {
 		const sentAt = this.repliedAt.get(echo);
 		if (sentAt === undefined) return;
@@ -106,14 +115,14 @@
 		this.soundUntil = Math.max(this.soundUntil, sentAt + expiryMs * (1 - clockDrift) - marginMs);
 	}
 
-	/** Its admissions that run, may run, or may yet be started. */
+	/** Returns the amount of this controller's admissions that run, may run, or may still be started. */
 	used(team: string): Amount {
 		let used = this.teams.get(team)?.charged ?? nothing;
 		for (const admitted of this.unsettled.values()) used = plus(used, admitted.get(team) ?? nothing);
 		return plus(used, this.open.get(team) ?? nothing);
 	}
 
-	/** Admits as many tasks of this size as there is room for, up to `most`. */
+	/** Admits as many tasks of this size as the allotment has capacity for, up to `maxCount`. */
 	admit(team: string, size: Amount, most = 1): Admission {
 		if (this.expired) return { kind: "refused", reason: "allotment expired", retryAfterMs: retryExpiredMs };
 		const room = minus(this.teams.get(team)?.cap ?? nothing, this.used(team));
@@ -131,12 +140,15 @@
 			: { kind: "refused", reason: "allotment is elsewhere", retryAfterMs: retryElsewhereMs };
 	}
 
-	/** Gives back admissions of the open batch that are not used after all. */
+	/** Withdraws admissions of the open batch that are not used. */
 	withdraw(team: string, size: Amount, count: number): void {
 		this.open.set(team, minus(this.open.get(team) ?? nothing, times(size, count)));
 	}
 
-	/** Closes the open batch; its admissions go to the leader now, and count as used until it is settled. */
+	/**
+	 * Closes the open batch and returns its number. Its admissions count as used until the leader settles
+	 * the batch.
+	 */
 	closeBatch(): number {
 		this.batch += 1;
 		this.unsettled.set(this.batch, this.open);
--- a/packages/team-quota/src/index.ts
+++ b/packages/team-quota/src/index.ts
@@ -1,4 +1,4 @@
-/** Limits and guarantees of teams that hold across all controllers at once. */
+/** Team limits and guarantees that are enforced across all controllers. */
 export { type Amount, demandAmount, inUnits, limitAmount, nothing, plus, unlimited } from "./amount.js";
 export {
 	ContendedError,
--- a/packages/team-quota/src/limit-change.ts
+++ b/packages/team-quota/src/limit-change.ts
@@ -1,7 +1,7 @@
 import { type Amount, inUnits, limitAmount, within } from "./amount.js";
 import { type LimitTerms, type QuotaRecord, requestLimit } from "./record.js";
 
-/** A change that an operator asks for, in CPUs and accelerators; what is left out stays. */
+/** A change requested by an operator, in CPUs and accelerators; an omitted field keeps its value. */
 export interface LimitRequest {
 	cpus?: number | undefined;
 	gpus?: number | undefined;
@@ -9,7 +9,7 @@
 	guaranteedGpus?: number | undefined;
 }
 
-/** A change that cannot be made, and why. */
+/** The requested change is invalid; the message contains the reason. */
 export class LimitChangeError extends Error {}
 
 function dimension(field: string, value: number | undefined, present: number): number {
@@ -34,8 +34,8 @@
 }
 
 /**
- * The record with the change asked for. `others` is what the other teams are guaranteed, `capacity`
- * all that there can be, where that is known.
+ * Returns the record with the requested change. `otherGuarantees` is the sum of the other teams'
+ * guarantees, `capacity` the largest capacity that the cluster can have, or null if it is unknown.
  */
 export function changeLimit(
 	record: QuotaRecord,
--- a/packages/team-quota/src/manager.ts
+++ b/packages/team-quota/src/manager.ts
@@ -9,19 +9,19 @@
 import type { HolderReply, QuotaTerms, TeamTerms } from "./terms.js";
 
 export interface ManagerOptions extends Omit<AllotmentWriterOptions, "learned" | "moved"> {
-	/** The leader's node, which holds allotments like any other, and its process. */
+	/** The leader's node, which holds allotments like any other node, and the incarnation of this process. */
 	node: string;
 	incarnation: string;
 	/** Every node of the cluster. */
 	nodes: readonly string[];
-	/** The platform's settings, by team. */
+	/** The limits in the platform's settings, by team. */
 	settings: ReadonlyMap<string, LimitTerms>;
 	/** Time of day in milliseconds. */
 	date(): number;
 	expiryMs: number;
 	marginMs: number;
 	silentMs: number;
-	/** Least time between moves of one team's allotment. */
+	/** Minimum time between two moves of one team's allotments. */
 	movePauseMs: number;
 }
 
@@ -29,26 +29,26 @@
 
 /**
  * The leader's side: divides each team's limit among the controllers by compare-and-set in the state
- * service, and keeps the book of what runs against whose allotment. Nothing is given to anybody before
- * the store has confirmed that it is nobody else's.
+ * service, and records against whose allotment each task counts. A controller may use an allotment only
+ * after the store has confirmed that no other controller holds that part of the limit.
  */
 export class AllotmentManager {
 	readonly charges: ChargeBook;
 	private readonly registry: HolderRegistry;
 	private readonly writer: AllotmentWriter;
 	private readonly beganAt: number;
-	/** Tasks of earlier leaders are all known and charged. */
+	/** True once all tasks of earlier leaders are charged. */
 	private started = false;
 	private nextLookAt = Number.NEGATIVE_INFINITY;
-	/** Teams whose records may have to change. */
+	/** Teams whose records may need a change. */
 	private readonly due = new Set<string>();
 	/**
-	 * By team: nodes whose allotment is being taken from a process judged to be lost. That one may be
-	 * heard again while the write is on its way, and the write may be carried out late: until the stored
-	 * record has changed the node may admit nothing, whatever it is heard to say.
+	 * By team: nodes whose allotment is being revoked because its process can no longer admit anything. The
+	 * process may reply again while the write is in flight, and the write may be executed late: the node may
+	 * admit nothing until the stored record has changed, whatever the process replies.
 	 */
 	private readonly revoking = new Map<string, Set<string>>();
-	/** The holders heard at the last look. */
+	/** The responsive nodes at the last check, joined with commas. */
 	private heardBefore = "";
 	private readonly scrubbing = new Scrub();
 	private readonly wanted = new Map<string, Map<string, Amount>>();
@@ -70,7 +70,7 @@
 		this.writer.end();
 	}
 
-	/** What earlier leaders started is known and charged: from here on allotments count. */
+	/** Starts enforcing allotments. Called once all tasks that earlier leaders started are charged. */
 	start(): void {
 		if (this.started) return;
 		this.started = true;
@@ -78,7 +78,10 @@
 		this.allDue();
 	}
 
-	/** An allotment follows what is charged beyond it. */
+	/**
+	 * Schedules a check of the team if the node is charged more than its allotment, so that the allotment
+	 * grows.
+	 */
 	private chargesChanged(team: string, node: string): void {
 		this.registry.changed(node, team, false);
 		const held = this.allotmentAt(node, team)?.amount ?? nothing;
@@ -91,7 +94,7 @@
 
 	// --- holders ---
 
-	/** A reply of a holder. True: the batch of admissions that came with it counts. */
+	/** Processes a holder's reply. Returns true if the batch of admissions that came with it is valid. */
 	heard(node: string, reply: HolderReply): boolean {
 		const before = this.registry.incarnation(node);
 		const { batchCounts } = this.registry.heard(node, reply, this.options.now());
@@ -101,7 +104,7 @@
 		return batchCounts && this.started;
 	}
 
-	/** A process that confirms is the node's present one: whatever held allotments before it has ended. */
+	/** The node has a new current process, so any other process that holds its allotments has ended. */
 	private processChanged(node: string, present: string): void {
 		for (const team of this.options.settings.keys()) {
 			this.registry.changed(node, team, true);
@@ -111,9 +114,10 @@
 		this.allDue();
 	}
 
-	/** What the node's holder is to be told now; null: nothing has been heard of it. */
+	/** Returns the next message for the node's holder, or null if no process of the node has replied. */
 	termsFor(node: string): QuotaTerms | null {
-		// Before the start holders only learn who leads, and this process who they are.
+		// Before the start the messages carry no allotments: they only identify the leader and the holders'
+		// processes.
 		return this.registry.termsFor(node, this.started, (team) => this.teamTerms(node, team));
 	}
 
@@ -129,9 +133,9 @@
 		for (const node of this.options.nodes) this.registry.changed(node, team, true);
 	}
 
-	// --- what waits, and where it may be admitted ---
+	// --- demand, and which nodes may admit it ---
 
-	/** So much of the team's work, with what runs there, would be admitted at the node if it could be. */
+	/** Sets the amount that the node would use for the team without a limit, including its running tasks. */
 	want(node: string, team: string, amount: Amount): void {
 		let nodes = this.wanted.get(team);
 		if (!nodes) {
@@ -144,14 +148,14 @@
 		this.due.add(team);
 	}
 
-	/** The controller that is to hold what nobody else asks for. */
+	/** Sets the controller that receives the part of the limit that no controller requests. */
 	prefer(node: string, team: string): void {
 		if (this.preferred.get(team) === node) return;
 		this.preferred.set(team, node);
 		this.due.add(team);
 	}
 
-	/** Whether the node may be given work of the team: it is heard and holds an allotment with room. */
+	/** True if the node is responsive and its allotment has capacity for a task of this size. */
 	hasRoom(node: string, team: string, size: Amount): boolean {
 		const { options } = this;
 		if (node !== options.node && !this.registry.usable(node, options.now())) return false;
@@ -159,11 +163,11 @@
 	}
 
 	/**
-	 * What the node's holder may still admit. Who admitted the tasks that a new leader finds is not
-	 * known, so two things may be wrong with their charges, and as much is left unused for a while by
-	 * everybody. A holder may be charged with more than it has, until allotments have followed. And
-	 * what a holder is charged with that has not confirmed this term may be another's: it goes by what
-	 * it knew of the term before, and may have the whole of its allotment in use.
+	 * Returns the amount that the node's holder may still admit. A new leader does not know who admitted the
+	 * tasks that it finds running, so their charges may be wrong in two ways, and every holder leaves an
+	 * amount unused that covers both. A holder may be charged more than its allotment until the allotment
+	 * has grown. And the charges of a holder that has not confirmed a message of this term may belong to
+	 * another holder: it still uses the allotment of the previous term, possibly all of it.
 	 */
 	private roomAt(node: string, team: string): Amount {
 		const allotment = this.allotmentAt(node, team);
@@ -194,7 +198,7 @@
 
 	// --- admissions ---
 
-	/** Whether a task that the node's holder has admitted, or this process admits now, may start. */
+	/** True if a task that the node's holder has admitted, or that this process admits now, may start. */
 	mayStart(node: string, team: string, size: Amount): boolean {
 		if (!this.started) return false;
 		if (node === this.options.node) return this.hasRoom(node, team, size);
@@ -204,7 +208,7 @@
 		return within(plus(this.charges.of(team, node), size), allotment.amount);
 	}
 
-	/** A task that was found running: it counts where there is most room for it. */
+	/** Charges a task that was found running to the node whose allotment has the most unused capacity. */
 	chargeFound(team: string, size: Amount): Charge {
 		return this.charges.add(team, this.roomiest(team, size), size);
 	}
@@ -227,13 +231,16 @@
 		return this.options.values.record(team);
 	}
 
-	/** What the team uses beyond a lower limit that is pending. */
+	/** Returns the amount that the team uses above a lower limit that is pending. */
 	excess(team: string): Amount {
 		const record = this.recordOf(team);
 		return record ? excess(record, this.charges.total(team)) : nothing;
 	}
 
-	/** Compares records and charges with what runs by another count, and logs what differs for long. */
+	/**
+	 * Compares records and charges with an independent count of the running tasks, and logs persistent
+	 * differences.
+	 */
 	scrub(running: ReadonlyMap<string, { amount: Amount; tolerance: Amount }>): void {
 		if (!this.started) return;
 		const found = [...running].flatMap(([team, { amount, tolerance }]) => {
@@ -251,7 +258,7 @@
 		for (const { what, ...fields } of this.scrubbing.lasting(found)) this.options.log.error(fields, what);
 	}
 
-	/** A stored value; undefined: it is gone. */
+	/** Applies a stored value; undefined if the key was deleted. */
 	stored(key: string, value: unknown, revision: number): void {
 		this.writer.learn(key, value, revision);
 	}
@@ -266,7 +273,10 @@
 
 	// --- time ---
 
-	/** Called often, with authority. */
+	/**
+	 * Checks teams and writes changed records. Called periodically while this process has authority as
+	 * leader.
+	 */
 	tick(): void {
 		const now = this.options.now();
 		if (!this.started || !this.writer.ready || now < this.nextLookAt || this.waitsForUnreadable(now)) return;
@@ -287,7 +297,7 @@
 		this.heardBefore = heard;
 	}
 
-	/** Nothing of the team's will change by time alone. */
+	/** True if the team's record needs no change until a new event: time alone changes nothing. */
 	private settled(team: string, record: QuotaRecord, now: number): boolean {
 		if (record.pending || this.paused(team, now)) return false;
 		return record.allotments.every(
@@ -300,7 +310,10 @@
 		return now - (this.movedAt.get(team) ?? Number.NEGATIVE_INFINITY) < this.options.movePauseMs;
 	}
 
-	/** What cannot be read may name allotments: nobody has any once those of earlier leaders have run out. */
+	/**
+	 * Unreadable records may contain allotments; these are unusable once all allotments of earlier
+	 * leaders have expired.
+	 */
 	private waitsForUnreadable(now: number): boolean {
 		const { values, expiryMs, marginMs } = this.options;
 		return values.unreadable && now <= this.beganAt + expiryMs * (1 + 2 * clockDrift) + marginMs;
@@ -335,7 +348,7 @@
 		return lost;
 	}
 
-	/** Those that are heard, the preferred one first. */
+	/** Returns the responsive holders, the preferred one first. */
 	private holderViews(team: string, record: QuotaRecord, now: number): HolderView[] {
 		const { node: self, nodes } = this.options;
 		const first = this.preferred.get(team) ?? self;
--- a/packages/team-quota/src/move-log.ts
+++ b/packages/team-quota/src/move-log.ts
@@ -1,4 +1,7 @@
-/** Moves of one write, gathered: hundreds of teams may move together, for one reason. */
+/**
+ * Groups the allotment changes of one write by holder and reason, since hundreds of teams may change
+ * together.
+ */
 export class MoveLog {
 	private readonly moves = new Map<
 		string,
@@ -12,7 +15,7 @@
 		else this.moves.set(key, { message, holder, reason, teams: [team] });
 	}
 
-	/** A message and its fields for each holder and reason. */
+	/** Returns a log message with its fields for each holder and reason. */
 	*lines(): Iterable<[string, object]> {
 		for (const { message, holder, reason, teams } of this.moves.values())
 			yield [message, { holder, ...(reason !== null && { reason }), teams }];
--- a/packages/team-quota/src/packed-record.ts
+++ b/packages/team-quota/src/packed-record.ts
@@ -11,8 +11,9 @@
 } from "./record.js";
 
 /**
- * Records as the state service keeps them: rows of numbers, since many teams share a value and
- * values are small. The order of the entries is data of production and stays as it is.
+ * Records as stored in the state service: arrays of numbers, since many teams share a value and the size
+ * of a value is limited. The order of the entries and the names of the fields are the stored format and
+ * must not change.
  */
 type PackedTerms = [limitCpus: number, limitGpus: number, guaranteeCpus: number, guaranteeGpus: number];
 type PackedAllotment = [
@@ -28,17 +29,19 @@
 interface PackedRecord {
 	revision: number;
 	limit: PackedTerms;
-	/** Left out where the limit in force is that of the settings. */
+	/** Omitted if the limit in force equals that of the platform's settings. */
 	settings?: PackedTerms | undefined;
+	/** A lower limit that is not in force yet; `at` is the time of the request. */
 	pending?: { revision: number; at: number; limit: PackedTerms } | undefined;
 	allotments: PackedAllotment[];
 }
 
-/** Several teams' records in one value. */
+/** The stored value: the records of several teams. */
 export interface PackedQuotaValue {
 	teams: Record<string, PackedRecord>;
 }
 
+/** Reasons are stored by their index in this list: append new ones at the end. */
 const reasons: (RecallReason | null)[] = [null, "wanted elsewhere", "limit lowered", "another placer"];
 
 const TermsSchema = v.tuple([v.number(), v.number(), v.number(), v.number()]);
@@ -116,7 +119,10 @@
 	return { teams: Object.fromEntries([...records].map((record) => [record.team, packRecord(record)])) };
 }
 
-/** Bytes of a team's record with an allotment for every node, and a limit that is pending. */
+/**
+ * Returns an upper bound of the bytes of a team's record with an allotment for every node and a pending
+ * limit.
+ */
 export function largestRecordBytes(
 	team: string,
 	nodes: readonly string[],
@@ -127,13 +133,16 @@
 	return Buffer.byteLength(team) + 4 * terms + allotments.reduce((sum, bytes) => sum + bytes, 0);
 }
 
-/** The records that can be read, and what is wrong with the others. */
+/** The readable records, and the faults of the others. */
 export interface UnpackedValue {
 	records: Map<string, QuotaRecord>;
 	faults: { team: string; fault: string }[];
 }
 
-/** One record that cannot be read does not hide the others. */
+/**
+ * Unpacks a stored value. An unreadable record is reported as a fault and does not prevent reading the
+ * others.
+ */
 export function unpackValue(value: unknown): UnpackedValue {
 	const result = v.safeParse(ValueSchema, value);
 	if (!result.success) return { records: new Map(), faults: [{ team: "", fault: "is not a quota value" }] };
--- a/packages/team-quota/src/planner.ts
+++ b/packages/team-quota/src/planner.ts
@@ -1,20 +1,21 @@
 import { type Amount, greater, lesser, minus } from "./amount.js";
 
-/** One controller as the planner sees it, for one team. */
+/** The planner's input for one controller and one team. */
 export interface HolderNeeds {
 	node: string;
-	/** What it may admit against now. */
+	/** The amount that the controller may admit against now. */
 	held: Amount;
-	/** What its running and admitted tasks take. */
+	/** The amount that its running and admitted tasks use. */
 	used: Amount;
-	/** What its tasks would take if all that wait there could run. */
+	/** The amount that its tasks would use if all its waiting tasks ran, too. */
 	wanted: Amount;
 }
 
 /**
- * Divides what a team may use among controllers. Max-min fair: nobody gets more while another
- * who wants it has less, but what is in use stays where it is. What nobody wants stays with who
- * holds it, and what nobody holds goes to the first, so that little moves.
+ * Divides the amount that a team may use among controllers. The division is max-min fair: no controller
+ * gets more while another one that requests more has less, except that amounts in use stay where they are.
+ * To move little, an amount that no controller requests stays with its holder, and an amount that no
+ * controller holds goes to the first one.
  */
 export function planAllotments(ceiling: Amount, holders: readonly HolderNeeds[]): Map<string, Amount> {
 	const planOf = (of: (amount: Amount) => number) => planDimension(of(ceiling), holders.map(dimensionOf(of)));
@@ -39,7 +40,7 @@
 
 function planDimension(ceiling: number, holders: Needs[]): number[] {
 	const used = holders.map((holder) => holder.used);
-	// After a limit was lowered more may be in use than there is: then that is shared out.
+	// After a limit was lowered, more may be in use than the ceiling: then the ceiling is divided by use.
 	if (total(used) >= ceiling) return fill(ceiling, used, 0, used);
 	const shares = fill(
 		ceiling,
@@ -55,7 +56,10 @@
 	return values.reduce((sum, value) => sum + value, 0);
 }
 
-/** Raises one common level until the sum is reached: each gets the level, at least its floor, at most its want. */
+/**
+ * Finds by bisection the highest common level whose shares fit into the capacity. Each share is the level,
+ * but at least its minimum and at most the requested amount.
+ */
 function fill(
 	sum: number,
 	wants: number[],
@@ -74,7 +78,7 @@
 		else high = middle;
 	}
 	const shares = at(low);
-	// The thousandths that are left over go to the first that want them.
+	// The remaining thousandths go to the first holders that requested more.
 	let left = sum - total(shares);
 	return shares.map((share, i) => {
 		if (left <= 0 || share >= (wants[i] ?? 0)) return share;
@@ -83,7 +87,10 @@
 	});
 }
 
-/** What is wanted by nobody stays with its holders. */
+/**
+ * Leaves the rest of the ceiling, which no controller requests, with its holders, and the part without a
+ * holder to the first.
+ */
 function keepRest(ceiling: number, holders: Needs[], shares: number[]): number[] {
 	let left = ceiling - total(shares);
 	const kept = shares.map((share, i) => {
@@ -95,7 +102,7 @@
 	return kept;
 }
 
-/** Whether somebody uses or wants more than it may admit against, and has less than its share. */
+/** True if a controller uses or requests more than it may admit against, and the plan gives it more. */
 export function anyShort(holders: readonly HolderNeeds[], plan: ReadonlyMap<string, Amount>): boolean {
 	return holders.some(({ node, held, used, wanted }) => {
 		const target = plan.get(node);
--- a/packages/team-quota/src/quota-service.ts
+++ b/packages/team-quota/src/quota-service.ts
@@ -4,7 +4,7 @@
 import type { TeamQuota } from "./team-quota.js";
 import type { HolderReply, QuotaTerms } from "./terms.js";
 
-/** What one task takes, in CPUs and accelerators. */
+/** The resources that one task of a team needs, in CPUs and accelerators. */
 export interface TaskDemand {
 	team: string;
 	cpus: number;
@@ -20,16 +20,19 @@
 
 const amountOf = ({ cpus, gpus }: TaskDemand): Amount => demandAmount(cpus, gpus);
 const oneThousandth: Amount = { cpus: 1, gpus: 1 };
-/** Sizes are rounded up to thousandths, which is this part of a task of a tenth of a CPU. */
+/**
+ * The largest rounding error of a task of 0.1 CPUs, relative to its size: sizes are rounded up to
+ * thousandths.
+ */
 const roundingPart = 0.01;
-/** The preferred controller is to hold all that nobody else asks for. */
+/** The requested amount of the preferred controller, which receives everything that the others do not use. */
 const everything: Amount = { cpus: unlimited, gpus: unlimited };
 
-/** Team quota as a scheduler uses it: in its own units, and by its own terms. */
+/** Team quota as the scheduler uses it: in CPUs and accelerators, and by terms of leadership. */
 export class QuotaService {
 	constructor(
 		private readonly quota: TeamQuota,
-		/** The key that a leader holds, whose revision is its term. */
+		/** The key that the leader holds in the state service; its revision is the term. */
 		private readonly leaderKey: string,
 	) {}
 
@@ -37,7 +40,10 @@
 		this.quota.stored(key, value, revision);
 	}
 
-	/** What the team may use for now; null: the platform's settings say it. */
+	/**
+	 * Returns the limit and guarantee in effect, or null if the team has no record and the platform's
+	 * settings apply.
+	 */
 	limits(team: string): UsableLimits | null {
 		const terms = this.quota.terms(team);
 		if (!terms) return null;
@@ -53,7 +59,7 @@
 		this.quota.takeTerms(term, terms);
 	}
 
-	/** How many tasks of this size are admitted, of `most`. */
+	/** Admits up to `maxCount` tasks of this size, and returns how many. */
 	admit(demand: TaskDemand, most: number): number {
 		const admission = this.quota.admit(demand.team, amountOf(demand), most);
 		return admission.kind === "admitted" ? admission.count : 0;
@@ -63,7 +69,7 @@
 		this.quota.withdraw(demand.team, amountOf(demand), count);
 	}
 
-	/** The reply that goes with a batch of admissions. */
+	/** Closes the open batch and returns the reply to send with its admissions. */
 	sendBatch(): HolderReply {
 		this.quota.closeBatch();
 		return this.quota.reply();
@@ -90,7 +96,7 @@
 		return this.quota.node;
 	}
 
-	/** All tasks of earlier leaders are charged: from now on allotments count. */
+	/** Starts enforcing allotments. Called once all tasks of earlier leaders are charged. */
 	start(): void {
 		this.manager.start();
 	}
@@ -103,7 +109,7 @@
 		this.manager.tick();
 	}
 
-	/** True: the admissions that came with the reply count. */
+	/** Processes a holder's reply. Returns true if the admissions that came with it are valid. */
 	heard(node: string, reply: unknown): boolean {
 		return this.quota.heard(node, reply);
 	}
@@ -132,13 +138,16 @@
 		this.manager.charges.release(charge);
 	}
 
-	/** The controller whose allotment is to be as large as can be; the others keep what they use. */
+	/** Makes the preferred controller's allotment as large as possible; the others keep what they use. */
 	prefer(team: string, preferred: string, nodes: readonly string[]): void {
 		this.manager.prefer(preferred, team);
 		for (const node of nodes) this.manager.want(node, team, node === preferred ? everything : nothing);
 	}
 
-	/** The leader itself is to admit so many tasks, whoever is preferred; 0: no longer. */
+	/**
+	 * Requests an allotment for this many more tasks at the leader, whichever controller is preferred; 0
+	 * ends the request.
+	 */
 	need(demand: TaskDemand, count: number): void {
 		const { team } = demand;
 		const more = times(amountOf(demand), count);
@@ -146,7 +155,10 @@
 		this.manager.want(this.self, team, wanted);
 	}
 
-	/** What runs by the scheduler's own count, which rounds nothing: charges may be more by a little for each task. */
+	/**
+	 * Compares the charges with the scheduler's own sums of the running tasks. These sums are not rounded, so
+	 * the charges may be larger by a rounding error for each task.
+	 */
 	scrub(running: readonly TaskDemand[]): void {
 		const counted = running.map((use): [string, { amount: Amount; tolerance: Amount }] => {
 			const tolerance = demandAmount(use.cpus * roundingPart, use.gpus * roundingPart);
@@ -155,7 +167,7 @@
 		this.manager.scrub(new Map(counted));
 	}
 
-	/** What the team runs above a lower limit that is pending; null: nothing. */
+	/** Returns the amount that the team runs above a lower limit that is pending, or null if there is none. */
 	excess(team: string): { cpus: number; gpus: number } | null {
 		const excess = this.manager.excess(team);
 		return isNothing(excess) ? null : { cpus: inUnits(excess.cpus), gpus: inUnits(excess.gpus) };
--- a/packages/team-quota/src/record-step.ts
+++ b/packages/team-quota/src/record-step.ts
@@ -18,11 +18,11 @@
 	settleRecall,
 } from "./record.js";
 
-/** A controller that may hold a part of the team's limit. The first of several is the preferred one. */
+/** The state of a controller that may hold a part of the team's limit. In lists the preferred one is first. */
 export interface HolderView {
 	node: string;
 	incarnation: string;
-	/** It has confirmed what it may admit against now. */
+	/** True if the controller has confirmed the amount that it may admit against now. */
 	knowsCap: boolean;
 	used: Amount;
 	wanted: Amount;
@@ -30,19 +30,19 @@
 
 export interface StepInput {
 	record: QuotaRecord;
-	/** The platform's present settings for the team. */
+	/** The team's limits in the platform's current settings. */
 	settings: LimitTerms;
-	/** Controllers that are heard. */
+	/** The responsive controllers. */
 	holders: readonly HolderView[];
-	/** Nodes whose allotment is of a process that can no longer admit anything. */
+	/** Nodes whose allotment belongs to a process that can no longer admit anything. */
 	lost: ReadonlySet<string>;
-	/** Whether allotments may move between live holders now. */
+	/** True if allotments may move between live holders now. */
 	mayMove: boolean;
-	/** Time of day in milliseconds, for operators. */
+	/** Wall-clock time in milliseconds, recorded with a changed limit for operators. */
 	date: number;
 }
 
-/** The record as it should be next, by what is known of the holders. The same again: nothing to write. */
+/** Returns the next record, given the state of its holders, or the same object if nothing has to be written. */
 export function stepRecord(input: StepInput): QuotaRecord {
 	let { record } = input;
 	record = takeOverSettings(record, input.settings, input.date);
@@ -53,7 +53,7 @@
 	return divide(record, input);
 }
 
-/** A team that has no record yet. */
+/** Returns the record of a team that has none yet. */
 export function firstRecord(team: string, settings: LimitTerms): QuotaRecord {
 	return newRecord(team, settings);
 }
@@ -80,7 +80,7 @@
 	return allotTo(next, holders, plan);
 }
 
-/** Each keeps its part of the plan, or what it may admit against now where that is less. */
+/** Recalls from each holder what exceeds its planned amount. */
 function recallTo(record: QuotaRecord, plan: ReadonlyMap<string, Amount>, reason: RecallReason): QuotaRecord {
 	let next = record;
 	for (const [node, target] of plan) next = recall(next, node, target, reason);
@@ -100,13 +100,13 @@
 	return next;
 }
 
-/** What the team may use for now: no more than a lower limit that is pending. */
+/** Returns the limit and guarantee that apply to new tasks: a lower limit that is pending already applies. */
 export function usableTerms(record: QuotaRecord): LimitTerms {
 	const { guarantee } = record.pending ?? record.inForce;
 	return { limit: ceiling(record), guarantee };
 }
 
-/** What the team uses beyond a lower limit that is pending. */
+/** Returns the amount that the team uses above a lower limit that is pending. */
 export function excess(record: QuotaRecord, used: Amount): Amount {
 	return record.pending ? minus(used, record.pending.limit) : nothing;
 }
--- a/packages/team-quota/src/record.ts
+++ b/packages/team-quota/src/record.ts
@@ -13,16 +13,19 @@
 	within,
 } from "./amount.js";
 
-/** Why a part of an allotment is taken back. */
+/** Why a part of an allotment is reclaimed. */
 export type RecallReason = "wanted elsewhere" | "limit lowered" | "another placer";
 
 /** The part of a team's limit that one controller may admit against. */
 export interface Allotment {
 	node: string;
-	/** The process that holds it; a later process of the node does not. */
+	/** The process that holds the allotment; a later process of the same node does not hold it. */
 	incarnation: string;
 	amount: Amount;
-	/** Part of the amount that may not be admitted against any more and is not yet free. */
+	/**
+	 * Part of the amount that the holder may no longer admit against, but that is not available to others
+	 * yet.
+	 */
 	reclaiming: Amount;
 	reason: RecallReason | null;
 }
@@ -32,26 +35,26 @@
 	guarantee: Amount;
 }
 
-/** A lower limit that is not in force yet. */
+/** A lower limit that is not in force yet, since more than it is allotted. */
 export interface PendingLimit extends LimitTerms {
 	revision: number;
-	/** Time of day in milliseconds, for operators. */
+	/** Wall-clock time in milliseconds, for operators. */
 	requestedAt: number;
 }
 
-/** All that the state service keeps of one team's limit. */
+/** The stored record of one team's limit. Errors name its fields. */
 export interface QuotaRecord {
 	team: string;
-	/** Counts the changes of the limit that are in force. */
+	/** Revision of the limit in force: 1 at first, and raised by each change. */
 	revision: number;
 	inForce: LimitTerms;
-	/** What the platform's settings said when they were last taken over. */
+	/** The limits of the platform's settings when they were last applied. */
 	settings: LimitTerms;
 	pending: PendingLimit | null;
 	allotments: Allotment[];
 }
 
-/** A record that would allow more than the limit. It is never written. */
+/** A record is malformed or would allow more than the limit. Such a record is never written. */
 export class QuotaInvariantError extends Error {}
 
 const mostNodes = 1000;
@@ -78,7 +81,7 @@
 	allotments: v.pipe(v.array(AllotmentSchema), v.maxLength(mostNodes, "has too many entries")),
 });
 
-/** The record in its form, or an error that names the first faulty field. */
+/** Returns the validated record, or throws a QuotaInvariantError that names the first invalid field. */
 export function parseRecord(value: unknown): QuotaRecord {
 	const result = v.safeParse(QuotaRecordSchema, value, { abortEarly: true });
 	if (!result.success) {
@@ -88,7 +91,10 @@
 	return checked(result.output);
 }
 
-/** Allotments, with what is still being reclaimed of them, never exceed the limit in force. */
+/**
+ * Returns the record if its invariants hold. The main one: all allotments, including the parts that are
+ * still being reclaimed, never exceed the limit in force.
+ */
 export function checked(record: QuotaRecord): QuotaRecord {
 	const nodes = new Set<string>();
 	for (const { node, amount, reclaiming } of record.allotments) {
@@ -117,17 +123,20 @@
 	return record.allotments.find((allotment) => allotment.node === node);
 }
 
-/** What the holder may admit against. */
+/** Returns the amount that the holder may admit against. */
 export function capOf(allotment: Allotment | undefined): Amount {
 	return allotment ? minus(allotment.amount, allotment.reclaiming) : nothing;
 }
 
-/** No allotment is raised beyond this: a lower limit that is pending must be reached. */
+/**
+ * Returns the limit for raising allotments. A lower limit that is pending applies at once, since the
+ * allotments must shrink to it.
+ */
 export function ceiling({ inForce, pending }: QuotaRecord): Amount {
 	return pending ? lesser(inForce.limit, pending.limit) : inForce.limit;
 }
 
-/** What no allotment holds. */
+/** Returns the amount that is in no allotment. */
 export function unallotted(record: QuotaRecord): Amount {
 	return minus(ceiling(record), allotted(record));
 }
@@ -137,8 +146,8 @@
 }
 
 /**
- * A limit that everything allotted is within holds at once; a lower one is pending, and replaces one
- * that was pending before.
+ * Returns the record with a new limit. The limit is in force at once if all allotments fit within it;
+ * otherwise it is pending, in place of a limit that was pending before.
  */
 export function requestLimit(record: QuotaRecord, terms: LimitTerms, requestedAt: number): QuotaRecord {
 	const revision = Math.max(record.revision, record.pending?.revision ?? 0) + 1;
@@ -147,7 +156,7 @@
 	return checked({ ...record, pending: { ...terms, revision, requestedAt } });
 }
 
-/** A pending limit comes into force once everything allotted is within it. */
+/** Puts a pending limit in force once all allotments fit within it. */
 export function enforcePending(record: QuotaRecord): QuotaRecord {
 	const { pending } = record;
 	if (!pending || !within(allotted(record), pending.limit)) return record;
@@ -162,7 +171,10 @@
 	return checked({ ...record, allotments: kept });
 }
 
-/** From here on the holder may admit against `keep` at the most. Keeping all ends a recall. */
+/**
+ * Lowers the amount that the holder may admit against to `newCap`, and marks the rest as being reclaimed.
+ * A cap of the whole amount or more ends a recall.
+ */
 export function recall(record: QuotaRecord, node: string, keep: Amount, reason: RecallReason): QuotaRecord {
 	const allotment = allotmentOf(record, node);
 	if (!allotment) return record;
@@ -171,7 +183,7 @@
 	return withAllotment(record, { ...allotment, reclaiming, reason: isNothing(reclaiming) ? null : reason });
 }
 
-/** The holder has heard of the recall and has so much in use: the rest of what is reclaimed is free. */
+/** Releases the reclaimed amount that a holder, which has confirmed the recall, does not use. */
 export function settleRecall(record: QuotaRecord, node: string, used: Amount): QuotaRecord {
 	const allotment = allotmentOf(record, node);
 	if (!allotment || isNothing(allotment.reclaiming)) return record;
@@ -183,13 +195,13 @@
 	return withAllotment(record, { ...allotment, amount, reclaiming, reason });
 }
 
-/** The holder, certainly unable to admit anything any more, loses its allotment. */
+/** Removes the allotment of a holder that can certainly no longer admit anything. */
 export function revoke(record: QuotaRecord, node: string): QuotaRecord {
 	const allotment = allotmentOf(record, node);
 	return allotment ? withAllotment(record, { ...allotment, amount: nothing, reclaiming: nothing }) : record;
 }
 
-/** Gives the process so much more, of what no allotment holds. */
+/** Raises the process's allotment by the requested amount, or by as much of it as is unallotted. */
 export function allot(record: QuotaRecord, node: string, incarnation: string, more: Amount): QuotaRecord {
 	const granted = lesser(more, unallotted(record));
 	if (isNothing(granted)) return record;
--- a/packages/team-quota/src/scrub.ts
+++ b/packages/team-quota/src/scrub.ts
@@ -1,13 +1,13 @@
 import { type Amount, minus, same, within } from "./amount.js";
 import type { QuotaRecord } from "./record.js";
 
-/** Something in which a record, the book of charges and what runs do not agree. */
+/** A difference between a record, the charge ledger and the running tasks. */
 export interface QuotaDifference {
 	team: string;
 	what:
-		| "a holder is charged with more than it has"
-		| "a holder is no controller"
-		| "charges are not what runs";
+		| "allotment holder is charged more than its allotment"
+		| "allotment holder is not a controller of the cluster"
+		| "charged amount differs from running tasks";
 	node?: string;
 	expected?: Amount;
 	found?: Amount;
@@ -18,49 +18,54 @@
 	/** Every node of the cluster. */
 	nodes: readonly string[];
 	charged(node: string): Amount;
-	/** All charges of the team. */
+	/** Sum of all charges of the team. */
 	total: Amount;
-	/** What its tasks take by another count, which may be off by so much for each dimension. */
+	/** The amount that the team's tasks use by an independent count. */
 	running: Amount;
+	/** Maximum error of that count in each dimension. */
 	tolerance: Amount;
 }
 
-/** Each may be so for a moment, while something moves; it is a fault if it lasts. */
+/**
+ * Returns the current differences. A difference may exist briefly during a change; one that persists is a
+ * fault.
+ */
 export function differences(input: ScrubInput): QuotaDifference[] {
 	const { record, nodes, charged, total, running, tolerance } = input;
 	const { team } = record;
 	const found: QuotaDifference[] = [];
 	for (const { node } of record.allotments)
-		if (!nodes.includes(node)) found.push({ team, what: "a holder is no controller", node });
+		if (!nodes.includes(node))
+			found.push({ team, what: "allotment holder is not a controller of the cluster", node });
 	for (const node of nodes) {
 		const held = record.allotments.find((allotment) => allotment.node === node);
 		const amount = held?.amount ?? { cpus: 0, gpus: 0 };
 		if (!within(charged(node), amount))
 			found.push({
 				team,
-				what: "a holder is charged with more than it has",
+				what: "allotment holder is charged more than its allotment",
 				node,
 				expected: amount,
 				found: charged(node),
 			});
 	}
 	if (!within(minus(total, running), tolerance) || !within(minus(running, total), tolerance))
-		found.push({ team, what: "charges are not what runs", expected: running, found: total });
+		found.push({ team, what: "charged amount differs from running tasks", expected: running, found: total });
 	return found;
 }
 
-/** Says each difference once it has been seen twice in a row, and once only as long as it lasts. */
+/** Selects the differences that two consecutive checks have found, each once for as long as it persists. */
 export class Scrub {
 	private seen = new Map<string, QuotaDifference>();
 	private told = new Set<string>();
 
-	/** Of those found now, the ones to tell. */
+	/** Returns those of the found differences that should be reported now. */
 	lasting(found: readonly QuotaDifference[]): QuotaDifference[] {
 		const keyOf = ({ team, what, node = "" }: QuotaDifference) => `${team}/${what}/${node}`;
 		const now = new Map(found.map((difference) => [keyOf(difference), difference]));
 		const lasting = [...now].filter(([key, difference]) => {
 			const before = this.seen.get(key);
-			// What differs by another amount each time is on the move.
+			// A difference whose amount changed since the last check is still in transition.
 			const unchanged =
 				before && (!difference.found || same(before.found ?? difference.found, difference.found));
 			return unchanged && !this.told.has(key);
--- a/packages/team-quota/src/stored-values.ts
+++ b/packages/team-quota/src/stored-values.ts
@@ -8,13 +8,13 @@
 
 export interface StoredCondition {
 	key: string;
-	/** 0: the key must not be there. */
+	/** 0 requires that the key does not exist. */
 	revision: number;
 }
 
 export type QuotaWriteResult =
 	| { kind: "written"; revision: number }
-	/** These keys have other revisions. */
+	/** The keys whose revisions differ from the conditions. */
 	| { kind: "conflict"; keys: string[] };
 
 export interface QuotaRow {
@@ -23,10 +23,10 @@
 	revision: number;
 }
 
-/** What the package needs of the state service. A call that fails may or may not be carried out. */
+/** The operations of the state service that the package uses. A call that fails may or may not be executed. */
 export interface QuotaStore {
 	transact(conditions: StoredCondition[], changes: StoredChange[]): Promise<QuotaWriteResult>;
-	/** null: there is no such key. */
+	/** Returns null if the key does not exist. */
 	read(key: string): Promise<QuotaRow | null>;
 	rows(prefix: string): Promise<QuotaRow[]>;
 }
@@ -34,35 +34,41 @@
 interface StoredValue {
 	revision: number;
 	records: Map<string, QuotaRecord>;
-	/** Teams whose records here cannot be read. */
+	/** Teams whose records in this value cannot be read. */
 	faults: string[];
 }
 
 export interface StoredValuesOptions {
-	/** Begins the keys. */
+	/** Prefix of the keys of stored quota values. */
 	prefix: string;
 	nodes: readonly string[];
 	incarnationLength: number;
-	/** Largest value that is written. */
+	/** Maximum size of a written value. */
 	mostBytes: number;
 	fault(key: string, team: string, fault: string): void;
 }
 
-/** A process's copy of the stored records, and which value each is in. */
+/** The process's in-memory copy of the stored records, with the key of the value that contains each. */
 export class StoredValues {
 	private readonly values = new Map<string, StoredValue>();
 	private readonly keyOf = new Map<string, string>();
-	/** The state service refuses these as they are. */
+	/** Faults of unreadable records that have been reported already, so that each is reported once. */
 	private readonly reported = new Set<string>();
 
 	constructor(private readonly options: StoredValuesOptions) {}
 
-	/** Something of the records cannot be read: somebody may hold allotments that nobody knows of. */
+	/**
+	 * True if a record cannot be read, so that a controller may hold allotments that this process does
+	 * not know.
+	 */
 	get unreadable(): boolean {
 		return [...this.values.values()].some((value) => value.faults.length > 0);
 	}
 
-	/** A value as the state service has it; undefined: it is not there. Older news changes nothing. */
+	/**
+	 * Applies a value of the state service, undefined if the key does not exist, and returns the teams whose
+	 * records may have changed. A revision that is not newer than the current one is ignored.
+	 */
 	learn(key: string, value: unknown, revision: number): string[] {
 		const known = this.values.get(key);
 		if (known && known.revision >= revision) return [];
@@ -91,7 +97,7 @@
 		return this.keyOf.keys();
 	}
 
-	/** The writes that bring these records about, one for each value that changes. */
+	/** Returns the writes that store these records, one for each value that changes. */
 	changesFor(records: readonly QuotaRecord[]): { condition: StoredCondition; change: StoredChange }[] {
 		const byKey = new Map<string, Map<string, QuotaRecord>>();
 		for (const record of records) {
@@ -119,7 +125,7 @@
 		}
 	}
 
-	/** With an allotment for every node, so that a value never outgrows its bound. */
+	/** Counts an allotment for every node, so that a value never exceeds its maximum size later. */
 	private bytesOf(teams: string[]): number {
 		const { nodes, incarnationLength } = this.options;
 		return teams.reduce((sum, team) => sum + largestRecordBytes(team, nodes, incarnationLength), 0);
--- a/packages/team-quota/src/team-quota.ts
+++ b/packages/team-quota/src/team-quota.ts
@@ -8,37 +8,40 @@
 import { type HolderReply, parseReply, parseTerms, type Wanted } from "./terms.js";
 
 export interface TeamQuotaSettings {
-	/** A holder that has not been heard for about this long loses its allotments. */
+	/** A holder that has not replied for about this long loses its allotments. */
 	expiryMs: number;
-	/** Kept free at the end of that, on top of clock drift. */
+	/** Safety margin at the end of the expiry time, in addition to clock drift. */
 	marginMs: number;
-	/** Least time between moves of one team's allotment. */
+	/** Minimum time between two moves of one team's allotments. */
 	movePauseMs: number;
 }
 
 export interface TeamQuotaOptions {
 	node: string;
-	/** This process. */
+	/** Identifies this process among all processes of the node. */
 	incarnation: string;
 	/** Every node of the cluster. */
 	nodes: readonly string[];
-	/** The platform's settings, by team. */
+	/** The limits in the platform's settings, by team. */
 	teams: ReadonlyMap<string, LimitTerms>;
 	settings: TeamQuotaSettings;
-	/** Begins the keys of the stored records. */
+	/** Prefix of the keys of stored quota values. */
 	prefix: string;
-	/** Largest value that is written, and most changes of a transaction. */
+	/** Maximum size of a written value, and maximum number of changes in a transaction. */
 	mostBytes: number;
 	mostChanges: number;
 	store: QuotaStore;
-	/** Steady time and the time of day, in milliseconds. */
+	/** Monotonic time and wall-clock time, in milliseconds. */
 	now(): number;
 	date(): number;
 	post(command: () => void): void;
 	log: QuotaLog;
 }
 
-/** One process's part in the shared limits: always a holder, and the manager while it leads. */
+/**
+ * One controller's part in team quota: it is always a holder, and also the allotment manager while it
+ * leads.
+ */
 export class TeamQuota {
 	private readonly values: StoredValues;
 	private readonly holder: AllotmentHolder;
@@ -58,28 +61,28 @@
 		return this.options.node;
 	}
 
-	// --- what is stored ---
+	// --- stored values ---
 
-	/** News of a stored value; undefined: it is gone. */
+	/** Applies a stored value; undefined if the key was deleted. */
 	stored(key: string, value: unknown, revision: number): void {
 		if (this.managing) this.managing.stored(key, value, revision);
 		else this.values.learn(key, value, revision);
 	}
 
-	/** What the team may use for now, where records say something other than the platform's settings. */
+	/** Returns the limit and guarantee in effect by the team's record, or null if it has none. */
 	terms(team: string): LimitTerms | null {
 		const record = this.values.record(team);
 		return record ? usableTerms(record) : null;
 	}
 
-	/** This process's steady time. */
+	/** Monotonic time of this process, in milliseconds. */
 	clock(): number {
 		return this.options.now();
 	}
 
 	// --- as a holder ---
 
-	/** From the leader of the term. What is not of the form is as if it had not come. */
+	/** Applies an update from the leader of the term. A malformed update is ignored. */
 	takeTerms(term: number, raw: unknown): void {
 		const terms = parseTerms(raw);
 		if (terms) this.holder.takeTerms(term, terms);
@@ -101,7 +104,7 @@
 		return this.holder.reply(wanted);
 	}
 
-	/** Steady time until which admissions of this holder stand. */
+	/** Monotonic time until which this holder may use its allotments. */
 	get validUntil(): number {
 		return this.holder.validUntil;
 	}
@@ -127,7 +130,7 @@
 		this.managing = null;
 	}
 
-	/** A holder's reply; true: the batch that came with it counts. */
+	/** Processes a holder's reply. Returns true if the batch of admissions that came with it is valid. */
 	heard(node: string, raw: unknown): boolean {
 		const reply = parseReply(raw);
 		return reply !== null && (this.managing?.heard(node, reply) ?? false);
--- a/packages/team-quota/src/terms.ts
+++ b/packages/team-quota/src/terms.ts
@@ -2,49 +2,52 @@
 import { type Amount, AmountSchema } from "./amount.js";
 
 /**
- * What the leader's allotment manager and the holders tell each other. Both sides send state, not
- * changes of it: a message that is lost, doubled or late does no harm.
+ * Messages between the leader's allotment manager and the holders, sent under these field names.
+ * Both sides send state, not changes of it, so a lost, duplicated or late message does no harm.
  */
 
-/** One team's allotment, to its holder. */
+/** The state of one team's allotment, for its holder. */
 export interface TeamTerms {
 	team: string;
-	/** What the holder may admit against. */
+	/** The amount that the holder may admit against, including what it already uses. */
 	cap: Amount;
-	/** Admissions of this holder that run or may run, as far as its batches are settled. */
+	/** The amount of this holder's admissions that run or may run, from its settled batches. */
 	charged: Amount;
-	/** What is left of the team's limit, wherever it is allotted. */
+	/** The unused part of the team's limit, whichever controller it is allotted to. */
 	free: Amount;
 }
 
-/** Manager to holder. */
+/** From the allotment manager to a holder. */
 export interface QuotaTerms {
-	/** The process that is meant: not one of the same node before it. */
+	/** The process that the message is for, not an earlier process of the same node. */
 	incarnation: string;
-	/** Counts the messages to this process in this term of leadership. */
+	/** Sequence number of the messages to this process in this term of leadership. */
 	number: number;
-	/** The last reply of this process that has arrived: the holder's time counts from its sending. */
+	/** Number of the last reply received from this process: the holder's validity counts from its sending. */
 	echo: number;
-	/** Batches of admissions up to this one are within `charged`, or will never start. */
+	/** Number of the last settled batch: admissions up to it are included in `charged` or will never start. */
 	settledBatch: number;
-	/** Teams whose terms have changed since the last message that the holder has confirmed. */
+	/** The teams whose state has changed since the last message that the holder confirmed. */
 	teams: TeamTerms[];
 }
 
-/** More than the holder has: what all its tasks of a team would take. */
+/** The amount that all tasks of a team at this holder would use, which may exceed its allotment. */
 export interface Wanted {
 	team: string;
 	amount: Amount;
 }
 
-/** Holder to manager. */
+/** From a holder to the allotment manager. */
 export interface HolderReply {
 	incarnation: string;
-	/** Counts the replies of this process. */
+	/** Sequence number of the replies of this process. */
 	number: number;
-	/** The last message of the manager's that was applied. */
+	/** Number of the last update that was applied. */
 	confirmed: number;
-	/** The last batch of admissions that was sent; links keep their order, so all up to it were sent before. */
+	/**
+	 * Number of the last closed batch. Links keep their order, so all batches up to it were sent before
+	 * or with this reply.
+	 */
 	batch: number;
 	wanted?: Wanted[] | undefined;
 }
@@ -73,6 +76,6 @@
 	return result.success ? result.output : null;
 }
 
-/** null: not of the form. */
+/** Both return null for a malformed message. */
 export const parseTerms = (raw: unknown): QuotaTerms | null => parseAs(QuotaTermsSchema, raw);
 export const parseReply = (raw: unknown): HolderReply | null => parseAs(HolderReplySchema, raw);
--- a/packages/team-quota/tests/history.test.ts
+++ b/packages/team-quota/tests/history.test.ts
@@ -13,29 +13,29 @@
 	return { tasks, refusals, limits: [limit, lowered], staleMs: 5 };
 }
 
-test("a sound history has no faults", () => {
+test("a valid history has no violations and no duplicate ids", () => {
 	const tasks = [task("a", 1, 50), task("b", 2, 10), task("c", 10, 90, [1000, 1000]), task("d", 120, null)];
 	assert.deepEqual(faultsOf(history(tasks, [20, 40, 130])), []);
 	assert.deepEqual(doubled(tasks), []);
 });
 
-test("a planted overshoot is found in either dimension, also for an instant", () => {
+test("an admission above the limit is found in either dimension, even if it lasts for one instant", () => {
 	const once = [task("a", 1, 50), task("b", 2, 60), task("c", 49, 70)];
 	assert.match(faultsOf(history(once))[0] ?? "", /^49 red: 3000,0 above 2000,1000 at c/);
 	const accelerators = [task("a", 1, 50, [0, 1000]), task("b", 2, 3, [0, 1])];
 	assert.match(faultsOf(history(accelerators))[0] ?? "", /^2 red: 0,1001 above/);
 });
 
-test("what still runs when a lower limit comes into force is found", () => {
+test("a task that still runs above a lower limit when that comes into force is found", () => {
 	assert.match(faultsOf(history([task("a", 1, 150), task("b", 2, 101)]))[0] ?? "", /at a change of limit/);
 });
 
-test("a planted refusal within the guarantee is found", () => {
+test("a refusal within the guarantee is found, unless the guarantee was in use within the information age", () => {
 	assert.match(faultsOf(history([task("a", 1, 20)], [30]))[0] ?? "", /^30 red: 1000,0 refused/);
-	assert.deepEqual(faultsOf(history([task("a", 1, 20)], [24])), [], "it was in use a moment ago");
+	assert.deepEqual(faultsOf(history([task("a", 1, 20)], [24])), [], "the guarantee was in use recently");
 });
 
-test("a slot that was granted twice is found", () => {
+test("a slot granted twice and an id admitted twice are found", () => {
 	const twice = [task("a", 1, 20), task("b", 1, 20), task("c", 1, 20)];
 	assert.equal(faultsOf(history(twice)).length, 1);
 	assert.deepEqual(doubled([task("a", 1, 20), task("a", 30, 40)]), ["a"]);
--- a/packages/team-quota/tests/manager.test.ts
+++ b/packages/team-quota/tests/manager.test.ts
@@ -13,7 +13,7 @@
 const expiryMs = 1000;
 const afterExpiryMs = 1100;
 
-/** A leader `a` and holders, with a clock and a store in the test's hand. */
+/** A leader `a` and holders, with a clock and a store that the test controls. */
 class Setup {
 	now = 0;
 	readonly store = new HeldStore();
@@ -53,7 +53,7 @@
 		return quota;
 	}
 
-	/** The manager's message reaches the holder, and its reply the manager. */
+	/** Delivers the manager's message to the holder and the holder's reply to the manager. */
 	exchange(
 		leader: TeamQuota,
 		manager: AllotmentManager,
@@ -73,7 +73,7 @@
 		}
 	}
 
-	/** A leader with all of red's limit at the holder `b`. */
+	/** Starts a leader that allots the whole limit of red to the holder `b`. */
 	async dividedTo(holder: TeamQuota, term = 1): Promise<{ leader: TeamQuota; manager: AllotmentManager }> {
 		const leader = this.process("a");
 		const manager = leader.beginTerm({ key: "leader", revision: term });
@@ -90,7 +90,7 @@
 	}
 }
 
-test("a holder judged lost and heard again while its allotment is being taken admits nothing more", async () => {
+test("a holder whose allotment is being revoked admits nothing, even if it replies again before the write is done", async () => {
 	const setup = new Setup();
 	const holder = setup.process("b");
 	const { leader, manager } = await setup.dividedTo(holder);
@@ -99,13 +99,15 @@
 	setup.now += afterExpiryMs;
 	await setup.ticks(manager, 1);
 	assert.equal(setup.store.writes.length > 0, true);
-	// Now it is heard: the leader's answer vouches for it again, and must not leave it what is taken.
+	// The holder replies again: the leader's message extends its validity, but must not contain the revoked
+	// amount.
 	leader.heard("b", holder.reply());
 	holder.takeTerms(1, manager.termsFor("b") as QuotaTerms);
-	assert.ok(holder.validUntil > setup.now, "it is vouched for");
+	assert.ok(holder.validUntil > setup.now, "its validity is extended");
 	assert.equal(holder.admit("red", one).kind, "refused");
-	assert.equal(manager.mayStart("b", "red", one), false, "nor does an admission of before start");
-	// The write is lost and carried out late: the holder has nothing before the record is known again.
+	assert.equal(manager.mayStart("b", "red", one), false, "an earlier admission does not start either");
+	// The write gets no answer and may be executed late: the holder gets nothing before the record has been
+	// read again.
 	const lost = setup.store.writes.at(-1);
 	await lost?.lose();
 	leader.heard("b", holder.reply());
@@ -113,7 +115,7 @@
 	assert.equal(holder.admit("red", one).kind, "refused");
 });
 
-test("a write is carried out neither after the leader's key nor after the value has changed hands", async () => {
+test("a write conflicts if the leader's key or the stored value has changed since", async () => {
 	const setup = new Setup();
 	const holder = setup.process("b");
 	const { manager } = await setup.dividedTo(holder);
@@ -132,12 +134,12 @@
 	assert.equal((await showQuotas(store, "quota/", "red")).teams[0]?.limit.cpus, 9);
 });
 
-test("a new leader gives nobody what a holder that has not heard of it may be using", async () => {
+test("a new leader allots nothing that a holder without a message of the new term may still be using", async () => {
 	const setup = new Setup();
 	const silent = setup.process("c");
 	const holder = setup.process("b");
 	const { leader, manager } = await setup.dividedTo(holder);
-	// Half of the limit moves to c, which admits one task and is then not heard any more.
+	// Half of the limit moves to c, which then sends no more replies.
 	leader.heard("c", silent.reply());
 	manager.want("b", "red", one);
 	manager.want("c", "red", { cpus: 2000, gpus: 0 });
@@ -147,20 +149,21 @@
 		await setup.ticks(manager, 1);
 	}
 	assert.equal(holder.admit("red", one, 2).kind, "admitted");
-	// The next leader finds b's two tasks and charges them where most room is; c may still admit two.
+	// The next leader finds b's two tasks and charges them to the node with the most unused allotment; c may
+	// still admit two.
 	const next = setup.process("a");
 	const nextManager = next.beginTerm({ key: "leader", revision: 2 });
 	for (let i = 0; i < 2; i++) nextManager.chargeFound("red", one);
 	nextManager.start();
 	next.heard("b", holder.reply());
 	for (let i = 0; i < 3; i++) setup.exchange(next, nextManager, "b", holder, 2);
-	assert.equal(silent.admit("red", one, 2).kind, "admitted", "by what it knew of the term before");
+	assert.equal(silent.admit("red", one, 2).kind, "admitted", "by its allotment of the previous term");
 	const more = holder.admit("red", one, 4);
 	const inAll = 2 + 2 + (more.kind === "admitted" ? more.count : 0);
 	assert.ok(inAll <= 4, `${inAll} of 4`);
 });
 
-test("tasks charged to a holder beyond what it has leave as much unused elsewhere", async () => {
+test("if a holder is charged more than its allotment, other holders leave the same amount unused", async () => {
 	const setup = new Setup();
 	const holder = setup.process("b");
 	const { manager } = await setup.dividedTo(holder);
@@ -174,7 +177,7 @@
 	manager.charges.release(other);
 });
 
-test("allotments follow tasks that are charged to a holder without any", async () => {
+test("a holder without an allotment gets one for the tasks that are charged to it", async () => {
 	const setup = new Setup();
 	const holder = setup.process("b");
 	const { leader, manager } = await setup.dividedTo(holder);
@@ -193,7 +196,7 @@
 	);
 });
 
-test("a process that has led goes by nothing that it knew as a holder before", async () => {
+test("a process that was leader does not use the allotments that it held before its term", async () => {
 	const setup = new Setup();
 	const holder = setup.process("b");
 	await setup.dividedTo(holder);
@@ -203,7 +206,7 @@
 	assert.deepEqual(holder.admit("red", one).kind, "refused");
 });
 
-test("late words of an ended process, and of a leader or a time before, change nothing", async () => {
+test("late messages of an ended process, of an earlier leader, and with an old number are ignored", async () => {
 	const setup = new Setup();
 	const ended = setup.process("b");
 	const { leader, manager } = await setup.dividedTo(ended);
@@ -214,15 +217,15 @@
 		setup.exchange(leader, manager, "b", restarted, 1);
 		await setup.ticks(manager, 2);
 	}
-	assert.equal(restarted.admit("red", one, 9).kind, "admitted", "the node's allotment is the new process's");
+	assert.equal(restarted.admit("red", one, 9).kind, "admitted", "the new process holds the node's allotment");
 	leader.heard("b", late);
 	assert.equal(manager.mayStart("b", "red", one), true);
 	restarted.takeTerms(1, old);
 	const generous = { team: "red", cap: everything, charged: nothing, free: everything };
 	restarted.takeTerms(0, { ...old, incarnation: "p3", number: 999, teams: [generous] });
-	assert.deepEqual(restarted.admit("red", one, 9).kind, "refused", "it has admitted the whole limit already");
-	assert.equal(setup.lines.includes("allotments of an ended process"), true);
-	// A leader that never knew the ended process hears of it last.
+	assert.deepEqual(restarted.admit("red", one, 9).kind, "refused", "its own admissions use the whole limit");
+	assert.equal(setup.lines.includes("allotments replaced after the holder process ended"), true);
+	// A new leader, which has no record of the ended process, receives its late reply last.
 	const next = setup.process("a");
 	const nextManager = next.beginTerm({ key: "leader", revision: 2 });
 	nextManager.start();
@@ -232,7 +235,7 @@
 	assert.equal(nextManager.mayStart("b", "red", one), true);
 });
 
-test("a batch that was lost, or comes late or twice, is never started", async () => {
+test("a batch that was lost, arrives late or arrives twice is not started", async () => {
 	const setup = new Setup();
 	const holder = setup.process("b");
 	const { leader, manager } = await setup.dividedTo(holder);
@@ -242,13 +245,17 @@
 	setup.exchange(leader, manager, "b", holder, 1);
 	assert.equal(leader.heard("b", lost), false, "a later reply has settled it");
 	setup.exchange(leader, manager, "b", holder, 1);
-	assert.deepEqual(holder.admit("red", one, 9), { kind: "admitted", count: 4 }, "and its room is free again");
+	assert.deepEqual(
+		holder.admit("red", one, 9),
+		{ kind: "admitted", count: 4 },
+		"and its amount is available again",
+	);
 	holder.closeBatch();
 	const reply = holder.reply();
 	assert.deepEqual([leader.heard("b", reply), leader.heard("b", reply)], [true, false]);
 });
 
-test("what is admitted counts until the leader has settled it, however long that takes", async () => {
+test("an admission counts as used until the leader has settled its batch, however long that takes", async () => {
 	const setup = new Setup();
 	const holder = setup.process("b");
 	const { leader, manager } = await setup.dividedTo(holder);
@@ -267,7 +274,7 @@
 	assert.deepEqual(holder.admit("red", one, 9), { kind: "admitted", count: 4 });
 });
 
-test("a scrub tells what differs for long, once: records, charges, and what runs", async () => {
+test("verification logs a persistent difference between records, charges and running tasks once", async () => {
 	const setup = new Setup();
 	const holder = setup.process("b");
 	const { manager } = await setup.dividedTo(holder);
@@ -277,22 +284,22 @@
 	const charge = manager.charges.add("red", "b", one);
 	for (let i = 0; i < 3; i++) running(1000);
 	assert.deepEqual(told(), []);
-	// Forgotten by one of the two counts.
+	// A task is missing in one of the two counts.
 	running(2000);
-	assert.deepEqual(told(), [], "for a moment it may be so");
+	assert.deepEqual(told(), [], "a difference in a single check is not reported");
 	running(2000);
 	running(2000);
-	assert.deepEqual(told(), ["charges are not what runs"]);
+	assert.deepEqual(told(), ["charged amount differs from running tasks"]);
 	running(1000);
 	manager.charges.add("red", "c", one);
 	for (let i = 0; i < 3; i++) running(2000);
-	assert.deepEqual(told(), ["a holder is charged with more than it has"]);
+	assert.deepEqual(told(), ["allotment holder is charged more than its allotment"]);
 	manager.charges.release(charge);
 	for (let i = 0; i < 5; i++) running(1000 + i * 100);
-	assert.deepEqual(told(), ["charges are not what runs"]);
+	assert.deepEqual(told(), ["charged amount differs from running tasks"]);
 });
 
-test("work of hundreds of teams in a fleet of 4,000 machines: values, writes, and what a message holds", async () => {
+test("with 400 teams, values and requests stay within size limits, and writes and messages cover only changes", async () => {
 	const teams = new Map<string, LimitTerms>();
 	for (let i = 0; i < 400; i++)
 		teams.set(`team-${i}`, { limit: limitAmount(160, 8), guarantee: limitAmount(80, 4) });
@@ -313,12 +320,15 @@
 	const bytes = values.map(([, row]) => JSON.stringify(row.value).length);
 	assert.ok(Math.max(...bytes) <= 13_000, `${Math.max(...bytes)} bytes`);
 	for (const { changes } of setup.store.writes)
-		assert.ok(JSON.stringify(changes).length <= 48 * 1024, "a request to the state service holds 64 KiB");
+		assert.ok(
+			JSON.stringify(changes).length <= 48 * 1024,
+			"the state service accepts requests of up to 64 KiB",
+		);
 	assert.ok(bytes.length <= 24, `${bytes.length} values`);
 	const { length: moves } = setup.store.writes;
-	assert.ok(moves <= 30, `${moves} transactions until all is with the placer`);
+	assert.ok(moves <= 30, `${moves} transactions until the preferred holder has all`);
 	setup.exchange(leader, manager, "b", holder, 1);
-	// From then on what is written and told goes by what has changed, not by how many teams there are.
+	// From here on, writes and messages grow with the number of changes, not with the number of teams.
 	for (const team of teams.keys()) {
 		assert.equal(holder.admit(team, one, 100).kind, "admitted");
 		manager.charges.add(team, "b", { cpus: 100_000, gpus: 0 });
--- a/packages/team-quota/tests/planner.test.ts
+++ b/packages/team-quota/tests/planner.test.ts
@@ -21,7 +21,7 @@
 	return [...plan.values()].reduce(plus, nothing);
 }
 
-test("a plan gives out the whole limit and leaves what is in use where it is", () => {
+test("a plan allots the whole limit, and each holder at least what it uses", () => {
 	fc.assert(
 		fc.property(holders, amounts(12_000), (needs, ceiling) => {
 			const plan = planAllotments(ceiling, needs);
@@ -34,7 +34,7 @@
 	);
 });
 
-/** The largest amount that everybody can have who wants as much, found by a linear program. */
+/** Returns the largest amount that all holders can have that request as much, found by a linear program. */
 function fairLevel(limit: number, needs: { used: number; wanted: number }[]): number {
 	const constraints: Record<string, Constraint> = { limit: { max: limit } };
 	const variables: Record<string, Record<string, number>> = { level: { level: 1 } };
@@ -42,7 +42,8 @@
 		variables[`x${i}`] = { limit: 1, [`use${i}`]: 1, [`want${i}`]: 1, [`fair${i}`]: 1 };
 		constraints[`use${i}`] = { min: used };
 		constraints[`want${i}`] = { max: Math.max(used, wanted) };
-		// At least the level, or all that is wanted: only those that want more than their use count.
+		// A holder gets at least the level or all that it requests; only holders that request more than they use
+		// count.
 		if (wanted > used) {
 			constraints[`fair${i}`] = { min: 0 };
 			(variables.level as Record<string, number>)[`fair${i}`] = -1;
@@ -54,7 +55,7 @@
 	return solve(model).result;
 }
 
-test("nobody who wants more could be given more than the least served, by a linear program's word", () => {
+test("the smallest share among holders that request more equals the optimum of a linear program", () => {
 	fc.assert(
 		fc.property(holders, fc.nat(12_000), (needs, limit) => {
 			const plain = needs.map(({ used, wanted }) => ({ used: used.cpus, wanted: wanted.cpus }));
@@ -65,14 +66,14 @@
 				.filter((need) => need.wanted.cpus > need.used.cpus)
 				.map((need) => Math.min(need.wanted.cpus, plan.get(need.node)?.cpus ?? 0));
 			const best = fairLevel(limit, plain);
-			// Thousandths are whole: shares may differ from the program's by one.
+			// Shares are whole thousandths, so they may differ from the program's by one.
 			assert.ok(Math.abs(Math.min(...served) - best) <= 1, `${Math.min(...served)} of ${best}`);
 		}),
 		{ seed: 11, numRuns: 300 },
 	);
 });
 
-test("what nobody else wants stays where it is", () => {
+test("an amount that no other holder requests stays with its holder", () => {
 	const idle = { used: nothing, wanted: nothing };
 	const needs: HolderNeeds[] = [
 		{ node: "a", held: { cpus: 1000, gpus: 0 }, ...idle },
--- a/packages/team-quota/tests/record.test.ts
+++ b/packages/team-quota/tests/record.test.ts
@@ -25,14 +25,14 @@
 	return allot(allot(newRecord("red", settings), "a", "p1", cpus(3)), "b", "p2", cpus(3));
 }
 
-test("no more is allotted than the limit has left", () => {
+test("an allotment gets no more than the unallotted part of the limit", () => {
 	const record = divided();
 	assert.deepEqual(allotmentOf(record, "a")?.amount, cpus(3));
 	assert.deepEqual(allotmentOf(record, "b")?.amount, cpus(1));
 	assert.deepEqual(unallotted(record), nothing);
 });
 
-test("what is recalled is free only once the holder knows and no longer uses it", () => {
+test("a recalled amount becomes unallotted only once the holder has confirmed the recall and no longer uses it", () => {
 	const recalled = recall(divided(), "a", cpus(1), "wanted elsewhere");
 	assert.deepEqual(capOf(allotmentOf(recalled, "a")), cpus(1));
 	assert.deepEqual(unallotted(recalled), nothing);
@@ -43,20 +43,20 @@
 	assert.deepEqual(unallotted(revoke(over, "a")), cpus(3));
 });
 
-test("a higher limit holds at once, a lower one once everything allotted is within it", () => {
+test("a higher limit is in force at once, a lower one once all allotments fit within it", () => {
 	const higher = requestLimit(divided(), { limit: cpus(9), guarantee: cpus(2) }, 1);
 	assert.deepEqual([higher.inForce.limit, higher.pending, higher.revision], [cpus(9), null, 2]);
 	const lower = requestLimit(divided(), { limit: cpus(2), guarantee: cpus(1) }, 1);
 	assert.deepEqual([lower.inForce.limit, lower.pending?.revision], [cpus(4), 2]);
-	assert.deepEqual(allot(lower, "b", "p2", cpus(1)), lower, "nothing more is given out meanwhile");
+	assert.deepEqual(allot(lower, "b", "p2", cpus(1)), lower, "nothing more is allotted meanwhile");
 	const again = requestLimit(lower, { limit: cpus(3), guarantee: cpus(1) }, 2);
-	assert.equal(again.pending?.revision, 3, "the later of two changes counts");
+	assert.equal(again.pending?.revision, 3, "the later of two changes replaces the earlier one");
 	const settled = settleRecall(recall(again, "a", cpus(2), "limit lowered"), "a", nothing);
 	const inForce = enforcePending(settled);
 	assert.deepEqual([inForce.inForce.limit, inForce.revision, inForce.pending], [cpus(3), 3, null]);
 });
 
-test("changes that cannot be are refused with the reason", () => {
+test("invalid limit changes are refused with the reason", () => {
 	const none = nothing;
 	const refused = (request: object, reason: RegExp, capacity = cpus(100), others = none) =>
 		assert.throws(() => changeLimit(divided(), request, 0, others, capacity), {
@@ -72,7 +72,7 @@
 	assert.equal(changeLimit(divided(), { cpus: Infinity }, 0, none, null).inForce.limit.cpus, unlimited);
 });
 
-test("records are kept in rows of numbers and read back the same; a bad one hides no other", () => {
+test("packed records are read back unchanged, and an unreadable record does not hide the others", () => {
 	const record = requestLimit(
 		recall(divided(), "a", cpus(1), "another placer"),
 		{ limit: cpus(1), guarantee: cpus(1) },
@@ -98,7 +98,7 @@
 	assert.deepEqual(unpackValue(17).faults.length, 1);
 });
 
-test("a record that allows more than the limit is refused by its field", () => {
+test("a record that allows more than the limit is refused, naming the field", () => {
 	const record = divided();
 	const twice = { ...record, allotments: [...record.allotments, ...record.allotments] };
 	assert.throws(() => parseRecord(twice), /"a" is named twice/);
@@ -110,7 +110,7 @@
 	);
 });
 
-test("sizes that are not whole thousandths count for more, limits for less", () => {
+test("fractions of thousandths are rounded up in task sizes and down in limits", () => {
 	assert.deepEqual(demandAmount(0.1 + 0.2, 0.0001), { cpus: 300, gpus: 1 });
 	assert.deepEqual(limitAmount(0.3, 0.0019), { cpus: 300, gpus: 1 });
 });
--- a/packages/team-quota/tests/simulation.test.ts
+++ b/packages/team-quota/tests/simulation.test.ts
@@ -33,15 +33,15 @@
 	assert.deepEqual(doubled(history.tasks), []);
 }
 
-test("controllers that admit all the time keep within limits, and all get their turn", async () => {
+test("controllers that admit continuously stay within limits, and none waits long", async () => {
 	const made = cluster(1);
 	await made.run(20_000);
 	check(made, 1);
 	assert.ok(made.admissions > 1000, `${made.admissions} admissions`);
-	assert.ok(made.longestWaitMs < 5000, `${made.longestWaitMs} ms until a slot came round`);
+	assert.ok(made.longestWaitMs < 5000, `${made.longestWaitMs} ms until a slot was available`);
 });
 
-/** One trouble of those that the package is for. */
+/** Injects one random fault of the kinds that the package must tolerate, or a new limit. */
 async function trouble(made: SimulatedCluster): Promise<void> {
 	const node = nodes[made.int(0, nodes.length - 1)] as string;
 	const kind = made.int(0, 6);
@@ -68,11 +68,11 @@
 	}
 }
 
-/** The long form is a command of its own: see the README. */
+/** More seeds run by a command of their own: see the README. */
 const seeds = Number(process.env.QUOTA_SEEDS ?? 24);
 
 for (let seed = 1; seed <= seeds; seed++) {
-	test(`ends, pauses, restarts, lost answers, outages, new leaders and new limits together: seed ${seed}`, async () => {
+	test(`limits hold under crashes, pauses, lost messages, outages, failovers and limit changes: seed ${seed}`, async () => {
 		const made = cluster(seed);
 		await made.run(500);
 		for (let i = 0; i < 40; i++) {
--- a/packages/team-quota/tests/support/held-store.ts
+++ b/packages/team-quota/tests/support/held-store.ts
@@ -2,22 +2,22 @@
 
 interface HeldWrite {
 	changes: StoredChange[];
-	/** Carries it out and answers. */
+	/** Applies the write and returns the result to the writer. */
 	answer(): Promise<void>;
-	/** No answer comes; it may be carried out at some later time. */
+	/** Fails the write without an answer; a test may still apply it later. */
 	lose(): Promise<void>;
 	carryOut(): QuotaWriteResult;
 }
 
-/** A store whose writes wait until a test says what becomes of them. */
+/** A store whose writes wait until the test decides their results. */
 export class HeldStore implements QuotaStore {
-	/** The leader's key is there from the start: tests have leaders of term 1 write. */
+	/** Contains the leader's key from the start, since tests begin with a leader of term 1. */
 	readonly rowsByKey = new Map<string, { value: unknown; revision: number }>([
 		["leader", { value: "a", revision: 1 }],
 	]);
 	readonly writes: HeldWrite[] = [];
 	revision = 1;
-	/** Answer at once. */
+	/** True: writes are applied and answered at once. */
 	prompt = true;
 
 	transact(conditions: StoredCondition[], changes: StoredChange[]): Promise<QuotaWriteResult> {
@@ -55,7 +55,7 @@
 	}
 }
 
-/** Until all that follows from it at once has happened. */
+/** Calls the function and lets the promises that it resolves run their continuations. */
 export async function settled(act: () => void = () => {}): Promise<void> {
 	act();
 	for (let i = 0; i < 12; i++) await Promise.resolve();
--- a/packages/team-quota/tests/support/history.ts
+++ b/packages/team-quota/tests/support/history.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a history of admissions and says what is wrong with it. It shares no code with what it checks:
- * it knows limits, sizes and times, and nothing of allotments.
+ * Checks a history of admissions. The checker shares no code with the package: it uses limits, sizes and
+ * times, and no allotments.
  */
 
 /** CPUs and accelerators, in thousandths. */
@@ -11,7 +11,7 @@
 	team: string;
 	size: Size;
 	admittedAt: number;
-	/** When it was over, was dropped, or could no longer start; null: it still runs. */
+	/** When the task ended, was dropped, or could no longer start; null: it still runs. */
 	endedAt: number | null;
 }
 
@@ -30,21 +30,24 @@
 
 export interface History {
 	tasks: AdmittedTask[];
-	/** Refused since the team was at its limit. Waits for a recall are no refusals. */
+	/** Refusals because the team was at its limit. Waiting for a recall is not a refusal. */
 	refusals: Refusal[];
 	limits: LimitChange[];
-	/** What a refusal goes by may be so old. */
+	/** Maximum age of the information that a refusal is based on, in milliseconds. */
 	staleMs: number;
 }
 
-/** Tasks or limits come and go; at one moment ends go first, so that places can change hands in it. */
+/**
+ * A start or end of a task, or a limit change. At equal times, ends come first, so that a slot can be
+ * reused at once.
+ */
 interface Step {
 	at: number;
 	order: number;
 	apply(): string | null;
 }
 
-/** All that a history shows to be wrong, in the order of time. */
+/** Returns the violations of each team: those of its limit in the order of time, then unjustified refusals. */
 export function faultsOf(history: History): string[] {
 	const teams = new Set(history.limits.map(({ team }) => team));
 	return [...teams].flatMap((team) => [...overshoots(history, team), ...wrongRefusals(history, team)]);
@@ -77,7 +80,10 @@
 	return steps.map((step) => step.apply()).filter((fault) => fault !== null);
 }
 
-/** A team is refused something only if it did use so much that this would not have been within its guarantee. */
+/**
+ * A refusal is justified only if the task would have exceeded the guarantee, given what the team used at
+ * the time.
+ */
 function wrongRefusals({ tasks, refusals, limits, staleMs }: History, team: string): string[] {
 	const changes = limits.filter((change) => change.team === team);
 	const faults: string[] = [];
@@ -87,7 +93,7 @@
 			(task) => task.team === team && task.admittedAt <= at && (task.endedAt ?? at) >= from,
 		);
 		const most = (i: 0 | 1) => overlapping.reduce((sum, task) => sum + task.size[i], 0) + size[i];
-		// Of limits that held in that time the least guarantee.
+		// The smallest guarantee of the limits in force in that period applies.
 		const held = changes.filter((change, i) => change.at <= at && (changes[i + 1]?.at ?? at) >= from);
 		const least = (i: 0 | 1) => Math.min(...held.map(({ guarantee }) => guarantee[i]));
 		if (most(0) <= least(0) && most(1) <= least(1))
@@ -98,7 +104,7 @@
 	return faults;
 }
 
-/** Ids that were admitted more than once. */
+/** Returns the ids that were admitted more than once. */
 export function doubled(tasks: readonly AdmittedTask[]): string[] {
 	const seen = new Set<string>();
 	return tasks.filter(({ id }) => seen.has(id) || !seen.add(id)).map(({ id }) => id);
--- a/packages/team-quota/tests/support/simulated-cluster.ts
+++ b/packages/team-quota/tests/support/simulated-cluster.ts
@@ -15,13 +15,13 @@
 const tickMs = 20;
 const expiryMs = 600;
 
-/** One admission on its way from a holder to the leader, or running. */
+/** An admitted task, on its way from a holder to the leader, or running. */
 interface Task {
 	id: string;
 	team: string;
 	size: Amount;
 	admittedAt: number;
-	/** When it can start no more, if it has not by then. */
+	/** Time from which the task can no longer start, if it has not started. */
 	voidAt: number;
 	started: boolean;
 	endedAt: number | null;
@@ -31,11 +31,11 @@
 	node: string;
 	incarnation: string;
 	quota: TeamQuota;
-	/** Rate of its steady clock. */
+	/** Rate of the process's monotonic clock, relative to simulated time. */
 	rate: number;
 	manager: AllotmentManager | null;
 	charges: Map<string, Charge>;
-	/** The latest term that its holder knows, and admissions it has sent, with their batches. */
+	/** The latest term known to its holder, and the tasks that it has sent, with their batch numbers. */
 	term: number;
 	readonly sent: Map<Task, number>;
 	frozen: (() => void)[] | null;
@@ -43,15 +43,15 @@
 }
 
 export interface Weather {
-	/** Parts of messages that are lost, and of writes whose answer is lost or which are carried out late. */
+	/** Fraction of messages that are lost, and of writes that get no answer and may be executed late. */
 	lost: number;
 	lostWrites: number;
 	mostDelayMs: number;
 }
 
 /**
- * Several controllers in simulated time, between a store and links that fail, without any check of
- * limits but the allotments. Only the election is taken for granted: one leader at a time.
+ * Several controllers in simulated time, with a store and links that fail. Nothing but the allotments
+ * enforces limits. The election is assumed to be correct: there is one leader at a time.
  */
 export class SimulatedCluster {
 	now = 0;
@@ -77,7 +77,7 @@
 		seed: number,
 		readonly nodes: string[],
 		private readonly teams: Map<string, LimitTerms>,
-		/** What a node asks for at each of its turns. */
+		/** Returns the task that a node requests at each of its turns. */
 		private readonly appetite: (node: string) => { team: string; size: Amount; runMs: number } | null,
 	) {
 		this.random = xoroshiro128plus(seed);
@@ -185,7 +185,7 @@
 		for (const run of held) run();
 	}
 
-	/** Another process leads from now on; the one before has lost its authority. */
+	/** Makes the node's process the leader; the previous leader loses its authority. */
 	elect(node: string): void {
 		const process = this.processes.get(node);
 		if (!process || process.frozen) return;
@@ -200,7 +200,7 @@
 		process.term = this.term;
 		for (const task of process.sent.keys()) task.voidAt = Math.min(task.voidAt, this.now);
 		process.sent.clear();
-		// The new leader finds what runs only after a while.
+		// The new leader finds the running tasks after a delay.
 		this.after(this.int(5, 60), () => {
 			if (this.leader !== process || process.manager !== manager) return;
 			for (const task of this.tasks.values())
@@ -214,7 +214,7 @@
 		return this.leader?.node ?? null;
 	}
 
-	// --- work ---
+	// --- admissions ---
 
 	private work(process: Process): void {
 		const leads = this.leader === process;
@@ -232,7 +232,7 @@
 		}
 	}
 
-	/** What the holder drops on hearing this is over for the record, unless it was started. */
+	/** Delivers an update. Tasks of batches that the holder drops now can no longer start, unless they have. */
 	private tell(to: Process, term: number, terms: QuotaTerms): void {
 		const before = to.term;
 		to.quota.takeTerms(term, terms);
@@ -269,7 +269,8 @@
 		}
 		const admission = process.quota.admit(team, size);
 		if (admission.kind === "admitted") {
-			// Only for the record: when, in the world's time, its allotment runs out. If that is over, it stands.
+			// For the history only: the time of expiry in simulated time. Infinity if the validity is
+			// already past.
 			const validMs = (process.quota.validUntil - process.quota.clock()) / process.rate;
 			task.voidAt = validMs > 0 ? this.now + validMs : Number.POSITIVE_INFINITY;
 			this.admitted(process.node, task);
@@ -359,7 +360,7 @@
 			transact: async (conditions, changes) => {
 				served();
 				if (!this.chance(this.weather.lostWrites)) return this.transact(conditions, changes);
-				// Carried out now, later or never; nobody hears of it.
+				// The write is executed now, later or never, and gets no answer in any case.
 				if (this.chance(0.7)) this.after(this.int(0, 400), () => void this.transact(conditions, changes));
 				throw new Error("no answer");
 			},
@@ -394,7 +395,7 @@
 			this.after(this.int(1, 20), () => this.pass(process, () => process.quota.stored(key, value, revision)));
 	}
 
-	/** For changes of limits by an operator, and for values that somebody has spoilt. */
+	/** The store as an operator's command uses it. */
 	get operatorStore(): QuotaStore {
 		return this.storeFor();
 	}
@@ -406,7 +407,7 @@
 		for (const process of this.processes.values()) process.quota.stored(key, value, revision);
 	}
 
-	/** What happened, as the checker wants it. */
+	/** Returns the history in the form that the checker reads. */
 	finished(): History {
 		this.history.tasks = [...this.tasks.values()].map((task) => ({
 			id: task.id,
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -22,9 +22,9 @@
 import { HttpClient } from "./transport/clients/http-client.js";
 import { StoreClient } from "./transport/clients/store-client.js";
 
-/** `ramphub quota`: teams' limits for operators, read and changed in the state service itself. */
+/** `ramphub quota`: operators read and change teams' limits directly in the state service. */
 
-/** The command could not be carried out; the exit code tells a refusal from a failure. */
+/** The command failed. Exit code 2: the request was refused; 1: the state service failed or was contended. */
 export class QuotaCommandError extends Error {
 	constructor(
 		message: string,
@@ -44,7 +44,7 @@
 
 interface SetOptions extends CommandOptions, LimitRequest {}
 
-/** A number of CPUs or accelerators, or "none" for no limit. */
+/** Parses a number of CPUs or accelerators, or "none" for no limit. */
 export function parseUnits(text: string): number {
 	if (text === "none") return Number.POSITIVE_INFINITY;
 	const value = Number(text);
@@ -117,7 +117,10 @@
 	return options.json ? JSON.stringify(shown, null, 2) : describeTeam(shown);
 }
 
-/** All that there can be: as many machines as operators allow, of the largest type. null: no bound is set. */
+/**
+ * Returns the capacity of as many machines as operators allow, of the largest type, or null if operators
+ * set no bound or the machine types are unknown.
+ */
 async function knownCapacity(store: KeyValueStore, options: CommandOptions) {
 	const operator =
 		options.operator === undefined
--- a/src/team-quota.ts
+++ b/src/team-quota.ts
@@ -7,12 +7,12 @@
 import type { OperatorSettings } from "./protocol/settings/operator.js";
 import type { PlatformSettings } from "./protocol/settings/platform.js";
 
-/** Wires team quota to the service: its store, its clocks and the settings of platform and operators. */
+/** Connects team quota to the state service, the clock and the settings of the platform and of operators. */
 
-/** Values are written up to this part of the largest allowed. */
+/** Maximum size of written values, relative to the largest value that the state service accepts. */
 const valuePart = 0.8;
 
-/** The state service as the package asks for it. */
+/** Adapts the state service to the interface that the package uses. */
 export function quotaStore(store: KeyValueStore): QuotaStore {
 	return {
 		read: async (key) => {
@@ -36,7 +36,7 @@
 export interface TeamQuotaWiring {
 	platform: PlatformSettings;
 	operator: OperatorSettings;
-	/** This process. */
+	/** Identifies this process among all processes of the node. */
 	incarnation: string;
 	store: KeyValueStore;
 	time: Clock;
@@ -44,7 +44,7 @@
 	post(command: () => void): void;
 }
 
-/** null: operators have it switched off. */
+/** Returns null if operators have disabled team quota. */
 export function makeTeamQuota(wiring: TeamQuotaWiring): TeamQuotaPort | null {
 	const { platform, operator, incarnation, store, time, log, post } = wiring;
 	const settings = operator.team_quota;
--- a/tests/support/quota-measure.ts
+++ b/tests/support/quota-measure.ts
@@ -1,4 +1,4 @@
-/** Measures team quota with controllers as processes on loopback: `npm run measure:quota`. No part of CI. */
+/** Measures team quota with controllers as processes on loopback: `npm run measure:quota`. Not part of CI. */
 import { build } from "hdr-histogram-js";
 import { limitAmount, setQuota, unlimited } from "#team-quota";
 import { AllotmentHolder } from "../../packages/team-quota/src/holder.js";
@@ -16,7 +16,7 @@
 	],
 );
 
-/** Microseconds, to a minute. */
+/** Records microseconds, up to one minute. */
 const histogram = () => build({ lowestDiscernibleValue: 1, highestTrackableValue: 60e6 });
 
 function show(what: string, times: ReturnType<typeof histogram>): void {
@@ -38,10 +38,10 @@
 	for (const wait of made.waits) waits.recordValue(Math.max(1, Math.round(wait * 1000)));
 	console.log(`admissions a second: ${((made.started - started) / seconds).toFixed(0)}`);
 	console.log(`store writes a minute: ${(((made.storeWrites - storeWrites) * 60) / seconds).toFixed(0)}`);
-	show("until a task is admitted, moves of allotments and full teams included", waits);
+	show("wait until a task is admitted, including recalls of allotments and teams at their limits", waits);
 	const starts = histogram();
 	for (const time of made.startTimes()) starts.recordValue(Math.max(1, Math.round(time * 1000)));
-	show("from asking to the start at a worker, of those that start", starts);
+	show("from request to start at a worker, for tasks that started", starts);
 }
 
 async function takeovers(made: QuotaProcesses): Promise<void> {
@@ -57,7 +57,7 @@
 		times.recordValue(Math.round((performance.now() - from) * 1000));
 		await pause(1500);
 	}
-	show("takeover, from the end of the leader to the first start", times);
+	show("failover, from the end of the leader to the first start", times);
 }
 
 async function loweredLimits(made: QuotaProcesses): Promise<void> {
@@ -71,10 +71,10 @@
 		if (i % 2 === 0) times.recordValue(Math.round((performance.now() - from) * 1000));
 		await pause(500);
 	}
-	show("a limit lowered from 24 to 8, until it is in force", times);
+	show("from the request to lower a limit from 24 to 8 until it is in force", times);
 }
 
-/** One holder with room for all of it, in this process. */
+/** Measures admissions by a holder in this process whose allotment has capacity for all of them. */
 function holderSpeed(): void {
 	const holder = new AllotmentHolder({
 		incarnation: "p1",
@@ -103,7 +103,7 @@
 	await admissions(made);
 	if (!leaderAlone) await loweredLimits(made);
 	await takeovers(made);
-	if (!leaderAlone) console.log(`faults in the history: ${faultsOf(made.history()).length}`);
+	if (!leaderAlone) console.log(`violations in the history: ${faultsOf(made.history()).length}`);
 } finally {
 	await made.stop();
 }
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -1,6 +1,7 @@
 /**
- * One controller of the test of simultaneous admissions: real leadership, store client and links to
- * the others, and team quota with nothing beside it that checks limits. The parent is its workers.
+ * One controller process of the test of simultaneous admissions: it uses the real leadership, store client
+ * and links to the other controllers, and only team quota enforces limits. The parent process acts as the
+ * workers.
  */
 import { type AllotmentManager, type Amount, TeamQuota } from "#team-quota";
 import { Leadership } from "../../src/coordination/leadership/leadership.js";
@@ -20,7 +21,7 @@
 	others: { node: string; domain: string; addr: string }[];
 	state: string;
 	teams: [string, { limit: Amount; guarantee: Amount }][];
-	/** Rate of its steady clock. */
+	/** Rate of the node's monotonic clock, relative to the host's. */
 	rate: number;
 	busy: boolean;
 	leaderAlone: boolean;
@@ -44,14 +45,14 @@
 export type ToNode =
 	| { kind: "ended"; id: string }
 	| { kind: "running"; term: number; tasks: QuotaTask[] }
-	/** All at one moment, by the machine's clock. */
+	/** The admission has to start at the time `at` of the host's clock, which all nodes share. */
 	| { kind: "admit"; team: string; size: Amount; runMs: number; at: number };
 
 type Message =
 	| { kind: "terms"; epoch: number; terms: unknown }
 	| { kind: "propose"; epoch: number; reply: unknown; tasks: QuotaTask[] };
 
-/** The machine's steady clock, the same for all processes on it. */
+/** Returns the host's monotonic time in milliseconds, the same for all processes on the host. */
 export function machineMs(): number {
 	return Number(process.hrtime.bigint()) / 1e6;
 }
@@ -163,7 +164,7 @@
 		this.leaderNode = this.leader?.value.node ?? "";
 	}
 
-	// --- leading ---
+	// --- as the leader ---
 
 	private endTerm(): void {
 		this.quota.endTerm();
@@ -193,7 +194,7 @@
 			this.charges.delete(message.id);
 			if (charge) this.manager?.charges.release(charge);
 		} else if (message.kind === "admit") {
-			// Waits for the moment itself, so that all ask within it.
+			// Busy-waits, since a timer is too coarse for admissions within the same millisecond.
 			while (machineMs() < message.at);
 			this.admit(message);
 		} else if (this.leadership.authority() === message.term) {
--- a/tests/support/quota-processes.ts
+++ b/tests/support/quota-processes.ts
@@ -23,7 +23,10 @@
 	child: ChildProcess;
 }
 
-/** Controllers as processes on loopback; this process is their store, their workers and their chronicler. */
+/**
+ * Controllers as processes on loopback. This process acts as their store and workers, and records the
+ * history.
+ */
 export class QuotaProcesses {
 	readonly state = new StateService({
 		now: () => performance.now(),
@@ -34,10 +37,10 @@
 	});
 	readonly waits: number[] = [];
 	readonly moments: { kind: "leads"; at: number }[] = [];
-	/** Part of the store's answers that are lost after it wrote. */
+	/** Fraction of the store's answers to writes that are lost after the write. */
 	lostAnswers = 0;
 	storeWrites = 0;
-	/** Limits of `red` that came into force. */
+	/** Number of changes of the CPU limit in force of `red`. */
 	limitChanges = 0;
 	private readonly members = new Map<string, Member>();
 	private readonly servers: Server[] = [];
@@ -52,7 +55,7 @@
 	constructor(
 		private readonly teams: [string, { limit: Amount; guarantee: Amount }][],
 		private readonly busy: boolean,
-		/** For comparison: the leader alone admits, and the others ask it. */
+		/** For comparison: only the leader admits, and the other controllers send it their requests. */
 		private readonly leaderAlone = false,
 	) {}
 
@@ -106,7 +109,10 @@
 		member.child = this.spawn(member.config);
 	}
 
-	/** What has not started by now never will; what has is in the chronicle for as long as it runs. */
+	/**
+	 * Marks admitted tasks as unable to start any more. For tasks that have started, the history uses
+	 * their run time.
+	 */
 	private drop(ids: string[], at = machineMs()): void {
 		for (const id of ids) {
 			const entry = this.admitted.get(id);
@@ -122,7 +128,7 @@
 		}
 	}
 
-	/** All ask for the same at the same moment. */
+	/** Makes all nodes request an admission of the same size at the same time. */
 	admitTogether(team: string, size: Amount, runMs: number): void {
 		const at = machineMs() + 4;
 		for (const { child } of this.members.values()) this.tell(child, { kind: "admit", team, size, runMs, at });
@@ -154,7 +160,7 @@
 		response.end(JSON.stringify(answer.body));
 	}
 
-	/** A call of an operator's command. */
+	/** Handles a store request of an operator's command. */
 	async operatorCall(method: string, path: string, body: unknown) {
 		const answer = await this.state.handle(method, path, body, "operator");
 		if (path === "/multi" && answer.status === 200)
@@ -162,7 +168,7 @@
 		return answer;
 	}
 
-	/** Limits in force, as written; read here from the rows of numbers, with no code of the package. */
+	/** Records the written limits in force, read from the packed arrays without code of the package. */
 	private written(body: { then: { put?: string; v?: unknown }[] }): void {
 		for (const { put, v } of body.then) {
 			if (!put?.startsWith("r/quota/")) continue;
@@ -179,7 +185,7 @@
 		}
 	}
 
-	// --- the workers, and the chronicle ---
+	// --- workers and history ---
 
 	private heard(child: ChildProcess, message: FromNode): void {
 		switch (message.kind) {
@@ -211,7 +217,7 @@
 		return [...this.running.values()].filter(({ endedAt }) => endedAt === null).map(({ task }) => task);
 	}
 
-	/** Workers drop what a leader of an earlier term sends. */
+	/** Starts a task; like a worker, ignores a leader of an earlier term. */
 	private startTask(term: number, task: QuotaTask): void {
 		if (term < this.term) return;
 		const entry: Running = { task, startedAt: machineMs(), endedAt: null };
@@ -222,7 +228,7 @@
 		}, task.runMs);
 	}
 
-	/** From asking to the start at a worker, in milliseconds. */
+	/** Returns the delays from request to start at a worker, in milliseconds. */
 	startTimes(): number[] {
 		return [...this.running.values()].map(({ task, startedAt }) => startedAt - task.admittedAt);
 	}
@@ -263,7 +269,7 @@
 	return port;
 }
 
-/** The state service as an operator's command reaches it. */
+/** The state service as an operator's command uses it. */
 export function operatorStore(made: QuotaProcesses): QuotaStore {
 	const time = { now: () => performance.now(), date: () => new Date(), after: () => ({ cancel() {} }) };
 	const http = {
--- a/tests/support/trace-player.ts
+++ b/tests/support/trace-player.ts
@@ -45,7 +45,8 @@
 		await this.world.checkKnown();
 		this.world.checkCancelled();
 		assert.deepEqual(this.world.broken, [], this.world.logs.slice(-20).join("\n"));
-		const differing = / (charges are not what runs|a holder is charged with more than it has) /;
+		const differing =
+			/ (charged amount differs from running tasks|allotment holder is charged more than its allotment) /;
 		assert.deepEqual(
 			this.world.logs.filter((line) => differing.test(line)),
 			[],
--- a/tests/team-quota/processes.test.ts
+++ b/tests/team-quota/processes.test.ts
@@ -4,7 +4,7 @@
 import { doubled, faultsOf } from "../../packages/team-quota/tests/support/history.js";
 import { operatorStore, QuotaProcesses } from "../support/quota-processes.js";
 
-/** The long form is a command of its own: see the README. */
+/** Longer runs are a command of their own: see the README. */
 const rounds = Number(process.env.QUOTA_ROUNDS ?? 300);
 
 const troubles = Number(process.env.QUOTA_TROUBLES ?? 8);
@@ -19,13 +19,13 @@
 	assert.deepEqual(doubled(history.tasks), []);
 }
 
-/** Nobody counts on a moment: only on what holds in the end. */
+/** Polls until the condition holds, so that tests do not depend on exact timing. */
 async function until(what: string, holds: () => boolean, mostMs = 20_000): Promise<void> {
 	for (const from = performance.now(); !holds(); await pause(20))
 		assert.ok(performance.now() - from < mostMs, `${what} after ${mostMs} ms`);
 }
 
-test("controllers ask for a team's last free slot within a millisecond, over and over", async () => {
+test("limits hold when controllers request a team's last free slot within the same millisecond, repeatedly", async () => {
 	const last = { limit: limitAmount(1, 1), guarantee: limitAmount(1, 1) };
 	const wide = { limit: limitAmount(8, 2), guarantee: limitAmount(4, 1) };
 	const made = new QuotaProcesses(
@@ -54,7 +54,7 @@
 	}
 });
 
-test("ends, pauses beyond expiry, restarts, lost answers, outages and a lowered limit while all admit", async () => {
+test("limits hold under crashes, pauses beyond expiry, lost answers, outages and limit changes during admissions", async () => {
 	const red = { limit: limitAmount(6, 2), guarantee: limitAmount(2, 1) };
 	const blue = { limit: limitAmount(4, Number.POSITIVE_INFINITY), guarantee: limitAmount(4, 0) };
 	const made = new QuotaProcesses(
@@ -82,11 +82,11 @@
 				() => Promise.all([stopFor(made, other, 900), made.restart(leader)]),
 			][i % 8]?.();
 			const before = made.started;
-			await until(`admissions after trouble ${i}`, () => made.started > before + 30);
+			await until(`admissions after fault ${i}`, () => made.started > before + 30);
 		}
 		check(made);
 		const longest = Math.max(...made.waits);
-		assert.ok(longest < 15_000, `${longest} ms until a slot came round`);
+		assert.ok(longest < 15_000, `${longest} ms until a slot was available`);
 	} finally {
 		await made.stop();
 	}
--- a/tests/team-quota/quota-command.test.ts
+++ b/tests/team-quota/quota-command.test.ts
@@ -12,7 +12,7 @@
 import { withJob } from "../support/quota-world.js";
 import { nodeNames, settingsText } from "../support/world.js";
 
-test("ramphub quota shows and sets limits, says why it does not, and exits with 0, 1 or 2", async () => {
+test("ramphub quota shows and sets limits, gives the reason for a refusal, and exits with 0, 1 or 2", async () => {
 	const world = await withJob(2);
 	const server = createServer(async (request, response) => {
 		const chunks: Buffer[] = [];
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -7,7 +7,7 @@
 import { withJob } from "../support/quota-world.js";
 import { nodeNames, World } from "../support/world.js";
 
-/** The state service as an operator's command reaches it. */
+/** The state service as an operator's command uses it. */
 function operatorStore(world: World): QuotaStore {
 	const http = {
 		call: (method: string, path: string, body: unknown) => world.state.handle(method, path, body, "operator"),
@@ -25,32 +25,32 @@
 	return (await showQuotas(operatorStore(world), keys.quota, team)).teams[0] as ShownTeam;
 }
 
-test("a lowered limit is pending until what runs above it has ended or is stopped, then nobody goes above it", async () => {
+test("a lowered limit is pending until the tasks above it have ended or are stopped, then it is enforced", async () => {
 	const world = await withJob(12);
 	assert.equal(world.runningOf("j-000001"), 8, "the platform's limit");
 	const answer = await setLimit(world, "red", { cpus: 3, guaranteedCpus: 1 });
 	assert.equal(answer.pending?.limit.cpus, 3);
 	await world.time.advance(40_000);
-	assert.equal(world.runningOf("j-000001"), 8, "preempt_after_s is not over");
+	assert.equal(world.runningOf("j-000001"), 8, "preempt_after_s has not passed");
 	await world.time.advance(40_000);
 	assert.equal(world.runningOf("j-000001"), 3);
 	const lowered = await shown(world, "red");
 	assert.deepEqual([lowered.limit.cpus, lowered.pending], [3, null]);
 	world.changedLimits.set("red", 3);
-	// A change of leader, and the next one goes by the record.
+	// After a failover the new leader enforces the limit of the record.
 	world.crash(world.leaderNode() as string);
 	await world.time.advance(40_000);
 	assert.equal(world.runningOf("j-000001"), 3);
 	const refused = await world.submit(world.leaderNode() as string, { id: "j-000002", pieces: 1, cores: 4 });
-	assert.equal(refused.status, 422, "one task needs more than the limit that holds");
+	assert.equal(refused.status, 422, "one task needs more than the limit in force");
 	world.changedLimits.set("red", 5);
 	await setLimit(world, "red", { cpus: 5 });
 	await world.time.advance(10_000);
-	assert.equal(world.runningOf("j-000001"), 5, "a higher one holds at once");
+	assert.equal(world.runningOf("j-000001"), 5, "a higher limit is in force at once");
 	assert.deepEqual(world.broken, []);
 });
 
-test("limits are changed twice, in a takeover and while a controller is cut off; the last one holds", async () => {
+test("of two limit changes during a failover and while a controller is disconnected, the last one is enforced", async () => {
 	const world = await withJob(12);
 	const leader = world.leaderNode() as string;
 	const other = nodeNames.find((node) => node !== leader) as string;
@@ -67,7 +67,7 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("a team goes on where its placer ends, and allotments of ended processes come back", async () => {
+test("after every controller has restarted, teams use their whole limits: allotments of ended processes are reused", async () => {
 	const world = await withJob(4);
 	for (const node of nodeNames) {
 		world.crash(node);
@@ -85,7 +85,7 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("inside allotments admission goes on while the state service is out", async () => {
+test("admission within allotments continues during an outage of the state service", async () => {
 	const world = new World(6, nodeNames, false, true);
 	await world.time.advance(2000);
 	await world.submit("runner-0", { id: "j-000001", pieces: 12, cores: 1, runs: 30 });
@@ -93,14 +93,14 @@
 	assert.equal(world.starts.size, 8);
 	world.state.setOutage(true);
 	await world.time.advance(40_000);
-	assert.equal(world.starts.size, 12, "what ended made room for the rest");
+	assert.equal(world.starts.size, 12, "the other tasks start as running ones end");
 	world.state.setOutage(false);
 	await world.time.advance(40_000);
 	assert.equal((await world.poll("runner-1", "j-000001")).body.status, "done");
 	assert.deepEqual(world.broken, []);
 });
 
-test("the older way holds until every controller takes part, and again where one that does not leads", async () => {
+test("without team quota on every controller, limits hold as before: during an upgrade and after a downgrade", async () => {
 	const world = new World(6, nodeNames);
 	world.crash("runner-1");
 	world.crash("runner-2");
@@ -126,7 +126,7 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("records that are bad in every way are named, never an overshoot, and end no process", async () => {
+test("malformed records are logged, never allow more than the limit, and crash no process", async () => {
 	const world = await withJob(12);
 	const key = [...world.state.rows.keys()].find((name) => name.startsWith(keys.quota)) as string;
 	const value = structuredClone(world.state.rows.get(key)?.v) as { teams: Record<string, unknown> };
