--- a/packages/team-quota/src/amount.ts
+++ b/packages/team-quota/src/amount.ts
@@ -9,30 +9,30 @@
 	readonly gpus: number;
 }
 
-const perUnit = 1000;
+const thousandthsPerUnit = 1000;
 /** Represents no limit. Small enough that sums of many such values are still exact. */
 export const unlimited = 2 ** 44;
 /** Absorbs the floating-point error of sizes such as 0.1 + 0.2, in thousandths. */
-const roundingError = 1e-6;
+const roundingTolerance = 1e-6;
 
-export const nothing: Amount = { cpus: 0, gpus: 0 };
+export const zeroAmount: Amount = { cpus: 0, gpus: 0 };
 
-const dimension = v.pipe(
+const DimensionSchema = v.pipe(
 	v.number("must be a number"),
 	v.safeInteger("must be a whole number of thousandths"),
 	v.minValue(0, "must not be negative"),
 	v.maxValue(unlimited, "must not be above the largest limit"),
 );
 
-export const AmountSchema = v.object({ cpus: dimension, gpus: dimension });
+export const AmountSchema = v.object({ cpus: DimensionSchema, gpus: DimensionSchema });
 
 function thousandths(units: number, round: (value: number) => number): number {
-	return Math.min(unlimited, Math.max(0, round(units * perUnit)));
+	return Math.min(unlimited, Math.max(0, round(units * thousandthsPerUnit)));
 }
 
 /** Returns the amount that a task needs, rounded up so that it is never charged too little. */
 export function demandAmount(cpus: number, gpus: number): Amount {
-	const up = (value: number) => Math.ceil(value - roundingError);
+	const up = (value: number) => Math.ceil(value - roundingTolerance);
 	return { cpus: thousandths(cpus, up), gpus: thousandths(gpus, up) };
 }
 
@@ -41,38 +41,42 @@
  * limit.
  */
 export function limitAmount(cpus: number, gpus: number): Amount {
-	const down = (value: number) => Math.floor(value + roundingError);
+	const down = (value: number) => Math.floor(value + roundingTolerance);
 	return { cpus: thousandths(cpus, down), gpus: thousandths(gpus, down) };
 }
 
 /** Converts thousandths to CPUs or accelerators; Infinity for no limit. */
-export function inUnits(value: number): number {
-	return value >= unlimited ? Number.POSITIVE_INFINITY : value / perUnit;
+export function toUnits(value: number): number {
+	return value >= unlimited ? Number.POSITIVE_INFINITY : value / thousandthsPerUnit;
 }
 
-function combine(a: Amount, b: Amount, by: (x: number, y: number) => number): Amount {
-	return { cpus: by(a.cpus, b.cpus), gpus: by(a.gpus, b.gpus) };
+function combineAmounts(a: Amount, b: Amount, combineDimension: (x: number, y: number) => number): Amount {
+	return { cpus: combineDimension(a.cpus, b.cpus), gpus: combineDimension(a.gpus, b.gpus) };
 }
 
-export const plus = (a: Amount, b: Amount): Amount => combine(a, b, (x, y) => x + y);
+export const addAmounts = (a: Amount, b: Amount): Amount => combineAmounts(a, b, (x, y) => x + y);
 /** Subtracts each dimension; the result is never below zero. */
-export const minus = (a: Amount, b: Amount): Amount => combine(a, b, (x, y) => Math.max(0, x - y));
-export const lesser = (a: Amount, b: Amount): Amount => combine(a, b, Math.min);
-export const greater = (a: Amount, b: Amount): Amount => combine(a, b, Math.max);
-export const times = (a: Amount, count: number): Amount => ({ cpus: a.cpus * count, gpus: a.gpus * count });
-export const within = (a: Amount, b: Amount): boolean => a.cpus <= b.cpus && a.gpus <= b.gpus;
-export const same = (a: Amount, b: Amount): boolean => a.cpus === b.cpus && a.gpus === b.gpus;
-export const isNothing = (a: Amount): boolean => a.cpus === 0 && a.gpus === 0;
+export const subtractAmounts = (a: Amount, b: Amount): Amount =>
+	combineAmounts(a, b, (x, y) => Math.max(0, x - y));
+export const minAmount = (a: Amount, b: Amount): Amount => combineAmounts(a, b, Math.min);
+export const maxAmount = (a: Amount, b: Amount): Amount => combineAmounts(a, b, Math.max);
+export const multiplyAmount = (a: Amount, count: number): Amount => ({
+	cpus: a.cpus * count,
+	gpus: a.gpus * count,
+});
+export const fitsWithin = (a: Amount, b: Amount): boolean => a.cpus <= b.cpus && a.gpus <= b.gpus;
+export const sameAmount = (a: Amount, b: Amount): boolean => a.cpus === b.cpus && a.gpus === b.gpus;
+export const isZeroAmount = (a: Amount): boolean => a.cpus === 0 && a.gpus === 0;
 
-export function sum(amounts: Iterable<Amount>): Amount {
-	let total = nothing;
-	for (const amount of amounts) total = plus(total, amount);
+export function sumAmounts(amounts: Iterable<Amount>): Amount {
+	let total = zeroAmount;
+	for (const amount of amounts) total = addAmounts(total, amount);
 	return total;
 }
 
 /** Returns how many tasks of the size fit into the available amount. */
-export function countWithin(room: Amount, size: Amount): number {
-	const byCpus = size.cpus > 0 ? Math.floor(room.cpus / size.cpus) : Number.POSITIVE_INFINITY;
-	const byGpus = size.gpus > 0 ? Math.floor(room.gpus / size.gpus) : Number.POSITIVE_INFINITY;
+export function countThatFits(available: Amount, size: Amount): number {
+	const byCpus = size.cpus > 0 ? Math.floor(available.cpus / size.cpus) : Number.POSITIVE_INFINITY;
+	const byGpus = size.gpus > 0 ? Math.floor(available.gpus / size.gpus) : Number.POSITIVE_INFINITY;
 	return Math.max(0, Math.min(byCpus, byGpus));
 }
--- a/packages/team-quota/src/charges.ts
+++ b/packages/team-quota/src/charges.ts
@@ -1,4 +1,4 @@
-import { type Amount, minus, nothing, plus } from "./amount.js";
+import { type Amount, addAmounts, subtractAmounts, zeroAmount } from "./amount.js";
 
 /**
  * The amount that one task uses of its team's limit until it is proved to have ended, and the node
@@ -19,63 +19,63 @@
  * The charges of tasks that run or may run, by team and by the controller against whose allotment they
  * count.
  */
-export class ChargeBook {
+export class ChargeLedger {
 	private readonly teams = new Map<string, Map<string, NodeCharges>>();
 
-	constructor(private readonly changed: (team: string, node: string) => void = () => {}) {}
+	constructor(private readonly onChange: (team: string, node: string) => void = () => {}) {}
 
-	of(team: string, node: string): Amount {
-		return this.teams.get(team)?.get(node)?.total ?? nothing;
+	chargedTo(team: string, node: string): Amount {
+		return this.teams.get(team)?.get(node)?.total ?? zeroAmount;
 	}
 
-	total(team: string): Amount {
-		let total = nothing;
-		for (const node of this.teams.get(team)?.values() ?? []) total = plus(total, node.total);
+	teamTotal(team: string): Amount {
+		let total = zeroAmount;
+		for (const node of this.teams.get(team)?.values() ?? []) total = addAmounts(total, node.total);
 		return total;
 	}
 
 	add(team: string, node: string, amount: Amount): Charge {
 		const charge = { team, node, amount };
-		this.enter(charge);
+		this.insert(charge);
 		return charge;
 	}
 
 	release(charge: Charge): void {
 		const node = this.teams.get(charge.team)?.get(charge.node);
 		if (!node?.charges.delete(charge)) return;
-		node.total = minus(node.total, charge.amount);
-		this.changed(charge.team, charge.node);
+		node.total = subtractAmounts(node.total, charge.amount);
+		this.onChange(charge.team, charge.node);
 	}
 
 	/** Moves all charges of the team from one controller's allotment to another's; the tasks keep running. */
-	moveAll(team: string, from: string, to: string): void {
+	transferAll(team: string, from: string, to: string): void {
 		const node = this.teams.get(team)?.get(from);
 		if (!node || from === to) return;
 		this.teams.get(team)?.delete(from);
 		for (const charge of node.charges) {
 			charge.node = to;
-			this.enter(charge);
+			this.insert(charge);
 		}
-		this.changed(team, from);
+		this.onChange(team, from);
 	}
 
-	private enter(charge: Charge): void {
+	private insert(charge: Charge): void {
 		const node = this.nodeCharges(charge.team, charge.node);
 		node.charges.add(charge);
-		node.total = plus(node.total, charge.amount);
-		this.changed(charge.team, charge.node);
+		node.total = addAmounts(node.total, charge.amount);
+		this.onChange(charge.team, charge.node);
 	}
 
-	private nodeCharges(team: string, name: string): NodeCharges {
+	private nodeCharges(team: string, nodeName: string): NodeCharges {
 		let nodes = this.teams.get(team);
 		if (!nodes) {
 			nodes = new Map();
 			this.teams.set(team, nodes);
 		}
-		let node = nodes.get(name);
+		let node = nodes.get(nodeName);
 		if (!node) {
-			node = { total: nothing, charges: new Set() };
-			nodes.set(name, node);
+			node = { total: zeroAmount, charges: new Set() };
+			nodes.set(nodeName, node);
 		}
 		return node;
 	}
--- a/packages/team-quota/src/commands.ts
+++ b/packages/team-quota/src/commands.ts
@@ -1,7 +1,7 @@
-import { type Amount, inUnits, nothing, plus } from "./amount.js";
+import { type Amount, addAmounts, toUnits, zeroAmount } from "./amount.js";
 import { changeLimit, LimitChangeError, type LimitRequest } from "./limit-change.js";
 import { packValue, unpackValue } from "./packed-record.js";
-import { allotted, type LimitTerms, type QuotaRecord, unallotted } from "./record.js";
+import { type LimitAndGuarantee, type QuotaRecord, totalAllotted, unallotted } from "./record.js";
 import type { QuotaRow, QuotaStore } from "./stored-values.js";
 
 /** The operations of `ramphub quota`. They use only the state service, no controller. */
@@ -12,7 +12,7 @@
 	gpus: number | null;
 }
 
-interface ShownTerms {
+interface ShownLimitAndGuarantee {
 	limit: ShownAmount;
 	guarantee: ShownAmount;
 }
@@ -28,13 +28,13 @@
 	reason: string | null;
 }
 
-export interface ShownTeam extends ShownTerms {
+export interface ShownTeam extends ShownLimitAndGuarantee {
 	team: string;
 	revision: number;
 	allotted: ShownAmount;
 	unallotted: ShownAmount;
 	/** A lower limit that is not in force yet, and why not. */
-	pending: (ShownTerms & { revision: number; requestedAt: string; why: string }) | null;
+	pending: (ShownLimitAndGuarantee & { revision: number; requestedAt: string; why: string }) | null;
 	allotments: ShownAllotment[];
 }
 
@@ -42,16 +42,16 @@
 export class UnknownTeamError extends Error {}
 
 /** Every attempt to write conflicted with a write by someone else. */
-export class ContendedError extends Error {}
+export class WriteConflictError extends Error {}
 
-const mostTries = 8;
+const maxAttempts = 8;
 
 function shownAmount({ cpus, gpus }: Amount): ShownAmount {
-	const shown = (value: number) => (Number.isFinite(inUnits(value)) ? inUnits(value) : null);
-	return { cpus: shown(cpus), gpus: shown(gpus) };
+	const shownUnits = (value: number) => (Number.isFinite(toUnits(value)) ? toUnits(value) : null);
+	return { cpus: shownUnits(cpus), gpus: shownUnits(gpus) };
 }
 
-function shownTerms({ limit, guarantee }: LimitTerms): ShownTerms {
+function shownLimitAndGuarantee({ limit, guarantee }: LimitAndGuarantee): ShownLimitAndGuarantee {
 	return { limit: shownAmount(limit), guarantee: shownAmount(guarantee) };
 }
 
@@ -61,13 +61,13 @@
 	return {
 		team,
 		revision,
-		...shownTerms(inForce),
-		allotted: shownAmount(allotted(record)),
+		...shownLimitAndGuarantee(inForce),
+		allotted: shownAmount(totalAllotted(record)),
 		unallotted: shownAmount(unallotted(record)),
 		pending: pending && {
 			revision: pending.revision,
 			requestedAt: new Date(pending.requestedAt).toISOString(),
-			...shownTerms(pending),
+			...shownLimitAndGuarantee(pending),
 			why: "controllers still hold more than the new limit: their tasks end, or are stopped, first",
 		},
 		allotments: allotments.map(({ node, incarnation, amount, reclaiming, reason }) => ({
@@ -89,18 +89,18 @@
 /** Returns the records of all teams, or of the given one. */
 export async function showQuotas(store: QuotaStore, prefix: string, team?: string): Promise<ShownQuotas> {
 	const shown: ShownQuotas = { teams: [], faults: [] };
-	for (const { key, value } of await store.rows(prefix)) {
+	for (const { key, value } of await store.readPrefix(prefix)) {
 		const { records, faults } = unpackValue(value);
 		for (const record of records.values())
 			if (team === undefined || record.team === team) shown.teams.push(shownTeam(record));
 		shown.faults.push(...faults.map((fault) => ({ key, ...fault })));
 	}
 	shown.teams.sort((a, b) => (a.team < b.team ? -1 : 1));
-	if (team !== undefined && shown.teams.length === 0) throw unknown(team);
+	if (team !== undefined && shown.teams.length === 0) throw unknownTeam(team);
 	return shown;
 }
 
-function unknown(team: string): UnknownTeamError {
+function unknownTeam(team: string): UnknownTeamError {
 	return new UnknownTeamError(`there is no record of team "${team}": is team quota switched on?`);
 }
 
@@ -109,23 +109,24 @@
 	records: Map<string, QuotaRecord>;
 	record: QuotaRecord;
 	/** Sum of the other teams' guarantees. */
-	others: Amount;
+	otherGuarantees: Amount;
 }
 
-async function find(store: QuotaStore, prefix: string, team: string): Promise<FoundRecord> {
-	let found: Omit<FoundRecord, "others"> | null = null;
-	let others = nothing;
-	for (const row of await store.rows(prefix)) {
+async function findRecord(store: QuotaStore, prefix: string, team: string): Promise<FoundRecord> {
+	let found: Omit<FoundRecord, "otherGuarantees"> | null = null;
+	let otherGuarantees = zeroAmount;
+	for (const row of await store.readPrefix(prefix)) {
 		const { records, faults } = unpackValue(row.value);
 		const record = records.get(team);
 		if (record && faults.length > 0)
 			throw new LimitChangeError(`"${row.key}" holds records that cannot be read: ${faults[0]?.fault}`);
 		if (record) found = { row, records, record };
 		for (const other of records.values())
-			if (other.team !== team) others = plus(others, (other.pending ?? other.inForce).guarantee);
+			if (other.team !== team)
+				otherGuarantees = addAmounts(otherGuarantees, (other.pending ?? other.inForce).guarantee);
 	}
-	if (!found) throw unknown(team);
-	return { ...found, others };
+	if (!found) throw unknownTeam(team);
+	return { ...found, otherGuarantees };
 }
 
 /** Changes a team's limit or guarantee and returns the new record. */
@@ -137,9 +138,9 @@
 	date: number,
 	capacity: Amount | null = null,
 ): Promise<ShownTeam> {
-	for (let tries = 0; tries < mostTries; tries++) {
-		const { row, records, record, others } = await find(store, prefix, team);
-		const next = changeLimit(record, request, date, others, capacity);
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
+		const { row, records, record, otherGuarantees } = await findRecord(store, prefix, team);
+		const next = changeLimit(record, request, date, otherGuarantees, capacity);
 		records.set(team, next);
 		const result = await store.transact(
 			[{ key: row.key, revision: row.revision }],
@@ -147,5 +148,5 @@
 		);
 		if (result.kind === "written") return shownTeam(next);
 	}
-	throw new ContendedError("the records were changed by others again and again; try again");
+	throw new WriteConflictError("the records were changed by others again and again; try again");
 }
--- a/packages/team-quota/src/terms.ts
+++ b/packages/team-quota/src/holder-messages.ts
@@ -7,7 +7,7 @@
  */
 
 /** The state of one team's allotment, for its holder. */
-export interface TeamTerms {
+export interface TeamAllotmentUpdate {
 	team: string;
 	/** The amount that the holder may admit against, including what it already uses. */
 	cap: Amount;
@@ -18,7 +18,7 @@
 }
 
 /** From the allotment manager to a holder. */
-export interface QuotaTerms {
+export interface AllotmentUpdate {
 	/** The process that the message is for, not an earlier process of the same node. */
 	incarnation: string;
 	/** Sequence number of the messages to this process in this term of leadership. */
@@ -28,11 +28,11 @@
 	/** Number of the last settled batch: admissions up to it are included in `charged` or will never start. */
 	settledBatch: number;
 	/** The teams whose state has changed since the last message that the holder confirmed. */
-	teams: TeamTerms[];
+	teams: TeamAllotmentUpdate[];
 }
 
 /** The amount that all tasks of a team at this holder would use, which may exceed its allotment. */
-export interface Wanted {
+export interface RequestedAmount {
 	team: string;
 	amount: Amount;
 }
@@ -49,26 +49,28 @@
 	 * or with this reply.
 	 */
 	batch: number;
-	wanted?: Wanted[] | undefined;
+	wanted?: RequestedAmount[] | undefined;
 }
 
-const text = v.pipe(v.string(), v.nonEmpty(), v.maxLength(200));
-const count = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
+const NameSchema = v.pipe(v.string(), v.nonEmpty(), v.maxLength(200));
+const CountSchema = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
 
-const QuotaTermsSchema = v.object({
-	incarnation: text,
-	number: count,
-	echo: count,
-	settledBatch: count,
-	teams: v.array(v.object({ team: text, cap: AmountSchema, charged: AmountSchema, free: AmountSchema })),
+const AllotmentUpdateSchema = v.object({
+	incarnation: NameSchema,
+	number: CountSchema,
+	echo: CountSchema,
+	settledBatch: CountSchema,
+	teams: v.array(
+		v.object({ team: NameSchema, cap: AmountSchema, charged: AmountSchema, free: AmountSchema }),
+	),
 });
 
 const HolderReplySchema = v.object({
-	incarnation: text,
-	number: count,
-	confirmed: count,
-	batch: count,
-	wanted: v.optional(v.array(v.object({ team: text, amount: AmountSchema }))),
+	incarnation: NameSchema,
+	number: CountSchema,
+	confirmed: CountSchema,
+	batch: CountSchema,
+	wanted: v.optional(v.array(v.object({ team: NameSchema, amount: AmountSchema }))),
 });
 
 function parseAs<T extends v.GenericSchema>(schema: T, raw: unknown): v.InferOutput<T> | null {
@@ -77,5 +79,6 @@
 }
 
 /** Both return null for a malformed message. */
-export const parseTerms = (raw: unknown): QuotaTerms | null => parseAs(QuotaTermsSchema, raw);
+export const parseAllotmentUpdate = (raw: unknown): AllotmentUpdate | null =>
+	parseAs(AllotmentUpdateSchema, raw);
 export const parseReply = (raw: unknown): HolderReply | null => parseAs(HolderReplySchema, raw);
--- a/packages/team-quota/src/holder-registry.ts
+++ b/packages/team-quota/src/holder-registry.ts
@@ -1,41 +1,41 @@
-import { clockDrift } from "./holder.js";
-import type { HolderReply, QuotaTerms, TeamTerms } from "./terms.js";
+import { maxClockDriftFraction } from "./holder.js";
+import type { AllotmentUpdate, HolderReply, TeamAllotmentUpdate } from "./holder-messages.js";
 
 /** The state that the manager keeps for a process of another controller during this term. */
 interface HolderProcess {
 	incarnation: string;
-	heardAt: number;
-	lastReply: number;
+	lastReplyAt: number;
+	lastReplyNumber: number;
 	/** The last reply that was echoed to the process, and when that reply was received. */
-	echo: number;
-	echoArrivedAt: number;
-	sent: number;
-	confirmed: number;
+	echoedReplyNumber: number;
+	echoedReplyReceivedAt: number;
+	lastMessageNumber: number;
+	confirmedMessageNumber: number;
 	settledBatch: number;
 	/**
 	 * By team: number of the first message with the current team update, and of the first with the
 	 * current cap.
 	 */
-	readonly termsChangedAt: Map<string, number>;
-	readonly capChangedAt: Map<string, number>;
+	readonly teamChangedInMessage: Map<string, number>;
+	readonly capChangedInMessage: Map<string, number>;
 }
 
-export interface RegistryOptions {
+export interface HolderRegistryOptions {
 	/** Monotonic time at which the term began, in milliseconds. */
-	beganAt: number;
+	termStartedAt: number;
 	expiryMs: number;
 	marginMs: number;
 	/** A holder that has not replied for this long receives no more work or allotments. */
-	silentMs: number;
+	holderTimeoutMs: number;
 }
 
 /** The result of processing a holder's reply. */
-export interface Heard {
+export interface ReplyResult {
 	/** True if the batch is new and from the process that holds the allotments, so its admissions are valid. */
-	batchCounts: boolean;
+	batchAccepted: boolean;
 }
 
-const endedKept = 50;
+const maxEndedIncarnations = 50;
 
 /**
  * The processes that hold allotments: which process of a node is the current one, which messages it has
@@ -47,121 +47,129 @@
  * term began: in a new term the expiry counts from the beginning of the term or later.
  */
 export class HolderRegistry {
-	private readonly present = new Map<string, HolderProcess>();
+	private readonly currentProcesses = new Map<string, HolderProcess>();
 	/** By node: a process that has not yet proved to be the current one of its node. */
 	private readonly candidates = new Map<string, HolderProcess>();
-	private readonly ended = new Set<string>();
+	private readonly endedIncarnations = new Set<string>();
 
-	constructor(private readonly options: RegistryOptions) {}
+	constructor(private readonly options: HolderRegistryOptions) {}
 
 	/** Records that a process has ended, so that its delayed replies are ignored. */
-	noteEnded(incarnation: string): void {
-		this.ended.add(incarnation);
-		if (this.ended.size > endedKept) this.ended.delete(this.ended.values().next().value as string);
+	markEnded(incarnation: string): void {
+		this.endedIncarnations.add(incarnation);
+		if (this.endedIncarnations.size > maxEndedIncarnations)
+			this.endedIncarnations.delete(this.endedIncarnations.values().next().value as string);
 	}
 
 	incarnation(node: string): string | undefined {
-		return this.present.get(node)?.incarnation;
+		return this.currentProcesses.get(node)?.incarnation;
 	}
 
-	heard(node: string, reply: HolderReply, now: number): Heard {
-		if (this.ended.has(reply.incarnation)) return { batchCounts: false };
-		const current = this.present.get(node);
-		if (current?.incarnation === reply.incarnation) return this.note(current, reply, now);
+	handleReply(node: string, reply: HolderReply, now: number): ReplyResult {
+		if (this.endedIncarnations.has(reply.incarnation)) return { batchAccepted: false };
+		const current = this.currentProcesses.get(node);
+		if (current?.incarnation === reply.incarnation) return this.recordReply(current, reply, now);
 		const candidate = this.candidateOf(node, reply.incarnation, now);
-		this.note(candidate, reply, now);
+		this.recordReply(candidate, reply, now);
 		// A delayed reply of an earlier process must not replace a later process: only a live one confirms
 		// messages.
-		if (candidate.confirmed > 0) this.replace(node, candidate);
-		return { batchCounts: false };
+		if (candidate.confirmedMessageNumber > 0) this.makeCurrent(node, candidate);
+		return { batchAccepted: false };
 	}
 
-	private replace(node: string, candidate: HolderProcess): void {
-		const before = this.present.get(node);
-		if (before) this.noteEnded(before.incarnation);
+	private makeCurrent(node: string, candidate: HolderProcess): void {
+		const previous = this.currentProcesses.get(node);
+		if (previous) this.markEnded(previous.incarnation);
 		this.candidates.delete(node);
-		this.present.set(node, candidate);
+		this.currentProcesses.set(node, candidate);
 	}
 
 	private candidateOf(node: string, incarnation: string, now: number): HolderProcess {
-		const known = this.candidates.get(node);
-		if (known?.incarnation === incarnation) return known;
-		const made: HolderProcess = {
+		const existing = this.candidates.get(node);
+		if (existing?.incarnation === incarnation) return existing;
+		const created: HolderProcess = {
 			incarnation,
-			heardAt: now,
-			lastReply: 0,
-			echo: 0,
-			echoArrivedAt: Number.NEGATIVE_INFINITY,
-			sent: 0,
-			confirmed: 0,
+			lastReplyAt: now,
+			lastReplyNumber: 0,
+			echoedReplyNumber: 0,
+			echoedReplyReceivedAt: Number.NEGATIVE_INFINITY,
+			lastMessageNumber: 0,
+			confirmedMessageNumber: 0,
 			settledBatch: 0,
-			termsChangedAt: new Map(),
-			capChangedAt: new Map(),
+			teamChangedInMessage: new Map(),
+			capChangedInMessage: new Map(),
 		};
-		this.candidates.set(node, made);
-		return made;
+		this.candidates.set(node, created);
+		return created;
 	}
 
-	private note(process: HolderProcess, reply: HolderReply, now: number): Heard {
-		if (reply.number <= process.lastReply) return { batchCounts: false };
-		process.lastReply = reply.number;
-		process.heardAt = now;
-		if (reply.confirmed <= process.sent) process.confirmed = Math.max(process.confirmed, reply.confirmed);
-		const batchCounts = reply.batch > process.settledBatch;
+	private recordReply(process: HolderProcess, reply: HolderReply, now: number): ReplyResult {
+		if (reply.number <= process.lastReplyNumber) return { batchAccepted: false };
+		process.lastReplyNumber = reply.number;
+		process.lastReplyAt = now;
+		if (reply.confirmed <= process.lastMessageNumber)
+			process.confirmedMessageNumber = Math.max(process.confirmedMessageNumber, reply.confirmed);
+		const batchAccepted = reply.batch > process.settledBatch;
 		process.settledBatch = Math.max(process.settledBatch, reply.batch);
-		return { batchCounts };
+		return { batchAccepted };
 	}
 
 	/** True if the node's process has replied recently enough to receive work and allotments. */
-	usable(node: string, now: number): boolean {
-		const process = this.present.get(node);
-		return process !== undefined && now - process.heardAt <= this.options.silentMs;
+	isResponsive(node: string, now: number): boolean {
+		const process = this.currentProcesses.get(node);
+		return process !== undefined && now - process.lastReplyAt <= this.options.holderTimeoutMs;
 	}
 
 	/** True if the process that holds the allotment can no longer admit anything against it. */
-	lost(node: string, incarnation: string, now: number): boolean {
-		const process = this.present.get(node);
+	isRevocable(node: string, incarnation: string, now: number): boolean {
+		const process = this.currentProcesses.get(node);
 		if (process && process.incarnation !== incarnation) return true;
-		const { beganAt, expiryMs, marginMs } = this.options;
-		const from = Math.max(beganAt, process?.echoArrivedAt ?? Number.NEGATIVE_INFINITY);
-		return now > from + expiryMs * (1 + 2 * clockDrift) + marginMs;
+		const { termStartedAt: beganAt, expiryMs, marginMs } = this.options;
+		const validFrom = Math.max(beganAt, process?.echoedReplyReceivedAt ?? Number.NEGATIVE_INFINITY);
+		return now > validFrom + expiryMs * (1 + 2 * maxClockDriftFraction) + marginMs;
 	}
 
 	/** Schedules the team's allotment for the node's next message, since it or its cap has changed. */
-	changed(node: string, team: string, cap: boolean): void {
-		const process = this.present.get(node);
+	markTeamChanged(node: string, team: string, capChanged: boolean): void {
+		const process = this.currentProcesses.get(node);
 		if (!process) return;
-		process.termsChangedAt.set(team, process.sent + 1);
-		if (cap) process.capChangedAt.set(team, process.sent + 1);
+		process.teamChangedInMessage.set(team, process.lastMessageNumber + 1);
+		if (capChanged) process.capChangedInMessage.set(team, process.lastMessageNumber + 1);
 	}
 
 	/** True if the node's process has confirmed a message with the current cap. */
-	knowsCap(node: string, team: string): boolean {
-		const process = this.present.get(node);
-		return process !== undefined && process.confirmed >= (process.capChangedAt.get(team) ?? 0);
+	hasConfirmedCap(node: string, team: string): boolean {
+		const process = this.currentProcesses.get(node);
+		return (
+			process !== undefined && process.confirmedMessageNumber >= (process.capChangedInMessage.get(team) ?? 0)
+		);
 	}
 
 	/** Returns the next message for the node, or null if no process of it has replied. */
-	termsFor(node: string, withTeams: boolean, teamTerms: (team: string) => TeamTerms): QuotaTerms | null {
-		const present = this.present.get(node);
+	nextUpdate(
+		node: string,
+		withTeams: boolean,
+		teamUpdate: (team: string) => TeamAllotmentUpdate,
+	): AllotmentUpdate | null {
+		const current = this.currentProcesses.get(node);
 		const candidate = this.candidates.get(node);
-		const process = candidate && candidate.heardAt >= (present?.heardAt ?? 0) ? candidate : present;
+		const process = candidate && candidate.lastReplyAt >= (current?.lastReplyAt ?? 0) ? candidate : current;
 		if (!process) return null;
-		process.sent += 1;
-		if (process.lastReply > process.echo) {
-			process.echo = process.lastReply;
-			process.echoArrivedAt = process.heardAt;
+		process.lastMessageNumber += 1;
+		if (process.lastReplyNumber > process.echoedReplyNumber) {
+			process.echoedReplyNumber = process.lastReplyNumber;
+			process.echoedReplyReceivedAt = process.lastReplyAt;
 		}
-		const teams = withTeams ? this.unconfirmedTeams(process).map(teamTerms) : [];
-		const { incarnation, sent, echo, settledBatch } = process;
+		const teams = withTeams ? this.unconfirmedTeams(process).map(teamUpdate) : [];
+		const { incarnation, lastMessageNumber: sent, echoedReplyNumber: echo, settledBatch } = process;
 		return { incarnation, number: sent, echo, settledBatch, teams };
 	}
 
 	private unconfirmedTeams(process: HolderProcess): string[] {
 		const teams: string[] = [];
-		for (const [team, changedAt] of process.termsChangedAt) {
-			if (changedAt > process.confirmed) teams.push(team);
-			else process.termsChangedAt.delete(team);
+		for (const [team, changedAt] of process.teamChangedInMessage) {
+			if (changedAt > process.confirmedMessageNumber) teams.push(team);
+			else process.teamChangedInMessage.delete(team);
 		}
 		return teams;
 	}
--- a/packages/team-quota/src/holder.ts
+++ b/packages/team-quota/src/holder.ts
@@ -1,8 +1,20 @@
-import { type Amount, countWithin, minus, nothing, plus, times } from "./amount.js";
-import type { HolderReply, QuotaTerms, TeamTerms, Wanted } from "./terms.js";
+import {
+	type Amount,
+	addAmounts,
+	countThatFits,
+	multiplyAmount,
+	subtractAmounts,
+	zeroAmount,
+} from "./amount.js";
+import type {
+	AllotmentUpdate,
+	HolderReply,
+	RequestedAmount,
+	TeamAllotmentUpdate,
+} from "./holder-messages.js";
 
 /** Maximum relative drift between the monotonic clocks of two machines. */
-export const clockDrift = 0.001;
+export const maxClockDriftFraction = 0.001;
 
 export type RefusalReason =
 	/** The team's tasks use the whole limit. */
@@ -27,18 +39,18 @@
 	marginMs: number;
 }
 
-interface KnownTerms extends TeamTerms {
+interface ReceivedTeamUpdate extends TeamAllotmentUpdate {
 	/** Monotonic time of receipt, in milliseconds. */
-	heardAt: number;
+	receivedAt: number;
 }
 
 /**
  * The unused part of a limit is sent only together with other changes of the team, so it is used only
  * while recent.
  */
-const freeKnownMs = 1000;
+const maxFreeAmountAgeMs = 1000;
 /** Number of replies whose send times are kept; the leader echoes one of the latest. */
-const repliesKept = 64;
+const maxRememberedReplies = 64;
 const retryAtLimitMs = 1000;
 const retryElsewhereMs = 200;
 const retryExpiredMs = 500;
@@ -49,45 +61,45 @@
  */
 export class AllotmentHolder {
 	private term = -1;
-	private lastNumber = 0;
-	private readonly teams = new Map<string, KnownTerms>();
+	private lastMessageNumber = 0;
+	private readonly teams = new Map<string, ReceivedTeamUpdate>();
 	/** Admitted amounts of the batches that the leader has not settled, by batch number and team. */
-	private readonly unsettled = new Map<number, Map<string, Amount>>();
-	private open = new Map<string, Amount>();
-	private batch = 0;
-	private replyNumber = 0;
-	private readonly repliedAt = new Map<number, number>();
-	private soundUntil = Number.NEGATIVE_INFINITY;
+	private readonly unsettledBatches = new Map<number, Map<string, Amount>>();
+	private openBatch = new Map<string, Amount>();
+	private lastBatchNumber = 0;
+	private lastReplyNumber = 0;
+	private readonly replySentAt = new Map<number, number>();
+	private expiresAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly options: HolderOptions) {}
 
 	/** Monotonic time until which no other controller can hold this controller's allotments. */
 	get validUntil(): number {
-		return this.soundUntil;
+		return this.expiresAt;
 	}
 
 	private get expired(): boolean {
-		return this.options.now() >= this.soundUntil;
+		return this.options.now() >= this.expiresAt;
 	}
 
 	/**
 	 * Applies an update from the leader of the term. Updates of an earlier leader, for an earlier process of
 	 * this node, or older than the last one applied are ignored.
 	 */
-	takeTerms(term: number, terms: QuotaTerms): void {
-		if (term < this.term || terms.incarnation !== this.options.incarnation) return;
+	applyUpdate(term: number, update: AllotmentUpdate): void {
+		if (term < this.term || update.incarnation !== this.options.incarnation) return;
 		if (term > this.term) this.beginTerm(term);
-		if (terms.number <= this.lastNumber) return;
-		this.lastNumber = terms.number;
-		for (const batch of [...this.unsettled.keys()])
-			if (batch <= terms.settledBatch) this.unsettled.delete(batch);
-		const heardAt = this.options.now();
-		for (const team of terms.teams) this.teams.set(team.team, { ...team, heardAt });
-		this.renew(terms.echo);
+		if (update.number <= this.lastMessageNumber) return;
+		this.lastMessageNumber = update.number;
+		for (const batch of [...this.unsettledBatches.keys()])
+			if (batch <= update.settledBatch) this.unsettledBatches.delete(batch);
+		const receivedAt = this.options.now();
+		for (const team of update.teams) this.teams.set(team.team, { ...team, receivedAt });
+		this.extendValidity(update.echo);
 	}
 
 	/** Discards the holder state of earlier terms, since this process is the leader of the term. */
-	leads(term: number): void {
+	becomeLeader(term: number): void {
 		if (term > this.term) this.beginTerm(term);
 	}
 
@@ -97,52 +109,56 @@
 	 */
 	private beginTerm(term: number): void {
 		this.term = term;
-		this.lastNumber = 0;
+		this.lastMessageNumber = 0;
 		this.teams.clear();
-		this.unsettled.clear();
-		this.open.clear();
-		this.soundUntil = Number.NEGATIVE_INFINITY;
+		this.unsettledBatches.clear();
+		this.openBatch.clear();
+		this.expiresAt = Number.NEGATIVE_INFINITY;
 	}
 
 	/**
 	 * Extends the validity: the leader revokes no allotment within `expiryMs` after it received the
 	 * echoed reply.
 	 */
-	private renew(echo: number): void {
-		const sentAt = this.repliedAt.get(echo);
+	private extendValidity(echo: number): void {
+		const sentAt = this.replySentAt.get(echo);
 		if (sentAt === undefined) return;
 		const { expiryMs, marginMs } = this.options;
-		this.soundUntil = Math.max(this.soundUntil, sentAt + expiryMs * (1 - clockDrift) - marginMs);
+		this.expiresAt = Math.max(this.expiresAt, sentAt + expiryMs * (1 - maxClockDriftFraction) - marginMs);
 	}
 
 	/** Returns the amount of this controller's admissions that run, may run, or may still be started. */
 	used(team: string): Amount {
-		let used = this.teams.get(team)?.charged ?? nothing;
-		for (const admitted of this.unsettled.values()) used = plus(used, admitted.get(team) ?? nothing);
-		return plus(used, this.open.get(team) ?? nothing);
+		let used = this.teams.get(team)?.charged ?? zeroAmount;
+		for (const admitted of this.unsettledBatches.values())
+			used = addAmounts(used, admitted.get(team) ?? zeroAmount);
+		return addAmounts(used, this.openBatch.get(team) ?? zeroAmount);
 	}
 
 	/** Admits as many tasks of this size as the allotment has capacity for, up to `maxCount`. */
-	admit(team: string, size: Amount, most = 1): Admission {
+	admit(team: string, size: Amount, maxCount = 1): Admission {
 		if (this.expired) return { kind: "refused", reason: "allotment expired", retryAfterMs: retryExpiredMs };
-		const room = minus(this.teams.get(team)?.cap ?? nothing, this.used(team));
-		const count = Math.min(most, countWithin(room, size));
+		const available = subtractAmounts(this.teams.get(team)?.cap ?? zeroAmount, this.used(team));
+		const count = Math.min(maxCount, countThatFits(available, size));
 		if (count === 0) return this.refusal(team, size);
-		this.open.set(team, plus(this.open.get(team) ?? nothing, times(size, count)));
+		this.openBatch.set(team, addAmounts(this.openBatch.get(team) ?? zeroAmount, multiplyAmount(size, count)));
 		return { kind: "admitted", count };
 	}
 
 	private refusal(team: string, size: Amount): Admission {
-		const known = this.teams.get(team);
-		const recent = known !== undefined && this.options.now() - known.heardAt < freeKnownMs;
-		return recent && countWithin(known.free, size) === 0
+		const received = this.teams.get(team);
+		const recent = received !== undefined && this.options.now() - received.receivedAt < maxFreeAmountAgeMs;
+		return recent && countThatFits(received.free, size) === 0
 			? { kind: "refused", reason: "team at its limit", retryAfterMs: retryAtLimitMs }
 			: { kind: "refused", reason: "allotment is elsewhere", retryAfterMs: retryElsewhereMs };
 	}
 
 	/** Withdraws admissions of the open batch that are not used. */
 	withdraw(team: string, size: Amount, count: number): void {
-		this.open.set(team, minus(this.open.get(team) ?? nothing, times(size, count)));
+		this.openBatch.set(
+			team,
+			subtractAmounts(this.openBatch.get(team) ?? zeroAmount, multiplyAmount(size, count)),
+		);
 	}
 
 	/**
@@ -150,21 +166,21 @@
 	 * the batch.
 	 */
 	closeBatch(): number {
-		this.batch += 1;
-		this.unsettled.set(this.batch, this.open);
-		this.open = new Map();
-		return this.batch;
+		this.lastBatchNumber += 1;
+		this.unsettledBatches.set(this.lastBatchNumber, this.openBatch);
+		this.openBatch = new Map();
+		return this.lastBatchNumber;
 	}
 
-	reply(wanted?: Wanted[]): HolderReply {
-		this.replyNumber += 1;
-		this.repliedAt.set(this.replyNumber, this.options.now());
-		this.repliedAt.delete(this.replyNumber - repliesKept);
+	reply(wanted?: RequestedAmount[]): HolderReply {
+		this.lastReplyNumber += 1;
+		this.replySentAt.set(this.lastReplyNumber, this.options.now());
+		this.replySentAt.delete(this.lastReplyNumber - maxRememberedReplies);
 		return {
 			incarnation: this.options.incarnation,
-			number: this.replyNumber,
-			confirmed: this.lastNumber,
-			batch: this.batch,
+			number: this.lastReplyNumber,
+			confirmed: this.lastMessageNumber,
+			batch: this.lastBatchNumber,
 			...(wanted && { wanted }),
 		};
 	}
--- a/packages/team-quota/src/index.ts
+++ b/packages/team-quota/src/index.ts
@@ -1,17 +1,30 @@
 /** Team limits and guarantees that are enforced across all controllers. */
-export { type Amount, demandAmount, inUnits, limitAmount, nothing, plus, unlimited } from "./amount.js";
 export {
-	ContendedError,
+	type Amount,
+	addAmounts,
+	demandAmount,
+	limitAmount,
+	toUnits,
+	unlimited,
+	zeroAmount,
+} from "./amount.js";
+export {
 	type ShownQuotas,
 	type ShownTeam,
 	setQuota,
 	showQuotas,
 	UnknownTeamError,
+	WriteConflictError,
 } from "./commands.js";
 export { LimitChangeError, type LimitRequest } from "./limit-change.js";
 export type { AllotmentManager } from "./manager.js";
+export {
+	QuotaParticipant,
+	type QuotaParticipantOptions,
+	type QuotaParticipantSettings,
+} from "./quota-participant.js";
 export { LeaderQuota, QuotaService } from "./quota-service.js";
-export type { LimitTerms } from "./record.js";
+export type { LimitAndGuarantee } from "./record.js";
 export type {
 	QuotaRow,
 	QuotaStore,
@@ -19,4 +32,3 @@
 	StoredChange,
 	StoredCondition,
 } from "./stored-values.js";
-export { TeamQuota, type TeamQuotaOptions, type TeamQuotaSettings } from "./team-quota.js";
--- a/packages/team-quota/src/limit-change.ts
+++ b/packages/team-quota/src/limit-change.ts
@@ -1,5 +1,5 @@
-import { type Amount, inUnits, limitAmount, within } from "./amount.js";
-import { type LimitTerms, type QuotaRecord, requestLimit } from "./record.js";
+import { type Amount, fitsWithin, limitAmount, toUnits } from "./amount.js";
+import { type LimitAndGuarantee, type QuotaRecord, requestLimit } from "./record.js";
 
 /** A change requested by an operator, in CPUs and accelerators; an omitted field keeps its value. */
 export interface LimitRequest {
@@ -12,23 +12,23 @@
 /** The requested change is invalid; the message contains the reason. */
 export class LimitChangeError extends Error {}
 
-function dimension(field: string, value: number | undefined, present: number): number {
-	if (value === undefined) return present;
+function requestedUnits(field: string, value: number | undefined, current: number): number {
+	if (value === undefined) return current;
 	if (Number.isNaN(value) || value < 0)
 		throw new LimitChangeError(`"${field}" must be a number of 0 or more`);
 	return value;
 }
 
-function termsOf(record: QuotaRecord, request: LimitRequest): LimitTerms {
+function requestedLimits(record: QuotaRecord, request: LimitRequest): LimitAndGuarantee {
 	const { limit, guarantee } = record.pending ?? record.inForce;
 	return {
 		limit: limitAmount(
-			dimension("cpus", request.cpus, inUnits(limit.cpus)),
-			dimension("gpus", request.gpus, inUnits(limit.gpus)),
+			requestedUnits("cpus", request.cpus, toUnits(limit.cpus)),
+			requestedUnits("gpus", request.gpus, toUnits(limit.gpus)),
 		),
 		guarantee: limitAmount(
-			dimension("guaranteed-cpus", request.guaranteedCpus, inUnits(guarantee.cpus)),
-			dimension("guaranteed-gpus", request.guaranteedGpus, inUnits(guarantee.gpus)),
+			requestedUnits("guaranteed-cpus", request.guaranteedCpus, toUnits(guarantee.cpus)),
+			requestedUnits("guaranteed-gpus", request.guaranteedGpus, toUnits(guarantee.gpus)),
 		),
 	};
 }
@@ -41,19 +41,19 @@
 	record: QuotaRecord,
 	request: LimitRequest,
 	requestedAt: number,
-	others: Amount,
+	otherGuarantees: Amount,
 	capacity: Amount | null,
 ): QuotaRecord {
-	const terms = termsOf(record, request);
-	if (!within(terms.guarantee, terms.limit))
+	const requested = requestedLimits(record, request);
+	if (!fitsWithin(requested.guarantee, requested.limit))
 		throw new LimitChangeError("the guarantee must not exceed the limit");
-	const guaranteed = {
-		cpus: others.cpus + terms.guarantee.cpus,
-		gpus: others.gpus + terms.guarantee.gpus,
+	const totalGuaranteed = {
+		cpus: otherGuarantees.cpus + requested.guarantee.cpus,
+		gpus: otherGuarantees.gpus + requested.guarantee.gpus,
 	};
-	if (capacity && !within(guaranteed, capacity))
+	if (capacity && !fitsWithin(totalGuaranteed, capacity))
 		throw new LimitChangeError(
-			`all guarantees together, ${inUnits(guaranteed.cpus)} CPUs and ${inUnits(guaranteed.gpus)} accelerators, exceed the capacity`,
+			`all guarantees together, ${toUnits(totalGuaranteed.cpus)} CPUs and ${toUnits(totalGuaranteed.gpus)} accelerators, exceed the capacity`,
 		);
-	return requestLimit(record, terms, requestedAt);
+	return requestLimit(record, requested, requestedAt);
 }
--- a/packages/team-quota/src/manager.ts
+++ b/packages/team-quota/src/manager.ts
@@ -1,31 +1,40 @@
+import { advanceRecord, excessOverPendingLimit, type HolderState, initialRecord } from "./advance-record.js";
 import { AllotmentWriter, type AllotmentWriterOptions } from "./allotment-writer.js";
-import { type Amount, isNothing, minus, nothing, plus, same, within } from "./amount.js";
-import { type Charge, ChargeBook } from "./charges.js";
-import { clockDrift } from "./holder.js";
+import {
+	type Amount,
+	addAmounts,
+	fitsWithin,
+	isZeroAmount,
+	sameAmount,
+	subtractAmounts,
+	zeroAmount,
+} from "./amount.js";
+import { findDifferences, PersistentDifferences } from "./charge-verification.js";
+import { type Charge, ChargeLedger } from "./charges.js";
+import { maxClockDriftFraction } from "./holder.js";
+import type { AllotmentUpdate, HolderReply, TeamAllotmentUpdate } from "./holder-messages.js";
 import { HolderRegistry } from "./holder-registry.js";
-import { type Allotment, allotmentOf, capOf, type LimitTerms, type QuotaRecord } from "./record.js";
-import { excess, firstRecord, type HolderView, stepRecord } from "./record-step.js";
-import { differences, Scrub } from "./scrub.js";
-import type { HolderReply, QuotaTerms, TeamTerms } from "./terms.js";
+import { type Allotment, allotmentOf, capOf, type LimitAndGuarantee, type QuotaRecord } from "./record.js";
 
-export interface ManagerOptions extends Omit<AllotmentWriterOptions, "learned" | "moved"> {
+export interface AllotmentManagerOptions
+	extends Omit<AllotmentWriterOptions, "onRecordsChanged" | "onAllotmentResized"> {
 	/** The leader's node, which holds allotments like any other node, and the incarnation of this process. */
 	node: string;
 	incarnation: string;
 	/** Every node of the cluster. */
 	nodes: readonly string[];
 	/** The limits in the platform's settings, by team. */
-	settings: ReadonlyMap<string, LimitTerms>;
+	settings: ReadonlyMap<string, LimitAndGuarantee>;
 	/** Time of day in milliseconds. */
 	date(): number;
 	expiryMs: number;
 	marginMs: number;
-	silentMs: number;
+	holderTimeoutMs: number;
 	/** Minimum time between two moves of one team's allotments. */
 	movePauseMs: number;
 }
 
-const lookEveryMs = 100;
+const checkIntervalMs = 100;
 
 /**
  * The leader's side: divides each team's limit among the controllers by compare-and-set in the state
@@ -33,133 +42,133 @@
  * after the store has confirmed that no other controller holds that part of the limit.
  */
 export class AllotmentManager {
-	readonly charges: ChargeBook;
+	readonly charges: ChargeLedger;
 	private readonly registry: HolderRegistry;
 	private readonly writer: AllotmentWriter;
-	private readonly beganAt: number;
+	private readonly termStartedAt: number;
 	/** True once all tasks of earlier leaders are charged. */
 	private started = false;
-	private nextLookAt = Number.NEGATIVE_INFINITY;
+	private nextCheckAt = Number.NEGATIVE_INFINITY;
 	/** Teams whose records may need a change. */
-	private readonly due = new Set<string>();
+	private readonly teamsToCheck = new Set<string>();
 	/**
 	 * By team: nodes whose allotment is being revoked because its process can no longer admit anything. The
 	 * process may reply again while the write is in flight, and the write may be executed late: the node may
 	 * admit nothing until the stored record has changed, whatever the process replies.
 	 */
-	private readonly revoking = new Map<string, Set<string>>();
+	private readonly nodesBeingRevoked = new Map<string, Set<string>>();
 	/** The responsive nodes at the last check, joined with commas. */
-	private heardBefore = "";
-	private readonly scrubbing = new Scrub();
-	private readonly wanted = new Map<string, Map<string, Amount>>();
-	private readonly preferred = new Map<string, string>();
-	private readonly movedAt = new Map<string, number>();
-
-	constructor(private readonly options: ManagerOptions) {
-		this.beganAt = options.now();
-		this.registry = new HolderRegistry({ ...options, beganAt: this.beganAt });
+	private lastResponsiveNodes = "";
+	private readonly persistentDifferences = new PersistentDifferences();
+	private readonly requestedAmounts = new Map<string, Map<string, Amount>>();
+	private readonly preferredHolders = new Map<string, string>();
+	private readonly lastMovedAt = new Map<string, number>();
+
+	constructor(private readonly options: AllotmentManagerOptions) {
+		this.termStartedAt = options.now();
+		this.registry = new HolderRegistry({ ...options, termStartedAt: this.termStartedAt });
 		this.writer = new AllotmentWriter({
 			...options,
-			learned: (teams) => this.recordsChanged(teams),
-			moved: (team) => this.movedAt.set(team, options.now()),
+			onRecordsChanged: (teams) => this.handleChangedRecords(teams),
+			onAllotmentResized: (team) => this.lastMovedAt.set(team, options.now()),
 		});
-		this.charges = new ChargeBook((team, node) => this.chargesChanged(team, node));
+		this.charges = new ChargeLedger((team, node) => this.handleChangedCharges(team, node));
 	}
 
 	end(): void {
-		this.writer.end();
+		this.writer.stop();
 	}
 
 	/** Starts enforcing allotments. Called once all tasks that earlier leaders started are charged. */
 	start(): void {
 		if (this.started) return;
 		this.started = true;
-		for (const team of this.options.settings.keys()) this.termsChanged(team);
-		this.allDue();
+		for (const team of this.options.settings.keys()) this.markTeamChanged(team);
+		this.checkAllTeams();
 	}
 
 	/**
 	 * Schedules a check of the team if the node is charged more than its allotment, so that the allotment
 	 * grows.
 	 */
-	private chargesChanged(team: string, node: string): void {
-		this.registry.changed(node, team, false);
-		const held = this.allotmentAt(node, team)?.amount ?? nothing;
-		if (!within(this.charges.of(team, node), held)) this.due.add(team);
+	private handleChangedCharges(team: string, node: string): void {
+		this.registry.markTeamChanged(node, team, false);
+		const held = this.allotmentAt(node, team)?.amount ?? zeroAmount;
+		if (!fitsWithin(this.charges.chargedTo(team, node), held)) this.teamsToCheck.add(team);
 	}
 
-	private allDue(): void {
-		for (const team of this.options.settings.keys()) this.due.add(team);
+	private checkAllTeams(): void {
+		for (const team of this.options.settings.keys()) this.teamsToCheck.add(team);
 	}
 
 	// --- holders ---
 
 	/** Processes a holder's reply. Returns true if the batch of admissions that came with it is valid. */
-	heard(node: string, reply: HolderReply): boolean {
-		const before = this.registry.incarnation(node);
-		const { batchCounts } = this.registry.heard(node, reply, this.options.now());
-		const present = this.registry.incarnation(node);
-		if (present !== undefined && present !== before) this.processChanged(node, present);
-		for (const { team, amount } of reply.wanted ?? []) this.want(node, team, amount);
-		return batchCounts && this.started;
+	handleReply(node: string, reply: HolderReply): boolean {
+		const previous = this.registry.incarnation(node);
+		const { batchAccepted } = this.registry.handleReply(node, reply, this.options.now());
+		const current = this.registry.incarnation(node);
+		if (current !== undefined && current !== previous) this.handleChangedProcess(node, current);
+		for (const { team, amount } of reply.wanted ?? []) this.setRequestedAmount(node, team, amount);
+		return batchAccepted && this.started;
 	}
 
 	/** The node has a new current process, so any other process that holds its allotments has ended. */
-	private processChanged(node: string, present: string): void {
+	private handleChangedProcess(node: string, current: string): void {
 		for (const team of this.options.settings.keys()) {
-			this.registry.changed(node, team, true);
+			this.registry.markTeamChanged(node, team, true);
 			const held = this.allotmentAt(node, team);
-			if (held && held.incarnation !== present) this.registry.noteEnded(held.incarnation);
+			if (held && held.incarnation !== current) this.registry.markEnded(held.incarnation);
 		}
-		this.allDue();
+		this.checkAllTeams();
 	}
 
 	/** Returns the next message for the node's holder, or null if no process of the node has replied. */
-	termsFor(node: string): QuotaTerms | null {
+	nextUpdate(node: string): AllotmentUpdate | null {
 		// Before the start the messages carry no allotments: they only identify the leader and the holders'
 		// processes.
-		return this.registry.termsFor(node, this.started, (team) => this.teamTerms(node, team));
+		return this.registry.nextUpdate(node, this.started, (team) => this.teamUpdate(node, team));
 	}
 
-	private teamTerms(node: string, team: string): TeamTerms {
+	private teamUpdate(node: string, team: string): TeamAllotmentUpdate {
 		const record = this.recordOf(team);
-		const charged = this.charges.of(team, node);
-		const limit = (record?.inForce ?? this.options.settings.get(team))?.limit ?? nothing;
-		const free = minus(limit, this.charges.total(team));
-		return { team, cap: plus(charged, this.roomAt(node, team)), charged, free };
+		const charged = this.charges.chargedTo(team, node);
+		const limit = (record?.inForce ?? this.options.settings.get(team))?.limit ?? zeroAmount;
+		const free = subtractAmounts(limit, this.charges.teamTotal(team));
+		return { team, cap: addAmounts(charged, this.availableAt(node, team)), charged, free };
 	}
 
-	private termsChanged(team: string): void {
-		for (const node of this.options.nodes) this.registry.changed(node, team, true);
+	private markTeamChanged(team: string): void {
+		for (const node of this.options.nodes) this.registry.markTeamChanged(node, team, true);
 	}
 
 	// --- demand, and which nodes may admit it ---
 
 	/** Sets the amount that the node would use for the team without a limit, including its running tasks. */
-	want(node: string, team: string, amount: Amount): void {
-		let nodes = this.wanted.get(team);
+	setRequestedAmount(node: string, team: string, amount: Amount): void {
+		let nodes = this.requestedAmounts.get(team);
 		if (!nodes) {
 			nodes = new Map();
-			this.wanted.set(team, nodes);
+			this.requestedAmounts.set(team, nodes);
 		}
-		const before = nodes.get(node) ?? nothing;
-		if (same(before, amount)) return;
+		const previous = nodes.get(node) ?? zeroAmount;
+		if (sameAmount(previous, amount)) return;
 		nodes.set(node, amount);
-		this.due.add(team);
+		this.teamsToCheck.add(team);
 	}
 
 	/** Sets the controller that receives the part of the limit that no controller requests. */
-	prefer(node: string, team: string): void {
-		if (this.preferred.get(team) === node) return;
-		this.preferred.set(team, node);
-		this.due.add(team);
+	setPreferredHolder(node: string, team: string): void {
+		if (this.preferredHolders.get(team) === node) return;
+		this.preferredHolders.set(team, node);
+		this.teamsToCheck.add(team);
 	}
 
 	/** True if the node is responsive and its allotment has capacity for a task of this size. */
-	hasRoom(node: string, team: string, size: Amount): boolean {
+	canAdmit(node: string, team: string, size: Amount): boolean {
 		const { options } = this;
-		if (node !== options.node && !this.registry.usable(node, options.now())) return false;
-		return within(size, this.roomAt(node, team));
+		if (node !== options.node && !this.registry.isResponsive(node, options.now())) return false;
+		return fitsWithin(size, this.availableAt(node, team));
 	}
 
 	/**
@@ -169,22 +178,22 @@
 	 * has grown. And the charges of a holder that has not confirmed a message of this term may belong to
 	 * another holder: it still uses the allotment of the previous term, possibly all of it.
 	 */
-	private roomAt(node: string, team: string): Amount {
+	private availableAt(node: string, team: string): Amount {
 		const allotment = this.allotmentAt(node, team);
-		if (!allotment || allotment.incarnation !== this.incarnationOf(node)) return nothing;
-		if (this.revoking.get(team)?.has(node)) return nothing;
-		const room = minus(capOf(allotment), this.charges.of(team, node));
-		return minus(room, this.doubtful(team));
+		if (!allotment || allotment.incarnation !== this.incarnationOf(node)) return zeroAmount;
+		if (this.nodesBeingRevoked.get(team)?.has(node)) return zeroAmount;
+		const available = subtractAmounts(capOf(allotment), this.charges.chargedTo(team, node));
+		return subtractAmounts(available, this.uncertainCharges(team));
 	}
 
-	private doubtful(team: string): Amount {
-		let doubtful = nothing;
+	private uncertainCharges(team: string): Amount {
+		let uncertain = zeroAmount;
 		for (const node of this.options.nodes) {
-			const known = this.incarnationOf(node) !== undefined;
-			const sure = known ? (this.allotmentAt(node, team)?.amount ?? nothing) : nothing;
-			doubtful = plus(doubtful, minus(this.charges.of(team, node), sure));
+			const hasProcess = this.incarnationOf(node) !== undefined;
+			const certain = hasProcess ? (this.allotmentAt(node, team)?.amount ?? zeroAmount) : zeroAmount;
+			uncertain = addAmounts(uncertain, subtractAmounts(this.charges.chargedTo(team, node), certain));
 		}
-		return doubtful;
+		return uncertain;
 	}
 
 	private allotmentAt(node: string, team: string): Allotment | undefined {
@@ -201,28 +210,28 @@
 	/** True if a task that the node's holder has admitted, or that this process admits now, may start. */
 	mayStart(node: string, team: string, size: Amount): boolean {
 		if (!this.started) return false;
-		if (node === this.options.node) return this.hasRoom(node, team, size);
+		if (node === this.options.node) return this.canAdmit(node, team, size);
 		const allotment = this.allotmentAt(node, team);
 		if (!allotment || allotment.incarnation !== this.registry.incarnation(node)) return false;
-		if (this.revoking.get(team)?.has(node)) return false;
-		return within(plus(this.charges.of(team, node), size), allotment.amount);
+		if (this.nodesBeingRevoked.get(team)?.has(node)) return false;
+		return fitsWithin(addAmounts(this.charges.chargedTo(team, node), size), allotment.amount);
 	}
 
 	/** Charges a task that was found running to the node whose allotment has the most unused capacity. */
-	chargeFound(team: string, size: Amount): Charge {
-		return this.charges.add(team, this.roomiest(team, size), size);
+	chargeUnattributed(team: string, size: Amount): Charge {
+		return this.charges.add(team, this.nodeWithMostAvailable(team, size), size);
 	}
 
-	private roomiest(team: string, size: Amount): string {
+	private nodeWithMostAvailable(team: string, size: Amount): string {
 		const record = this.recordOf(team);
-		let best = this.options.node;
-		let most = -1;
+		let bestNode = this.options.node;
+		let mostAvailable = -1;
 		for (const { node, amount } of record?.allotments ?? []) {
-			const room = minus(amount, this.charges.of(team, node));
-			const part = size.cpus > 0 ? room.cpus : room.gpus;
-			if (part > most) [best, most] = [node, part];
+			const available = subtractAmounts(amount, this.charges.chargedTo(team, node));
+			const availableUnits = size.cpus > 0 ? available.cpus : available.gpus;
+			if (availableUnits > mostAvailable) [bestNode, mostAvailable] = [node, availableUnits];
 		}
-		return best;
+		return bestNode;
 	}
 
 	// --- limits ---
@@ -232,42 +241,43 @@
 	}
 
 	/** Returns the amount that the team uses above a lower limit that is pending. */
-	excess(team: string): Amount {
+	excessOverPendingLimit(team: string): Amount {
 		const record = this.recordOf(team);
-		return record ? excess(record, this.charges.total(team)) : nothing;
+		return record ? excessOverPendingLimit(record, this.charges.teamTotal(team)) : zeroAmount;
 	}
 
 	/**
 	 * Compares records and charges with an independent count of the running tasks, and logs persistent
 	 * differences.
 	 */
-	scrub(running: ReadonlyMap<string, { amount: Amount; tolerance: Amount }>): void {
+	verifyCharges(running: ReadonlyMap<string, { amount: Amount; tolerance: Amount }>): void {
 		if (!this.started) return;
-		const found = [...running].flatMap(([team, { amount, tolerance }]) => {
+		const differences = [...running].flatMap(([team, { amount, tolerance }]) => {
 			const record = this.recordOf(team);
 			if (!record) return [];
-			return differences({
+			return findDifferences({
 				record,
 				nodes: this.options.nodes,
-				charged: (node) => this.charges.of(team, node),
-				total: this.charges.total(team),
+				charged: (node) => this.charges.chargedTo(team, node),
+				teamTotal: this.charges.teamTotal(team),
 				running: amount,
 				tolerance,
 			});
 		});
-		for (const { what, ...fields } of this.scrubbing.lasting(found)) this.options.log.error(fields, what);
+		for (const { message: what, ...fields } of this.persistentDifferences.takePersistent(differences))
+			this.options.log.error(fields, what);
 	}
 
 	/** Applies a stored value; undefined if the key was deleted. */
-	stored(key: string, value: unknown, revision: number): void {
-		this.writer.learn(key, value, revision);
+	applyStoredValue(key: string, value: unknown, revision: number): void {
+		this.writer.applyStoredValue(key, value, revision);
 	}
 
-	private recordsChanged(teams: readonly string[]): void {
+	private handleChangedRecords(teams: readonly string[]): void {
 		for (const team of teams) {
-			this.revoking.delete(team);
-			this.termsChanged(team);
-			if (this.options.settings.has(team)) this.due.add(team);
+			this.nodesBeingRevoked.delete(team);
+			this.markTeamChanged(team);
+			if (this.options.settings.has(team)) this.teamsToCheck.add(team);
 		}
 	}
 
@@ -279,94 +289,100 @@
 	 */
 	tick(): void {
 		const now = this.options.now();
-		if (!this.started || !this.writer.ready || now < this.nextLookAt || this.waitsForUnreadable(now)) return;
-		this.nextLookAt = now + lookEveryMs;
-		this.noticeHolders(now);
-		const next: QuotaRecord[] = [];
-		for (const team of [...this.due]) {
-			const record = this.nextRecord(team, this.options.settings.get(team) as LimitTerms, now);
-			if (record !== this.recordOf(team)) next.push(record);
-			else if (this.settled(team, record, now)) this.due.delete(team);
+		if (!this.started || !this.writer.canWrite || now < this.nextCheckAt || this.mustWaitForUnreadable(now))
+			return;
+		this.nextCheckAt = now + checkIntervalMs;
+		this.checkResponsiveNodes(now);
+		const changedRecords: QuotaRecord[] = [];
+		for (const team of [...this.teamsToCheck]) {
+			const record = this.nextRecord(team, this.options.settings.get(team) as LimitAndGuarantee, now);
+			if (record !== this.recordOf(team)) changedRecords.push(record);
+			else if (this.isStable(team, record, now)) this.teamsToCheck.delete(team);
 		}
-		this.writer.write(next);
+		this.writer.write(changedRecords);
 	}
 
-	private noticeHolders(now: number): void {
-		const heard = this.options.nodes.filter((node) => this.registry.usable(node, now)).join();
-		if (heard !== this.heardBefore) this.allDue();
-		this.heardBefore = heard;
+	private checkResponsiveNodes(now: number): void {
+		const responsiveNodes = this.options.nodes.filter((node) => this.registry.isResponsive(node, now)).join();
+		if (responsiveNodes !== this.lastResponsiveNodes) this.checkAllTeams();
+		this.lastResponsiveNodes = responsiveNodes;
 	}
 
 	/** True if the team's record needs no change until a new event: time alone changes nothing. */
-	private settled(team: string, record: QuotaRecord, now: number): boolean {
-		if (record.pending || this.paused(team, now)) return false;
+	private isStable(team: string, record: QuotaRecord, now: number): boolean {
+		if (record.pending || this.isMovePaused(team, now)) return false;
 		return record.allotments.every(
 			({ node, reclaiming }) =>
-				isNothing(reclaiming) && (node === this.options.node || this.registry.usable(node, now)),
+				isZeroAmount(reclaiming) && (node === this.options.node || this.registry.isResponsive(node, now)),
 		);
 	}
 
-	private paused(team: string, now: number): boolean {
-		return now - (this.movedAt.get(team) ?? Number.NEGATIVE_INFINITY) < this.options.movePauseMs;
+	private isMovePaused(team: string, now: number): boolean {
+		return now - (this.lastMovedAt.get(team) ?? Number.NEGATIVE_INFINITY) < this.options.movePauseMs;
 	}
 
 	/**
 	 * Unreadable records may contain allotments; these are unusable once all allotments of earlier
 	 * leaders have expired.
 	 */
-	private waitsForUnreadable(now: number): boolean {
+	private mustWaitForUnreadable(now: number): boolean {
 		const { values, expiryMs, marginMs } = this.options;
-		return values.unreadable && now <= this.beganAt + expiryMs * (1 + 2 * clockDrift) + marginMs;
+		return (
+			values.hasUnreadableRecords &&
+			now <= this.termStartedAt + expiryMs * (1 + 2 * maxClockDriftFraction) + marginMs
+		);
 	}
 
-	private nextRecord(team: string, settings: LimitTerms, now: number): QuotaRecord {
-		const record = this.recordOf(team) ?? firstRecord(team, settings);
-		const lost = this.lostHolders(team, record, now);
-		const holders = this.holderViews(team, record, now);
-		const heir = holders[0]?.node ?? this.options.node;
-		for (const node of lost) if (!this.registry.usable(node, now)) this.charges.moveAll(team, node, heir);
-		return stepRecord({
+	private nextRecord(team: string, settings: LimitAndGuarantee, now: number): QuotaRecord {
+		const record = this.recordOf(team) ?? initialRecord(team, settings);
+		const revocable = this.revocableHolders(team, record, now);
+		const holders = this.holderStates(team, record, now);
+		const successor = holders[0]?.node ?? this.options.node;
+		for (const node of revocable)
+			if (!this.registry.isResponsive(node, now)) this.charges.transferAll(team, node, successor);
+		return advanceRecord({
 			record,
 			settings,
-			holders: lost.size > 0 ? this.holderViews(team, record, now) : holders,
-			lost,
-			mayMove: !this.paused(team, now),
-			date: this.options.date(),
+			holders: revocable.size > 0 ? this.holderStates(team, record, now) : holders,
+			revocable: revocable,
+			mayMove: !this.isMovePaused(team, now),
+			wallClockMs: this.options.date(),
 		});
 	}
 
-	private lostHolders(team: string, record: QuotaRecord, now: number): Set<string> {
-		const { node: self, incarnation: own } = this.options;
-		const lost = this.revoking.get(team) ?? new Set();
+	private revocableHolders(team: string, record: QuotaRecord, now: number): Set<string> {
+		const { node: self, incarnation: selfIncarnation } = this.options;
+		const revocable = this.nodesBeingRevoked.get(team) ?? new Set();
 		for (const { node, incarnation } of record.allotments) {
-			const gone = node === self ? incarnation !== own : this.registry.lost(node, incarnation, now);
-			if (!gone || lost.has(node)) continue;
-			lost.add(node);
-			this.registry.changed(node, team, true);
+			const isRevocable =
+				node === self ? incarnation !== selfIncarnation : this.registry.isRevocable(node, incarnation, now);
+			if (!isRevocable || revocable.has(node)) continue;
+			revocable.add(node);
+			this.registry.markTeamChanged(node, team, true);
 		}
-		if (lost.size > 0) this.revoking.set(team, lost);
-		return lost;
+		if (revocable.size > 0) this.nodesBeingRevoked.set(team, revocable);
+		return revocable;
 	}
 
 	/** Returns the responsive holders, the preferred one first. */
-	private holderViews(team: string, record: QuotaRecord, now: number): HolderView[] {
+	private holderStates(team: string, record: QuotaRecord, now: number): HolderState[] {
 		const { node: self, nodes } = this.options;
-		const first = this.preferred.get(team) ?? self;
-		const views: HolderView[] = [];
+		const preferredNode = this.preferredHolders.get(team) ?? self;
+		const states: HolderState[] = [];
 		for (const node of nodes) {
 			const incarnation = this.incarnationOf(node);
-			if (incarnation === undefined || (node !== self && !this.registry.usable(node, now))) continue;
+			if (incarnation === undefined || (node !== self && !this.registry.isResponsive(node, now))) continue;
 			const held = allotmentOf(record, node);
-			const view = {
+			const state = {
 				node,
 				incarnation,
-				knowsCap: node === self || (held !== undefined && this.registry.knowsCap(node, team)),
-				used: this.charges.of(team, node),
-				wanted: this.wanted.get(team)?.get(node) ?? nothing,
+				capConfirmed: node === self || (held !== undefined && this.registry.hasConfirmedCap(node, team)),
+				used: this.charges.chargedTo(team, node),
+				requested: this.requestedAmounts.get(team)?.get(node) ?? zeroAmount,
 			};
-			if (node === first) views.unshift(view);
-			else views.push(view);
+			if (node === preferredNode) states.unshift(state);
+			else states.push(state);
 		}
-		return views;
+		return states;
 	}
 }
--- a/packages/team-quota/src/packed-record.ts
+++ b/packages/team-quota/src/packed-record.ts
@@ -2,12 +2,12 @@
 import type { Amount } from "./amount.js";
 import {
 	type Allotment,
-	type LimitTerms,
+	type LimitAndGuarantee,
 	parseRecord,
 	QuotaInvariantError,
 	type QuotaRecord,
 	type RecallReason,
-	sameTerms,
+	sameLimitAndGuarantee,
 } from "./record.js";
 
 /**
@@ -15,7 +15,12 @@
  * of a value is limited. The order of the entries and the names of the fields are the stored format and
  * must not change.
  */
-type PackedTerms = [limitCpus: number, limitGpus: number, guaranteeCpus: number, guaranteeGpus: number];
+type PackedLimitAndGuarantee = [
+	limitCpus: number,
+	limitGpus: number,
+	guaranteeCpus: number,
+	guaranteeGpus: number,
+];
 type PackedAllotment = [
 	node: string,
 	incarnation: string,
@@ -28,11 +33,11 @@
 
 interface PackedRecord {
 	revision: number;
-	limit: PackedTerms;
+	limit: PackedLimitAndGuarantee;
 	/** Omitted if the limit in force equals that of the platform's settings. */
-	settings?: PackedTerms | undefined;
+	settings?: PackedLimitAndGuarantee | undefined;
 	/** A lower limit that is not in force yet; `at` is the time of the request. */
-	pending?: { revision: number; at: number; limit: PackedTerms } | undefined;
+	pending?: { revision: number; at: number; limit: PackedLimitAndGuarantee } | undefined;
 	allotments: PackedAllotment[];
 }
 
@@ -42,28 +47,33 @@
 }
 
 /** Reasons are stored by their index in this list: append new ones at the end. */
-const reasons: (RecallReason | null)[] = [null, "wanted elsewhere", "limit lowered", "another placer"];
+const recallReasons: (RecallReason | null)[] = [null, "wanted elsewhere", "limit lowered", "another placer"];
 
-const TermsSchema = v.tuple([v.number(), v.number(), v.number(), v.number()]);
+const LimitAndGuaranteeSchema = v.tuple([v.number(), v.number(), v.number(), v.number()]);
 const PackedRecordSchema = v.object({
 	revision: v.number(),
-	limit: TermsSchema,
-	settings: v.optional(TermsSchema),
-	pending: v.optional(v.object({ revision: v.number(), at: v.number(), limit: TermsSchema })),
+	limit: LimitAndGuaranteeSchema,
+	settings: v.optional(LimitAndGuaranteeSchema),
+	pending: v.optional(v.object({ revision: v.number(), at: v.number(), limit: LimitAndGuaranteeSchema })),
 	allotments: v.array(
 		v.tuple([v.string(), v.string(), v.number(), v.number(), v.number(), v.number(), v.number()]),
 	),
 });
 const ValueSchema = v.object({ teams: v.record(v.string(), v.unknown()) });
 
-const packTerms = ({ limit, guarantee }: LimitTerms): PackedTerms => [
+const packLimitAndGuarantee = ({ limit, guarantee }: LimitAndGuarantee): PackedLimitAndGuarantee => [
 	limit.cpus,
 	limit.gpus,
 	guarantee.cpus,
 	guarantee.gpus,
 ];
 
-function unpackTerms([limitCpus, limitGpus, guaranteeCpus, guaranteeGpus]: PackedTerms): LimitTerms {
+function unpackLimitAndGuarantee([
+	limitCpus,
+	limitGpus,
+	guaranteeCpus,
+	guaranteeGpus,
+]: PackedLimitAndGuarantee): LimitAndGuarantee {
 	return {
 		limit: { cpus: limitCpus, gpus: limitGpus },
 		guarantee: { cpus: guaranteeCpus, gpus: guaranteeGpus },
@@ -72,24 +82,24 @@
 
 function packAllotment(allotment: Allotment): PackedAllotment {
 	const { node, incarnation, amount, reclaiming, reason } = allotment;
-	const why = reasons.indexOf(reason);
-	return [node, incarnation, amount.cpus, amount.gpus, reclaiming.cpus, reclaiming.gpus, why];
+	const reasonIndex = recallReasons.indexOf(reason);
+	return [node, incarnation, amount.cpus, amount.gpus, reclaiming.cpus, reclaiming.gpus, reasonIndex];
 }
 
 function unpackAllotment(packed: PackedAllotment): Allotment {
-	const [node, incarnation, cpus, gpus, reclaimingCpus, reclaimingGpus, why] = packed;
+	const [node, incarnation, cpus, gpus, reclaimingCpus, reclaimingGpus, reasonIndex] = packed;
 	const amount: Amount = { cpus, gpus };
 	const reclaiming: Amount = { cpus: reclaimingCpus, gpus: reclaimingGpus };
-	return { node, incarnation, amount, reclaiming, reason: reasons[why] ?? null };
+	return { node, incarnation, amount, reclaiming, reason: recallReasons[reasonIndex] ?? null };
 }
 
 function packRecord({ revision, inForce, settings, pending, allotments }: QuotaRecord): PackedRecord {
 	return {
 		revision,
-		limit: packTerms(inForce),
-		...(!sameTerms(inForce, settings) && { settings: packTerms(settings) }),
+		limit: packLimitAndGuarantee(inForce),
+		...(!sameLimitAndGuarantee(inForce, settings) && { settings: packLimitAndGuarantee(settings) }),
 		...(pending && {
-			pending: { revision: pending.revision, at: pending.requestedAt, limit: packTerms(pending) },
+			pending: { revision: pending.revision, at: pending.requestedAt, limit: packLimitAndGuarantee(pending) },
 		}),
 		allotments: allotments.map(packAllotment),
 	};
@@ -102,14 +112,14 @@
 		throw new QuotaInvariantError(`field "${v.getDotPath(issue) ?? ""}" ${issue.message}`);
 	}
 	const { revision, limit, settings, pending, allotments } = result.output;
-	const inForce = unpackTerms(limit);
+	const inForce = unpackLimitAndGuarantee(limit);
 	return parseRecord({
 		team,
 		revision,
 		inForce,
-		settings: settings ? unpackTerms(settings) : inForce,
+		settings: settings ? unpackLimitAndGuarantee(settings) : inForce,
 		pending: pending
-			? { ...unpackTerms(pending.limit), revision: pending.revision, requestedAt: pending.at }
+			? { ...unpackLimitAndGuarantee(pending.limit), revision: pending.revision, requestedAt: pending.at }
 			: null,
 		allotments: allotments.map(unpackAllotment),
 	});
@@ -123,14 +133,10 @@
  * Returns an upper bound of the bytes of a team's record with an allotment for every node and a pending
  * limit.
  */
-export function largestRecordBytes(
-	team: string,
-	nodes: readonly string[],
-	incarnationLength: number,
-): number {
-	const terms = 60;
-	const allotments = nodes.map((node) => Buffer.byteLength(node) + incarnationLength + terms);
-	return Buffer.byteLength(team) + 4 * terms + allotments.reduce((sum, bytes) => sum + bytes, 0);
+export function maxRecordBytes(team: string, nodes: readonly string[], incarnationLength: number): number {
+	const bytesOfNumbers = 60;
+	const allotments = nodes.map((node) => Buffer.byteLength(node) + incarnationLength + bytesOfNumbers);
+	return Buffer.byteLength(team) + 4 * bytesOfNumbers + allotments.reduce((sum, bytes) => sum + bytes, 0);
 }
 
 /** The readable records, and the faults of the others. */
--- a/packages/team-quota/src/planner.ts
+++ b/packages/team-quota/src/planner.ts
@@ -1,14 +1,14 @@
-import { type Amount, greater, lesser, minus } from "./amount.js";
+import { type Amount, maxAmount, minAmount, subtractAmounts } from "./amount.js";
 
 /** The planner's input for one controller and one team. */
-export interface HolderNeeds {
+export interface HolderDemand {
 	node: string;
 	/** The amount that the controller may admit against now. */
 	held: Amount;
 	/** The amount that its running and admitted tasks use. */
 	used: Amount;
 	/** The amount that its tasks would use if all its waiting tasks ran, too. */
-	wanted: Amount;
+	requested: Amount;
 }
 
 /**
@@ -17,39 +17,39 @@
  * To move little, an amount that no controller requests stays with its holder, and an amount that no
  * controller holds goes to the first one.
  */
-export function planAllotments(ceiling: Amount, holders: readonly HolderNeeds[]): Map<string, Amount> {
-	const planOf = (of: (amount: Amount) => number) => planDimension(of(ceiling), holders.map(dimensionOf(of)));
-	const cpus = planOf((amount) => amount.cpus);
-	const gpus = planOf((amount) => amount.gpus);
+export function planAllotments(ceiling: Amount, holders: readonly HolderDemand[]): Map<string, Amount> {
+	const planFor = (of: (amount: Amount) => number) => planDimension(of(ceiling), holders.map(demandIn(of)));
+	const cpus = planFor((amount) => amount.cpus);
+	const gpus = planFor((amount) => amount.gpus);
 	return new Map(holders.map(({ node }, i) => [node, { cpus: cpus[i] ?? 0, gpus: gpus[i] ?? 0 }]));
 }
 
-interface Needs {
+interface DimensionDemand {
 	held: number;
 	used: number;
-	wanted: number;
+	requested: number;
 }
 
-function dimensionOf(of: (amount: Amount) => number): (needs: HolderNeeds) => Needs {
-	return ({ held, used, wanted }) => ({
-		held: of(held),
-		used: of(used),
-		wanted: Math.max(of(used), of(wanted)),
+function demandIn(select: (amount: Amount) => number): (needs: HolderDemand) => DimensionDemand {
+	return ({ held, used, requested }) => ({
+		held: select(held),
+		used: select(used),
+		requested: Math.max(select(used), select(requested)),
 	});
 }
 
-function planDimension(ceiling: number, holders: Needs[]): number[] {
+function planDimension(ceiling: number, holders: DimensionDemand[]): number[] {
 	const used = holders.map((holder) => holder.used);
 	// After a limit was lowered, more may be in use than the ceiling: then the ceiling is divided by use.
-	if (total(used) >= ceiling) return fill(ceiling, used, 0, used);
-	const shares = fill(
+	if (total(used) >= ceiling) return fillEvenly(ceiling, used, 0, used);
+	const shares = fillEvenly(
 		ceiling,
-		holders.map((holder) => holder.wanted),
+		holders.map((holder) => holder.requested),
 		0,
 		used,
 		used,
 	);
-	return keepRest(ceiling, holders, shares);
+	return assignUnrequested(ceiling, holders, shares);
 }
 
 function total(values: number[]): number {
@@ -60,29 +60,31 @@
  * Finds by bisection the highest common level whose shares fit into the capacity. Each share is the level,
  * but at least its minimum and at most the requested amount.
  */
-function fill(
-	sum: number,
-	wants: number[],
-	lowest: number,
-	heights: number[],
-	floors: number[] = [],
+function fillEvenly(
+	capacity: number,
+	requestedAmounts: number[],
+	lowestLevel: number,
+	levelBounds: number[],
+	minimums: number[] = [],
 ): number[] {
-	const at = (level: number) =>
-		wants.map((want, i) => Math.max(floors[i] ?? 0, Math.min(want, Math.floor(level))));
-	if (total(at(Number.MAX_SAFE_INTEGER)) <= sum) return at(Number.MAX_SAFE_INTEGER);
-	let low = lowest;
-	let high = Math.max(...wants, ...heights);
+	const sharesAt = (level: number) =>
+		requestedAmounts.map((requested, i) =>
+			Math.max(minimums[i] ?? 0, Math.min(requested, Math.floor(level))),
+		);
+	if (total(sharesAt(Number.MAX_SAFE_INTEGER)) <= capacity) return sharesAt(Number.MAX_SAFE_INTEGER);
+	let low = lowestLevel;
+	let high = Math.max(...requestedAmounts, ...levelBounds);
 	while (high - low > 1) {
 		const middle = Math.floor((low + high) / 2);
-		if (total(at(middle)) <= sum) low = middle;
+		if (total(sharesAt(middle)) <= capacity) low = middle;
 		else high = middle;
 	}
-	const shares = at(low);
+	const shares = sharesAt(low);
 	// The remaining thousandths go to the first holders that requested more.
-	let left = sum - total(shares);
+	let remaining = capacity - total(shares);
 	return shares.map((share, i) => {
-		if (left <= 0 || share >= (wants[i] ?? 0)) return share;
-		left -= 1;
+		if (remaining <= 0 || share >= (requestedAmounts[i] ?? 0)) return share;
+		remaining -= 1;
 		return share + 1;
 	});
 }
@@ -91,23 +93,23 @@
  * Leaves the rest of the ceiling, which no controller requests, with its holders, and the part without a
  * holder to the first.
  */
-function keepRest(ceiling: number, holders: Needs[], shares: number[]): number[] {
-	let left = ceiling - total(shares);
-	const kept = shares.map((share, i) => {
-		const more = Math.min(left, Math.max(0, (holders[i]?.held ?? 0) - share));
-		left -= more;
-		return share + more;
+function assignUnrequested(ceiling: number, holders: DimensionDemand[], shares: number[]): number[] {
+	let remaining = ceiling - total(shares);
+	const allotments = shares.map((share, i) => {
+		const retained = Math.min(remaining, Math.max(0, (holders[i]?.held ?? 0) - share));
+		remaining -= retained;
+		return share + retained;
 	});
-	if (kept.length > 0) kept[0] = (kept[0] ?? 0) + left;
-	return kept;
+	if (allotments.length > 0) allotments[0] = (allotments[0] ?? 0) + remaining;
+	return allotments;
 }
 
 /** True if a controller uses or requests more than it may admit against, and the plan gives it more. */
-export function anyShort(holders: readonly HolderNeeds[], plan: ReadonlyMap<string, Amount>): boolean {
-	return holders.some(({ node, held, used, wanted }) => {
+export function anyBelowTarget(holders: readonly HolderDemand[], plan: ReadonlyMap<string, Amount>): boolean {
+	return holders.some(({ node, held, used, requested }) => {
 		const target = plan.get(node);
 		if (!target) return false;
-		const lacking = minus(lesser(target, greater(wanted, used)), held);
-		return lacking.cpus > 0 || lacking.gpus > 0;
+		const shortfall = subtractAmounts(minAmount(target, maxAmount(requested, used)), held);
+		return shortfall.cpus > 0 || shortfall.gpus > 0;
 	});
 }
--- a/packages/team-quota/src/team-quota.ts
+++ b/packages/team-quota/src/quota-participant.ts
@@ -1,13 +1,18 @@
+import { effectiveLimits } from "./advance-record.js";
 import type { QuotaLog } from "./allotment-writer.js";
 import type { Amount } from "./amount.js";
 import { type Admission, AllotmentHolder } from "./holder.js";
+import {
+	type HolderReply,
+	parseAllotmentUpdate,
+	parseReply,
+	type RequestedAmount,
+} from "./holder-messages.js";
 import { AllotmentManager } from "./manager.js";
-import type { LimitTerms } from "./record.js";
-import { usableTerms } from "./record-step.js";
+import type { LimitAndGuarantee } from "./record.js";
 import { type QuotaStore, type StoredCondition, StoredValues } from "./stored-values.js";
-import { type HolderReply, parseReply, parseTerms, type Wanted } from "./terms.js";
 
-export interface TeamQuotaSettings {
+export interface QuotaParticipantSettings {
 	/** A holder that has not replied for about this long loses its allotments. */
 	expiryMs: number;
 	/** Safety margin at the end of the expiry time, in addition to clock drift. */
@@ -16,20 +21,20 @@
 	movePauseMs: number;
 }
 
-export interface TeamQuotaOptions {
+export interface QuotaParticipantOptions {
 	node: string;
 	/** Identifies this process among all processes of the node. */
 	incarnation: string;
 	/** Every node of the cluster. */
 	nodes: readonly string[];
 	/** The limits in the platform's settings, by team. */
-	teams: ReadonlyMap<string, LimitTerms>;
-	settings: TeamQuotaSettings;
+	teams: ReadonlyMap<string, LimitAndGuarantee>;
+	settings: QuotaParticipantSettings;
 	/** Prefix of the keys of stored quota values. */
-	prefix: string;
+	keyPrefix: string;
 	/** Maximum size of a written value, and maximum number of changes in a transaction. */
-	mostBytes: number;
-	mostChanges: number;
+	maxValueBytes: number;
+	maxChangesPerTransaction: number;
 	store: QuotaStore;
 	/** Monotonic time and wall-clock time, in milliseconds. */
 	now(): number;
@@ -42,17 +47,17 @@
  * One controller's part in team quota: it is always a holder, and also the allotment manager while it
  * leads.
  */
-export class TeamQuota {
+export class QuotaParticipant {
 	private readonly values: StoredValues;
 	private readonly holder: AllotmentHolder;
-	private managing: AllotmentManager | null = null;
+	private manager: AllotmentManager | null = null;
 
-	constructor(private readonly options: TeamQuotaOptions) {
+	constructor(private readonly options: QuotaParticipantOptions) {
 		const { log, incarnation, now, settings } = options;
 		this.values = new StoredValues({
 			...options,
 			incarnationLength: incarnation.length,
-			fault: (key, team, fault) => log.error({ key, team, fault }, "a stored team limit cannot be read"),
+			onFault: (key, team, fault) => log.error({ key, team, fault }, "a stored team limit cannot be read"),
 		});
 		this.holder = new AllotmentHolder({ incarnation, now, ...settings });
 	}
@@ -64,32 +69,32 @@
 	// --- stored values ---
 
 	/** Applies a stored value; undefined if the key was deleted. */
-	stored(key: string, value: unknown, revision: number): void {
-		if (this.managing) this.managing.stored(key, value, revision);
-		else this.values.learn(key, value, revision);
+	applyStoredValue(key: string, value: unknown, revision: number): void {
+		if (this.manager) this.manager.applyStoredValue(key, value, revision);
+		else this.values.apply(key, value, revision);
 	}
 
 	/** Returns the limit and guarantee in effect by the team's record, or null if it has none. */
-	terms(team: string): LimitTerms | null {
+	effectiveLimits(team: string): LimitAndGuarantee | null {
 		const record = this.values.record(team);
-		return record ? usableTerms(record) : null;
+		return record ? effectiveLimits(record) : null;
 	}
 
 	/** Monotonic time of this process, in milliseconds. */
-	clock(): number {
+	now(): number {
 		return this.options.now();
 	}
 
 	// --- as a holder ---
 
 	/** Applies an update from the leader of the term. A malformed update is ignored. */
-	takeTerms(term: number, raw: unknown): void {
-		const terms = parseTerms(raw);
-		if (terms) this.holder.takeTerms(term, terms);
+	applyAllotmentUpdate(term: number, raw: unknown): void {
+		const update = parseAllotmentUpdate(raw);
+		if (update) this.holder.applyUpdate(term, update);
 	}
 
-	admit(team: string, size: Amount, most = 1): Admission {
-		return this.holder.admit(team, size, most);
+	admit(team: string, size: Amount, maxCount = 1): Admission {
+		return this.holder.admit(team, size, maxCount);
 	}
 
 	withdraw(team: string, size: Amount, count: number): void {
@@ -100,7 +105,7 @@
 		return this.holder.closeBatch();
 	}
 
-	reply(wanted?: Wanted[]): HolderReply {
+	reply(wanted?: RequestedAmount[]): HolderReply {
 		return this.holder.reply(wanted);
 	}
 
@@ -113,26 +118,26 @@
 
 	beginTerm(leaderCondition: StoredCondition): AllotmentManager {
 		const { settings, teams } = this.options;
-		this.holder.leads(leaderCondition.revision);
-		this.managing = new AllotmentManager({
+		this.holder.becomeLeader(leaderCondition.revision);
+		this.manager = new AllotmentManager({
 			...this.options,
 			...settings,
 			settings: teams,
 			values: this.values,
 			leaderCondition,
-			silentMs: settings.expiryMs,
+			holderTimeoutMs: settings.expiryMs,
 		});
-		return this.managing;
+		return this.manager;
 	}
 
 	endTerm(): void {
-		this.managing?.end();
-		this.managing = null;
+		this.manager?.end();
+		this.manager = null;
 	}
 
 	/** Processes a holder's reply. Returns true if the batch of admissions that came with it is valid. */
-	heard(node: string, raw: unknown): boolean {
+	handleReply(node: string, raw: unknown): boolean {
 		const reply = parseReply(raw);
-		return reply !== null && (this.managing?.heard(node, reply) ?? false);
+		return reply !== null && (this.manager?.handleReply(node, reply) ?? false);
 	}
 }
--- a/packages/team-quota/src/quota-service.ts
+++ b/packages/team-quota/src/quota-service.ts
@@ -1,8 +1,17 @@
-import { type Amount, demandAmount, inUnits, isNothing, nothing, plus, times, unlimited } from "./amount.js";
+import {
+	type Amount,
+	addAmounts,
+	demandAmount,
+	isZeroAmount,
+	multiplyAmount,
+	toUnits,
+	unlimited,
+	zeroAmount,
+} from "./amount.js";
 import type { Charge } from "./charges.js";
+import type { AllotmentUpdate, HolderReply } from "./holder-messages.js";
 import type { AllotmentManager } from "./manager.js";
-import type { TeamQuota } from "./team-quota.js";
-import type { HolderReply, QuotaTerms } from "./terms.js";
+import type { QuotaParticipant } from "./quota-participant.js";
 
 /** The resources that one task of a team needs, in CPUs and accelerators. */
 export interface TaskDemand {
@@ -12,7 +21,7 @@
 }
 
 /** A team's limit and guarantee, in CPUs and accelerators; Infinity is no limit. */
-export interface UsableLimits {
+export interface EffectiveLimits {
 	name: string;
 	guaranteed: { cpus: number; gpus: number };
 	limit: { cpus: number; gpus: number };
@@ -24,76 +33,76 @@
  * The largest rounding error of a task of 0.1 CPUs, relative to its size: sizes are rounded up to
  * thousandths.
  */
-const roundingPart = 0.01;
+const roundingFraction = 0.01;
 /** The requested amount of the preferred controller, which receives everything that the others do not use. */
-const everything: Amount = { cpus: unlimited, gpus: unlimited };
+const unlimitedAmount: Amount = { cpus: unlimited, gpus: unlimited };
 
 /** Team quota as the scheduler uses it: in CPUs and accelerators, and by terms of leadership. */
 export class QuotaService {
 	constructor(
-		private readonly quota: TeamQuota,
+		private readonly participant: QuotaParticipant,
 		/** The key that the leader holds in the state service; its revision is the term. */
 		private readonly leaderKey: string,
 	) {}
 
 	stored(key: string, value: unknown, revision: number): void {
-		this.quota.stored(key, value, revision);
+		this.participant.applyStoredValue(key, value, revision);
 	}
 
 	/**
 	 * Returns the limit and guarantee in effect, or null if the team has no record and the platform's
 	 * settings apply.
 	 */
-	limits(team: string): UsableLimits | null {
-		const terms = this.quota.terms(team);
+	limits(team: string): EffectiveLimits | null {
+		const terms = this.participant.effectiveLimits(team);
 		if (!terms) return null;
 		const { limit, guarantee } = terms;
 		return {
 			name: team,
-			guaranteed: { cpus: inUnits(guarantee.cpus), gpus: inUnits(guarantee.gpus) },
-			limit: { cpus: inUnits(limit.cpus), gpus: inUnits(limit.gpus) },
+			guaranteed: { cpus: toUnits(guarantee.cpus), gpus: toUnits(guarantee.gpus) },
+			limit: { cpus: toUnits(limit.cpus), gpus: toUnits(limit.gpus) },
 		};
 	}
 
 	takeTerms(term: number, terms: unknown): void {
-		this.quota.takeTerms(term, terms);
+		this.participant.applyAllotmentUpdate(term, terms);
 	}
 
 	/** Admits up to `maxCount` tasks of this size, and returns how many. */
 	admit(demand: TaskDemand, most: number): number {
-		const admission = this.quota.admit(demand.team, amountOf(demand), most);
+		const admission = this.participant.admit(demand.team, amountOf(demand), most);
 		return admission.kind === "admitted" ? admission.count : 0;
 	}
 
 	withdraw(demand: TaskDemand, count: number): void {
-		this.quota.withdraw(demand.team, amountOf(demand), count);
+		this.participant.withdraw(demand.team, amountOf(demand), count);
 	}
 
 	/** Closes the open batch and returns the reply to send with its admissions. */
 	sendBatch(): HolderReply {
-		this.quota.closeBatch();
-		return this.quota.reply();
+		this.participant.closeBatch();
+		return this.participant.reply();
 	}
 
 	reply(): HolderReply {
-		return this.quota.reply();
+		return this.participant.reply();
 	}
 
 	lead(term: number): LeaderQuota {
-		const manager = this.quota.beginTerm({ key: this.leaderKey, revision: term });
-		return new LeaderQuota(this.quota, manager);
+		const manager = this.participant.beginTerm({ key: this.leaderKey, revision: term });
+		return new LeaderQuota(this.participant, manager);
 	}
 }
 
 /** The leader's side, for one term. */
 export class LeaderQuota {
 	constructor(
-		private readonly quota: TeamQuota,
+		private readonly participant: QuotaParticipant,
 		private readonly manager: AllotmentManager,
 	) {}
 
 	get self(): string {
-		return this.quota.node;
+		return this.participant.node;
 	}
 
 	/** Starts enforcing allotments. Called once all tasks of earlier leaders are charged. */
@@ -102,7 +111,7 @@
 	}
 
 	end(): void {
-		this.quota.endTerm();
+		this.participant.endTerm();
 	}
 
 	tick(): void {
@@ -111,11 +120,11 @@
 
 	/** Processes a holder's reply. Returns true if the admissions that came with it are valid. */
 	heard(node: string, reply: unknown): boolean {
-		return this.quota.heard(node, reply);
+		return this.participant.handleReply(node, reply);
 	}
 
-	termsFor(node: string): QuotaTerms | undefined {
-		return this.manager.termsFor(node) ?? undefined;
+	termsFor(node: string): AllotmentUpdate | undefined {
+		return this.manager.nextUpdate(node) ?? undefined;
 	}
 
 	mayStart(demand: TaskDemand, admittedBy: string): boolean {
@@ -123,7 +132,7 @@
 	}
 
 	hasRoom(demand: TaskDemand, node: string): boolean {
-		return this.manager.hasRoom(node, demand.team, amountOf(demand));
+		return this.manager.canAdmit(node, demand.team, amountOf(demand));
 	}
 
 	charge(demand: TaskDemand, admittedBy: string): Charge {
@@ -131,7 +140,7 @@
 	}
 
 	chargeFound(demand: TaskDemand): Charge {
-		return this.manager.chargeFound(demand.team, amountOf(demand));
+		return this.manager.chargeUnattributed(demand.team, amountOf(demand));
 	}
 
 	release(charge: Charge): void {
@@ -140,8 +149,9 @@
 
 	/** Makes the preferred controller's allotment as large as possible; the others keep what they use. */
 	prefer(team: string, preferred: string, nodes: readonly string[]): void {
-		this.manager.prefer(preferred, team);
-		for (const node of nodes) this.manager.want(node, team, node === preferred ? everything : nothing);
+		this.manager.setPreferredHolder(preferred, team);
+		for (const node of nodes)
+			this.manager.setRequestedAmount(node, team, node === preferred ? unlimitedAmount : zeroAmount);
 	}
 
 	/**
@@ -150,9 +160,11 @@
 	 */
 	need(demand: TaskDemand, count: number): void {
 		const { team } = demand;
-		const more = times(amountOf(demand), count);
-		const wanted = isNothing(more) ? nothing : plus(this.manager.charges.of(team, this.self), more);
-		this.manager.want(this.self, team, wanted);
+		const additional = multiplyAmount(amountOf(demand), count);
+		const requested = isZeroAmount(additional)
+			? zeroAmount
+			: addAmounts(this.manager.charges.chargedTo(team, this.self), additional);
+		this.manager.setRequestedAmount(this.self, team, requested);
 	}
 
 	/**
@@ -160,16 +172,16 @@
 	 * the charges may be larger by a rounding error for each task.
 	 */
 	scrub(running: readonly TaskDemand[]): void {
-		const counted = running.map((use): [string, { amount: Amount; tolerance: Amount }] => {
-			const tolerance = demandAmount(use.cpus * roundingPart, use.gpus * roundingPart);
-			return [use.team, { amount: amountOf(use), tolerance: plus(tolerance, oneThousandth) }];
+		const amounts = running.map((usage): [string, { amount: Amount; tolerance: Amount }] => {
+			const tolerance = demandAmount(usage.cpus * roundingFraction, usage.gpus * roundingFraction);
+			return [usage.team, { amount: amountOf(usage), tolerance: addAmounts(tolerance, oneThousandth) }];
 		});
-		this.manager.scrub(new Map(counted));
+		this.manager.verifyCharges(new Map(amounts));
 	}
 
 	/** Returns the amount that the team runs above a lower limit that is pending, or null if there is none. */
 	excess(team: string): { cpus: number; gpus: number } | null {
-		const excess = this.manager.excess(team);
-		return isNothing(excess) ? null : { cpus: inUnits(excess.cpus), gpus: inUnits(excess.gpus) };
+		const excess = this.manager.excessOverPendingLimit(team);
+		return isZeroAmount(excess) ? null : { cpus: toUnits(excess.cpus), gpus: toUnits(excess.gpus) };
 	}
 }
--- a/packages/team-quota/src/stored-values.ts
+++ b/packages/team-quota/src/stored-values.ts
@@ -1,4 +1,4 @@
-import { largestRecordBytes, type PackedQuotaValue, packValue, unpackValue } from "./packed-record.js";
+import { maxRecordBytes, type PackedQuotaValue, packValue, unpackValue } from "./packed-record.js";
 import type { QuotaRecord } from "./record.js";
 
 export interface StoredChange {
@@ -28,32 +28,32 @@
 	transact(conditions: StoredCondition[], changes: StoredChange[]): Promise<QuotaWriteResult>;
 	/** Returns null if the key does not exist. */
 	read(key: string): Promise<QuotaRow | null>;
-	rows(prefix: string): Promise<QuotaRow[]>;
+	readPrefix(prefix: string): Promise<QuotaRow[]>;
 }
 
 interface StoredValue {
 	revision: number;
 	records: Map<string, QuotaRecord>;
 	/** Teams whose records in this value cannot be read. */
-	faults: string[];
+	unreadableTeams: string[];
 }
 
 export interface StoredValuesOptions {
 	/** Prefix of the keys of stored quota values. */
-	prefix: string;
+	keyPrefix: string;
 	nodes: readonly string[];
 	incarnationLength: number;
 	/** Maximum size of a written value. */
-	mostBytes: number;
-	fault(key: string, team: string, fault: string): void;
+	maxValueBytes: number;
+	onFault(key: string, team: string, fault: string): void;
 }
 
 /** The process's in-memory copy of the stored records, with the key of the value that contains each. */
 export class StoredValues {
 	private readonly values = new Map<string, StoredValue>();
-	private readonly keyOf = new Map<string, string>();
+	private readonly keyByTeam = new Map<string, string>();
 	/** Faults of unreadable records that have been reported already, so that each is reported once. */
-	private readonly reported = new Set<string>();
+	private readonly reportedFaults = new Set<string>();
 
 	constructor(private readonly options: StoredValuesOptions) {}
 
@@ -61,73 +61,74 @@
 	 * True if a record cannot be read, so that a controller may hold allotments that this process does
 	 * not know.
 	 */
-	get unreadable(): boolean {
-		return [...this.values.values()].some((value) => value.faults.length > 0);
+	get hasUnreadableRecords(): boolean {
+		return [...this.values.values()].some((value) => value.unreadableTeams.length > 0);
 	}
 
 	/**
 	 * Applies a value of the state service, undefined if the key does not exist, and returns the teams whose
 	 * records may have changed. A revision that is not newer than the current one is ignored.
 	 */
-	learn(key: string, value: unknown, revision: number): string[] {
-		const known = this.values.get(key);
-		if (known && known.revision >= revision) return [];
-		const before = known ? [...known.records.keys()] : [];
-		for (const team of before) if (this.keyOf.get(team) === key) this.keyOf.delete(team);
+	apply(key: string, value: unknown, revision: number): string[] {
+		const current = this.values.get(key);
+		if (current && current.revision >= revision) return [];
+		const previousTeams = current ? [...current.records.keys()] : [];
+		for (const team of previousTeams) if (this.keyByTeam.get(team) === key) this.keyByTeam.delete(team);
 		const { records, faults } = value === undefined ? { records: new Map(), faults: [] } : unpackValue(value);
-		for (const { team, fault } of faults) this.report(key, team, fault);
-		this.values.set(key, { revision, records, faults: faults.map(({ team }) => team) });
-		for (const team of records.keys()) this.keyOf.set(team, key);
-		return [...new Set([...before, ...records.keys()])];
+		for (const { team, fault } of faults) this.reportOnce(key, team, fault);
+		this.values.set(key, { revision, records, unreadableTeams: faults.map(({ team }) => team) });
+		for (const team of records.keys()) this.keyByTeam.set(team, key);
+		return [...new Set([...previousTeams, ...records.keys()])];
 	}
 
-	private report(key: string, team: string, fault: string): void {
-		const what = `${key} ${team} ${fault}`;
-		if (this.reported.has(what)) return;
-		this.reported.add(what);
-		this.options.fault(key, team, fault);
+	private reportOnce(key: string, team: string, fault: string): void {
+		const identity = `${key} ${team} ${fault}`;
+		if (this.reportedFaults.has(identity)) return;
+		this.reportedFaults.add(identity);
+		this.options.onFault(key, team, fault);
 	}
 
 	record(team: string): QuotaRecord | undefined {
-		const key = this.keyOf.get(team);
+		const key = this.keyByTeam.get(team);
 		return key === undefined ? undefined : this.values.get(key)?.records.get(team);
 	}
 
 	get teams(): Iterable<string> {
-		return this.keyOf.keys();
+		return this.keyByTeam.keys();
 	}
 
 	/** Returns the writes that store these records, one for each value that changes. */
-	changesFor(records: readonly QuotaRecord[]): { condition: StoredCondition; change: StoredChange }[] {
+	writesFor(records: readonly QuotaRecord[]): { condition: StoredCondition; change: StoredChange }[] {
 		const byKey = new Map<string, Map<string, QuotaRecord>>();
 		for (const record of records) {
-			const key = this.keyOf.get(record.team) ?? this.keyWithRoom(record.team, byKey);
-			const changed = byKey.get(key) ?? new Map(this.values.get(key)?.records);
-			changed.set(record.team, record);
-			byKey.set(key, changed);
+			const key = this.keyByTeam.get(record.team) ?? this.keyWithCapacity(record.team, byKey);
+			const changedRecords = byKey.get(key) ?? new Map(this.values.get(key)?.records);
+			changedRecords.set(record.team, record);
+			byKey.set(key, changedRecords);
 		}
-		return [...byKey].map(([key, changed]) => ({
+		return [...byKey].map(([key, changedRecords]) => ({
 			condition: { key, revision: this.revisionOf(key) },
-			change: { key, value: packValue(changed.values()) },
+			change: { key, value: packValue(changedRecords.values()) },
 		}));
 	}
 
 	private revisionOf(key: string): number {
 		const value = this.values.get(key);
-		return value && (value.records.size > 0 || value.faults.length > 0) ? value.revision : 0;
+		return value && (value.records.size > 0 || value.unreadableTeams.length > 0) ? value.revision : 0;
 	}
 
-	private keyWithRoom(team: string, changing: ReadonlyMap<string, Map<string, QuotaRecord>>): string {
+	private keyWithCapacity(team: string, pendingByKey: ReadonlyMap<string, Map<string, QuotaRecord>>): string {
 		for (let i = 0; ; i++) {
-			const key = `${this.options.prefix}${i}`;
-			const there = changing.get(key) ?? this.values.get(key)?.records ?? new Map();
-			if (there.size === 0 || this.bytesOf([...there.keys(), team]) <= this.options.mostBytes) return key;
+			const key = `${this.options.keyPrefix}${i}`;
+			const records = pendingByKey.get(key) ?? this.values.get(key)?.records ?? new Map();
+			if (records.size === 0 || this.maxBytesOf([...records.keys(), team]) <= this.options.maxValueBytes)
+				return key;
 		}
 	}
 
 	/** Counts an allotment for every node, so that a value never exceeds its maximum size later. */
-	private bytesOf(teams: string[]): number {
+	private maxBytesOf(teams: string[]): number {
 		const { nodes, incarnationLength } = this.options;
-		return teams.reduce((sum, team) => sum + largestRecordBytes(team, nodes, incarnationLength), 0);
+		return teams.reduce((sum, team) => sum + maxRecordBytes(team, nodes, incarnationLength), 0);
 	}
 }
--- a/packages/team-quota/tests/record.test.ts
+++ b/packages/team-quota/tests/record.test.ts
@@ -1,65 +1,65 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { demandAmount, limitAmount, nothing, unlimited } from "../src/amount.js";
+import { demandAmount, limitAmount, unlimited, zeroAmount } from "../src/amount.js";
 import { changeLimit, LimitChangeError } from "../src/limit-change.js";
 import { packValue, unpackValue } from "../src/packed-record.js";
 import {
 	allot,
 	allotmentOf,
 	capOf,
-	enforcePending,
+	enforcePendingLimit,
 	newRecord,
 	parseRecord,
 	QuotaInvariantError,
 	recall,
+	releaseReclaimed,
 	requestLimit,
 	revoke,
-	settleRecall,
 	unallotted,
 } from "../src/record.js";
 
 const settings = { limit: limitAmount(4, 0), guarantee: limitAmount(2, 0) };
 const cpus = (units: number) => limitAmount(units, 0);
 
-function divided() {
+function dividedRecord() {
 	return allot(allot(newRecord("red", settings), "a", "p1", cpus(3)), "b", "p2", cpus(3));
 }
 
 test("an allotment gets no more than the unallotted part of the limit", () => {
-	const record = divided();
+	const record = dividedRecord();
 	assert.deepEqual(allotmentOf(record, "a")?.amount, cpus(3));
 	assert.deepEqual(allotmentOf(record, "b")?.amount, cpus(1));
-	assert.deepEqual(unallotted(record), nothing);
+	assert.deepEqual(unallotted(record), zeroAmount);
 });
 
 test("a recalled amount becomes unallotted only once the holder has confirmed the recall and no longer uses it", () => {
-	const recalled = recall(divided(), "a", cpus(1), "wanted elsewhere");
+	const recalled = recall(dividedRecord(), "a", cpus(1), "wanted elsewhere");
 	assert.deepEqual(capOf(allotmentOf(recalled, "a")), cpus(1));
-	assert.deepEqual(unallotted(recalled), nothing);
-	const inUse = settleRecall(recalled, "a", cpus(2));
+	assert.deepEqual(unallotted(recalled), zeroAmount);
+	const inUse = releaseReclaimed(recalled, "a", cpus(2));
 	assert.deepEqual([allotmentOf(inUse, "a")?.amount, unallotted(inUse)], [cpus(2), cpus(1)]);
-	const over = settleRecall(inUse, "a", cpus(0));
+	const over = releaseReclaimed(inUse, "a", cpus(0));
 	assert.deepEqual([allotmentOf(over, "a")?.amount, allotmentOf(over, "a")?.reason], [cpus(1), null]);
 	assert.deepEqual(unallotted(revoke(over, "a")), cpus(3));
 });
 
 test("a higher limit is in force at once, a lower one once all allotments fit within it", () => {
-	const higher = requestLimit(divided(), { limit: cpus(9), guarantee: cpus(2) }, 1);
+	const higher = requestLimit(dividedRecord(), { limit: cpus(9), guarantee: cpus(2) }, 1);
 	assert.deepEqual([higher.inForce.limit, higher.pending, higher.revision], [cpus(9), null, 2]);
-	const lower = requestLimit(divided(), { limit: cpus(2), guarantee: cpus(1) }, 1);
+	const lower = requestLimit(dividedRecord(), { limit: cpus(2), guarantee: cpus(1) }, 1);
 	assert.deepEqual([lower.inForce.limit, lower.pending?.revision], [cpus(4), 2]);
 	assert.deepEqual(allot(lower, "b", "p2", cpus(1)), lower, "nothing more is allotted meanwhile");
 	const again = requestLimit(lower, { limit: cpus(3), guarantee: cpus(1) }, 2);
 	assert.equal(again.pending?.revision, 3, "the later of two changes replaces the earlier one");
-	const settled = settleRecall(recall(again, "a", cpus(2), "limit lowered"), "a", nothing);
-	const inForce = enforcePending(settled);
+	const settled = releaseReclaimed(recall(again, "a", cpus(2), "limit lowered"), "a", zeroAmount);
+	const inForce = enforcePendingLimit(settled);
 	assert.deepEqual([inForce.inForce.limit, inForce.revision, inForce.pending], [cpus(3), 3, null]);
 });
 
 test("invalid limit changes are refused with the reason", () => {
-	const none = nothing;
+	const none = zeroAmount;
 	const refused = (request: object, reason: RegExp, capacity = cpus(100), others = none) =>
-		assert.throws(() => changeLimit(divided(), request, 0, others, capacity), {
+		assert.throws(() => changeLimit(dividedRecord(), request, 0, others, capacity), {
 			name: "Error",
 			message: reason,
 			constructor: LimitChangeError,
@@ -69,12 +69,12 @@
 	refused({ cpus: 90, guaranteedCpus: 50 }, /exceed the capacity/, cpus(100), cpus(60));
 	refused({ cpus: -1 }, /"cpus" must be/);
 	refused({ gpus: Number.NaN }, /"gpus" must be/);
-	assert.equal(changeLimit(divided(), { cpus: Infinity }, 0, none, null).inForce.limit.cpus, unlimited);
+	assert.equal(changeLimit(dividedRecord(), { cpus: Infinity }, 0, none, null).inForce.limit.cpus, unlimited);
 });
 
 test("packed records are read back unchanged, and an unreadable record does not hide the others", () => {
 	const record = requestLimit(
-		recall(divided(), "a", cpus(1), "another placer"),
+		recall(dividedRecord(), "a", cpus(1), "another placer"),
 		{ limit: cpus(1), guarantee: cpus(1) },
 		5,
 	);
@@ -99,7 +99,7 @@
 });
 
 test("a record that allows more than the limit is refused, naming the field", () => {
-	const record = divided();
+	const record = dividedRecord();
 	const twice = { ...record, allotments: [...record.allotments, ...record.allotments] };
 	assert.throws(() => parseRecord(twice), /"a" is named twice/);
 	const more = { ...record, inForce: { ...record.inForce, limit: cpus(3.5) } };
--- a/packages/team-quota/tests/simulation.test.ts
+++ b/packages/team-quota/tests/simulation.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { type Amount, limitAmount } from "../src/amount.js";
 import { setQuota } from "../src/commands.js";
-import { doubled, faultsOf } from "./support/history.js";
+import { duplicateIds, findViolations } from "./support/history.js";
 import { SimulatedCluster } from "./support/simulated-cluster.js";
 
 const nodes = ["a", "b", "c", "d"];
@@ -16,55 +16,59 @@
 	{ cpus: 2000, gpus: 500 },
 ];
 
-function cluster(seed: number): SimulatedCluster {
+function createCluster(seed: number): SimulatedCluster {
 	let turn = seed;
-	const made = new SimulatedCluster(seed, nodes, teams, () => {
+	const simulated = new SimulatedCluster(seed, nodes, teams, () => {
 		turn += 1;
 		const size = sizes[turn % 7 === 0 ? 2 : turn % 3 === 0 ? 1 : 0] as Amount;
 		return { team: turn % 5 < 3 ? "red" : "blue", size, runMs: 5 + ((turn * 37) % 90) };
 	});
-	made.elect("a");
-	return made;
+	simulated.elect("a");
+	return simulated;
 }
 
-function check(made: SimulatedCluster, seed: number): void {
-	const history = made.finished();
-	assert.deepEqual(faultsOf(history).slice(0, 3), [], `seed ${seed}\n${made.logs.slice(-10).join("\n")}`);
-	assert.deepEqual(doubled(history.tasks), []);
+function assertHistoryValid(cluster: SimulatedCluster, seed: number): void {
+	const history = cluster.buildHistory();
+	assert.deepEqual(
+		findViolations(history).slice(0, 3),
+		[],
+		`seed ${seed}\n${cluster.logs.slice(-10).join("\n")}`,
+	);
+	assert.deepEqual(duplicateIds(history.tasks), []);
 }
 
 test("controllers that admit continuously stay within limits, and none waits long", async () => {
-	const made = cluster(1);
+	const made = createCluster(1);
 	await made.run(20_000);
-	check(made, 1);
-	assert.ok(made.admissions > 1000, `${made.admissions} admissions`);
+	assertHistoryValid(made, 1);
+	assert.ok(made.startedTaskCount > 1000, `${made.startedTaskCount} admissions`);
 	assert.ok(made.longestWaitMs < 5000, `${made.longestWaitMs} ms until a slot was available`);
 });
 
 /** Injects one random fault of the kinds that the package must tolerate, or a new limit. */
-async function trouble(made: SimulatedCluster): Promise<void> {
-	const node = nodes[made.int(0, nodes.length - 1)] as string;
-	const kind = made.int(0, 6);
+async function injectFault(cluster: SimulatedCluster): Promise<void> {
+	const node = nodes[cluster.randomInt(0, nodes.length - 1)] as string;
+	const kind = cluster.randomInt(0, 6);
 	if (kind === 0) {
-		made.end(node);
-		made.after(made.int(1, 1500), () => {
-			if (!made.processes.has(node)) made.start(node);
+		cluster.end(node);
+		cluster.schedule(cluster.randomInt(1, 1500), () => {
+			if (!cluster.processes.has(node)) cluster.start(node);
 		});
 	} else if (kind === 1) {
-		made.freeze(node);
-		made.after(made.int(10, 2500), () => made.thaw(node));
-	} else if (kind === 2) made.weather = { lost: 0.3, lostWrites: 0.3, mostDelayMs: 200 };
+		cluster.pause(node);
+		cluster.schedule(cluster.randomInt(10, 2500), () => cluster.resume(node));
+	} else if (kind === 2) cluster.faults = { messageLossRate: 0.3, writeFailureRate: 0.3, maxDelayMs: 200 };
 	else if (kind === 3) {
-		made.outage = true;
-		made.after(made.int(10, 1500), () => {
-			made.outage = false;
+		cluster.outage = true;
+		cluster.schedule(cluster.randomInt(10, 1500), () => {
+			cluster.outage = false;
 		});
-	} else if (kind === 4) made.weather = { lost: 0.02, lostWrites: 0.1, mostDelayMs: 5 };
-	else if (kind === 5) made.elect(node);
+	} else if (kind === 4) cluster.faults = { messageLossRate: 0.02, writeFailureRate: 0.1, maxDelayMs: 5 };
+	else if (kind === 5) cluster.elect(node);
 	else {
-		const cpus = made.int(1, 8);
+		const cpus = cluster.randomInt(1, 8);
 		const request = { cpus, guaranteedCpus: Math.min(cpus, 1) };
-		await setQuota(made.operatorStore, "quota/", "red", request, made.now).catch(() => {});
+		await setQuota(cluster.operatorStore, "quota/", "red", request, cluster.now).catch(() => {});
 	}
 }
 
@@ -73,25 +77,25 @@
 
 for (let seed = 1; seed <= seeds; seed++) {
 	test(`limits hold under crashes, pauses, lost messages, outages, failovers and limit changes: seed ${seed}`, async () => {
-		const made = cluster(seed);
+		const made = createCluster(seed);
 		await made.run(500);
 		for (let i = 0; i < 40; i++) {
-			await trouble(made);
-			await made.run(made.int(10, 600));
-			if (made.leaderNode === null) made.elect(nodes[made.int(0, nodes.length - 1)] as string);
+			await injectFault(made);
+			await made.run(made.randomInt(10, 600));
+			if (made.leaderNode === null) made.elect(nodes[made.randomInt(0, nodes.length - 1)] as string);
 		}
 		made.outage = false;
-		made.weather = { lost: 0, lostWrites: 0, mostDelayMs: 3 };
+		made.faults = { messageLossRate: 0, writeFailureRate: 0, maxDelayMs: 3 };
 		for (const node of nodes) {
-			made.thaw(node);
+			made.resume(node);
 			if (!made.processes.has(node)) made.start(node);
 		}
 		if (made.leaderNode === null) made.elect("b");
 		await made.run(4000);
-		const before = made.admissions;
+		const before = made.startedTaskCount;
 		made.longestWaitMs = 0;
 		await made.run(4000);
-		check(made, seed);
-		assert.ok(made.admissions - before > 100, `admissions go on: ${made.admissions - before}`);
+		assertHistoryValid(made, seed);
+		assert.ok(made.startedTaskCount - before > 100, `admissions go on: ${made.startedTaskCount - before}`);
 	});
 }
--- a/packages/team-quota/tests/support/held-store.ts
+++ b/packages/team-quota/tests/support/controlled-store.ts
@@ -1,40 +1,40 @@
 import type { QuotaStore, QuotaWriteResult, StoredChange, StoredCondition } from "../../src/stored-values.js";
 
-interface HeldWrite {
+interface PendingWrite {
 	changes: StoredChange[];
 	/** Applies the write and returns the result to the writer. */
-	answer(): Promise<void>;
+	sendResult(): Promise<void>;
 	/** Fails the write without an answer; a test may still apply it later. */
-	lose(): Promise<void>;
-	carryOut(): QuotaWriteResult;
+	failWithoutAnswer(): Promise<void>;
+	apply(): QuotaWriteResult;
 }
 
 /** A store whose writes wait until the test decides their results. */
-export class HeldStore implements QuotaStore {
+export class ControlledStore implements QuotaStore {
 	/** Contains the leader's key from the start, since tests begin with a leader of term 1. */
 	readonly rowsByKey = new Map<string, { value: unknown; revision: number }>([
 		["leader", { value: "a", revision: 1 }],
 	]);
-	readonly writes: HeldWrite[] = [];
+	readonly writes: PendingWrite[] = [];
 	revision = 1;
 	/** True: writes are applied and answered at once. */
-	prompt = true;
+	answersImmediately = true;
 
 	transact(conditions: StoredCondition[], changes: StoredChange[]): Promise<QuotaWriteResult> {
 		return new Promise((resolve, reject) => {
-			const carryOut = () => this.carryOut(conditions, changes);
-			const write: HeldWrite = {
+			const apply = () => this.apply(conditions, changes);
+			const write: PendingWrite = {
 				changes,
-				carryOut,
-				answer: () => settled(() => resolve(carryOut())),
-				lose: () => settled(() => reject(new Error("no answer"))),
+				apply: apply,
+				sendResult: () => runAndSettle(() => resolve(apply())),
+				failWithoutAnswer: () => runAndSettle(() => reject(new Error("no answer"))),
 			};
 			this.writes.push(write);
-			if (this.prompt) resolve(carryOut());
+			if (this.answersImmediately) resolve(apply());
 		});
 	}
 
-	private carryOut(conditions: StoredCondition[], changes: StoredChange[]): QuotaWriteResult {
+	private apply(conditions: StoredCondition[], changes: StoredChange[]): QuotaWriteResult {
 		const keys = conditions
 			.filter(({ key, revision }) => (this.rowsByKey.get(key)?.revision ?? 0) !== revision)
 			.map(({ key }) => key);
@@ -49,14 +49,14 @@
 		return row ? { key, ...row } : null;
 	}
 
-	async rows(prefix: string) {
+	async readPrefix(prefix: string) {
 		const rows = [...this.rowsByKey].map(([key, row]) => ({ key, ...row }));
 		return rows.filter(({ key }) => key.startsWith(prefix));
 	}
 }
 
 /** Calls the function and lets the promises that it resolves run their continuations. */
-export async function settled(act: () => void = () => {}): Promise<void> {
+export async function runAndSettle(act: () => void = () => {}): Promise<void> {
 	act();
 	for (let i = 0; i < 12; i++) await Promise.resolve();
 }
--- a/packages/team-quota/tests/support/simulated-cluster.ts
+++ b/packages/team-quota/tests/support/simulated-cluster.ts
@@ -2,12 +2,12 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Amount } from "../../src/amount.js";
 import type { Charge } from "../../src/charges.js";
+import type { AllotmentUpdate } from "../../src/holder-messages.js";
 import type { AllotmentManager } from "../../src/manager.js";
 import { unpackValue } from "../../src/packed-record.js";
-import type { LimitTerms } from "../../src/record.js";
+import { QuotaParticipant } from "../../src/quota-participant.js";
+import type { LimitAndGuarantee } from "../../src/record.js";
 import type { QuotaStore, QuotaWriteResult, StoredChange, StoredCondition } from "../../src/stored-values.js";
-import { TeamQuota } from "../../src/team-quota.js";
-import type { QuotaTerms } from "../../src/terms.js";
 import type { History } from "./history.js";
 
 const prefix = "quota/";
@@ -30,23 +30,23 @@
 interface Process {
 	node: string;
 	incarnation: string;
-	quota: TeamQuota;
+	quota: QuotaParticipant;
 	/** Rate of the process's monotonic clock, relative to simulated time. */
-	rate: number;
+	clockRate: number;
 	manager: AllotmentManager | null;
 	charges: Map<string, Charge>;
 	/** The latest term known to its holder, and the tasks that it has sent, with their batch numbers. */
 	term: number;
-	readonly sent: Map<Task, number>;
-	frozen: (() => void)[] | null;
+	readonly sentBatches: Map<Task, number>;
+	callbacksWhilePaused: (() => void)[] | null;
 	ended: boolean;
 }
 
-export interface Weather {
+export interface FaultSettings {
 	/** Fraction of messages that are lost, and of writes that get no answer and may be executed late. */
-	lost: number;
-	lostWrites: number;
-	mostDelayMs: number;
+	messageLossRate: number;
+	writeFailureRate: number;
+	maxDelayMs: number;
 }
 
 /**
@@ -56,47 +56,47 @@
 export class SimulatedCluster {
 	now = 0;
 	readonly processes = new Map<string, Process>();
-	readonly history: History = { tasks: [], refusals: [], limits: [], staleMs: 3000 };
+	readonly history: History = { tasks: [], refusals: [], limitChanges: [], maxInformationAgeMs: 3000 };
 	longestWaitMs = 0;
 	outage = false;
-	weather: Weather = { lost: 0, lostWrites: 0, mostDelayMs: 3 };
+	faults: FaultSettings = { messageLossRate: 0, writeFailureRate: 0, maxDelayMs: 3 };
 	storeWrites = 0;
 	readonly logs: string[] = [];
 	private readonly tasks = new Map<string, Task>();
 	private readonly rows = new Map<string, { value: unknown; revision: number }>();
 	private revision = 0;
 	private readonly events: { at: number; order: number; run: () => void }[] = [];
-	private order = 0;
+	private lastEventOrder = 0;
 	private leader: Process | null = null;
 	private term = 0;
-	private made = 0;
+	private startedProcesses = 0;
 	private readonly random;
 	private readonly waitingSince = new Map<string, number>();
 
 	constructor(
 		seed: number,
 		readonly nodes: string[],
-		private readonly teams: Map<string, LimitTerms>,
+		private readonly teams: Map<string, LimitAndGuarantee>,
 		/** Returns the task that a node requests at each of its turns. */
-		private readonly appetite: (node: string) => { team: string; size: Amount; runMs: number } | null,
+		private readonly nextRequest: (node: string) => { team: string; size: Amount; runMs: number } | null,
 	) {
 		this.random = xoroshiro128plus(seed);
 		for (const node of nodes) this.start(node);
 	}
 
-	int(from: number, to: number): number {
+	randomInt(from: number, to: number): number {
 		return uniformInt(this.random, from, to);
 	}
 
-	chance(part: number): boolean {
-		return this.int(0, 9999) < part * 10_000;
+	randomChance(part: number): boolean {
+		return this.randomInt(0, 9999) < part * 10_000;
 	}
 
 	// --- time ---
 
-	after(ms: number, run: () => void): void {
-		this.order += 1;
-		this.events.push({ at: this.now + ms, order: this.order, run });
+	schedule(ms: number, run: () => void): void {
+		this.lastEventOrder += 1;
+		this.events.push({ at: this.now + ms, order: this.lastEventOrder, run });
 	}
 
 	async run(ms: number): Promise<void> {
@@ -116,53 +116,53 @@
 	// --- processes ---
 
 	start(node: string): void {
-		this.made += 1;
-		const incarnation = `p${this.made}`;
-		const rate = 1 + this.int(-500, 500) / 1_000_000;
-		const offset = this.int(0, 1_000_000);
+		this.startedProcesses += 1;
+		const incarnation = `p${this.startedProcesses}`;
+		const rate = 1 + this.randomInt(-500, 500) / 1_000_000;
+		const offset = this.randomInt(0, 1_000_000);
 		const now = () => offset + this.now * rate;
 		const log = (fields: object, message: string) =>
 			this.logs.push(`${this.now} ${node} ${message} ${JSON.stringify(fields)}`);
 		const process: Process = {
 			node,
 			incarnation,
-			rate,
+			clockRate: rate,
 			manager: null,
 			charges: new Map(),
 			term: -1,
-			sent: new Map(),
-			frozen: null,
+			sentBatches: new Map(),
+			callbacksWhilePaused: null,
 			ended: false,
-			quota: new TeamQuota({
+			quota: new QuotaParticipant({
 				node,
 				incarnation,
 				nodes: this.nodes,
 				teams: this.teams,
 				settings: { expiryMs, marginMs: 20, movePauseMs: 100 },
-				prefix,
-				mostBytes: 2000,
-				mostChanges: 4,
-				store: this.storeFor(),
+				keyPrefix: prefix,
+				maxValueBytes: 2000,
+				maxChangesPerTransaction: 4,
+				store: this.createStore(),
 				now,
 				date: () => this.now,
-				post: (command) => this.pass(process, command),
+				post: (command) => this.runOn(process, command),
 				log: { info: log, error: log },
 			}),
 		};
 		this.processes.set(node, process);
-		for (const [key, row] of this.rows) process.quota.stored(key, row.value, row.revision);
-		this.turn(process);
+		for (const [key, row] of this.rows) process.quota.applyStoredValue(key, row.value, row.revision);
+		this.scheduleTurns(process);
 	}
 
-	private pass(process: Process, run: () => void): void {
-		if (process.frozen) process.frozen.push(run);
+	private runOn(process: Process, run: () => void): void {
+		if (process.callbacksWhilePaused) process.callbacksWhilePaused.push(run);
 		else if (!process.ended) run();
 	}
 
-	private turn(process: Process): void {
+	private scheduleTurns(process: Process): void {
 		if (process.ended) return;
-		this.pass(process, () => this.work(process));
-		this.after(this.int(1, tickMs), () => this.turn(process));
+		this.runOn(process, () => this.takeTurn(process));
+		this.schedule(this.randomInt(1, tickMs), () => this.scheduleTurns(process));
 	}
 
 	end(node: string): void {
@@ -173,22 +173,22 @@
 		if (this.leader === process) this.leader = null;
 	}
 
-	freeze(node: string): void {
+	pause(node: string): void {
 		const process = this.processes.get(node);
-		if (process) process.frozen ??= [];
+		if (process) process.callbacksWhilePaused ??= [];
 	}
 
-	thaw(node: string): void {
+	resume(node: string): void {
 		const process = this.processes.get(node);
-		const held = process?.frozen ?? [];
-		if (process) process.frozen = null;
-		for (const run of held) run();
+		const callbacks = process?.callbacksWhilePaused ?? [];
+		if (process) process.callbacksWhilePaused = null;
+		for (const run of callbacks) run();
 	}
 
 	/** Makes the node's process the leader; the previous leader loses its authority. */
 	elect(node: string): void {
 		const process = this.processes.get(node);
-		if (!process || process.frozen) return;
+		if (!process || process.callbacksWhilePaused) return;
 		this.leader?.quota.endTerm();
 		this.revision += 1;
 		this.term = this.revision;
@@ -198,14 +198,14 @@
 		process.manager = manager;
 		process.charges = new Map();
 		process.term = this.term;
-		for (const task of process.sent.keys()) task.voidAt = Math.min(task.voidAt, this.now);
-		process.sent.clear();
+		for (const task of process.sentBatches.keys()) task.voidAt = Math.min(task.voidAt, this.now);
+		process.sentBatches.clear();
 		// The new leader finds the running tasks after a delay.
-		this.after(this.int(5, 60), () => {
+		this.schedule(this.randomInt(5, 60), () => {
 			if (this.leader !== process || process.manager !== manager) return;
 			for (const task of this.tasks.values())
 				if (task.started && task.endedAt === null)
-					process.charges.set(task.id, manager.chargeFound(task.team, task.size));
+					process.charges.set(task.id, manager.chargeUnattributed(task.team, task.size));
 			manager.start();
 		});
 	}
@@ -216,37 +216,41 @@
 
 	// --- admissions ---
 
-	private work(process: Process): void {
+	private takeTurn(process: Process): void {
 		const leads = this.leader === process;
-		if (leads) this.lead(process);
-		const wish = this.appetite(process.node);
-		if (wish) this.ask(process, wish, leads);
+		if (leads) this.takeLeaderTurn(process);
+		const request = this.nextRequest(process.node);
+		if (request) this.requestAdmission(process, request, leads);
 	}
 
-	private lead(process: Process): void {
+	private takeLeaderTurn(process: Process): void {
 		process.manager?.tick();
 		for (const node of this.nodes) {
-			const terms = process.manager?.termsFor(node);
+			const update = process.manager?.nextUpdate(node);
 			const { term } = this;
-			if (terms) this.send(node, (to) => this.tell(to, term, JSON.parse(JSON.stringify(terms))));
+			if (update) this.send(node, (to) => this.deliverUpdate(to, term, JSON.parse(JSON.stringify(update))));
 		}
 	}
 
 	/** Delivers an update. Tasks of batches that the holder drops now can no longer start, unless they have. */
-	private tell(to: Process, term: number, terms: QuotaTerms): void {
-		const before = to.term;
-		to.quota.takeTerms(term, terms);
-		if (terms.incarnation !== to.incarnation || term < before) return;
+	private deliverUpdate(to: Process, term: number, update: AllotmentUpdate): void {
+		const previousTerm = to.term;
+		to.quota.applyAllotmentUpdate(term, update);
+		if (update.incarnation !== to.incarnation || term < previousTerm) return;
 		to.term = term;
-		for (const [task, batch] of to.sent) {
-			if (term === before && batch > terms.settledBatch) continue;
-			to.sent.delete(task);
+		for (const [task, batch] of to.sentBatches) {
+			if (term === previousTerm && batch > update.settledBatch) continue;
+			to.sentBatches.delete(task);
 			task.voidAt = Math.min(task.voidAt, this.now);
 		}
 	}
 
-	private ask(process: Process, wish: { team: string; size: Amount; runMs: number }, leads: boolean): void {
-		const { team, size, runMs } = wish;
+	private requestAdmission(
+		process: Process,
+		request: { team: string; size: Amount; runMs: number },
+		leads: boolean,
+	): void {
+		const { team, size, runMs } = request;
 		const task: Task = {
 			id: `t${this.tasks.size}`,
 			team,
@@ -257,71 +261,71 @@
 			endedAt: null,
 		};
 		if (leads) {
-			process.manager?.want(process.node, team, { cpus: size.cpus * 4, gpus: size.gpus * 4 });
+			process.manager?.setRequestedAmount(process.node, team, { cpus: size.cpus * 4, gpus: size.gpus * 4 });
 			if (!process.manager?.mayStart(process.node, team, size)) {
-				this.waits(process.node, team);
+				this.recordWaitStart(process.node, team);
 				return;
 			}
-			this.admitted(process.node, task);
+			this.recordAdmission(process.node, task);
 			process.charges.set(task.id, process.manager.charges.add(team, process.node, size));
-			this.begin(task, runMs);
+			this.startTask(task, runMs);
 			return;
 		}
 		const admission = process.quota.admit(team, size);
 		if (admission.kind === "admitted") {
 			// For the history only: the time of expiry in simulated time. Infinity if the validity is
 			// already past.
-			const validMs = (process.quota.validUntil - process.quota.clock()) / process.rate;
+			const validMs = (process.quota.validUntil - process.quota.now()) / process.clockRate;
 			task.voidAt = validMs > 0 ? this.now + validMs : Number.POSITIVE_INFINITY;
-			this.admitted(process.node, task);
-			process.sent.set(task, process.quota.closeBatch());
+			this.recordAdmission(process.node, task);
+			process.sentBatches.set(task, process.quota.closeBatch());
 		} else {
-			this.waits(process.node, team);
+			this.recordWaitStart(process.node, team);
 			if (admission.reason === "team at its limit")
 				this.history.refusals.push({ team, size: [size.cpus, size.gpus], at: this.now });
 		}
-		this.propose(process, admission.kind === "admitted" ? task : null, wish);
+		this.sendProposal(process, admission.kind === "admitted" ? task : null, request);
 	}
 
-	private waits(node: string, team: string): void {
+	private recordWaitStart(node: string, team: string): void {
 		const key = `${node}/${team}`;
 		if (!this.waitingSince.has(key)) this.waitingSince.set(key, this.now);
 	}
 
-	private admitted(node: string, task: Task): void {
+	private recordAdmission(node: string, task: Task): void {
 		this.tasks.set(task.id, task);
 		const key = `${node}/${task.team}`;
 		this.longestWaitMs = Math.max(this.longestWaitMs, this.now - (this.waitingSince.get(key) ?? this.now));
 		this.waitingSince.delete(key);
 	}
 
-	private propose(
+	private sendProposal(
 		process: Process,
 		task: Task | null,
-		wish: { team: string; size: Amount; runMs: number },
+		request: { team: string; size: Amount; runMs: number },
 	): void {
-		const more = { cpus: wish.size.cpus * 4, gpus: wish.size.gpus * 4 };
-		const reply = process.quota.reply([{ team: wish.team, amount: more }]);
+		const requestedAmount = { cpus: request.size.cpus * 4, gpus: request.size.gpus * 4 };
+		const reply = process.quota.reply([{ team: request.team, amount: requestedAmount }]);
 		if (!this.leader) return;
 		this.send(this.leader.node, (to) => {
 			if (to !== this.leader) return;
-			const counts = to.quota.heard(process.node, JSON.parse(JSON.stringify(reply)));
+			const accepted = to.quota.handleReply(process.node, JSON.parse(JSON.stringify(reply)));
 			if (!task) return;
-			const starts = counts && to.manager?.mayStart(process.node, task.team, task.size) === true;
+			const starts = accepted && to.manager?.mayStart(process.node, task.team, task.size) === true;
 			if (starts && to.manager) {
 				to.charges.set(task.id, to.manager.charges.add(task.team, process.node, task.size));
-				this.begin(task, wish.runMs);
+				this.startTask(task, request.runMs);
 			} else task.voidAt = Math.min(task.voidAt, this.now);
 		});
 	}
 
-	private begin(task: Task, runMs: number): void {
+	private startTask(task: Task, runMs: number): void {
 		task.started = true;
-		this.after(runMs, () => {
+		this.schedule(runMs, () => {
 			task.endedAt = this.now;
 			const leader = this.leader;
 			if (!leader) return;
-			this.pass(leader, () => {
+			this.runOn(leader, () => {
 				const charge = leader.charges.get(task.id);
 				if (charge && this.leader === leader) leader.manager?.charges.release(charge);
 			});
@@ -329,39 +333,40 @@
 	}
 
 	private send(node: string, deliver: (to: Process) => void): void {
-		if (this.chance(this.weather.lost)) return;
-		const copies = this.chance(this.weather.lost / 2) ? 2 : 1;
+		if (this.randomChance(this.faults.messageLossRate)) return;
+		const copies = this.randomChance(this.faults.messageLossRate / 2) ? 2 : 1;
 		for (let i = 0; i < copies; i++) {
-			this.after(this.int(1, this.weather.mostDelayMs), () => {
+			this.schedule(this.randomInt(1, this.faults.maxDelayMs), () => {
 				const to = this.processes.get(node);
-				if (to) this.pass(to, () => deliver(to));
+				if (to) this.runOn(to, () => deliver(to));
 			});
 		}
 	}
 
 	// --- the store ---
 
-	private storeFor(): QuotaStore {
-		const served = () => {
+	private createStore(): QuotaStore {
+		const throwDuringOutage = () => {
 			if (this.outage) throw new Error("out");
 		};
 		return {
 			read: async (key) => {
-				served();
+				throwDuringOutage();
 				const row = this.rows.get(key);
 				return row ? { key, ...row } : null;
 			},
-			rows: async (wanted) => {
-				served();
+			readPrefix: async (wanted) => {
+				throwDuringOutage();
 				return [...this.rows]
 					.filter(([key]) => key.startsWith(wanted))
 					.map(([key, row]) => ({ key, ...row }));
 			},
 			transact: async (conditions, changes) => {
-				served();
-				if (!this.chance(this.weather.lostWrites)) return this.transact(conditions, changes);
+				throwDuringOutage();
+				if (!this.randomChance(this.faults.writeFailureRate)) return this.transact(conditions, changes);
 				// The write is executed now, later or never, and gets no answer in any case.
-				if (this.chance(0.7)) this.after(this.int(0, 400), () => void this.transact(conditions, changes));
+				if (this.randomChance(0.7))
+					this.schedule(this.randomInt(0, 400), () => void this.transact(conditions, changes));
 				throw new Error("no answer");
 			},
 		};
@@ -384,7 +389,7 @@
 		if (faults.length > 0) throw new Error(`written: ${JSON.stringify(faults)}`);
 		for (const { team, inForce } of records.values()) {
 			const { limit, guarantee } = inForce;
-			this.history.limits.push({
+			this.history.limitChanges.push({
 				team,
 				at: this.now,
 				limit: [limit.cpus, limit.gpus],
@@ -392,23 +397,25 @@
 			});
 		}
 		for (const process of this.processes.values())
-			this.after(this.int(1, 20), () => this.pass(process, () => process.quota.stored(key, value, revision)));
+			this.schedule(this.randomInt(1, 20), () =>
+				this.runOn(process, () => process.quota.applyStoredValue(key, value, revision)),
+			);
 	}
 
 	/** The store as an operator's command uses it. */
 	get operatorStore(): QuotaStore {
-		return this.storeFor();
+		return this.createStore();
 	}
 
-	spoil(key: string, value: unknown): void {
+	overwriteValue(key: string, value: unknown): void {
 		this.revision += 1;
 		this.rows.set(key, { value, revision: this.revision });
 		const { revision } = this;
-		for (const process of this.processes.values()) process.quota.stored(key, value, revision);
+		for (const process of this.processes.values()) process.quota.applyStoredValue(key, value, revision);
 	}
 
 	/** Returns the history in the form that the checker reads. */
-	finished(): History {
+	buildHistory(): History {
 		this.history.tasks = [...this.tasks.values()].map((task) => ({
 			id: task.id,
 			team: task.team,
@@ -419,7 +426,7 @@
 		return this.history;
 	}
 
-	get admissions(): number {
+	get startedTaskCount(): number {
 		return [...this.tasks.values()].filter((task) => task.started).length;
 	}
 }
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -1,6 +1,5 @@
 import { Command, InvalidArgumentError } from "commander";
 import {
-	ContendedError,
 	LimitChangeError,
 	type LimitRequest,
 	limitAmount,
@@ -9,6 +8,7 @@
 	setQuota,
 	showQuotas,
 	UnknownTeamError,
+	WriteConflictError,
 } from "#team-quota";
 import { CallError } from "./coordination/ports/call-error.js";
 import type { Clock } from "./coordination/ports/clock.js";
@@ -34,7 +34,7 @@
 	}
 }
 
-const connections = 4;
+const maxConnections = 4;
 
 interface CommandOptions {
 	config: string;
@@ -55,16 +55,16 @@
 
 export function quotaCommand(time: Clock): Command {
 	const quota = new Command("quota").description("Shows and changes teams' limits.").exitOverride();
-	const withFiles = (command: Command) =>
+	const withCommonOptions = (command: Command) =>
 		command
 			.requiredOption("--config <file>", "the platform's settings (TOML)")
 			.option("--operator <file>", "operators' own settings (YAML)")
 			.option("--json", "print JSON")
 			.exitOverride();
-	withFiles(quota.command("show [team]"))
+	withCommonOptions(quota.command("show [team]"))
 		.description("Limits, allotments, who holds them, what is pending and why.")
 		.action((team: string | undefined, options: CommandOptions) => run(() => show(time, options, team)));
-	withFiles(quota.command("set <team>"))
+	withCommonOptions(quota.command("set <team>"))
 		.description("Changes a team's limit or guarantee; what is not named stays.")
 		.option("--cpus <number>", 'the limit, "none" for no limit', parseUnits)
 		.option("--gpus <number>", "the limit of accelerators", parseUnits)
@@ -80,7 +80,7 @@
 	} catch (error) {
 		if (error instanceof UnknownTeamError || error instanceof LimitChangeError)
 			throw new QuotaCommandError(error.message, 2);
-		if (error instanceof ContendedError) throw new QuotaCommandError(error.message, 1);
+		if (error instanceof WriteConflictError) throw new QuotaCommandError(error.message, 1);
 		if (error instanceof CallError)
 			throw new QuotaCommandError(`the state service does not answer: ${error.message}`, 1);
 		throw error;
@@ -90,7 +90,7 @@
 function connect(time: Clock, options: CommandOptions): KeyValueStore {
 	const { cluster, endpoints } = parsePlatform(options.config, readSettingsFile(options.config));
 	return new StoreClient({
-		http: new HttpClient(endpoints.state, connections),
+		http: new HttpClient(endpoints.state, maxConnections),
 		clock: time,
 		requestsPerS: cluster.state.rps,
 		writesPerS: cluster.state.write_rps,
@@ -111,7 +111,7 @@
 	if (Object.values(request).every((value) => value === undefined))
 		throw new QuotaCommandError("name a limit or a guarantee to change", 2);
 	const store = connect(time, options);
-	const capacity = await knownCapacity(store, options);
+	const capacity = await maxCapacity(store, options);
 	const quotas: QuotaStore = quotaStore(store);
 	const shown = await setQuota(quotas, keys.quota, team, request, time.date().getTime(), capacity);
 	return options.json ? JSON.stringify(shown, null, 2) : describeTeam(shown);
@@ -121,7 +121,7 @@
  * Returns the capacity of as many machines as operators allow, of the largest type, or null if operators
  * set no bound or the machine types are unknown.
  */
-async function knownCapacity(store: KeyValueStore, options: CommandOptions) {
+async function maxCapacity(store: KeyValueStore, options: CommandOptions) {
 	const operator =
 		options.operator === undefined
 			? defaultOperator()
@@ -131,8 +131,8 @@
 	const { row } = await store.read(keys.machineTypes);
 	const record = row ? decodeStoredRecord(keys.machineTypes, row.value) : null;
 	if (record?.kind !== "machine types") return null;
-	const most = (of: "cpus" | "gpus") => Math.max(0, ...record.value.map((type) => type[of]));
-	return limitAmount(machines * most("cpus"), machines * most("gpus"));
+	const largest = (of: "cpus" | "gpus") => Math.max(0, ...record.value.map((type) => type[of]));
+	return limitAmount(machines * largest("cpus"), machines * largest("gpus"));
 }
 
 function describeTeam(team: ShownTeam): string {
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -8,7 +8,7 @@
 import type { OperatorSettings } from "./protocol/settings/operator.js";
 import type { PlatformSettings } from "./protocol/settings/platform.js";
 import { systemClock } from "./system-clock.js";
-import { makeTeamQuota } from "./team-quota.js";
+import { createTeamQuota } from "./team-quota.js";
 import { parseAddress } from "./transport/address.js";
 import { CloudClient } from "./transport/clients/cloud-client.js";
 import { HttpClient } from "./transport/clients/http-client.js";
@@ -109,7 +109,7 @@
 		random: xoroshiro128plus(seed),
 		schedule: setImmediate,
 		teamQuota: (post: (action: () => void) => void) =>
-			makeTeamQuota({ platform, operator, incarnation, store, time: systemClock, log, post }),
+			createTeamQuota({ platform, operator, incarnation, store, time: systemClock, log, post }),
 	};
 	return createController({ platform, operator, incarnation, ports });
 }
--- a/src/team-quota.ts
+++ b/src/team-quota.ts
@@ -1,4 +1,4 @@
-import { limitAmount, QuotaService, type QuotaStore, type StoredChange, TeamQuota } from "#team-quota";
+import { limitAmount, QuotaParticipant, QuotaService, type QuotaStore, type StoredChange } from "#team-quota";
 import type { Clock } from "./coordination/ports/clock.js";
 import type { Log } from "./coordination/ports/log.js";
 import type { KeyValueStore } from "./coordination/ports/store.js";
@@ -10,7 +10,7 @@
 /** Connects team quota to the state service, the clock and the settings of the platform and of operators. */
 
 /** Maximum size of written values, relative to the largest value that the state service accepts. */
-const valuePart = 0.8;
+const maxValueFraction = 0.8;
 
 /** Adapts the state service to the interface that the package uses. */
 export function quotaStore(store: KeyValueStore): QuotaStore {
@@ -19,7 +19,7 @@
 			const { row } = await store.read(key);
 			return row && { key, value: row.value, revision: row.revision };
 		},
-		rows: async (prefix) => {
+		readPrefix: async (prefix) => {
 			const { rows } = await store.readPrefix(prefix);
 			return rows.map(({ key, value, revision }) => ({ key, value, revision }));
 		},
@@ -33,7 +33,7 @@
 	};
 }
 
-export interface TeamQuotaWiring {
+export interface TeamQuotaDependencies {
 	platform: PlatformSettings;
 	operator: OperatorSettings;
 	/** Identifies this process among all processes of the node. */
@@ -45,12 +45,12 @@
 }
 
 /** Returns null if operators have disabled team quota. */
-export function makeTeamQuota(wiring: TeamQuotaWiring): TeamQuotaPort | null {
-	const { platform, operator, incarnation, store, time, log, post } = wiring;
+export function createTeamQuota(dependencies: TeamQuotaDependencies): TeamQuotaPort | null {
+	const { platform, operator, incarnation, store, time, log, post } = dependencies;
 	const settings = operator.team_quota;
 	if (!settings.enabled) return null;
 	const { teams, state } = platform.cluster;
-	const quota = new TeamQuota({
+	const participant = new QuotaParticipant({
 		node: platform.node,
 		incarnation,
 		nodes: [platform.node, ...platform.others.map(({ node }) => node)].sort(),
@@ -68,14 +68,14 @@
 			marginMs: settings.margin_s * 1000,
 			movePauseMs: settings.move_pause_s * 1000,
 		},
-		prefix: keys.quota,
-		mostBytes: Math.floor(state.value_kb * 1024 * valuePart),
-		mostChanges: state.txn_ops,
+		keyPrefix: keys.quota,
+		maxValueBytes: Math.floor(state.value_kb * 1024 * maxValueFraction),
+		maxChangesPerTransaction: state.txn_ops,
 		store: quotaStore(store),
 		now: () => time.now(),
 		date: () => time.date().getTime(),
 		post,
 		log,
 	});
-	return new QuotaService(quota, keys.leader);
+	return new QuotaService(participant, keys.leader);
 }
--- a/tests/support/quota-measure.ts
+++ b/tests/support/quota-measure.ts
@@ -2,12 +2,12 @@
 import { build } from "hdr-histogram-js";
 import { limitAmount, setQuota, unlimited } from "#team-quota";
 import { AllotmentHolder } from "../../packages/team-quota/src/holder.js";
-import { faultsOf } from "../../packages/team-quota/tests/support/history.js";
+import { findViolations } from "../../packages/team-quota/tests/support/history.js";
 import { operatorStore, QuotaProcesses } from "./quota-processes.js";
 
 const seconds = Number(process.env.QUOTA_SECONDS ?? 20);
 const repeats = Number(process.env.QUOTA_REPEATS ?? 10);
-const pause = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
+const delay = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 const limit = limitAmount(24, Number.POSITIVE_INFINITY);
 const teams = ["red", "blue", "green", "white"].map(
 	(team): [string, { limit: typeof limit; guarantee: typeof limit }] => [
@@ -19,63 +19,68 @@
 /** Records microseconds, up to one minute. */
 const histogram = () => build({ lowestDiscernibleValue: 1, highestTrackableValue: 60e6 });
 
-function show(what: string, times: ReturnType<typeof histogram>): void {
+function printPercentiles(label: string, times: ReturnType<typeof histogram>): void {
 	const ms = (percentile: number) => (times.getValueAtPercentile(percentile) / 1000).toFixed(2);
 	console.log(
-		`${what}: ${times.totalCount}, ms p50 ${ms(50)} p90 ${ms(90)} p99 ${ms(99)} max ${(times.maxValue / 1000).toFixed(2)}`,
+		`${label}: ${times.totalCount}, ms p50 ${ms(50)} p90 ${ms(90)} p99 ${ms(99)} max ${(times.maxValue / 1000).toFixed(2)}`,
 	);
 }
 
-async function until(holds: () => boolean): Promise<void> {
-	while (!holds()) await pause(1);
+async function waitUntil(condition: () => boolean): Promise<void> {
+	while (!condition()) await delay(1);
 }
 
-async function admissions(made: QuotaProcesses): Promise<void> {
-	const { started, storeWrites } = made;
-	made.waits.length = 0;
-	await pause(seconds * 1000);
+async function measureAdmissions(processes: QuotaProcesses): Promise<void> {
+	const { startedTaskCount: started, storeWrites } = processes;
+	processes.waitsMs.length = 0;
+	await delay(seconds * 1000);
 	const waits = histogram();
-	for (const wait of made.waits) waits.recordValue(Math.max(1, Math.round(wait * 1000)));
-	console.log(`admissions a second: ${((made.started - started) / seconds).toFixed(0)}`);
-	console.log(`store writes a minute: ${(((made.storeWrites - storeWrites) * 60) / seconds).toFixed(0)}`);
-	show("wait until a task is admitted, including recalls of allotments and teams at their limits", waits);
+	for (const wait of processes.waitsMs) waits.recordValue(Math.max(1, Math.round(wait * 1000)));
+	console.log(`admissions a second: ${((processes.startedTaskCount - started) / seconds).toFixed(0)}`);
+	console.log(
+		`store writes a minute: ${(((processes.storeWrites - storeWrites) * 60) / seconds).toFixed(0)}`,
+	);
+	printPercentiles(
+		"wait until a task is admitted, including recalls of allotments and teams at their limits",
+		waits,
+	);
 	const starts = histogram();
-	for (const time of made.startTimes()) starts.recordValue(Math.max(1, Math.round(time * 1000)));
-	show("from request to start at a worker, for tasks that started", starts);
+	for (const time of processes.startDelaysMs()) starts.recordValue(Math.max(1, Math.round(time * 1000)));
+	printPercentiles("from request to start at a worker, for tasks that started", starts);
 }
 
-async function takeovers(made: QuotaProcesses): Promise<void> {
+async function measureFailovers(processes: QuotaProcesses): Promise<void> {
 	const times = histogram();
 	for (let i = 0; i < repeats; i++) {
-		const leader = made.leader ?? "a";
-		const terms = made.moments.length;
+		const leader = processes.leader ?? "a";
+		const terms = processes.elections.length;
 		const from = performance.now();
-		await made.restart(leader);
-		await until(() => made.moments.length > terms);
-		const before = made.started;
-		await until(() => made.started > before);
+		await processes.restart(leader);
+		await waitUntil(() => processes.elections.length > terms);
+		const before = processes.startedTaskCount;
+		await waitUntil(() => processes.startedTaskCount > before);
 		times.recordValue(Math.round((performance.now() - from) * 1000));
-		await pause(1500);
+		await delay(1500);
 	}
-	show("failover, from the end of the leader to the first start", times);
+	printPercentiles("failover, from the end of the leader to the first start", times);
 }
 
-async function loweredLimits(made: QuotaProcesses): Promise<void> {
+async function measureLoweredLimits(processes: QuotaProcesses): Promise<void> {
 	const times = histogram();
-	const store = operatorStore(made);
+	const store = operatorStore(processes);
 	for (let i = 0; i < repeats; i++) {
-		const revisions = made.limitChanges;
+		const revisions = processes.redLimitChanges;
 		const from = performance.now();
 		await setQuota(store, "r/quota/", "red", { cpus: i % 2 === 0 ? 8 : 24 }, Date.now());
-		await until(() => made.limitChanges > revisions);
+		await waitUntil(() => processes.redLimitChanges > revisions);
 		if (i % 2 === 0) times.recordValue(Math.round((performance.now() - from) * 1000));
-		await pause(500);
+		await delay(500);
 	}
-	show("from the request to lower a limit from 24 to 8 until it is in force", times);
+	printPercentiles("from the request to lower a limit from 24 to 8 until it is in force", times);
 }
 
 /** Measures admissions by a holder in this process whose allotment has capacity for all of them. */
-function holderSpeed(): void {
+function measureHolderAdmission(): void {
 	const holder = new AllotmentHolder({
 		incarnation: "p1",
 		now: () => performance.now(),
@@ -86,7 +91,7 @@
 	const cap = { cpus: unlimited, gpus: unlimited };
 	const { number: echo } = holder.reply();
 	const team = { team: "red", cap, charged: { cpus: 0, gpus: 0 }, free: cap };
-	holder.takeTerms(1, { incarnation: "p1", number: 1, echo, settledBatch: 0, teams: [team] });
+	holder.applyUpdate(1, { incarnation: "p1", number: 1, echo, settledBatch: 0, teams: [team] });
 	const count = 1_000_000;
 	const from = performance.now();
 	for (let i = 0; i < count; i++) holder.admit("red", size);
@@ -94,16 +99,17 @@
 	console.log(`one admission by a holder: ${ns.toFixed(0)} ns`);
 }
 
-const leaderAlone = process.argv.includes("--leader-alone");
-const made = new QuotaProcesses(teams, true, leaderAlone);
+const leaderOnlyAdmits = process.argv.includes("--leader-alone");
+const processes = new QuotaProcesses(teams, true, leaderOnlyAdmits);
 try {
-	await made.start(["a", "b", "c"]);
-	await until(() => made.started > 100);
-	holderSpeed();
-	await admissions(made);
-	if (!leaderAlone) await loweredLimits(made);
-	await takeovers(made);
-	if (!leaderAlone) console.log(`violations in the history: ${faultsOf(made.history()).length}`);
+	await processes.start(["a", "b", "c"]);
+	await waitUntil(() => processes.startedTaskCount > 100);
+	measureHolderAdmission();
+	await measureAdmissions(processes);
+	if (!leaderOnlyAdmits) await measureLoweredLimits(processes);
+	await measureFailovers(processes);
+	if (!leaderOnlyAdmits)
+		console.log(`violations in the history: ${findViolations(processes.history()).length}`);
 } finally {
-	await made.stop();
+	await processes.stop();
 }
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -3,7 +3,7 @@
  * and links to the other controllers, and only team quota enforces limits. The parent process acts as the
  * workers.
  */
-import { type AllotmentManager, type Amount, TeamQuota } from "#team-quota";
+import { type AllotmentManager, type Amount, QuotaParticipant } from "#team-quota";
 import { Leadership } from "../../src/coordination/leadership/leadership.js";
 import type { Clock } from "../../src/coordination/ports/clock.js";
 import { decodePeerMessage, encodePeerMessage } from "../../src/protocol/peer/codec.js";
@@ -19,12 +19,12 @@
 	incarnation: string;
 	peerPort: number;
 	others: { node: string; domain: string; addr: string }[];
-	state: string;
+	stateAddress: string;
 	teams: [string, { limit: Amount; guarantee: Amount }][];
 	/** Rate of the node's monotonic clock, relative to the host's. */
-	rate: number;
-	busy: boolean;
-	leaderAlone: boolean;
+	clockRate: number;
+	generatesLoad: boolean;
+	leaderOnlyAdmits: boolean;
 }
 
 export interface QuotaTask {
@@ -35,45 +35,45 @@
 	admittedAt: number;
 }
 
-export type FromNode =
+export type NodeMessage =
 	| { kind: "admitted"; task: QuotaTask; voidAt: number }
 	| { kind: "void"; ids: string[]; at: number }
 	| { kind: "waited"; ms: number }
 	| { kind: "refused"; team: string; size: Amount; at: number }
 	| { kind: "start"; term: number; task: QuotaTask }
 	| { kind: "leads"; term: number; at: number };
-export type ToNode =
+export type ParentMessage =
 	| { kind: "ended"; id: string }
 	| { kind: "running"; term: number; tasks: QuotaTask[] }
 	/** The admission has to start at the time `at` of the host's clock, which all nodes share. */
 	| { kind: "admit"; team: string; size: Amount; runMs: number; at: number };
 
-type Message =
+type QuotaPeerMessage =
 	| { kind: "terms"; epoch: number; terms: unknown }
 	| { kind: "propose"; epoch: number; reply: unknown; tasks: QuotaTask[] };
 
 /** Returns the host's monotonic time in milliseconds, the same for all processes on the host. */
-export function machineMs(): number {
+export function hostClockMs(): number {
 	return Number(process.hrtime.bigint()) / 1e6;
 }
 
 class QuotaNode {
-	private readonly quota: TeamQuota;
+	private readonly quota: QuotaParticipant;
 	private readonly leadership: Leadership;
 	private readonly links: PeerLinks;
 	private readonly store: StoreClient;
 	private manager: AllotmentManager | null = null;
-	private readonly charges = new Map<string, ReturnType<AllotmentManager["chargeFound"]>>();
-	private readonly sent = new Map<string, number>();
+	private readonly charges = new Map<string, ReturnType<AllotmentManager["chargeUnattributed"]>>();
+	private readonly sentBatches = new Map<string, number>();
 	private term = 0;
 	private leaderNode = "";
 	private leader: { value: { node: string; incarnation: string }; revision: number } | null = null;
-	private loaded = false;
-	private made = 0;
+	private storeLoaded = false;
+	private admittedTasks = 0;
 	private readonly waitingSince = new Map<string, number>();
 
 	private readonly time: Clock = {
-		now: () => performance.now() * this.config.rate,
+		now: () => performance.now() * this.config.clockRate,
 		date: () => new Date(),
 		after: (ms, run) => {
 			const timer = setTimeout(run, ms);
@@ -86,25 +86,25 @@
 		this.links = new PeerLinks({
 			self: node,
 			peers: others,
-			onMessage: (from, message) => this.message(from, message as Message),
+			onMessage: (from, message) => this.handlePeerMessage(from, message as QuotaPeerMessage),
 			log: silentLog,
 		});
 		this.store = new StoreClient({
-			http: new HttpClient(config.state, 10),
+			http: new HttpClient(config.stateAddress, 10),
 			clock: this.time,
 			requestsPerS: 1e6,
 			writesPerS: 1e6,
 			controllers: 1,
 		});
-		this.quota = new TeamQuota({
+		this.quota = new QuotaParticipant({
 			node,
 			incarnation,
 			nodes: [node, ...others.map((other) => other.node)].sort(),
 			teams: new Map(teams),
 			settings: { expiryMs: 500, marginMs: 30, movePauseMs: 20 },
-			prefix: "r/quota/",
-			mostBytes: 8000,
-			mostChanges: 8,
+			keyPrefix: "r/quota/",
+			maxValueBytes: 8000,
+			maxChangesPerTransaction: 8,
 			store: quotaStore(this.store),
 			now: () => this.time.now(),
 			date: Date.now,
@@ -125,7 +125,7 @@
 			post: (action) => action(),
 			jitter: () => Math.random(),
 			broadcast,
-			onElected: (term) => this.tellParent({ kind: "leads", term, at: machineMs() }),
+			onElected: (term) => this.sendToParent({ kind: "leads", term, at: hostClockMs() }),
 			onLeadershipLost: () => this.endTerm(),
 			cancellations: { syncedAt: () => this.time.now(), revision: () => 0, since: () => [], record() {} },
 		});
@@ -134,30 +134,30 @@
 	async start(): Promise<void> {
 		await this.links.listen("127.0.0.1", this.config.peerPort);
 		process.on("disconnect", () => process.exit(0));
-		process.on("message", (message) => this.fromParent(message as ToNode));
+		process.on("message", (message) => this.handleParentMessage(message as ParentMessage));
 		setInterval(() => this.tick(), 10);
-		for (;;) await this.follow().catch(() => new Promise((resolve) => setTimeout(resolve, 50)));
+		for (;;) await this.watchStore().catch(() => new Promise((resolve) => setTimeout(resolve, 50)));
 	}
 
-	private tellParent(message: FromNode): void {
+	private sendToParent(message: NodeMessage): void {
 		process.send?.(message);
 	}
 
 	// --- the store ---
 
-	private async follow(): Promise<void> {
+	private async watchStore(): Promise<void> {
 		const { rows, revision } = await this.store.readPrefix("r/");
-		for (const row of rows) this.stored(row.key, row.value, row.revision);
-		this.loaded = true;
+		for (const row of rows) this.applyStoredValue(row.key, row.value, row.revision);
+		this.storeLoaded = true;
 		for (let from = revision; ; ) {
 			const answer = await this.store.watch("r/", from, 500);
-			for (const event of answer.events) this.stored(event.key, event.value, event.revision);
+			for (const event of answer.events) this.applyStoredValue(event.key, event.value, event.revision);
 			from = answer.revision;
 		}
 	}
 
-	private stored(key: string, value: unknown, revision: number): void {
-		if (key.startsWith("r/quota/")) this.quota.stored(key, value, revision);
+	private applyStoredValue(key: string, value: unknown, revision: number): void {
+		if (key.startsWith("r/quota/")) this.quota.applyStoredValue(key, value, revision);
 		if (key !== "r/one/leader") return;
 		this.leader =
 			value === undefined ? null : { value: value as { node: string; incarnation: string }, revision };
@@ -173,42 +173,43 @@
 	}
 
 	private tick(): void {
-		this.leadership.tick(this.leader, this.loaded);
+		this.leadership.tick(this.leader, this.storeLoaded);
 		const term = this.leadership.authority();
-		if (term === null) this.propose([]);
-		else if (this.manager) this.lead(this.manager, term);
-		if (this.config.busy) for (let i = 0; i < 3; i++) this.admitOne();
+		if (term === null) this.sendProposal([]);
+		else if (this.manager) this.runLeaderTick(this.manager, term);
+		if (this.config.generatesLoad) for (let i = 0; i < 3; i++) this.admitRandomTask();
 	}
 
-	private lead(manager: AllotmentManager, term: number): void {
+	private runLeaderTick(manager: AllotmentManager, term: number): void {
 		manager.tick();
 		for (const other of this.config.others) {
-			const terms = manager.termsFor(other.node);
-			if (terms) this.links.send(other.node, { kind: "terms", epoch: term, terms });
+			const update = manager.nextUpdate(other.node);
+			if (update) this.links.send(other.node, { kind: "terms", epoch: term, terms: update });
 		}
 	}
 
-	private fromParent(message: ToNode): void {
+	private handleParentMessage(message: ParentMessage): void {
 		if (message.kind === "ended") {
 			const charge = this.charges.get(message.id);
 			this.charges.delete(message.id);
 			if (charge) this.manager?.charges.release(charge);
 		} else if (message.kind === "admit") {
 			// Busy-waits, since a timer is too coarse for admissions within the same millisecond.
-			while (machineMs() < message.at);
+			while (hostClockMs() < message.at);
 			this.admit(message);
 		} else if (this.leadership.authority() === message.term) {
 			const manager = this.quota.beginTerm({ key: "r/one/leader", revision: message.term });
 			this.manager = manager;
-			this.drop([...this.sent.keys()]);
-			for (const { id, team, size } of message.tasks) this.charges.set(id, manager.chargeFound(team, size));
+			this.dropAdmissions([...this.sentBatches.keys()]);
+			for (const { id, team, size } of message.tasks)
+				this.charges.set(id, manager.chargeUnattributed(team, size));
 			manager.start();
 		}
 	}
 
-	private message(from: string, message: Message): void {
-		if (message.kind === "terms") this.takeTerms(message.epoch, message.terms);
-		else if (message.kind === "propose") this.proposed(from, message.reply, message.tasks);
+	private handlePeerMessage(from: string, message: QuotaPeerMessage): void {
+		if (message.kind === "terms") this.applyAllotmentUpdate(message.epoch, message.terms);
+		else if (message.kind === "propose") this.handleProposal(from, message.reply, message.tasks);
 		else {
 			const parsed = decodePeerMessage(message);
 			if (
@@ -221,43 +222,45 @@
 		}
 	}
 
-	private proposed(from: string, reply: unknown, tasks: QuotaTask[]): void {
-		const counts = this.quota.heard(from, reply);
+	private handleProposal(from: string, reply: unknown, tasks: QuotaTask[]): void {
+		const accepted = this.quota.handleReply(from, reply);
 		const term = this.leadership.authority();
-		if (term === null || !this.manager || !counts) return;
+		if (term === null || !this.manager || !accepted) return;
 		for (const task of tasks)
-			if (this.mayStart(this.manager, from, task)) this.begin(this.manager, term, from, task);
+			if (this.mayStart(this.manager, from, task)) this.startTask(this.manager, term, from, task);
 	}
 
 	private mayStart(manager: AllotmentManager, node: string, { team, size }: QuotaTask): boolean {
-		if (!this.config.leaderAlone) return manager.mayStart(node, team, size);
+		if (!this.config.leaderOnlyAdmits) return manager.mayStart(node, team, size);
 		const limit = new Map(this.config.teams).get(team)?.limit;
-		const used = manager.charges.total(team);
+		const used = manager.charges.teamTotal(team);
 		return limit !== undefined && used.cpus + size.cpus <= limit.cpus && used.gpus + size.gpus <= limit.gpus;
 	}
 
-	private begin(manager: AllotmentManager, term: number, node: string, task: QuotaTask): void {
+	private startTask(manager: AllotmentManager, term: number, node: string, task: QuotaTask): void {
 		this.charges.set(task.id, manager.charges.add(task.team, node, task.size));
-		this.tellParent({ kind: "start", term, task });
+		this.sendToParent({ kind: "start", term, task });
 	}
 
 	// --- as a holder ---
 
-	private takeTerms(term: number, terms: unknown): void {
-		this.quota.takeTerms(term, terms);
-		const { settledBatch, incarnation } = terms as { settledBatch: number; incarnation: string };
+	private applyAllotmentUpdate(term: number, update: unknown): void {
+		this.quota.applyAllotmentUpdate(term, update);
+		const { settledBatch, incarnation } = update as { settledBatch: number; incarnation: string };
 		if (incarnation !== this.config.incarnation || term < this.term) return;
-		const all = term > this.term;
+		const isNewTerm = term > this.term;
 		this.term = term;
-		this.drop([...this.sent].filter(([, batch]) => all || batch <= settledBatch).map(([id]) => id));
+		this.dropAdmissions(
+			[...this.sentBatches].filter(([, batch]) => isNewTerm || batch <= settledBatch).map(([id]) => id),
+		);
 	}
 
-	private drop(ids: string[]): void {
-		for (const id of ids) this.sent.delete(id);
-		if (ids.length > 0) this.tellParent({ kind: "void", ids, at: machineMs() });
+	private dropAdmissions(ids: string[]): void {
+		for (const id of ids) this.sentBatches.delete(id);
+		if (ids.length > 0) this.sendToParent({ kind: "void", ids, at: hostClockMs() });
 	}
 
-	private admitOne(): void {
+	private admitRandomTask(): void {
 		const [team] = this.config.teams[Math.floor(Math.random() * this.config.teams.length)] ?? [""];
 		const gpus = Math.random() < 0.3 ? 1000 : 0;
 		const size = { cpus: Math.random() < 0.5 ? 1000 : 500, gpus };
@@ -265,54 +268,54 @@
 	}
 
 	private admit({ team, size, runMs }: { team: string; size: Amount; runMs: number }): void {
-		this.made += 1;
-		const id = `${this.config.incarnation}.${this.made}`;
-		const task = { id, team, size, runMs, admittedAt: machineMs() };
+		this.admittedTasks += 1;
+		const id = `${this.config.incarnation}.${this.admittedTasks}`;
+		const task = { id, team, size, runMs, admittedAt: hostClockMs() };
 		const term = this.leadership.authority();
-		const more = { cpus: size.cpus * 4, gpus: size.gpus * 4 };
+		const requestedAmount = { cpus: size.cpus * 4, gpus: size.gpus * 4 };
 		if (term !== null) {
-			this.manager?.want(this.config.node, team, more);
+			this.manager?.setRequestedAmount(this.config.node, team, requestedAmount);
 			if (!this.manager || !this.mayStart(this.manager, this.config.node, task)) {
-				this.waits(team);
+				this.recordWaitStart(team);
 				return;
 			}
-			this.tellParent({ kind: "admitted", task, voidAt: Number.POSITIVE_INFINITY });
-			this.served(team);
-			this.begin(this.manager, term, this.config.node, task);
+			this.sendToParent({ kind: "admitted", task, voidAt: Number.POSITIVE_INFINITY });
+			this.reportWait(team);
+			this.startTask(this.manager, term, this.config.node, task);
 			return;
 		}
-		if (this.config.leaderAlone) {
+		if (this.config.leaderOnlyAdmits) {
 			this.quota.closeBatch();
-			this.propose([task]);
+			this.sendProposal([task]);
 			return;
 		}
 		const admission = this.quota.admit(team, size);
 		if (admission.kind === "refused") {
 			if (admission.reason === "team at its limit")
-				this.tellParent({ kind: "refused", team, size, at: task.admittedAt });
-			this.waits(team);
-			this.propose([], [{ team, amount: more }]);
+				this.sendToParent({ kind: "refused", team, size, at: task.admittedAt });
+			this.recordWaitStart(team);
+			this.sendProposal([], [{ team, amount: requestedAmount }]);
 			return;
 		}
-		const validMs = (this.quota.validUntil - this.time.now()) / this.config.rate;
+		const validMs = (this.quota.validUntil - this.time.now()) / this.config.clockRate;
 		const voidAt = validMs > 0 ? task.admittedAt + validMs : Number.POSITIVE_INFINITY;
-		this.tellParent({ kind: "admitted", task, voidAt });
-		this.served(team);
-		this.sent.set(id, this.quota.closeBatch());
-		this.propose([task], [{ team, amount: more }]);
+		this.sendToParent({ kind: "admitted", task, voidAt });
+		this.reportWait(team);
+		this.sentBatches.set(id, this.quota.closeBatch());
+		this.sendProposal([task], [{ team, amount: requestedAmount }]);
 	}
 
-	private waits(team: string): void {
-		if (!this.waitingSince.has(team)) this.waitingSince.set(team, machineMs());
+	private recordWaitStart(team: string): void {
+		if (!this.waitingSince.has(team)) this.waitingSince.set(team, hostClockMs());
 	}
 
-	private served(team: string): void {
+	private reportWait(team: string): void {
 		const since = this.waitingSince.get(team);
-		this.tellParent({ kind: "waited", ms: since === undefined ? 0 : machineMs() - since });
+		this.sendToParent({ kind: "waited", ms: since === undefined ? 0 : hostClockMs() - since });
 		this.waitingSince.delete(team);
 	}
 
-	private propose(tasks: QuotaTask[], wanted?: { team: string; amount: Amount }[]): void {
+	private sendProposal(tasks: QuotaTask[], wanted?: { team: string; amount: Amount }[]): void {
 		if (this.leaderNode === "" || this.leaderNode === this.config.node) return;
 		this.links.send(this.leaderNode, {
 			kind: "propose",
--- a/tests/support/quota-processes.ts
+++ b/tests/support/quota-processes.ts
@@ -7,18 +7,24 @@
 import type { History } from "../../packages/team-quota/tests/support/history.js";
 import { quotaStore } from "../../src/team-quota.js";
 import { StoreClient } from "../../src/transport/clients/store-client.js";
-import { type FromNode, machineMs, type NodeConfig, type QuotaTask, type ToNode } from "./quota-node.js";
+import {
+	hostClockMs,
+	type NodeConfig,
+	type NodeMessage,
+	type ParentMessage,
+	type QuotaTask,
+} from "./quota-node.js";
 import { StateService } from "./state-service.js";
 
 const script = fileURLToPath(new URL("./quota-node.js", import.meta.url));
 
-interface Running {
+interface RunningTask {
 	task: QuotaTask;
 	startedAt: number;
 	endedAt: number | null;
 }
 
-interface Member {
+interface NodeProcess {
 	config: NodeConfig;
 	child: ChildProcess;
 }
@@ -35,28 +41,28 @@
 			return { cancel() {} };
 		},
 	});
-	readonly waits: number[] = [];
-	readonly moments: { kind: "leads"; at: number }[] = [];
+	readonly waitsMs: number[] = [];
+	readonly elections: { kind: "leads"; at: number }[] = [];
 	/** Fraction of the store's answers to writes that are lost after the write. */
-	lostAnswers = 0;
+	lostAnswerRate = 0;
 	storeWrites = 0;
 	/** Number of changes of the CPU limit in force of `red`. */
-	limitChanges = 0;
-	private readonly members = new Map<string, Member>();
+	redLimitChanges = 0;
+	private readonly members = new Map<string, NodeProcess>();
 	private readonly servers: Server[] = [];
 	private readonly admitted = new Map<string, { task: QuotaTask; voidAt: number }>();
-	private readonly running = new Map<string, Running>();
+	private readonly running = new Map<string, RunningTask>();
 	private readonly refusals: History["refusals"] = [];
-	private readonly limits: History["limits"] = [];
-	private readonly lastLimits = new Map<string, number>();
+	private readonly limitChanges: History["limitChanges"] = [];
+	private readonly lastCpuLimits = new Map<string, number>();
 	private term = 0;
-	private made = 0;
+	private spawnedProcesses = 0;
 
 	constructor(
 		private readonly teams: [string, { limit: Amount; guarantee: Amount }][],
-		private readonly busy: boolean,
+		private readonly generatesLoad: boolean,
 		/** For comparison: only the leader admits, and the other controllers send it their requests. */
-		private readonly leaderAlone = false,
+		private readonly leaderOnlyAdmits = false,
 	) {}
 
 	async start(nodes: string[]): Promise<void> {
@@ -68,21 +74,21 @@
 				incarnation: "",
 				peerPort: ports[i] as number,
 				others: addresses.filter((other) => other.node !== node),
-				state: await this.serveStore(node),
+				stateAddress: await this.startStoreServer(node),
 				teams: this.teams,
-				rate: 1 + (i - 1) * 0.0005,
-				busy: this.busy,
-				leaderAlone: this.leaderAlone,
+				clockRate: 1 + (i - 1) * 0.0005,
+				generatesLoad: this.generatesLoad,
+				leaderOnlyAdmits: this.leaderOnlyAdmits,
 			};
 			this.members.set(node, { config, child: this.spawn(config) });
 		}
 	}
 
 	private spawn(config: NodeConfig): ChildProcess {
-		this.made += 1;
-		config.incarnation = `p${this.made}`;
+		this.spawnedProcesses += 1;
+		config.incarnation = `p${this.spawnedProcesses}`;
 		const child = fork(script, [JSON.stringify(config)], { serialization: "advanced" });
-		child.on("message", (message) => this.heard(child, message as FromNode));
+		child.on("message", (message) => this.handleMessage(child, message as NodeMessage));
 		return child;
 	}
 
@@ -100,12 +106,14 @@
 	}
 
 	async restart(node: string): Promise<void> {
-		const member = this.members.get(node) as Member;
+		const member = this.members.get(node) as NodeProcess;
 		if (member.child.exitCode === null && member.child.signalCode === null) {
 			member.child.kill("SIGKILL");
 			await once(member.child, "exit");
 		}
-		this.drop([...this.admitted.keys()].filter((id) => id.startsWith(`${member.config.incarnation}.`)));
+		this.dropAdmissions(
+			[...this.admitted.keys()].filter((id) => id.startsWith(`${member.config.incarnation}.`)),
+		);
 		member.child = this.spawn(member.config);
 	}
 
@@ -113,7 +121,7 @@
 	 * Marks admitted tasks as unable to start any more. For tasks that have started, the history uses
 	 * their run time.
 	 */
-	private drop(ids: string[], at = machineMs()): void {
+	private dropAdmissions(ids: string[], at = hostClockMs()): void {
 		for (const id of ids) {
 			const entry = this.admitted.get(id);
 			if (entry) entry.voidAt = Math.min(entry.voidAt, at);
@@ -130,32 +138,36 @@
 
 	/** Makes all nodes request an admission of the same size at the same time. */
 	admitTogether(team: string, size: Amount, runMs: number): void {
-		const at = machineMs() + 4;
-		for (const { child } of this.members.values()) this.tell(child, { kind: "admit", team, size, runMs, at });
+		const at = hostClockMs() + 4;
+		for (const { child } of this.members.values()) this.send(child, { kind: "admit", team, size, runMs, at });
 	}
 
-	private tell(child: ChildProcess, message: ToNode): void {
+	private send(child: ChildProcess, message: ParentMessage): void {
 		if (child.connected) child.send(message, () => {});
 	}
 
 	// --- the store ---
 
-	private async serveStore(node: string): Promise<string> {
-		const server = createServer((request, response) => this.serve(node, request, response));
+	private async startStoreServer(node: string): Promise<string> {
+		const server = createServer((request, response) => this.handleStoreRequest(node, request, response));
 		this.servers.push(server);
 		server.listen(0, "127.0.0.1");
 		await once(server, "listening");
 		return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 	}
 
-	private async serve(node: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
+	private async handleStoreRequest(
+		node: string,
+		request: IncomingMessage,
+		response: ServerResponse,
+	): Promise<void> {
 		const chunks: Buffer[] = [];
 		for await (const chunk of request) chunks.push(chunk as Buffer);
 		const text = Buffer.concat(chunks).toString();
 		const body = text === "" ? undefined : JSON.parse(text);
 		const answer = await this.state.handle(request.method ?? "GET", request.url ?? "/", body, node);
-		if (request.url === "/multi" && answer.status === 200) this.written(body);
-		if (request.url === "/multi" && Math.random() < this.lostAnswers) return void request.socket.destroy();
+		if (request.url === "/multi" && answer.status === 200) this.recordWrites(body);
+		if (request.url === "/multi" && Math.random() < this.lostAnswerRate) return void request.socket.destroy();
 		response.writeHead(answer.status, { "content-type": "application/json" });
 		response.end(JSON.stringify(answer.body));
 	}
@@ -164,35 +176,35 @@
 	async operatorCall(method: string, path: string, body: unknown) {
 		const answer = await this.state.handle(method, path, body, "operator");
 		if (path === "/multi" && answer.status === 200)
-			this.written(body as { then: { put?: string; v?: unknown }[] });
+			this.recordWrites(body as { then: { put?: string; v?: unknown }[] });
 		return answer;
 	}
 
 	/** Records the written limits in force, read from the packed arrays without code of the package. */
-	private written(body: { then: { put?: string; v?: unknown }[] }): void {
+	private recordWrites(body: { then: { put?: string; v?: unknown }[] }): void {
 		for (const { put, v } of body.then) {
 			if (!put?.startsWith("r/quota/")) continue;
 			this.storeWrites += 1;
 			const { teams } = v as { teams: Record<string, { limit: [number, number, number, number] }> };
 			for (const [team, { limit }] of Object.entries(teams)) {
 				const [cpus, gpus, guaranteedCpus, guaranteedGpus] = limit;
-				const before = this.lastLimits.get(team);
-				this.lastLimits.set(team, cpus);
-				if (team === "red" && before !== undefined && before !== cpus) this.limitChanges += 1;
+				const before = this.lastCpuLimits.get(team);
+				this.lastCpuLimits.set(team, cpus);
+				if (team === "red" && before !== undefined && before !== cpus) this.redLimitChanges += 1;
 				const change = { limit: [cpus, gpus] as const, guarantee: [guaranteedCpus, guaranteedGpus] as const };
-				this.limits.push({ team, at: machineMs(), ...change });
+				this.limitChanges.push({ team, at: hostClockMs(), ...change });
 			}
 		}
 	}
 
 	// --- workers and history ---
 
-	private heard(child: ChildProcess, message: FromNode): void {
+	private handleMessage(child: ChildProcess, message: NodeMessage): void {
 		switch (message.kind) {
 			case "leads":
 				this.term = Math.max(this.term, message.term);
-				this.moments.push({ kind: "leads", at: message.at });
-				this.tell(child, { kind: "running", term: message.term, tasks: this.stillRunning() });
+				this.elections.push({ kind: "leads", at: message.at });
+				this.send(child, { kind: "running", term: message.term, tasks: this.runningTasks() });
 				break;
 			case "start":
 				this.startTask(message.term, message.task);
@@ -201,7 +213,7 @@
 				this.admitted.set(message.task.id, { task: message.task, voidAt: message.voidAt });
 				break;
 			case "void":
-				this.drop(message.ids, message.at);
+				this.dropAdmissions(message.ids, message.at);
 				break;
 			case "refused": {
 				const { team, size, at } = message;
@@ -209,36 +221,36 @@
 				break;
 			}
 			case "waited":
-				this.waits.push(message.ms);
+				this.waitsMs.push(message.ms);
 		}
 	}
 
-	private stillRunning(): QuotaTask[] {
+	private runningTasks(): QuotaTask[] {
 		return [...this.running.values()].filter(({ endedAt }) => endedAt === null).map(({ task }) => task);
 	}
 
 	/** Starts a task; like a worker, ignores a leader of an earlier term. */
 	private startTask(term: number, task: QuotaTask): void {
 		if (term < this.term) return;
-		const entry: Running = { task, startedAt: machineMs(), endedAt: null };
+		const entry: RunningTask = { task, startedAt: hostClockMs(), endedAt: null };
 		this.running.set(task.id, entry);
 		setTimeout(() => {
-			entry.endedAt = machineMs();
-			for (const { child } of this.members.values()) this.tell(child, { kind: "ended", id: task.id });
+			entry.endedAt = hostClockMs();
+			for (const { child } of this.members.values()) this.send(child, { kind: "ended", id: task.id });
 		}, task.runMs);
 	}
 
 	/** Returns the delays from request to start at a worker, in milliseconds. */
-	startTimes(): number[] {
+	startDelaysMs(): number[] {
 		return [...this.running.values()].map(({ task, startedAt }) => startedAt - task.admittedAt);
 	}
 
-	get started(): number {
+	get startedTaskCount(): number {
 		return this.running.size;
 	}
 
 	history(): History {
-		const now = machineMs();
+		const now = hostClockMs();
 		const tasks = [...this.admitted.values()].map(({ task, voidAt }) => {
 			const run = this.running.get(task.id);
 			return { task, endedAt: run ? run.endedAt : Math.max(task.admittedAt, Math.min(voidAt, now)) };
@@ -254,8 +266,8 @@
 				endedAt,
 			})),
 			refusals: this.refusals,
-			limits: this.limits,
-			staleMs: 3000,
+			limitChanges: this.limitChanges,
+			maxInformationAgeMs: 3000,
 		};
 	}
 }
@@ -270,10 +282,10 @@
 }
 
 /** The state service as an operator's command uses it. */
-export function operatorStore(made: QuotaProcesses): QuotaStore {
+export function operatorStore(processes: QuotaProcesses): QuotaStore {
 	const time = { now: () => performance.now(), date: () => new Date(), after: () => ({ cancel() {} }) };
 	const http = {
-		call: (method: string, path: string, body: unknown) => made.operatorCall(method, path, body),
+		call: (method: string, path: string, body: unknown) => processes.operatorCall(method, path, body),
 		close() {},
 	};
 	return quotaStore(
--- a/tests/support/quota-world.ts
+++ b/tests/support/quota-world.ts
@@ -1,6 +1,6 @@
 import { nodeNames, World } from "./world.js";
 
-export async function withJob(tasks: number, capacity = 6): Promise<World> {
+export async function worldWithJob(tasks: number, capacity = 6): Promise<World> {
 	const world = new World(capacity, nodeNames, false, true);
 	await world.time.advance(2000);
 	await world.submit("runner-0", { id: "j-000001", pieces: tasks, cores: 1, runs: 400 });
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -6,7 +6,7 @@
 import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../../src/protocol/http/worker-api.js";
 import { defaultOperator } from "../../src/protocol/settings/operator.js";
 import { parsePlatform } from "../../src/protocol/settings/platform.js";
-import { makeTeamQuota } from "../../src/team-quota.js";
+import { createTeamQuota } from "../../src/team-quota.js";
 import { CloudClient } from "../../src/transport/clients/cloud-client.js";
 import type { HttpCaller } from "../../src/transport/clients/http-client.js";
 import type { HttpResponse } from "../../src/transport/clients/http-response.js";
@@ -297,7 +297,7 @@
 			random: xoroshiro128plus(this.incarnation),
 			schedule: queueMicrotask,
 			teamQuota: (post) =>
-				makeTeamQuota({ platform: settings, operator, incarnation, store: storeClient, time, log, post }),
+				createTeamQuota({ platform: settings, operator, incarnation, store: storeClient, time, log, post }),
 		};
 		const controller = createController({ platform: settings, operator, incarnation, ports });
 		const app = publicApi(
--- a/tests/team-quota/quota-command.test.ts
+++ b/tests/team-quota/quota-command.test.ts
@@ -9,11 +9,11 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 import type { ShownTeam } from "#team-quota";
-import { withJob } from "../support/quota-world.js";
+import { worldWithJob } from "../support/quota-world.js";
 import { nodeNames, settingsText } from "../support/world.js";
 
 test("ramphub quota shows and sets limits, gives the reason for a refusal, and exits with 0, 1 or 2", async () => {
-	const world = await withJob(2);
+	const world = await worldWithJob(2);
 	const server = createServer(async (request, response) => {
 		const chunks: Buffer[] = [];
 		for await (const chunk of request) chunks.push(chunk as Buffer);
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -4,7 +4,7 @@
 import { keys } from "../../src/protocol/records/keys.js";
 import { quotaStore } from "../../src/team-quota.js";
 import { StoreClient } from "../../src/transport/clients/store-client.js";
-import { withJob } from "../support/quota-world.js";
+import { worldWithJob } from "../support/quota-world.js";
 import { nodeNames, World } from "../support/world.js";
 
 /** The state service as an operator's command uses it. */
@@ -21,12 +21,12 @@
 const setLimit = (world: World, team: string, request: LimitRequest) =>
 	setQuota(operatorStore(world), keys.quota, team, request, world.time.date().getTime());
 
-async function shown(world: World, team: string): Promise<ShownTeam> {
+async function shownTeam(world: World, team: string): Promise<ShownTeam> {
 	return (await showQuotas(operatorStore(world), keys.quota, team)).teams[0] as ShownTeam;
 }
 
 test("a lowered limit is pending until the tasks above it have ended or are stopped, then it is enforced", async () => {
-	const world = await withJob(12);
+	const world = await worldWithJob(12);
 	assert.equal(world.runningOf("j-000001"), 8, "the platform's limit");
 	const answer = await setLimit(world, "red", { cpus: 3, guaranteedCpus: 1 });
 	assert.equal(answer.pending?.limit.cpus, 3);
@@ -34,7 +34,7 @@
 	assert.equal(world.runningOf("j-000001"), 8, "preempt_after_s has not passed");
 	await world.time.advance(40_000);
 	assert.equal(world.runningOf("j-000001"), 3);
-	const lowered = await shown(world, "red");
+	const lowered = await shownTeam(world, "red");
 	assert.deepEqual([lowered.limit.cpus, lowered.pending], [3, null]);
 	world.changedLimits.set("red", 3);
 	// After a failover the new leader enforces the limit of the record.
@@ -51,7 +51,7 @@
 });
 
 test("of two limit changes during a failover and while a controller is disconnected, the last one is enforced", async () => {
-	const world = await withJob(12);
+	const world = await worldWithJob(12);
 	const leader = world.leaderNode() as string;
 	const other = nodeNames.find((node) => node !== leader) as string;
 	world.cutPeer(other, true);
@@ -62,13 +62,13 @@
 	world.cutPeer(other, false);
 	await world.time.advance(30_000);
 	assert.equal(world.runningOf("j-000001"), 4);
-	const { limit, guarantee, pending } = await shown(world, "red");
+	const { limit, guarantee, pending } = await shownTeam(world, "red");
 	assert.deepEqual([limit.cpus, guarantee.cpus, pending], [4, 1, null]);
 	assert.deepEqual(world.broken, []);
 });
 
 test("after every controller has restarted, teams use their whole limits: allotments of ended processes are reused", async () => {
-	const world = await withJob(4);
+	const world = await worldWithJob(4);
 	for (const node of nodeNames) {
 		world.crash(node);
 		await world.time.advance(3000);
@@ -81,7 +81,7 @@
 	assert.equal(world.runningOf("j-000002") + world.runningOf("j-000001"), 8);
 	assert.equal(world.runningOf("j-000003"), 8);
 	for (const team of ["red", "blue"])
-		assert.equal((await shown(world, team)).unallotted.cpus, 0, "no part of a limit is lost");
+		assert.equal((await shownTeam(world, team)).unallotted.cpus, 0, "no part of a limit is lost");
 	assert.deepEqual(world.broken, []);
 });
 
@@ -127,7 +127,7 @@
 });
 
 test("malformed records are logged, never allow more than the limit, and crash no process", async () => {
-	const world = await withJob(12);
+	const world = await worldWithJob(12);
 	const key = [...world.state.rows.keys()].find((name) => name.startsWith(keys.quota)) as string;
 	const value = structuredClone(world.state.rows.get(key)?.v) as { teams: Record<string, unknown> };
 	const red = value.teams.red as { allotments: unknown[] };
