--- a/packages/team-quota/src/advance-record.ts
+++ b/packages/team-quota/src/advance-record.ts
@@ -47,8 +47,8 @@
 	let { record } = input;
 	record = applyPlatformSettings(record, input.settings, input.wallClockMs);
 	for (const node of input.revocable) record = revoke(record, node);
-	for (const { node, capConfirmed: knowsCap, used } of input.holders)
-		if (knowsCap) record = releaseReclaimed(record, node, used);
+	for (const { node, capConfirmed, used } of input.holders)
+		if (capConfirmed) record = releaseReclaimed(record, node, used);
 	record = enforcePendingLimit(record);
 	return distribute(record, input);
 }
@@ -69,7 +69,7 @@
 
 function distribute(record: QuotaRecord, { holders, mayMove }: AdvanceInput): QuotaRecord {
 	if (holders.length === 0) return record;
-	const needs = holders.map(({ node, used, requested }): HolderDemand => {
+	const demands = holders.map(({ node, used, requested }): HolderDemand => {
 		const held = capOf(allotmentOf(record, node));
 		return { node, held, used, requested };
 	});
@@ -77,11 +77,11 @@
 	const heldByOtherNodes = sumAmounts(
 		record.allotments.filter(({ node }) => !holderNodes.has(node)).map(({ amount }) => amount),
 	);
-	const plan = planAllotments(subtractAmounts(ceiling(record), heldByOtherNodes), needs);
+	const plan = planAllotments(subtractAmounts(ceiling(record), heldByOtherNodes), demands);
 	let next = record;
 	const aboveCeiling = subtractAmounts(totalAllotted(record), ceiling(record));
 	const exceedsCeiling = aboveCeiling.cpus > 0 || aboveCeiling.gpus > 0;
-	if (exceedsCeiling || (mayMove && anyBelowTarget(needs, plan)))
+	if (exceedsCeiling || (mayMove && anyBelowTarget(demands, plan)))
 		next = recallAbovePlan(next, plan, exceedsCeiling ? "limit lowered" : "wanted elsewhere");
 	return allotUpToPlan(next, holders, plan);
 }
--- a/packages/team-quota/src/allotment-writer.ts
+++ b/packages/team-quota/src/allotment-writer.ts
@@ -133,8 +133,8 @@
 	}
 
 	/**
-	 * Collects the log entries for changes between two versions of a record: limits, recalls with
-	 * reasons, removals.
+	 * Compares two versions of a record, so that each change is logged once: new limits, recalls with their
+	 * reasons, and removed allotments. Also reports resized allotments.
 	 */
 	private collectChanges(
 		changes: AllotmentChangeLog,
--- a/packages/team-quota/src/charge-verification.ts
+++ b/packages/team-quota/src/charge-verification.ts
@@ -31,7 +31,7 @@
  * fault.
  */
 export function findDifferences(input: VerificationInput): QuotaDifference[] {
-	const { record, nodes, charged, teamTotal: total, running, tolerance } = input;
+	const { record, nodes, charged, teamTotal, running, tolerance } = input;
 	const { team } = record;
 	const found: QuotaDifference[] = [];
 	for (const { node } of record.allotments)
@@ -50,14 +50,14 @@
 			});
 	}
 	if (
-		!fitsWithin(subtractAmounts(total, running), tolerance) ||
-		!fitsWithin(subtractAmounts(running, total), tolerance)
+		!fitsWithin(subtractAmounts(teamTotal, running), tolerance) ||
+		!fitsWithin(subtractAmounts(running, teamTotal), tolerance)
 	)
 		found.push({
 			team,
 			message: "charged amount differs from running tasks",
 			expected: running,
-			found: total,
+			found: teamTotal,
 		});
 	return found;
 }
@@ -69,13 +69,13 @@
 
 	/** Returns those of the found differences that should be reported now. */
 	takePersistent(found: readonly QuotaDifference[]): QuotaDifference[] {
-		const keyOf = ({ team, message: what, node = "" }: QuotaDifference) => `${team}/${what}/${node}`;
+		const keyOf = ({ team, message, node = "" }: QuotaDifference) => `${team}/${message}/${node}`;
 		const current = new Map(found.map((difference) => [keyOf(difference), difference]));
 		const persistent = [...current].filter(([key, difference]) => {
-			const before = this.previous.get(key);
+			const previous = this.previous.get(key);
 			// A difference whose amount changed since the last check is still in transition.
 			const unchanged =
-				before && (!difference.found || sameAmount(before.found ?? difference.found, difference.found));
+				previous && (!difference.found || sameAmount(previous.found ?? difference.found, difference.found));
 			return unchanged && !this.reported.has(key);
 		});
 		this.previous = current;
--- a/packages/team-quota/src/holder-registry.ts
+++ b/packages/team-quota/src/holder-registry.ts
@@ -38,13 +38,13 @@
 const maxEndedIncarnations = 50;
 
 /**
- * The processes that hold allotments: which process of a node is the current one, which messages it has
- * confirmed, and until when it may admit tasks.
+ * The processes that hold allotments. For each node, the registry records which process is the current one,
+ * which messages that process has confirmed, and until when it may admit tasks.
  *
  * A holder may use its allotment for `expiryMs` after it sent a reply that the leader has echoed to it.
  * The registry counts from the receipt of that reply and adds the clock drift, so it always waits longer
- * than the holder. Echoes of the previous leader were sent during its authority, hence before the new
- * term began: in a new term the expiry counts from the beginning of the term or later.
+ * than the holder. The previous leader sent its echoes while it had authority, hence before the new term
+ * began: a new leader therefore counts their expiry from the beginning of its term.
  */
 export class HolderRegistry {
 	private readonly currentProcesses = new Map<string, HolderProcess>();
@@ -124,12 +124,12 @@
 	isRevocable(node: string, incarnation: string, now: number): boolean {
 		const process = this.currentProcesses.get(node);
 		if (process && process.incarnation !== incarnation) return true;
-		const { termStartedAt: beganAt, expiryMs, marginMs } = this.options;
-		const validFrom = Math.max(beganAt, process?.echoedReplyReceivedAt ?? Number.NEGATIVE_INFINITY);
+		const { termStartedAt, expiryMs, marginMs } = this.options;
+		const validFrom = Math.max(termStartedAt, process?.echoedReplyReceivedAt ?? Number.NEGATIVE_INFINITY);
 		return now > validFrom + expiryMs * (1 + 2 * maxClockDriftFraction) + marginMs;
 	}
 
-	/** Schedules the team's allotment for the node's next message, since it or its cap has changed. */
+	/** Adds the team to the node's next messages until one is confirmed, since its allotment or charge changed. */
 	markTeamChanged(node: string, team: string, capChanged: boolean): void {
 		const process = this.currentProcesses.get(node);
 		if (!process) return;
@@ -161,8 +161,8 @@
 			process.echoedReplyReceivedAt = process.lastReplyAt;
 		}
 		const teams = withTeams ? this.unconfirmedTeams(process).map(teamUpdate) : [];
-		const { incarnation, lastMessageNumber: sent, echoedReplyNumber: echo, settledBatch } = process;
-		return { incarnation, number: sent, echo, settledBatch, teams };
+		const { incarnation, lastMessageNumber, echoedReplyNumber, settledBatch } = process;
+		return { incarnation, number: lastMessageNumber, echo: echoedReplyNumber, settledBatch, teams };
 	}
 
 	private unconfirmedTeams(process: HolderProcess): string[] {
--- a/packages/team-quota/src/holder.ts
+++ b/packages/team-quota/src/holder.ts
@@ -98,14 +98,14 @@
 		this.extendValidity(update.echo);
 	}
 
-	/** Discards the holder state of earlier terms, since this process is the leader of the term. */
+	/** Begins the term with this process as its leader: allotments that it held in earlier terms are void. */
 	becomeLeader(term: number): void {
 		if (term > this.term) this.beginTerm(term);
 	}
 
 	/**
-	 * A leader of an earlier term starts nothing any more: admissions that it received and did not start
-	 * are void.
+	 * Discards the state of earlier terms. Their leaders start nothing any more: admissions that they
+	 * received and did not start are void.
 	 */
 	private beginTerm(term: number): void {
 		this.term = term;
@@ -172,7 +172,7 @@
 		return this.lastBatchNumber;
 	}
 
-	reply(wanted?: RequestedAmount[]): HolderReply {
+	reply(requested?: RequestedAmount[]): HolderReply {
 		this.lastReplyNumber += 1;
 		this.replySentAt.set(this.lastReplyNumber, this.options.now());
 		this.replySentAt.delete(this.lastReplyNumber - maxRememberedReplies);
@@ -181,7 +181,7 @@
 			number: this.lastReplyNumber,
 			confirmed: this.lastMessageNumber,
 			batch: this.lastBatchNumber,
-			...(wanted && { wanted }),
+			...(requested && { wanted: requested }),
 		};
 	}
 }
--- a/packages/team-quota/src/manager.ts
+++ b/packages/team-quota/src/manager.ts
@@ -25,7 +25,7 @@
 	nodes: readonly string[];
 	/** The limits in the platform's settings, by team. */
 	settings: ReadonlyMap<string, LimitAndGuarantee>;
-	/** Time of day in milliseconds. */
+	/** Wall-clock time in milliseconds. */
 	date(): number;
 	expiryMs: number;
 	marginMs: number;
@@ -113,7 +113,7 @@
 		return batchAccepted && this.started;
 	}
 
-	/** The node has a new current process, so any other process that holds its allotments has ended. */
+	/** Handles a new current process of the node: any other process that holds its allotments has ended. */
 	private handleChangedProcess(node: string, current: string): void {
 		for (const team of this.options.settings.keys()) {
 			this.registry.markTeamChanged(node, team, true);
@@ -172,11 +172,12 @@
 	}
 
 	/**
-	 * Returns the amount that the node's holder may still admit. A new leader does not know who admitted the
-	 * tasks that it finds running, so their charges may be wrong in two ways, and every holder leaves an
-	 * amount unused that covers both. A holder may be charged more than its allotment until the allotment
-	 * has grown. And the charges of a holder that has not confirmed a message of this term may belong to
-	 * another holder: it still uses the allotment of the previous term, possibly all of it.
+	 * Returns the amount that the node's holder may still admit. A new leader has no record of who admitted
+	 * the tasks that it finds running, so their charges may be wrong in two ways, and every holder leaves an
+	 * amount unused that covers both. First, a holder may be charged more than its allotment until the
+	 * allotment has grown. Second, charges to a holder that has not confirmed a message of this term may
+	 * belong to another holder, while the first still uses its allotment of the previous term, possibly all
+	 * of it.
 	 */
 	private availableAt(node: string, team: string): Amount {
 		const allotment = this.allotmentAt(node, team);
@@ -264,8 +265,8 @@
 				tolerance,
 			});
 		});
-		for (const { message: what, ...fields } of this.persistentDifferences.takePersistent(differences))
-			this.options.log.error(fields, what);
+		for (const { message, ...fields } of this.persistentDifferences.takePersistent(differences))
+			this.options.log.error(fields, message);
 	}
 
 	/** Applies a stored value; undefined if the key was deleted. */
@@ -284,7 +285,7 @@
 	// --- time ---
 
 	/**
-	 * Checks teams and writes changed records. Called periodically while this process has authority as
+	 * Checks teams and writes changed records. Called periodically while this process is the authorized
 	 * leader.
 	 */
 	tick(): void {
@@ -322,8 +323,8 @@
 	}
 
 	/**
-	 * Unreadable records may contain allotments; these are unusable once all allotments of earlier
-	 * leaders have expired.
+	 * True while an unreadable record may contain an allotment that a holder still uses: all allotments of
+	 * earlier leaders have expired `expiryMs`, with drift and margin, after the beginning of the term.
 	 */
 	private mustWaitForUnreadable(now: number): boolean {
 		const { values, expiryMs, marginMs } = this.options;
@@ -344,7 +345,7 @@
 			record,
 			settings,
 			holders: revocable.size > 0 ? this.holderStates(team, record, now) : holders,
-			revocable: revocable,
+			revocable,
 			mayMove: !this.isMovePaused(team, now),
 			wallClockMs: this.options.date(),
 		});
--- a/packages/team-quota/src/planner.ts
+++ b/packages/team-quota/src/planner.ts
@@ -18,7 +18,8 @@
  * controller holds goes to the first one.
  */
 export function planAllotments(ceiling: Amount, holders: readonly HolderDemand[]): Map<string, Amount> {
-	const planFor = (of: (amount: Amount) => number) => planDimension(of(ceiling), holders.map(demandIn(of)));
+	const planFor = (select: (amount: Amount) => number) =>
+		planDimension(select(ceiling), holders.map(demandIn(select)));
 	const cpus = planFor((amount) => amount.cpus);
 	const gpus = planFor((amount) => amount.gpus);
 	return new Map(holders.map(({ node }, i) => [node, { cpus: cpus[i] ?? 0, gpus: gpus[i] ?? 0 }]));
@@ -30,7 +31,7 @@
 	requested: number;
 }
 
-function demandIn(select: (amount: Amount) => number): (needs: HolderDemand) => DimensionDemand {
+function demandIn(select: (amount: Amount) => number): (demand: HolderDemand) => DimensionDemand {
 	return ({ held, used, requested }) => ({
 		held: select(held),
 		used: select(used),
@@ -57,8 +58,8 @@
 }
 
 /**
- * Finds by bisection the highest common level whose shares fit into the capacity. Each share is the level,
- * but at least its minimum and at most the requested amount.
+ * Raises one common level, by bisection, until the shares reach the capacity. Each share is the level, but
+ * at most the requested amount and at least its minimum.
  */
 function fillEvenly(
 	capacity: number,
@@ -80,7 +81,7 @@
 		else high = middle;
 	}
 	const shares = sharesAt(low);
-	// The remaining thousandths go to the first holders that requested more.
+	// The remaining thousandths go to the first holders whose requested amounts are not reached.
 	let remaining = capacity - total(shares);
 	return shares.map((share, i) => {
 		if (remaining <= 0 || share >= (requestedAmounts[i] ?? 0)) return share;
--- a/packages/team-quota/src/quota-participant.ts
+++ b/packages/team-quota/src/quota-participant.ts
@@ -105,8 +105,8 @@
 		return this.holder.closeBatch();
 	}
 
-	reply(wanted?: RequestedAmount[]): HolderReply {
-		return this.holder.reply(wanted);
+	reply(requested?: RequestedAmount[]): HolderReply {
+		return this.holder.reply(requested);
 	}
 
 	/** Monotonic time until which this holder may use its allotments. */
--- a/packages/team-quota/src/quota-service.ts
+++ b/packages/team-quota/src/quota-service.ts
@@ -54,9 +54,9 @@
 	 * settings apply.
 	 */
 	limits(team: string): EffectiveLimits | null {
-		const terms = this.participant.effectiveLimits(team);
-		if (!terms) return null;
-		const { limit, guarantee } = terms;
+		const limits = this.participant.effectiveLimits(team);
+		if (!limits) return null;
+		const { limit, guarantee } = limits;
 		return {
 			name: team,
 			guaranteed: { cpus: toUnits(guarantee.cpus), gpus: toUnits(guarantee.gpus) },
--- a/packages/team-quota/src/stored-values.ts
+++ b/packages/team-quota/src/stored-values.ts
@@ -58,8 +58,8 @@
 	constructor(private readonly options: StoredValuesOptions) {}
 
 	/**
-	 * True if a record cannot be read, so that a controller may hold allotments that this process does
-	 * not know.
+	 * True if a record cannot be read, so that controllers may hold allotments that are missing in this
+	 * copy.
 	 */
 	get hasUnreadableRecords(): boolean {
 		return [...this.values.values()].some((value) => value.unreadableTeams.length > 0);
--- a/packages/team-quota/tests/manager.test.ts
+++ b/packages/team-quota/tests/manager.test.ts
@@ -30,7 +30,7 @@
 
 	startProcess(node: string): QuotaParticipant {
 		this.startedProcesses += 1;
-		const quota = new QuotaParticipant({
+		const participant = new QuotaParticipant({
 			node,
 			incarnation: `p${this.startedProcesses}`,
 			nodes: this.nodes,
@@ -49,8 +49,8 @@
 			},
 		});
 		for (const [key, row] of this.store.rowsByKey)
-			if (key !== "leader") quota.applyStoredValue(key, row.value, row.revision);
-		return quota;
+			if (key !== "leader") participant.applyStoredValue(key, row.value, row.revision);
+		return participant;
 	}
 
 	/** Delivers the manager's message to the holder and the holder's reply to the manager. */
@@ -111,8 +111,8 @@
 	assert.equal(manager.mayStart("b", "red", oneCpu), false, "an earlier admission does not start either");
 	// The write gets no answer and may be executed late: the holder gets nothing before the record has been
 	// read again.
-	const lost = cluster.store.writes.at(-1);
-	await lost?.failWithoutAnswer();
+	const unansweredWrite = cluster.store.writes.at(-1);
+	await unansweredWrite?.failWithoutAnswer();
 	leader.handleReply("b", holder.reply());
 	holder.applyAllotmentUpdate(1, manager.nextUpdate("b") as AllotmentUpdate);
 	assert.equal(holder.admit("red", oneCpu).kind, "refused");
@@ -252,9 +252,9 @@
 	const { leader, manager } = await cluster.allotAllTo(holder);
 	holder.admit("red", oneCpu, 2);
 	holder.closeBatch();
-	const lost = holder.reply();
+	const lateReply = holder.reply();
 	cluster.exchangeMessages(leader, manager, "b", holder, 1);
-	assert.equal(leader.handleReply("b", lost), false, "a later reply has settled it");
+	assert.equal(leader.handleReply("b", lateReply), false, "a later reply has settled it");
 	cluster.exchangeMessages(leader, manager, "b", holder, 1);
 	assert.deepEqual(
 		holder.admit("red", oneCpu, 9),
@@ -291,26 +291,26 @@
 	const { manager } = await cluster.allotAllTo(holder);
 	const running = (cpus: number) =>
 		manager.verifyCharges(new Map([["red", { amount: { cpus, gpus: 0 }, tolerance: { cpus: 1, gpus: 1 } }]]));
-	const told = () => cluster.errorMessages.splice(0);
+	const takeErrorMessages = () => cluster.errorMessages.splice(0);
 	const charge = manager.charges.add("red", "b", oneCpu);
 	for (let i = 0; i < 3; i++) running(1000);
-	assert.deepEqual(told(), []);
+	assert.deepEqual(takeErrorMessages(), []);
 	// A task is missing in one of the two counts.
 	running(2000);
-	assert.deepEqual(told(), [], "a difference in a single check is not reported");
+	assert.deepEqual(takeErrorMessages(), [], "a difference in a single check is not reported");
 	running(2000);
 	running(2000);
-	assert.deepEqual(told(), ["charged amount differs from running tasks"]);
+	assert.deepEqual(takeErrorMessages(), ["charged amount differs from running tasks"]);
 	running(1000);
 	manager.charges.add("red", "c", oneCpu);
 	for (let i = 0; i < 3; i++) running(2000);
-	assert.deepEqual(told(), ["allotment holder is charged more than its allotment"]);
+	assert.deepEqual(takeErrorMessages(), ["allotment holder is charged more than its allotment"]);
 	manager.charges.release(charge);
 	for (let i = 0; i < 5; i++) running(1000 + i * 100);
-	assert.deepEqual(told(), ["charged amount differs from running tasks"]);
+	assert.deepEqual(takeErrorMessages(), ["charged amount differs from running tasks"]);
 });
 
-test("with 400 teams, values and requests stay within size limits, and writes and messages cover only changes", async () => {
+test("400 teams in a fleet of 4,000 machines fit into values and requests, and only changes are written and sent", async () => {
 	const teams = new Map<string, LimitAndGuarantee>();
 	for (let i = 0; i < 400; i++)
 		teams.set(`team-${i}`, { limit: limitAmount(160, 8), guarantee: limitAmount(80, 4) });
@@ -336,8 +336,8 @@
 			"the state service accepts requests of up to 64 KiB",
 		);
 	assert.ok(bytes.length <= 24, `${bytes.length} values`);
-	const { length: moves } = cluster.store.writes;
-	assert.ok(moves <= 30, `${moves} transactions until the preferred holder has all`);
+	const { length: transactionCount } = cluster.store.writes;
+	assert.ok(transactionCount <= 30, `${transactionCount} transactions until the preferred holder has all`);
 	cluster.exchangeMessages(leader, manager, "b", holder, 1);
 	// From here on, writes and messages grow with the number of changes, not with the number of teams.
 	for (const team of teams.keys()) {
@@ -353,6 +353,6 @@
 		["team-7"],
 	);
 	await cluster.runTicks(manager, 10);
-	assert.equal(cluster.store.writes.length, moves, "40,000 admissions and no write");
+	assert.equal(cluster.store.writes.length, transactionCount, "40,000 admissions and no write");
 	assert.deepEqual(manager.excessOverPendingLimit("team-7"), zeroAmount);
 });
--- a/packages/team-quota/tests/record.test.ts
+++ b/packages/team-quota/tests/record.test.ts
@@ -38,9 +38,9 @@
 	assert.deepEqual(unallotted(recalled), zeroAmount);
 	const inUse = releaseReclaimed(recalled, "a", cpus(2));
 	assert.deepEqual([allotmentOf(inUse, "a")?.amount, unallotted(inUse)], [cpus(2), cpus(1)]);
-	const over = releaseReclaimed(inUse, "a", cpus(0));
-	assert.deepEqual([allotmentOf(over, "a")?.amount, allotmentOf(over, "a")?.reason], [cpus(1), null]);
-	assert.deepEqual(unallotted(revoke(over, "a")), cpus(3));
+	const released = releaseReclaimed(inUse, "a", cpus(0));
+	assert.deepEqual([allotmentOf(released, "a")?.amount, allotmentOf(released, "a")?.reason], [cpus(1), null]);
+	assert.deepEqual(unallotted(revoke(released, "a")), cpus(3));
 });
 
 test("a higher limit is in force at once, a lower one once all allotments fit within it", () => {
--- a/packages/team-quota/tests/support/controlled-store.ts
+++ b/packages/team-quota/tests/support/controlled-store.ts
@@ -55,7 +55,7 @@
 	}
 }
 
-/** Calls the function and lets the promises that it resolves run their continuations. */
+/** Calls the function, then waits until the continuations of promises resolved by it have run. */
 export async function runAndSettle(act: () => void = () => {}): Promise<void> {
 	act();
 	for (let i = 0; i < 12; i++) await Promise.resolve();
--- a/packages/team-quota/tests/support/history.ts
+++ b/packages/team-quota/tests/support/history.ts
@@ -11,7 +11,7 @@
 	team: string;
 	size: Size;
 	admittedAt: number;
-	/** When the task ended, was dropped, or could no longer start; null: it still runs. */
+	/** Time at which the task ended, was dropped, or could no longer start; null: it still runs. */
 	endedAt: number | null;
 }
 
--- a/packages/team-quota/tests/support/simulated-cluster.ts
+++ b/packages/team-quota/tests/support/simulated-cluster.ts
@@ -30,7 +30,7 @@
 interface Process {
 	node: string;
 	incarnation: string;
-	quota: QuotaParticipant;
+	participant: QuotaParticipant;
 	/** Rate of the process's monotonic clock, relative to simulated time. */
 	clockRate: number;
 	manager: AllotmentManager | null;
@@ -88,8 +88,8 @@
 		return uniformInt(this.random, from, to);
 	}
 
-	randomChance(part: number): boolean {
-		return this.randomInt(0, 9999) < part * 10_000;
+	randomChance(probability: number): boolean {
+		return this.randomInt(0, 9999) < probability * 10_000;
 	}
 
 	// --- time ---
@@ -133,7 +133,7 @@
 			sentBatches: new Map(),
 			callbacksWhilePaused: null,
 			ended: false,
-			quota: new QuotaParticipant({
+			participant: new QuotaParticipant({
 				node,
 				incarnation,
 				nodes: this.nodes,
@@ -150,7 +150,7 @@
 			}),
 		};
 		this.processes.set(node, process);
-		for (const [key, row] of this.rows) process.quota.applyStoredValue(key, row.value, row.revision);
+		for (const [key, row] of this.rows) process.participant.applyStoredValue(key, row.value, row.revision);
 		this.scheduleTurns(process);
 	}
 
@@ -189,12 +189,12 @@
 	elect(node: string): void {
 		const process = this.processes.get(node);
 		if (!process || process.callbacksWhilePaused) return;
-		this.leader?.quota.endTerm();
+		this.leader?.participant.endTerm();
 		this.revision += 1;
 		this.term = this.revision;
 		this.rows.set(leaderKey, { value: node, revision: this.term });
 		this.leader = process;
-		const manager = process.quota.beginTerm({ key: leaderKey, revision: this.term });
+		const manager = process.participant.beginTerm({ key: leaderKey, revision: this.term });
 		process.manager = manager;
 		process.charges = new Map();
 		process.term = this.term;
@@ -235,7 +235,7 @@
 	/** Delivers an update. Tasks of batches that the holder drops now can no longer start, unless they have. */
 	private deliverUpdate(to: Process, term: number, update: AllotmentUpdate): void {
 		const previousTerm = to.term;
-		to.quota.applyAllotmentUpdate(term, update);
+		to.participant.applyAllotmentUpdate(term, update);
 		if (update.incarnation !== to.incarnation || term < previousTerm) return;
 		to.term = term;
 		for (const [task, batch] of to.sentBatches) {
@@ -271,14 +271,14 @@
 			this.startTask(task, runMs);
 			return;
 		}
-		const admission = process.quota.admit(team, size);
+		const admission = process.participant.admit(team, size);
 		if (admission.kind === "admitted") {
-			// For the history only: the time of expiry in simulated time. Infinity if the validity is
-			// already past.
-			const validMs = (process.quota.validUntil - process.quota.now()) / process.clockRate;
+			// For the history only: the simulated time at which the holder's allotment expires. An admission
+			// after that time is not voided by the expiry.
+			const validMs = (process.participant.validUntil - process.participant.now()) / process.clockRate;
 			task.voidAt = validMs > 0 ? this.now + validMs : Number.POSITIVE_INFINITY;
 			this.recordAdmission(process.node, task);
-			process.sentBatches.set(task, process.quota.closeBatch());
+			process.sentBatches.set(task, process.participant.closeBatch());
 		} else {
 			this.recordWaitStart(process.node, team);
 			if (admission.reason === "team at its limit")
@@ -305,11 +305,11 @@
 		request: { team: string; size: Amount; runMs: number },
 	): void {
 		const requestedAmount = { cpus: request.size.cpus * 4, gpus: request.size.gpus * 4 };
-		const reply = process.quota.reply([{ team: request.team, amount: requestedAmount }]);
+		const reply = process.participant.reply([{ team: request.team, amount: requestedAmount }]);
 		if (!this.leader) return;
 		this.send(this.leader.node, (to) => {
 			if (to !== this.leader) return;
-			const accepted = to.quota.handleReply(process.node, JSON.parse(JSON.stringify(reply)));
+			const accepted = to.participant.handleReply(process.node, JSON.parse(JSON.stringify(reply)));
 			if (!task) return;
 			const starts = accepted && to.manager?.mayStart(process.node, task.team, task.size) === true;
 			if (starts && to.manager) {
@@ -355,10 +355,10 @@
 				const row = this.rows.get(key);
 				return row ? { key, ...row } : null;
 			},
-			readPrefix: async (wanted) => {
+			readPrefix: async (keyPrefix) => {
 				throwDuringOutage();
 				return [...this.rows]
-					.filter(([key]) => key.startsWith(wanted))
+					.filter(([key]) => key.startsWith(keyPrefix))
 					.map(([key, row]) => ({ key, ...row }));
 			},
 			transact: async (conditions, changes) => {
@@ -398,7 +398,7 @@
 		}
 		for (const process of this.processes.values())
 			this.schedule(this.randomInt(1, 20), () =>
-				this.runOn(process, () => process.quota.applyStoredValue(key, value, revision)),
+				this.runOn(process, () => process.participant.applyStoredValue(key, value, revision)),
 			);
 	}
 
@@ -411,7 +411,7 @@
 		this.revision += 1;
 		this.rows.set(key, { value, revision: this.revision });
 		const { revision } = this;
-		for (const process of this.processes.values()) process.quota.applyStoredValue(key, value, revision);
+		for (const process of this.processes.values()) process.participant.applyStoredValue(key, value, revision);
 	}
 
 	/** Returns the history in the form that the checker reads. */
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -131,7 +131,7 @@
 	const { row } = await store.read(keys.machineTypes);
 	const record = row ? decodeStoredRecord(keys.machineTypes, row.value) : null;
 	if (record?.kind !== "machine types") return null;
-	const largest = (of: "cpus" | "gpus") => Math.max(0, ...record.value.map((type) => type[of]));
+	const largest = (dimension: "cpus" | "gpus") => Math.max(0, ...record.value.map((type) => type[dimension]));
 	return limitAmount(machines * largest("cpus"), machines * largest("gpus"));
 }
 
--- a/tests/support/quota-measure.ts
+++ b/tests/support/quota-measure.ts
@@ -53,10 +53,10 @@
 	const times = histogram();
 	for (let i = 0; i < repeats; i++) {
 		const leader = processes.leader ?? "a";
-		const terms = processes.elections.length;
+		const electionsBefore = processes.elections.length;
 		const from = performance.now();
 		await processes.restart(leader);
-		await waitUntil(() => processes.elections.length > terms);
+		await waitUntil(() => processes.elections.length > electionsBefore);
 		const before = processes.startedTaskCount;
 		await waitUntil(() => processes.startedTaskCount > before);
 		times.recordValue(Math.round((performance.now() - from) * 1000));
@@ -69,10 +69,10 @@
 	const times = histogram();
 	const store = operatorStore(processes);
 	for (let i = 0; i < repeats; i++) {
-		const revisions = processes.redLimitChanges;
+		const changesBefore = processes.redLimitChanges;
 		const from = performance.now();
 		await setQuota(store, "r/quota/", "red", { cpus: i % 2 === 0 ? 8 : 24 }, Date.now());
-		await waitUntil(() => processes.redLimitChanges > revisions);
+		await waitUntil(() => processes.redLimitChanges > changesBefore);
 		if (i % 2 === 0) times.recordValue(Math.round((performance.now() - from) * 1000));
 		await delay(500);
 	}
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -58,7 +58,7 @@
 }
 
 class QuotaNode {
-	private readonly quota: QuotaParticipant;
+	private readonly participant: QuotaParticipant;
 	private readonly leadership: Leadership;
 	private readonly links: PeerLinks;
 	private readonly store: StoreClient;
@@ -69,7 +69,7 @@
 	private leaderNode = "";
 	private leader: { value: { node: string; incarnation: string }; revision: number } | null = null;
 	private storeLoaded = false;
-	private admittedTasks = 0;
+	private requestedTasks = 0;
 	private readonly waitingSince = new Map<string, number>();
 
 	private readonly time: Clock = {
@@ -96,7 +96,7 @@
 			writesPerS: 1e6,
 			controllers: 1,
 		});
-		this.quota = new QuotaParticipant({
+		this.participant = new QuotaParticipant({
 			node,
 			incarnation,
 			nodes: [node, ...others.map((other) => other.node)].sort(),
@@ -157,7 +157,7 @@
 	}
 
 	private applyStoredValue(key: string, value: unknown, revision: number): void {
-		if (key.startsWith("r/quota/")) this.quota.applyStoredValue(key, value, revision);
+		if (key.startsWith("r/quota/")) this.participant.applyStoredValue(key, value, revision);
 		if (key !== "r/one/leader") return;
 		this.leader =
 			value === undefined ? null : { value: value as { node: string; incarnation: string }, revision };
@@ -167,7 +167,7 @@
 	// --- as the leader ---
 
 	private endTerm(): void {
-		this.quota.endTerm();
+		this.participant.endTerm();
 		this.manager = null;
 		this.charges.clear();
 	}
@@ -194,11 +194,11 @@
 			this.charges.delete(message.id);
 			if (charge) this.manager?.charges.release(charge);
 		} else if (message.kind === "admit") {
-			// Busy-waits, since a timer is too coarse for admissions within the same millisecond.
+			// Busy-waits until the exact time, so that all nodes request within the same millisecond.
 			while (hostClockMs() < message.at);
 			this.admit(message);
 		} else if (this.leadership.authority() === message.term) {
-			const manager = this.quota.beginTerm({ key: "r/one/leader", revision: message.term });
+			const manager = this.participant.beginTerm({ key: "r/one/leader", revision: message.term });
 			this.manager = manager;
 			this.dropAdmissions([...this.sentBatches.keys()]);
 			for (const { id, team, size } of message.tasks)
@@ -223,7 +223,7 @@
 	}
 
 	private handleProposal(from: string, reply: unknown, tasks: QuotaTask[]): void {
-		const accepted = this.quota.handleReply(from, reply);
+		const accepted = this.participant.handleReply(from, reply);
 		const term = this.leadership.authority();
 		if (term === null || !this.manager || !accepted) return;
 		for (const task of tasks)
@@ -245,7 +245,7 @@
 	// --- as a holder ---
 
 	private applyAllotmentUpdate(term: number, update: unknown): void {
-		this.quota.applyAllotmentUpdate(term, update);
+		this.participant.applyAllotmentUpdate(term, update);
 		const { settledBatch, incarnation } = update as { settledBatch: number; incarnation: string };
 		if (incarnation !== this.config.incarnation || term < this.term) return;
 		const isNewTerm = term > this.term;
@@ -268,8 +268,8 @@
 	}
 
 	private admit({ team, size, runMs }: { team: string; size: Amount; runMs: number }): void {
-		this.admittedTasks += 1;
-		const id = `${this.config.incarnation}.${this.admittedTasks}`;
+		this.requestedTasks += 1;
+		const id = `${this.config.incarnation}.${this.requestedTasks}`;
 		const task = { id, team, size, runMs, admittedAt: hostClockMs() };
 		const term = this.leadership.authority();
 		const requestedAmount = { cpus: size.cpus * 4, gpus: size.gpus * 4 };
@@ -285,11 +285,11 @@
 			return;
 		}
 		if (this.config.leaderOnlyAdmits) {
-			this.quota.closeBatch();
+			this.participant.closeBatch();
 			this.sendProposal([task]);
 			return;
 		}
-		const admission = this.quota.admit(team, size);
+		const admission = this.participant.admit(team, size);
 		if (admission.kind === "refused") {
 			if (admission.reason === "team at its limit")
 				this.sendToParent({ kind: "refused", team, size, at: task.admittedAt });
@@ -297,11 +297,11 @@
 			this.sendProposal([], [{ team, amount: requestedAmount }]);
 			return;
 		}
-		const validMs = (this.quota.validUntil - this.time.now()) / this.config.clockRate;
+		const validMs = (this.participant.validUntil - this.time.now()) / this.config.clockRate;
 		const voidAt = validMs > 0 ? task.admittedAt + validMs : Number.POSITIVE_INFINITY;
 		this.sendToParent({ kind: "admitted", task, voidAt });
 		this.reportWait(team);
-		this.sentBatches.set(id, this.quota.closeBatch());
+		this.sentBatches.set(id, this.participant.closeBatch());
 		this.sendProposal([task], [{ team, amount: requestedAmount }]);
 	}
 
@@ -315,12 +315,12 @@
 		this.waitingSince.delete(team);
 	}
 
-	private sendProposal(tasks: QuotaTask[], wanted?: { team: string; amount: Amount }[]): void {
+	private sendProposal(tasks: QuotaTask[], requested?: { team: string; amount: Amount }[]): void {
 		if (this.leaderNode === "" || this.leaderNode === this.config.node) return;
 		this.links.send(this.leaderNode, {
 			kind: "propose",
 			epoch: this.term,
-			reply: this.quota.reply(wanted),
+			reply: this.participant.reply(requested),
 			tasks,
 		});
 	}
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -146,9 +146,9 @@
 		await world.time.advance(12_000);
 		assert.equal(world.runningOf("j-000001"), 8);
 	}
-	const named = world.logs.filter((line) => line.includes("a stored team limit cannot be read"));
-	assert.ok(named.some((line) => line.includes("allotments.0")));
-	assert.ok(named.some((line) => line.includes("limit")));
+	const reported = world.logs.filter((line) => line.includes("a stored team limit cannot be read"));
+	assert.ok(reported.some((line) => line.includes("allotments.0")));
+	assert.ok(reported.some((line) => line.includes("limit")));
 	assert.deepEqual(
 		world.logs.filter((line) => line.includes("state action failed")),
 		[],
