--- a/packages/team-quota/tests/simulation.test.ts
+++ b/packages/team-quota/tests/simulation.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { type Amount, limitAmount } from "../src/amount.js";
 import { setQuota } from "../src/commands.js";
+import { SimulatedCluster } from "./support/cluster-cluster.js";
 import { duplicateIds, findViolations } from "./support/history.js";
-import { SimulatedCluster } from "./support/simulated-cluster.js";
 
 const nodes = ["a", "b", "c", "d"];
 const teams = new Map([
@@ -18,13 +18,13 @@
 
 function createCluster(seed: number): SimulatedCluster {
 	let turn = seed;
-	const simulated = new SimulatedCluster(seed, nodes, teams, () => {
+	const cluster = new SimulatedCluster(seed, nodes, teams, () => {
 		turn += 1;
 		const size = sizes[turn % 7 === 0 ? 2 : turn % 3 === 0 ? 1 : 0] as Amount;
 		return { team: turn % 5 < 3 ? "red" : "blue", size, runMs: 5 + ((turn * 37) % 90) };
 	});
-	simulated.elect("a");
-	return simulated;
+	cluster.elect("a");
+	return cluster;
 }
 
 function assertHistoryValid(cluster: SimulatedCluster, seed: number): void {
@@ -38,11 +38,11 @@
 }
 
 test("controllers that admit continuously stay within limits, and none waits long", async () => {
-	const made = createCluster(1);
-	await made.run(20_000);
-	assertHistoryValid(made, 1);
-	assert.ok(made.startedTaskCount > 1000, `${made.startedTaskCount} admissions`);
-	assert.ok(made.longestWaitMs < 5000, `${made.longestWaitMs} ms until a slot was available`);
+	const cluster = createCluster(1);
+	await cluster.run(20_000);
+	assertHistoryValid(cluster, 1);
+	assert.ok(cluster.startedTaskCount > 1000, `${cluster.startedTaskCount} admissions`);
+	assert.ok(cluster.longestWaitMs < 5000, `${cluster.longestWaitMs} ms until a slot was available`);
 });
 
 /** Injects one random fault of the kinds that the package must tolerate, or a new limit. */
@@ -77,25 +77,28 @@
 
 for (let seed = 1; seed <= seeds; seed++) {
 	test(`limits hold under crashes, pauses, lost messages, outages, failovers and limit changes: seed ${seed}`, async () => {
-		const made = createCluster(seed);
-		await made.run(500);
+		const cluster = createCluster(seed);
+		await cluster.run(500);
 		for (let i = 0; i < 40; i++) {
-			await injectFault(made);
-			await made.run(made.randomInt(10, 600));
-			if (made.leaderNode === null) made.elect(nodes[made.randomInt(0, nodes.length - 1)] as string);
+			await injectFault(cluster);
+			await cluster.run(cluster.randomInt(10, 600));
+			if (cluster.leaderNode === null) cluster.elect(nodes[cluster.randomInt(0, nodes.length - 1)] as string);
 		}
-		made.outage = false;
-		made.faults = { messageLossRate: 0, writeFailureRate: 0, maxDelayMs: 3 };
+		cluster.outage = false;
+		cluster.faults = { messageLossRate: 0, writeFailureRate: 0, maxDelayMs: 3 };
 		for (const node of nodes) {
-			made.resume(node);
-			if (!made.processes.has(node)) made.start(node);
+			cluster.resume(node);
+			if (!cluster.processes.has(node)) cluster.start(node);
 		}
-		if (made.leaderNode === null) made.elect("b");
-		await made.run(4000);
-		const before = made.startedTaskCount;
-		made.longestWaitMs = 0;
-		await made.run(4000);
-		assertHistoryValid(made, seed);
-		assert.ok(made.startedTaskCount - before > 100, `admissions go on: ${made.startedTaskCount - before}`);
+		if (cluster.leaderNode === null) cluster.elect("b");
+		await cluster.run(4000);
+		const before = cluster.startedTaskCount;
+		cluster.longestWaitMs = 0;
+		await cluster.run(4000);
+		assertHistoryValid(cluster, seed);
+		assert.ok(
+			cluster.startedTaskCount - before > 100,
+			`admissions go on: ${cluster.startedTaskCount - before}`,
+		);
 	});
 }
--- a/packages/team-quota/tests/support/controlled-store.ts
+++ b/packages/team-quota/tests/support/controlled-store.ts
@@ -25,7 +25,7 @@
 			const apply = () => this.apply(conditions, changes);
 			const write: PendingWrite = {
 				changes,
-				apply: apply,
+				apply,
 				sendResult: () => runAndSettle(() => resolve(apply())),
 				failWithoutAnswer: () => runAndSettle(() => reject(new Error("no answer"))),
 			};
--- a/packages/team-quota/tests/support/history.ts
+++ b/packages/team-quota/tests/support/history.ts
@@ -56,19 +56,19 @@
 	]);
 }
 
-function limitViolations({ tasks, limitChanges: limits }: History, team: string): string[] {
+function limitViolations({ tasks, limitChanges }: History, team: string): string[] {
 	let limit: Size = [0, 0];
 	let cpus = 0;
 	let gpus = 0;
 	const checkUsage = (at: number, what: string) =>
 		cpus > limit[0] || gpus > limit[1] ? `${at} ${team}: ${cpus},${gpus} above ${limit} at ${what}` : null;
-	const steps: HistoryEvent[] = [];
-	for (const change of limits.filter((change) => change.team === team)) {
+	const events: HistoryEvent[] = [];
+	for (const change of limitChanges.filter((change) => change.team === team)) {
 		const apply = () => {
 			limit = change.limit;
 			return checkUsage(change.at, "a change of limit");
 		};
-		steps.push({ at: change.at, order: 1, apply });
+		events.push({ at: change.at, order: 1, apply });
 	}
 	for (const task of tasks.filter((task) => task.team === team)) {
 		const add = (sign: number) => {
@@ -76,11 +76,11 @@
 			gpus += sign * task.size[1];
 			return sign > 0 ? checkUsage(task.admittedAt, task.id) : null;
 		};
-		steps.push({ at: task.admittedAt, order: 2, apply: () => add(1) });
-		if (task.endedAt !== null) steps.push({ at: task.endedAt, order: 0, apply: () => add(-1) });
+		events.push({ at: task.admittedAt, order: 2, apply: () => add(1) });
+		if (task.endedAt !== null) events.push({ at: task.endedAt, order: 0, apply: () => add(-1) });
 	}
-	steps.sort((a, b) => a.at - b.at || a.order - b.order);
-	return steps.map((step) => step.apply()).filter((fault) => fault !== null);
+	events.sort((a, b) => a.at - b.at || a.order - b.order);
+	return events.map((step) => step.apply()).filter((fault) => fault !== null);
 }
 
 /**
@@ -88,13 +88,13 @@
  * the time.
  */
 function unjustifiedRefusals(
-	{ tasks, refusals, limitChanges: limits, maxInformationAgeMs: staleMs }: History,
+	{ tasks, refusals, limitChanges, maxInformationAgeMs }: History,
 	team: string,
 ): string[] {
-	const changes = limits.filter((change) => change.team === team);
+	const changes = limitChanges.filter((change) => change.team === team);
 	const faults: string[] = [];
 	for (const { size, at } of refusals.filter((refusal) => refusal.team === team)) {
-		const from = at - staleMs;
+		const from = at - maxInformationAgeMs;
 		const overlapping = tasks.filter(
 			(task) => task.team === team && task.admittedAt <= at && (task.endedAt ?? at) >= from,
 		);
--- a/tests/support/quota-measure.ts
+++ b/tests/support/quota-measure.ts
@@ -31,12 +31,12 @@
 }
 
 async function measureAdmissions(processes: QuotaProcesses): Promise<void> {
-	const { startedTaskCount: started, storeWrites } = processes;
+	const { startedTaskCount: startedBefore, storeWrites } = processes;
 	processes.waitsMs.length = 0;
 	await delay(seconds * 1000);
 	const waits = histogram();
 	for (const wait of processes.waitsMs) waits.recordValue(Math.max(1, Math.round(wait * 1000)));
-	console.log(`admissions a second: ${((processes.startedTaskCount - started) / seconds).toFixed(0)}`);
+	console.log(`admissions a second: ${((processes.startedTaskCount - startedBefore) / seconds).toFixed(0)}`);
 	console.log(
 		`store writes a minute: ${(((processes.storeWrites - storeWrites) * 60) / seconds).toFixed(0)}`,
 	);
