--- a/packages/team-quota/tests/simulation.test.ts
+++ b/packages/team-quota/tests/simulation.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { type Amount, limitAmount } from "../src/amount.js";
 import { setQuota } from "../src/commands.js";
-import { SimulatedCluster } from "./support/cluster-cluster.js";
 import { duplicateIds, findViolations } from "./support/history.js";
+import { SimulatedCluster } from "./support/simulated-cluster.js";
 
 const nodes = ["a", "b", "c", "d"];
 const teams = new Map([
