--- a/packages/team-quota/src/quota-service.ts
+++ b/packages/team-quota/src/quota-service.ts
@@ -45,7 +45,7 @@
 		private readonly leaderKey: string,
 	) {}
 
-	stored(key: string, value: unknown, revision: number): void {
+	applyStoredValue(key: string, value: unknown, revision: number): void {
 		this.participant.applyStoredValue(key, value, revision);
 	}
 
@@ -53,7 +53,7 @@
 	 * Returns the limit and guarantee in effect, or null if the team has no record and the platform's
 	 * settings apply.
 	 */
-	limits(team: string): EffectiveLimits | null {
+	effectiveLimits(team: string): EffectiveLimits | null {
 		const limits = this.participant.effectiveLimits(team);
 		if (!limits) return null;
 		const { limit, guarantee } = limits;
@@ -64,13 +64,13 @@
 		};
 	}
 
-	takeTerms(term: number, terms: unknown): void {
-		this.participant.applyAllotmentUpdate(term, terms);
+	applyAllotmentUpdate(term: number, update: unknown): void {
+		this.participant.applyAllotmentUpdate(term, update);
 	}
 
 	/** Admits up to `maxCount` tasks of this size, and returns how many. */
-	admit(demand: TaskDemand, most: number): number {
-		const admission = this.participant.admit(demand.team, amountOf(demand), most);
+	admit(demand: TaskDemand, maxCount: number): number {
+		const admission = this.participant.admit(demand.team, amountOf(demand), maxCount);
 		return admission.kind === "admitted" ? admission.count : 0;
 	}
 
@@ -79,7 +79,7 @@
 	}
 
 	/** Closes the open batch and returns the reply to send with its admissions. */
-	sendBatch(): HolderReply {
+	closeBatch(): HolderReply {
 		this.participant.closeBatch();
 		return this.participant.reply();
 	}
@@ -88,7 +88,7 @@
 		return this.participant.reply();
 	}
 
-	lead(term: number): LeaderQuota {
+	beginTerm(term: number): LeaderQuota {
 		const manager = this.participant.beginTerm({ key: this.leaderKey, revision: term });
 		return new LeaderQuota(this.participant, manager);
 	}
@@ -101,7 +101,7 @@
 		private readonly manager: AllotmentManager,
 	) {}
 
-	get self(): string {
+	get node(): string {
 		return this.participant.node;
 	}
 
@@ -119,11 +119,11 @@
 	}
 
 	/** Processes a holder's reply. Returns true if the admissions that came with it are valid. */
-	heard(node: string, reply: unknown): boolean {
+	handleReply(node: string, reply: unknown): boolean {
 		return this.participant.handleReply(node, reply);
 	}
 
-	termsFor(node: string): AllotmentUpdate | undefined {
+	nextUpdate(node: string): AllotmentUpdate | undefined {
 		return this.manager.nextUpdate(node) ?? undefined;
 	}
 
@@ -131,7 +131,7 @@
 		return this.manager.mayStart(admittedBy, demand.team, amountOf(demand));
 	}
 
-	hasRoom(demand: TaskDemand, node: string): boolean {
+	canAdmit(demand: TaskDemand, node: string): boolean {
 		return this.manager.canAdmit(node, demand.team, amountOf(demand));
 	}
 
@@ -139,7 +139,7 @@
 		return this.manager.charges.add(demand.team, admittedBy, amountOf(demand));
 	}
 
-	chargeFound(demand: TaskDemand): Charge {
+	chargeUnattributed(demand: TaskDemand): Charge {
 		return this.manager.chargeUnattributed(demand.team, amountOf(demand));
 	}
 
@@ -148,7 +148,7 @@
 	}
 
 	/** Makes the preferred controller's allotment as large as possible; the others keep what they use. */
-	prefer(team: string, preferred: string, nodes: readonly string[]): void {
+	setPreferredHolder(team: string, preferred: string, nodes: readonly string[]): void {
 		this.manager.setPreferredHolder(preferred, team);
 		for (const node of nodes)
 			this.manager.setRequestedAmount(node, team, node === preferred ? unlimitedAmount : zeroAmount);
@@ -158,20 +158,20 @@
 	 * Requests an allotment for this many more tasks at the leader, whichever controller is preferred; 0
 	 * ends the request.
 	 */
-	need(demand: TaskDemand, count: number): void {
+	setLeaderDemand(demand: TaskDemand, count: number): void {
 		const { team } = demand;
 		const additional = multiplyAmount(amountOf(demand), count);
 		const requested = isZeroAmount(additional)
 			? zeroAmount
-			: addAmounts(this.manager.charges.chargedTo(team, this.self), additional);
-		this.manager.setRequestedAmount(this.self, team, requested);
+			: addAmounts(this.manager.charges.chargedTo(team, this.node), additional);
+		this.manager.setRequestedAmount(this.node, team, requested);
 	}
 
 	/**
 	 * Compares the charges with the scheduler's own sums of the running tasks. These sums are not rounded, so
 	 * the charges may be larger by a rounding error for each task.
 	 */
-	scrub(running: readonly TaskDemand[]): void {
+	verifyCharges(running: readonly TaskDemand[]): void {
 		const amounts = running.map((usage): [string, { amount: Amount; tolerance: Amount }] => {
 			const tolerance = demandAmount(usage.cpus * roundingFraction, usage.gpus * roundingFraction);
 			return [usage.team, { amount: amountOf(usage), tolerance: addAmounts(tolerance, oneThousandth) }];
@@ -180,7 +180,7 @@
 	}
 
 	/** Returns the amount that the team runs above a lower limit that is pending, or null if there is none. */
-	excess(team: string): { cpus: number; gpus: number } | null {
+	excessOverPendingLimit(team: string): { cpus: number; gpus: number } | null {
 		const excess = this.manager.excessOverPendingLimit(team);
 		return isZeroAmount(excess) ? null : { cpus: toUnits(excess.cpus), gpus: toUnits(excess.gpus) };
 	}
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -117,7 +117,7 @@
 		this.leadership = new Leadership({
 			node,
 			incarnation,
-			others: others.map((other) => other.node),
+			otherControllers: others.map((other) => other.node),
 			settings: { leaseTtlMs: 800, marginMs: 50, maxCancellationStalenessMs: 60_000 },
 			store: this.store,
 			clock: this.time,
@@ -127,7 +127,12 @@
 			broadcast,
 			onElected: (term) => this.sendToParent({ kind: "leads", term, at: hostClockMs() }),
 			onLeadershipLost: () => this.endTerm(),
-			cancellations: { syncedAt: () => this.time.now(), revision: () => 0, since: () => [], record() {} },
+			cancellations: {
+				syncedAt: () => this.time.now(),
+				replicaRevision: () => 0,
+				since: () => [],
+				record() {},
+			},
 		});
 	}
 
@@ -174,7 +179,7 @@
 
 	private tick(): void {
 		this.leadership.tick(this.leader, this.storeLoaded);
-		const term = this.leadership.authority();
+		const term = this.leadership.authorizedTerm();
 		if (term === null) this.sendProposal([]);
 		else if (this.manager) this.runLeaderTick(this.manager, term);
 		if (this.config.generatesLoad) for (let i = 0; i < 3; i++) this.admitRandomTask();
@@ -197,7 +202,7 @@
 			// Busy-waits until the exact time, so that all nodes request within the same millisecond.
 			while (hostClockMs() < message.at);
 			this.admit(message);
-		} else if (this.leadership.authority() === message.term) {
+		} else if (this.leadership.authorizedTerm() === message.term) {
 			const manager = this.participant.beginTerm({ key: "r/one/leader", revision: message.term });
 			this.manager = manager;
 			this.dropAdmissions([...this.sentBatches.keys()]);
@@ -224,7 +229,7 @@
 
 	private handleProposal(from: string, reply: unknown, tasks: QuotaTask[]): void {
 		const accepted = this.participant.handleReply(from, reply);
-		const term = this.leadership.authority();
+		const term = this.leadership.authorizedTerm();
 		if (term === null || !this.manager || !accepted) return;
 		for (const task of tasks)
 			if (this.mayStart(this.manager, from, task)) this.startTask(this.manager, term, from, task);
@@ -271,7 +276,7 @@
 		this.requestedTasks += 1;
 		const id = `${this.config.incarnation}.${this.requestedTasks}`;
 		const task = { id, team, size, runMs, admittedAt: hostClockMs() };
-		const term = this.leadership.authority();
+		const term = this.leadership.authorizedTerm();
 		const requestedAmount = { cpus: size.cpus * 4, gpus: size.gpus * 4 };
 		if (term !== null) {
 			this.manager?.setRequestedAmount(this.config.node, team, requestedAmount);
