--- a/packages/team-quota/src/planner.ts
+++ b/packages/team-quota/src/planner.ts
@@ -1,106 +1,116 @@
-import { type Amount, greater, lesser, minus } from "./amount.js";
+import { type Amount, maxAmount, minAmount, subtractAmounts } from "./amount.js";
 
-/** One controller as the planner sees it, for one team. */
-export interface HolderNeeds {
+/** The planner's input for one controller and one team. */
+export interface HolderDemand {
 	node: string;
-	/** What it may admit against now. */
+	/** The amount that the controller may admit against now. */
 	held: Amount;
-	/** What its running and admitted tasks take. */
+	/** The amount that its running and admitted tasks use. */
 	used: Amount;
-	/** What its tasks would take if all that wait there could run. */
-	wanted: Amount;
+	/** The amount that its tasks would use if all its waiting tasks ran, too. */
+	requested: Amount;
 }
 
 /**
- * Divides what a team may use among controllers. Max-min fair: nobody gets more while another
- * who wants it has less, but what is in use stays where it is. What nobody wants stays with who
- * holds it, and what nobody holds goes to the first, so that little moves.
+ * Divides the amount that a team may use among controllers. The division is max-min fair: no controller
+ * gets more while another one that requests more has less, except that amounts in use stay where they are.
+ * To move little, an amount that no controller requests stays with its holder, and an amount that no
+ * controller holds goes to the first one.
  */
-export function planAllotments(ceiling: Amount, holders: readonly HolderNeeds[]): Map<string, Amount> {
-	const planOf = (of: (amount: Amount) => number) => planDimension(of(ceiling), holders.map(dimensionOf(of)));
-	const cpus = planOf((amount) => amount.cpus);
-	const gpus = planOf((amount) => amount.gpus);
+export function planAllotments(ceiling: Amount, holders: readonly HolderDemand[]): Map<string, Amount> {
+	const planFor = (select: (amount: Amount) => number) =>
+		planDimension(select(ceiling), holders.map(demandIn(select)));
+	const cpus = planFor((amount) => amount.cpus);
+	const gpus = planFor((amount) => amount.gpus);
 	return new Map(holders.map(({ node }, i) => [node, { cpus: cpus[i] ?? 0, gpus: gpus[i] ?? 0 }]));
 }
 
-interface Needs {
+interface DimensionDemand {
 	held: number;
 	used: number;
-	wanted: number;
+	requested: number;
 }
 
-function dimensionOf(of: (amount: Amount) => number): (needs: HolderNeeds) => Needs {
-	return ({ held, used, wanted }) => ({
-		held: of(held),
-		used: of(used),
-		wanted: Math.max(of(used), of(wanted)),
+function demandIn(select: (amount: Amount) => number): (demand: HolderDemand) => DimensionDemand {
+	return ({ held, used, requested }) => ({
+		held: select(held),
+		used: select(used),
+		requested: Math.max(select(used), select(requested)),
 	});
 }
 
-function planDimension(ceiling: number, holders: Needs[]): number[] {
+function planDimension(ceiling: number, holders: DimensionDemand[]): number[] {
 	const used = holders.map((holder) => holder.used);
-	// After a limit was lowered more may be in use than there is: then that is shared out.
-	if (total(used) >= ceiling) return fill(ceiling, used, 0, used);
-	const shares = fill(
+	// After a limit was lowered, more may be in use than the ceiling: then the ceiling is divided by use.
+	if (total(used) >= ceiling) return fillEvenly(ceiling, used, 0, used);
+	const shares = fillEvenly(
 		ceiling,
-		holders.map((holder) => holder.wanted),
+		holders.map((holder) => holder.requested),
 		0,
 		used,
 		used,
 	);
-	return keepRest(ceiling, holders, shares);
+	return assignUnrequested(ceiling, holders, shares);
 }
 
 function total(values: number[]): number {
 	return values.reduce((sum, value) => sum + value, 0);
 }
 
-/** Raises one common level until the sum is reached: each gets the level, at least its floor, at most its want. */
-function fill(
-	sum: number,
-	wants: number[],
-	lowest: number,
-	heights: number[],
-	floors: number[] = [],
+/**
+ * Raises one common level, by bisection, until the shares reach the capacity. Each share is the level, but
+ * at most the requested amount and at least its minimum.
+ */
+function fillEvenly(
+	capacity: number,
+	requestedAmounts: number[],
+	lowestLevel: number,
+	levelBounds: number[],
+	minimums: number[] = [],
 ): number[] {
-	const at = (level: number) =>
-		wants.map((want, i) => Math.max(floors[i] ?? 0, Math.min(want, Math.floor(level))));
-	if (total(at(Number.MAX_SAFE_INTEGER)) <= sum) return at(Number.MAX_SAFE_INTEGER);
-	let low = lowest;
-	let high = Math.max(...wants, ...heights);
+	const sharesAt = (level: number) =>
+		requestedAmounts.map((requested, i) =>
+			Math.max(minimums[i] ?? 0, Math.min(requested, Math.floor(level))),
+		);
+	if (total(sharesAt(Number.MAX_SAFE_INTEGER)) <= capacity) return sharesAt(Number.MAX_SAFE_INTEGER);
+	let low = lowestLevel;
+	let high = Math.max(...requestedAmounts, ...levelBounds);
 	while (high - low > 1) {
 		const middle = Math.floor((low + high) / 2);
-		if (total(at(middle)) <= sum) low = middle;
+		if (total(sharesAt(middle)) <= capacity) low = middle;
 		else high = middle;
 	}
-	const shares = at(low);
-	// The thousandths that are left over go to the first that want them.
-	let left = sum - total(shares);
+	const shares = sharesAt(low);
+	// The remaining thousandths go to the first holders whose requested amounts are not reached.
+	let remaining = capacity - total(shares);
 	return shares.map((share, i) => {
-		if (left <= 0 || share >= (wants[i] ?? 0)) return share;
-		left -= 1;
+		if (remaining <= 0 || share >= (requestedAmounts[i] ?? 0)) return share;
+		remaining -= 1;
 		return share + 1;
 	});
 }
 
-/** What is wanted by nobody stays with its holders. */
-function keepRest(ceiling: number, holders: Needs[], shares: number[]): number[] {
-	let left = ceiling - total(shares);
-	const kept = shares.map((share, i) => {
-		const more = Math.min(left, Math.max(0, (holders[i]?.held ?? 0) - share));
-		left -= more;
-		return share + more;
+/**
+ * Leaves the rest of the ceiling, which no controller requests, with its holders, and the part without a
+ * holder to the first.
+ */
+function assignUnrequested(ceiling: number, holders: DimensionDemand[], shares: number[]): number[] {
+	let remaining = ceiling - total(shares);
+	const allotments = shares.map((share, i) => {
+		const retained = Math.min(remaining, Math.max(0, (holders[i]?.held ?? 0) - share));
+		remaining -= retained;
+		return share + retained;
 	});
-	if (kept.length > 0) kept[0] = (kept[0] ?? 0) + left;
-	return kept;
+	if (allotments.length > 0) allotments[0] = (allotments[0] ?? 0) + remaining;
+	return allotments;
 }
 
-/** Whether somebody uses or wants more than it may admit against, and has less than its share. */
-export function anyShort(holders: readonly HolderNeeds[], plan: ReadonlyMap<string, Amount>): boolean {
-	return holders.some(({ node, held, used, wanted }) => {
+/** True if a controller uses or requests more than it may admit against, and the plan gives it more. */
+export function anyBelowTarget(holders: readonly HolderDemand[], plan: ReadonlyMap<string, Amount>): boolean {
+	return holders.some(({ node, held, used, requested }) => {
 		const target = plan.get(node);
 		if (!target) return false;
-		const lacking = minus(lesser(target, greater(wanted, used)), held);
-		return lacking.cpus > 0 || lacking.gpus > 0;
+		const shortfall = subtractAmounts(minAmount(target, maxAmount(requested, used)), held);
+		return shortfall.cpus > 0 || shortfall.gpus > 0;
 	});
 }
--- a/packages/team-quota/src/quota-service.ts
+++ b/packages/team-quota/src/quota-service.ts
@@ -1,10 +1,19 @@
-import { type Amount, demandAmount, inUnits, isNothing, nothing, plus, times, unlimited } from "./amount.js";
+import {
+	type Amount,
+	addAmounts,
+	demandAmount,
+	isZeroAmount,
+	multiplyAmount,
+	toUnits,
+	unlimited,
+	zeroAmount,
+} from "./amount.js";
 import type { Charge } from "./charges.js";
+import type { AllotmentUpdate, HolderReply } from "./holder-messages.js";
 import type { AllotmentManager } from "./manager.js";
-import type { TeamQuota } from "./team-quota.js";
-import type { HolderReply, QuotaTerms } from "./terms.js";
+import type { QuotaParticipant } from "./quota-participant.js";
 
-/** What one task takes, in CPUs and accelerators. */
+/** The resources that one task of a team needs, in CPUs and accelerators. */
 export interface TaskDemand {
 	team: string;
 	cpus: number;
@@ -12,7 +21,7 @@
 }
 
 /** A team's limit and guarantee, in CPUs and accelerators; Infinity is no limit. */
-export interface UsableLimits {
+export interface EffectiveLimits {
 	name: string;
 	guaranteed: { cpus: number; gpus: number };
 	limit: { cpus: number; gpus: number };
@@ -20,96 +29,102 @@
 
 const amountOf = ({ cpus, gpus }: TaskDemand): Amount => demandAmount(cpus, gpus);
 const oneThousandth: Amount = { cpus: 1, gpus: 1 };
-/** Sizes are rounded up to thousandths, which is this part of a task of a tenth of a CPU. */
-const roundingPart = 0.01;
-/** The preferred controller is to hold all that nobody else asks for. */
-const everything: Amount = { cpus: unlimited, gpus: unlimited };
-
-/** Team quota as a scheduler uses it: in its own units, and by its own terms. */
+/**
+ * The largest rounding error of a task of 0.1 CPUs, relative to its size: sizes are rounded up to
+ * thousandths.
+ */
+const roundingFraction = 0.01;
+/** The requested amount of the preferred controller, which receives everything that the others do not use. */
+const unlimitedAmount: Amount = { cpus: unlimited, gpus: unlimited };
+
+/** Team quota as the scheduler uses it: in CPUs and accelerators, and by terms of leadership. */
 export class QuotaService {
 	constructor(
-		private readonly quota: TeamQuota,
-		/** The key that a leader holds, whose revision is its term. */
+		private readonly participant: QuotaParticipant,
+		/** The key that the leader holds in the state service; its revision is the term. */
 		private readonly leaderKey: string,
 	) {}
 
 	applyStoredValue(key: string, value: unknown, revision: number): void {
-		this.quota.stored(key, value, revision);
+		this.participant.applyStoredValue(key, value, revision);
 	}
 
-	/** What the team may use for now; null: the platform's settings say it. */
-	effectiveLimits(team: string): UsableLimits | null {
-		const terms = this.quota.terms(team);
-		if (!terms) return null;
-		const { limit, guarantee } = terms;
+	/**
+	 * Returns the limit and guarantee in effect, or null if the team has no record and the platform's
+	 * settings apply.
+	 */
+	effectiveLimits(team: string): EffectiveLimits | null {
+		const limits = this.participant.effectiveLimits(team);
+		if (!limits) return null;
+		const { limit, guarantee } = limits;
 		return {
 			name: team,
-			guaranteed: { cpus: inUnits(guarantee.cpus), gpus: inUnits(guarantee.gpus) },
-			limit: { cpus: inUnits(limit.cpus), gpus: inUnits(limit.gpus) },
+			guaranteed: { cpus: toUnits(guarantee.cpus), gpus: toUnits(guarantee.gpus) },
+			limit: { cpus: toUnits(limit.cpus), gpus: toUnits(limit.gpus) },
 		};
 	}
 
 	applyAllotmentUpdate(term: number, update: unknown): void {
-		this.quota.takeTerms(term, update);
+		this.participant.applyAllotmentUpdate(term, update);
 	}
 
-	/** How many tasks of this size are admitted, of `most`. */
+	/** Admits up to `maxCount` tasks of this size, and returns how many. */
 	admit(demand: TaskDemand, maxCount: number): number {
-		const admission = this.quota.admit(demand.team, amountOf(demand), maxCount);
+		const admission = this.participant.admit(demand.team, amountOf(demand), maxCount);
 		return admission.kind === "admitted" ? admission.count : 0;
 	}
 
 	withdraw(demand: TaskDemand, count: number): void {
-		this.quota.withdraw(demand.team, amountOf(demand), count);
+		this.participant.withdraw(demand.team, amountOf(demand), count);
 	}
 
-	/** The reply that goes with a batch of admissions. */
+	/** Closes the open batch and returns the reply to send with its admissions. */
 	closeBatch(): HolderReply {
-		this.quota.closeBatch();
-		return this.quota.reply();
+		this.participant.closeBatch();
+		return this.participant.reply();
 	}
 
 	reply(): HolderReply {
-		return this.quota.reply();
+		return this.participant.reply();
 	}
 
 	beginTerm(term: number): LeaderQuota {
-		const manager = this.quota.beginTerm({ key: this.leaderKey, revision: term });
-		return new LeaderQuota(this.quota, manager);
+		const manager = this.participant.beginTerm({ key: this.leaderKey, revision: term });
+		return new LeaderQuota(this.participant, manager);
 	}
 }
 
 /** The leader's side, for one term. */
 export class LeaderQuota {
 	constructor(
-		private readonly quota: TeamQuota,
+		private readonly participant: QuotaParticipant,
 		private readonly manager: AllotmentManager,
 	) {}
 
 	get node(): string {
-		return this.quota.node;
+		return this.participant.node;
 	}
 
-	/** All tasks of earlier leaders are charged: from now on allotments count. */
+	/** Starts enforcing allotments. Called once all tasks of earlier leaders are charged. */
 	start(): void {
 		this.manager.start();
 	}
 
 	end(): void {
-		this.quota.endTerm();
+		this.participant.endTerm();
 	}
 
 	tick(): void {
 		this.manager.tick();
 	}
 
-	/** True: the admissions that came with the reply count. */
+	/** Processes a holder's reply. Returns true if the admissions that came with it are valid. */
 	handleReply(node: string, reply: unknown): boolean {
-		return this.quota.heard(node, reply);
+		return this.participant.handleReply(node, reply);
 	}
 
-	nextUpdate(node: string): QuotaTerms | undefined {
-		return this.manager.termsFor(node) ?? undefined;
+	nextUpdate(node: string): AllotmentUpdate | undefined {
+		return this.manager.nextUpdate(node) ?? undefined;
 	}
 
 	mayStart(demand: TaskDemand, admittedBy: string): boolean {
@@ -117,7 +132,7 @@
 	}
 
 	canAdmit(demand: TaskDemand, node: string): boolean {
-		return this.manager.hasRoom(node, demand.team, amountOf(demand));
+		return this.manager.canAdmit(node, demand.team, amountOf(demand));
 	}
 
 	charge(demand: TaskDemand, admittedBy: string): Charge {
@@ -125,39 +140,48 @@
 	}
 
 	chargeUnattributed(demand: TaskDemand): Charge {
-		return this.manager.chargeFound(demand.team, amountOf(demand));
+		return this.manager.chargeUnattributed(demand.team, amountOf(demand));
 	}
 
 	release(charge: Charge): void {
 		this.manager.charges.release(charge);
 	}
 
-	/** The controller whose allotment is to be as large as can be; the others keep what they use. */
+	/** Makes the preferred controller's allotment as large as possible; the others keep what they use. */
 	setPreferredHolder(team: string, preferred: string, nodes: readonly string[]): void {
-		this.manager.prefer(preferred, team);
-		for (const node of nodes) this.manager.want(node, team, node === preferred ? everything : nothing);
+		this.manager.setPreferredHolder(preferred, team);
+		for (const node of nodes)
+			this.manager.setRequestedAmount(node, team, node === preferred ? unlimitedAmount : zeroAmount);
 	}
 
-	/** The leader itself is to admit so many tasks, whoever is preferred; 0: no longer. */
+	/**
+	 * Requests an allotment for this many more tasks at the leader, whichever controller is preferred; 0
+	 * ends the request.
+	 */
 	setLeaderDemand(demand: TaskDemand, count: number): void {
 		const { team } = demand;
-		const more = times(amountOf(demand), count);
-		const wanted = isNothing(more) ? nothing : plus(this.manager.charges.of(team, this.node), more);
-		this.manager.want(this.node, team, wanted);
+		const additional = multiplyAmount(amountOf(demand), count);
+		const requested = isZeroAmount(additional)
+			? zeroAmount
+			: addAmounts(this.manager.charges.chargedTo(team, this.node), additional);
+		this.manager.setRequestedAmount(this.node, team, requested);
 	}
 
-	/** What runs by the scheduler's own count, which rounds nothing: charges may be more by a little for each task. */
+	/**
+	 * Compares the charges with the scheduler's own sums of the running tasks. These sums are not rounded, so
+	 * the charges may be larger by a rounding error for each task.
+	 */
 	verifyCharges(running: readonly TaskDemand[]): void {
-		const counted = running.map((use): [string, { amount: Amount; tolerance: Amount }] => {
-			const tolerance = demandAmount(use.cpus * roundingPart, use.gpus * roundingPart);
-			return [use.team, { amount: amountOf(use), tolerance: plus(tolerance, oneThousandth) }];
+		const amounts = running.map((usage): [string, { amount: Amount; tolerance: Amount }] => {
+			const tolerance = demandAmount(usage.cpus * roundingFraction, usage.gpus * roundingFraction);
+			return [usage.team, { amount: amountOf(usage), tolerance: addAmounts(tolerance, oneThousandth) }];
 		});
-		this.manager.scrub(new Map(counted));
+		this.manager.verifyCharges(new Map(amounts));
 	}
 
-	/** What the team runs above a lower limit that is pending; null: nothing. */
+	/** Returns the amount that the team runs above a lower limit that is pending, or null if there is none. */
 	excessOverPendingLimit(team: string): { cpus: number; gpus: number } | null {
-		const excess = this.manager.excess(team);
-		return isNothing(excess) ? null : { cpus: inUnits(excess.cpus), gpus: inUnits(excess.gpus) };
+		const excess = this.manager.excessOverPendingLimit(team);
+		return isZeroAmount(excess) ? null : { cpus: toUnits(excess.cpus), gpus: toUnits(excess.gpus) };
 	}
 }
--- a/packages/team-quota/src/record.ts
+++ b/packages/team-quota/src/record.ts
@@ -2,198 +2,239 @@
 import {
 	type Amount,
 	AmountSchema,
-	greater,
-	isNothing,
-	lesser,
-	minus,
-	nothing,
-	plus,
-	same,
-	sum,
-	within,
+	addAmounts,
+	fitsWithin,
+	isZeroAmount,
+	maxAmount,
+	minAmount,
+	sameAmount,
+	subtractAmounts,
+	sumAmounts,
+	zeroAmount,
 } from "./amount.js";
 
-/** Why a part of an allotment is taken back. */
+/** Why a part of an allotment is reclaimed. */
 export type RecallReason = "wanted elsewhere" | "limit lowered" | "another placer";
 
 /** The part of a team's limit that one controller may admit against. */
 export interface Allotment {
 	node: string;
-	/** The process that holds it; a later process of the node does not. */
+	/** The process that holds the allotment; a later process of the same node does not hold it. */
 	incarnation: string;
 	amount: Amount;
-	/** Part of the amount that may not be admitted against any more and is not yet free. */
+	/**
+	 * Part of the amount that the holder may no longer admit against, but that is not available to others
+	 * yet.
+	 */
 	reclaiming: Amount;
 	reason: RecallReason | null;
 }
 
-export interface LimitTerms {
+export interface LimitAndGuarantee {
 	limit: Amount;
 	guarantee: Amount;
 }
 
-/** A lower limit that is not in force yet. */
-export interface PendingLimit extends LimitTerms {
+/** A lower limit that is not in force yet, since more than it is allotted. */
+export interface PendingLimit extends LimitAndGuarantee {
 	revision: number;
-	/** Time of day in milliseconds, for operators. */
+	/** Wall-clock time in milliseconds, for operators. */
 	requestedAt: number;
 }
 
-/** All that the state service keeps of one team's limit. */
+/** The stored record of one team's limit. Errors name its fields. */
 export interface QuotaRecord {
 	team: string;
-	/** Counts the changes of the limit that are in force. */
+	/** Revision of the limit in force: 1 at first, and raised by each change. */
 	revision: number;
-	inForce: LimitTerms;
-	/** What the platform's settings said when they were last taken over. */
-	settings: LimitTerms;
+	inForce: LimitAndGuarantee;
+	/** The limits of the platform's settings when they were last applied. */
+	settings: LimitAndGuarantee;
 	pending: PendingLimit | null;
 	allotments: Allotment[];
 }
 
-/** A record that would allow more than the limit. It is never written. */
+/** A record is malformed or would allow more than the limit. Such a record is never written. */
 export class QuotaInvariantError extends Error {}
 
-const mostNodes = 1000;
-const text = v.pipe(v.string(), v.nonEmpty("must not be empty"), v.maxLength(200, "is too long"));
-const count = v.pipe(v.number("must be a number"), v.safeInteger(), v.minValue(0, "must not be negative"));
-const LimitTermsSchema = v.object({ limit: AmountSchema, guarantee: AmountSchema });
+const maxAllotments = 1000;
+const NameSchema = v.pipe(v.string(), v.nonEmpty("must not be empty"), v.maxLength(200, "is too long"));
+const CountSchema = v.pipe(
+	v.number("must be a number"),
+	v.safeInteger(),
+	v.minValue(0, "must not be negative"),
+);
+const LimitAndGuaranteeSchema = v.object({ limit: AmountSchema, guarantee: AmountSchema });
 
 const AllotmentSchema = v.object({
-	node: text,
-	incarnation: text,
+	node: NameSchema,
+	incarnation: NameSchema,
 	amount: AmountSchema,
 	reclaiming: AmountSchema,
 	reason: v.nullable(v.picklist(["wanted elsewhere", "limit lowered", "another placer"])),
 });
 
 const QuotaRecordSchema = v.object({
-	team: text,
-	revision: count,
-	inForce: LimitTermsSchema,
-	settings: LimitTermsSchema,
+	team: NameSchema,
+	revision: CountSchema,
+	inForce: LimitAndGuaranteeSchema,
+	settings: LimitAndGuaranteeSchema,
 	pending: v.nullable(
-		v.object({ ...LimitTermsSchema.entries, revision: count, requestedAt: v.pipe(v.number(), v.finite()) }),
+		v.object({
+			...LimitAndGuaranteeSchema.entries,
+			revision: CountSchema,
+			requestedAt: v.pipe(v.number(), v.finite()),
+		}),
 	),
-	allotments: v.pipe(v.array(AllotmentSchema), v.maxLength(mostNodes, "has too many entries")),
+	allotments: v.pipe(v.array(AllotmentSchema), v.maxLength(maxAllotments, "has too many entries")),
 });
 
-/** The record in its form, or an error that names the first faulty field. */
+/** Returns the validated record, or throws a QuotaInvariantError that names the first invalid field. */
 export function parseRecord(value: unknown): QuotaRecord {
 	const result = v.safeParse(QuotaRecordSchema, value, { abortEarly: true });
 	if (!result.success) {
 		const issue = result.issues[0];
 		throw new QuotaInvariantError(`field "${v.getDotPath(issue) ?? ""}" ${issue.message}`);
 	}
-	return checked(result.output);
+	return assertInvariants(result.output);
 }
 
-/** Allotments, with what is still being reclaimed of them, never exceed the limit in force. */
-export function checked(record: QuotaRecord): QuotaRecord {
+/**
+ * Returns the record if its invariants hold. The main one: all allotments, including the parts that are
+ * still being reclaimed, never exceed the limit in force.
+ */
+export function assertInvariants(record: QuotaRecord): QuotaRecord {
 	const nodes = new Set<string>();
 	for (const { node, amount, reclaiming } of record.allotments) {
 		if (nodes.has(node)) throw new QuotaInvariantError(`field "allotments": "${node}" is named twice`);
 		nodes.add(node);
-		if (!within(reclaiming, amount))
+		if (!fitsWithin(reclaiming, amount))
 			throw new QuotaInvariantError(`field "allotments": more is reclaimed of "${node}" than it holds`);
 	}
-	for (const terms of [record.inForce, record.pending])
-		if (terms && !within(terms.guarantee, terms.limit))
+	for (const limits of [record.inForce, record.pending])
+		if (limits && !fitsWithin(limits.guarantee, limits.limit))
 			throw new QuotaInvariantError('field "guarantee" must not exceed the limit');
-	if (!within(allotted(record), record.inForce.limit))
+	if (!fitsWithin(totalAllotted(record), record.inForce.limit))
 		throw new QuotaInvariantError('field "allotments": together they exceed the limit');
 	return record;
 }
 
-export function newRecord(team: string, settings: LimitTerms): QuotaRecord {
-	return checked({ team, revision: 1, inForce: settings, settings, pending: null, allotments: [] });
+export function newRecord(team: string, settings: LimitAndGuarantee): QuotaRecord {
+	return assertInvariants({ team, revision: 1, inForce: settings, settings, pending: null, allotments: [] });
 }
 
-export function allotted(record: QuotaRecord): Amount {
-	return sum(record.allotments.map((allotment) => allotment.amount));
+export function totalAllotted(record: QuotaRecord): Amount {
+	return sumAmounts(record.allotments.map((allotment) => allotment.amount));
 }
 
 export function allotmentOf(record: QuotaRecord, node: string): Allotment | undefined {
 	return record.allotments.find((allotment) => allotment.node === node);
 }
 
-/** What the holder may admit against. */
+/** Returns the amount that the holder may admit against. */
 export function capOf(allotment: Allotment | undefined): Amount {
-	return allotment ? minus(allotment.amount, allotment.reclaiming) : nothing;
+	return allotment ? subtractAmounts(allotment.amount, allotment.reclaiming) : zeroAmount;
 }
 
-/** No allotment is raised beyond this: a lower limit that is pending must be reached. */
+/**
+ * Returns the limit for raising allotments. A lower limit that is pending applies at once, since the
+ * allotments must shrink to it.
+ */
 export function ceiling({ inForce, pending }: QuotaRecord): Amount {
-	return pending ? lesser(inForce.limit, pending.limit) : inForce.limit;
+	return pending ? minAmount(inForce.limit, pending.limit) : inForce.limit;
 }
 
-/** What no allotment holds. */
+/** Returns the amount that is in no allotment. */
 export function unallotted(record: QuotaRecord): Amount {
-	return minus(ceiling(record), allotted(record));
+	return subtractAmounts(ceiling(record), totalAllotted(record));
 }
 
-export function sameTerms(a: LimitTerms, b: LimitTerms): boolean {
-	return same(a.limit, b.limit) && same(a.guarantee, b.guarantee);
+export function sameLimitAndGuarantee(a: LimitAndGuarantee, b: LimitAndGuarantee): boolean {
+	return sameAmount(a.limit, b.limit) && sameAmount(a.guarantee, b.guarantee);
 }
 
 /**
- * A limit that everything allotted is within holds at once; a lower one is pending, and replaces one
- * that was pending before.
+ * Returns the record with a new limit. The limit is in force at once if all allotments fit within it;
+ * otherwise it is pending, in place of a limit that was pending before.
  */
-export function requestLimit(record: QuotaRecord, terms: LimitTerms, requestedAt: number): QuotaRecord {
+export function requestLimit(
+	record: QuotaRecord,
+	requested: LimitAndGuarantee,
+	requestedAt: number,
+): QuotaRecord {
 	const revision = Math.max(record.revision, record.pending?.revision ?? 0) + 1;
-	if (within(allotted(record), terms.limit))
-		return checked({ ...record, revision, inForce: terms, pending: null });
-	return checked({ ...record, pending: { ...terms, revision, requestedAt } });
+	if (fitsWithin(totalAllotted(record), requested.limit))
+		return assertInvariants({ ...record, revision, inForce: requested, pending: null });
+	return assertInvariants({ ...record, pending: { ...requested, revision, requestedAt } });
 }
 
-/** A pending limit comes into force once everything allotted is within it. */
-export function enforcePending(record: QuotaRecord): QuotaRecord {
+/** Puts a pending limit in force once all allotments fit within it. */
+export function enforcePendingLimit(record: QuotaRecord): QuotaRecord {
 	const { pending } = record;
-	if (!pending || !within(allotted(record), pending.limit)) return record;
+	if (!pending || !fitsWithin(totalAllotted(record), pending.limit)) return record;
 	const { limit, guarantee, revision } = pending;
-	return checked({ ...record, revision, inForce: { limit, guarantee }, pending: null });
+	return assertInvariants({ ...record, revision, inForce: { limit, guarantee }, pending: null });
 }
 
 function withAllotment(record: QuotaRecord, changed: Allotment): QuotaRecord {
-	const others = record.allotments.filter((allotment) => allotment.node !== changed.node);
-	const kept = isNothing(changed.amount) ? others : [...others, changed];
-	kept.sort((a, b) => (a.node < b.node ? -1 : 1));
-	return checked({ ...record, allotments: kept });
+	const otherAllotments = record.allotments.filter((allotment) => allotment.node !== changed.node);
+	const allotments = isZeroAmount(changed.amount) ? otherAllotments : [...otherAllotments, changed];
+	allotments.sort((a, b) => (a.node < b.node ? -1 : 1));
+	return assertInvariants({ ...record, allotments });
 }
 
-/** From here on the holder may admit against `keep` at the most. Keeping all ends a recall. */
-export function recall(record: QuotaRecord, node: string, keep: Amount, reason: RecallReason): QuotaRecord {
+/**
+ * Lowers the amount that the holder may admit against to `newCap`, and marks the rest as being reclaimed.
+ * A cap of the whole amount or more ends a recall.
+ */
+export function recall(record: QuotaRecord, node: string, newCap: Amount, reason: RecallReason): QuotaRecord {
 	const allotment = allotmentOf(record, node);
 	if (!allotment) return record;
-	const reclaiming = minus(allotment.amount, keep);
-	if (same(reclaiming, allotment.reclaiming)) return record;
-	return withAllotment(record, { ...allotment, reclaiming, reason: isNothing(reclaiming) ? null : reason });
+	const reclaiming = subtractAmounts(allotment.amount, newCap);
+	if (sameAmount(reclaiming, allotment.reclaiming)) return record;
+	return withAllotment(record, {
+		...allotment,
+		reclaiming,
+		reason: isZeroAmount(reclaiming) ? null : reason,
+	});
 }
 
-/** The holder has heard of the recall and has so much in use: the rest of what is reclaimed is free. */
-export function settleRecall(record: QuotaRecord, node: string, used: Amount): QuotaRecord {
+/** Releases the reclaimed amount that a holder, which has confirmed the recall, does not use. */
+export function releaseReclaimed(record: QuotaRecord, node: string, used: Amount): QuotaRecord {
 	const allotment = allotmentOf(record, node);
-	if (!allotment || isNothing(allotment.reclaiming)) return record;
+	if (!allotment || isZeroAmount(allotment.reclaiming)) return record;
 	const cap = capOf(allotment);
-	const amount = lesser(allotment.amount, greater(cap, used));
-	if (same(amount, allotment.amount)) return record;
-	const reclaiming = minus(amount, cap);
-	const reason = isNothing(reclaiming) ? null : allotment.reason;
+	const amount = minAmount(allotment.amount, maxAmount(cap, used));
+	if (sameAmount(amount, allotment.amount)) return record;
+	const reclaiming = subtractAmounts(amount, cap);
+	const reason = isZeroAmount(reclaiming) ? null : allotment.reason;
 	return withAllotment(record, { ...allotment, amount, reclaiming, reason });
 }
 
-/** The holder, certainly unable to admit anything any more, loses its allotment. */
+/** Removes the allotment of a holder that can certainly no longer admit anything. */
 export function revoke(record: QuotaRecord, node: string): QuotaRecord {
 	const allotment = allotmentOf(record, node);
-	return allotment ? withAllotment(record, { ...allotment, amount: nothing, reclaiming: nothing }) : record;
-}
-
-/** Gives the process so much more, of what no allotment holds. */
-export function allot(record: QuotaRecord, node: string, incarnation: string, more: Amount): QuotaRecord {
-	const granted = lesser(more, unallotted(record));
-	if (isNothing(granted)) return record;
-	const old = allotmentOf(record, node);
-	const held = old ?? { node, incarnation, amount: nothing, reclaiming: nothing, reason: null };
-	return withAllotment(record, { ...held, amount: plus(held.amount, granted) });
+	return allotment
+		? withAllotment(record, { ...allotment, amount: zeroAmount, reclaiming: zeroAmount })
+		: record;
+}
+
+/** Raises the process's allotment by the requested amount, or by as much of it as is unallotted. */
+export function allot(
+	record: QuotaRecord,
+	node: string,
+	incarnation: string,
+	requested: Amount,
+): QuotaRecord {
+	const granted = minAmount(requested, unallotted(record));
+	if (isZeroAmount(granted)) return record;
+	const existing = allotmentOf(record, node);
+	const allotment = existing ?? {
+		node,
+		incarnation,
+		amount: zeroAmount,
+		reclaiming: zeroAmount,
+		reason: null,
+	};
+	return withAllotment(record, { ...allotment, amount: addAmounts(allotment.amount, granted) });
 }
--- a/src/team-quota.ts
+++ b/src/team-quota.ts
@@ -1,4 +1,4 @@
-import { limitAmount, QuotaService, type QuotaStore, type StoredChange, TeamQuota } from "#team-quota";
+import { limitAmount, QuotaParticipant, QuotaService, type QuotaStore, type StoredChange } from "#team-quota";
 import type { Clock } from "./coordination/ports/clock.js";
 import type { Log } from "./coordination/ports/log.js";
 import type { KeyValueStore } from "./coordination/ports/store.js";
@@ -7,19 +7,19 @@
 import type { OperatorSettings } from "./protocol/settings/operator.js";
 import type { PlatformSettings } from "./protocol/settings/platform.js";
 
-/** Wires team quota to the service: its store, its clocks and the settings of platform and operators. */
+/** Connects team quota to the state service, the clock and the settings of the platform and of operators. */
 
-/** Values are written up to this part of the largest allowed. */
-const valuePart = 0.8;
+/** Maximum size of written values, relative to the largest value that the state service accepts. */
+const maxValueFraction = 0.8;
 
-/** The state service as the package asks for it. */
+/** Adapts the state service to the interface that the package uses. */
 export function quotaStore(store: KeyValueStore): QuotaStore {
 	return {
 		read: async (key) => {
 			const { row } = await store.read(key);
 			return row && { key, value: row.value, revision: row.revision };
 		},
-		rows: async (prefix) => {
+		readPrefix: async (prefix) => {
 			const { rows } = await store.readPrefix(prefix);
 			return rows.map(({ key, value, revision }) => ({ key, value, revision }));
 		},
@@ -33,10 +33,10 @@
 	};
 }
 
-export interface TeamQuotaWiring {
+export interface TeamQuotaDependencies {
 	platform: PlatformSettings;
 	operator: OperatorSettings;
-	/** This process. */
+	/** Identifies this process among all processes of the node. */
 	incarnation: string;
 	store: KeyValueStore;
 	time: Clock;
@@ -44,13 +44,13 @@
 	post(command: () => void): void;
 }
 
-/** null: operators have it switched off. */
-export function makeTeamQuota(wiring: TeamQuotaWiring): TeamQuotaPort | null {
-	const { platform, operator, incarnation, store, time, log, post } = wiring;
+/** Returns null if operators have disabled team quota. */
+export function createTeamQuota(dependencies: TeamQuotaDependencies): TeamQuotaPort | null {
+	const { platform, operator, incarnation, store, time, log, post } = dependencies;
 	const settings = operator.team_quota;
 	if (!settings.enabled) return null;
 	const { teams, state } = platform.cluster;
-	const quota = new TeamQuota({
+	const participant = new QuotaParticipant({
 		node: platform.node,
 		incarnation,
 		nodes: [platform.node, ...platform.others.map(({ node }) => node)].sort(),
@@ -68,14 +68,14 @@
 			marginMs: settings.margin_s * 1000,
 			movePauseMs: settings.move_pause_s * 1000,
 		},
-		prefix: keys.quota,
-		mostBytes: Math.floor(state.value_kb * 1024 * valuePart),
-		mostChanges: state.txn_ops,
+		keyPrefix: keys.quota,
+		maxValueBytes: Math.floor(state.value_kb * 1024 * maxValueFraction),
+		maxChangesPerTransaction: state.txn_ops,
 		store: quotaStore(store),
 		now: () => time.now(),
 		date: () => time.date().getTime(),
 		post,
 		log,
 	});
-	return new QuotaService(quota, keys.leader);
+	return new QuotaService(participant, keys.leader);
 }
