--- a/packages/team-quota/src/charge-verification.ts
+++ b/packages/team-quota/src/charge-verification.ts
@@ -8,7 +8,8 @@
 		| "allotment holder is charged more than its allotment"
 		| "allotment holder is not a controller of the cluster"
 		| "charged amount differs from running tasks";
-	node?: string;
+	/** The node concerned. The field `node` of every log line is the controller that logs. */
+	holder?: string;
 	expected?: Amount;
 	found?: Amount;
 }
@@ -36,7 +37,7 @@
 	const found: QuotaDifference[] = [];
 	for (const { node } of record.allotments)
 		if (!nodes.includes(node))
-			found.push({ team, message: "allotment holder is not a controller of the cluster", node });
+			found.push({ team, message: "allotment holder is not a controller of the cluster", holder: node });
 	for (const node of nodes) {
 		const allotment = record.allotments.find((allotment) => allotment.node === node);
 		const amount = allotment?.amount ?? { cpus: 0, gpus: 0 };
@@ -44,7 +45,7 @@
 			found.push({
 				team,
 				message: "allotment holder is charged more than its allotment",
-				node,
+				holder: node,
 				expected: amount,
 				found: charged(node),
 			});
@@ -69,7 +70,7 @@
 
 	/** Returns those of the found differences that should be reported now. */
 	takePersistent(found: readonly QuotaDifference[]): QuotaDifference[] {
-		const keyOf = ({ team, message, node = "" }: QuotaDifference) => `${team}/${message}/${node}`;
+		const keyOf = ({ team, message, holder = "" }: QuotaDifference) => `${team}/${message}/${holder}`;
 		const current = new Map(found.map((difference) => [keyOf(difference), difference]));
 		const persistent = [...current].filter(([key, difference]) => {
 			const previous = this.previous.get(key);
--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -61,7 +61,7 @@
 	const { platform, operator, incarnation, ports } = options;
 	const { store, clock, log } = ports;
 	const executor = new SerialExecutor(ports.schedule, (error) =>
-		log.error({ err: error }, "state action failed"),
+		log.error({ err: error }, "uncaught exception in the serial executor"),
 	);
 	const post = (action: () => void) => executor.post(action);
 	const peers = new PeerChannel(ports.peers, log);
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -193,7 +193,7 @@
 		if (action !== "up" && counters.up === 0) this.scaleOut.onLoadNormal();
 		const { remainingWork, cpus } = snapshot;
 		this.log.debug(
-			{ remainingWork: Math.round(remainingWork), machines: machineCount, cpus, ...counters, action },
+			{ remainingWorkCpuS: Math.round(remainingWork), machines: machineCount, cpus, ...counters, action },
 			"scaling round",
 		);
 		if (action === "up") this.addCapacity(snapshot);
--- a/src/coordination/leadership/forwarding-policy.ts
+++ b/src/coordination/leadership/forwarding-policy.ts
@@ -58,9 +58,9 @@
 				(this.#enabled ? maxHeartbeatsPerSecondPerCore / 2 : maxHeartbeatsPerSecondPerCore);
 		if (enabled === this.#enabled) return;
 		this.#enabled = enabled;
-		const heartbeatsPerCore = Math.round(heartbeatsPerSecondPerCore);
-		if (enabled) log.info({ heartbeatsPerCore }, "heartbeat forwarding enabled");
-		else log.info({ heartbeatsPerCore }, "heartbeat forwarding disabled");
+		const rounded = Math.round(heartbeatsPerSecondPerCore);
+		if (enabled) log.info({ heartbeatsPerSecondPerCore: rounded }, "heartbeat forwarding enabled");
+		else log.info({ heartbeatsPerSecondPerCore: rounded }, "heartbeat forwarding disabled");
 	}
 
 	/**
--- a/tests/service/malformed-input.test.ts
+++ b/tests/service/malformed-input.test.ts
@@ -28,7 +28,7 @@
 	await world.time.advance(60_000);
 	assert.equal((await world.poll("runner-2", "j-000001")).body.status, "done");
 	assert.equal(logLinesWith(world, "malformed message from a controller").length, 3 * 5);
-	assert.deepEqual(logLinesWith(world, "state action failed"), []);
+	assert.deepEqual(logLinesWith(world, "uncaught exception in the serial executor"), []);
 	assert.deepEqual(world.broken, []);
 });
 
--- a/tests/service/production-compatibility.test.ts
+++ b/tests/service/production-compatibility.test.ts
@@ -111,7 +111,9 @@
 			for (const node of nodeNames) world.controllerOf(node).receivePeerMessage("runner-1", message);
 		await world.time.advance(30_000);
 		assert.deepEqual(
-			world.logs.filter((line) => line.includes("state action failed") || line.includes("malformed")),
+			world.logs.filter(
+				(line) => line.includes("uncaught exception in the serial executor") || line.includes("malformed"),
+			),
 			[],
 		);
 		assert.ok(world.running("j-000001/0"));
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -150,7 +150,7 @@
 	assert.ok(reported.some((line) => line.includes("allotments.0")));
 	assert.ok(reported.some((line) => line.includes("limit")));
 	assert.deepEqual(
-		world.logs.filter((line) => line.includes("state action failed")),
+		world.logs.filter((line) => line.includes("uncaught exception in the serial executor")),
 		[],
 	);
 	assert.deepEqual(world.broken, []);
