--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -160,7 +160,7 @@
 		if (machine.orphans.length > 0) orphanCleanup.stopOrphans(machine, previousOrphans);
 		if (result.firstHeartbeat) fleet.onMachineRunning(machine);
 		if (result.newMachine)
-			log.info({ machineId: machine.id, machineType: machine.type.name }, "machine running");
+			log.info({ machineId: machine.id, machineType: machine.type.name }, "unknown machine running");
 		for (const outcome of result.outcomes) this.recordOutcome(outcome, now);
 		// Outcomes alone do not suffice: a job's last tasks may have ended while there was no leader (trace 33).
 		for (const job of result.jobsWithDoneTasks) this.options.finishIfDone(job);
