--- a/tests/log-messages.test.ts
+++ b/tests/log-messages.test.ts
@@ -23,6 +23,8 @@
 interface LogCall {
 	level: string;
 	message: string;
+	/** The names of the fields that are written out in the call. */
+	fields: string[];
 	/** File and line. */
 	at: string;
 }
@@ -104,13 +106,20 @@
 	return messages;
 }
 
+/** The names in an object literal. Fields that come from a spread or a variable are not included. */
+function fieldNames(fields: ts.Expression | undefined): string[] {
+	if (!fields || !ts.isObjectLiteralExpression(fields)) return [];
+	return fields.properties.flatMap(({ name }) => (name ? [name.getText()] : []));
+}
+
 /** The log calls of one file. The loggers' methods take the fields and the message; `error` of commander takes one argument. */
 function logCallsIn(file: string, source: ts.SourceFile): LogCall[] {
 	return collect(source, (node) => {
 		const call = methodCall(node);
 		if (!call || !levels.includes(call.name) || call.args.length < 2) return undefined;
 		const at = `${file}:${source.getLineAndCharacterOfPosition(node.getStart()).line + 1}`;
-		return messagesOf(call.args[1], file, at).map((message) => ({ level: call.name, message, at }));
+		const fields = fieldNames(call.args[0]);
+		return messagesOf(call.args[1], file, at).map((message) => ({ level: call.name, message, fields, at }));
 	}).flat();
 }
 
@@ -142,7 +151,12 @@
 const allRows = (columns: readonly string[]): TableRow[] => pages.flatMap((page) => rowsOf(page, columns));
 
 const documented = allRows(presentColumns).flatMap(({ page, cells }) =>
-	quotedIn(cells[0]).map((message) => ({ page, message, level: cells[1] as string })),
+	quotedIn(cells[0]).map((message) => ({
+		page,
+		message,
+		level: cells[1] as string,
+		fields: quotedIn(cells[2]),
+	})),
 );
 
 const loggedMessages = new Set(logCalls.map(({ message }) => message));
@@ -165,6 +179,16 @@
 		assert.deepEqual(outdated, [], "correct or remove these rows");
 	});
 
+	test("each field that a log call writes out stands in the row of its message", () => {
+		const fieldsOf = new Map(documented.map(({ message, fields }) => [message, fields]));
+		const missing = logCalls.flatMap(({ message, fields, at }) =>
+			fields
+				.filter((field) => !fieldsOf.get(message)?.includes(field))
+				.map((field) => `${at}: the row "${message}" lacks the field ${field}`),
+		);
+		assert.deepEqual(missing, [], "add or correct these fields");
+	});
+
 	test("each message stands in one row only", () => {
 		const messages = documented.map(({ message }) => message);
 		const repeated = messages.filter((message, index) => messages.indexOf(message) !== index);
