--- a/packages/team-quota/src/holder.ts
+++ b/packages/team-quota/src/holder.ts
@@ -50,7 +50,7 @@
  */
 const maxFreeAmountAgeMs = 1000;
 /** Number of replies whose send times are kept; the leader echoes one of the latest. */
-const maxRememberedReplies = 64;
+const maxTrackedReplies = 64;
 const retryAtLimitMs = 1000;
 const retryElsewhereMs = 200;
 const retryExpiredMs = 500;
@@ -175,7 +175,7 @@
 	reply(requested?: RequestedAmount[]): HolderReply {
 		this.lastReplyNumber += 1;
 		this.replySentAt.set(this.lastReplyNumber, this.options.now());
-		this.replySentAt.delete(this.lastReplyNumber - maxRememberedReplies);
+		this.replySentAt.delete(this.lastReplyNumber - maxTrackedReplies);
 		return {
 			incarnation: this.options.incarnation,
 			number: this.lastReplyNumber,
--- a/src/bookkeeping/remaining-work.ts
+++ b/src/bookkeeping/remaining-work.ts
@@ -13,24 +13,30 @@
 	cpus: number,
 	elapsedS: number,
 	estimateS: number,
-	capS: number,
+	maxRemainingS: number,
 ): number {
 	const percent = estimateS > 0 ? Math.min(maxPercentDone, (100 * elapsedS) / estimateS) : maxPercentDone;
-	return cpus * Math.min(capS, (estimateS * (100 - percent)) / 100);
+	return cpus * Math.min(maxRemainingS, (estimateS * (100 - percent)) / 100);
 }
 
 /** CPU seconds of a task that has not started to run. */
-export function remainingCpuSecondsOfWaiting(cpus: number, estimateS: number, capS: number): number {
-	return cpus * Math.min(capS, estimateS);
+export function remainingCpuSecondsOfWaiting(cpus: number, estimateS: number, maxRemainingS: number): number {
+	return cpus * Math.min(maxRemainingS, estimateS);
 }
 
 /** Remaining CPU seconds of an attempt, by the estimated run time of its job's tasks. */
 export function remainingCpuSecondsOfAttempt(
 	attempt: Pick<Attempt, "runningSince" | "job">,
 	now: number,
-	capS: number,
+	maxRemainingS: number,
 ): number {
 	const { estimatedRunS, spec } = attempt.job;
-	if (attempt.runningSince === null) return remainingCpuSecondsOfWaiting(spec.cpus, estimatedRunS, capS);
-	return remainingCpuSecondsOfRunning(spec.cpus, (now - attempt.runningSince) / 1000, estimatedRunS, capS);
+	if (attempt.runningSince === null)
+		return remainingCpuSecondsOfWaiting(spec.cpus, estimatedRunS, maxRemainingS);
+	return remainingCpuSecondsOfRunning(
+		spec.cpus,
+		(now - attempt.runningSince) / 1000,
+		estimatedRunS,
+		maxRemainingS,
+	);
 }
--- a/src/coordination/fleet/fleet-load.ts
+++ b/src/coordination/fleet/fleet-load.ts
@@ -14,14 +14,14 @@
  * weighted by cores. The load thresholds are multiples of it, so that they have the same meaning for tasks of
  * seconds and of hours.
  */
-export function meanRemainingSeconds(clusterState: ClusterState, capS: number): number {
+export function meanRemainingSeconds(clusterState: ClusterState, maxRemainingS: number): number {
 	let cpus = 0;
 	let sum = 0;
 	for (const job of clusterState.jobs.values()) {
 		if (job.failures.failsEverywhere || job.isService) continue;
 		const jobCpus = (job.waitingTasks.length + job.attempts.size) * job.spec.cpus;
 		cpus += jobCpus;
-		sum += jobCpus * Math.min(job.estimatedRunS, capS);
+		sum += jobCpus * Math.min(job.estimatedRunS, maxRemainingS);
 	}
 	return cpus > 0 ? Math.max(1, sum / cpus / 2) : 1;
 }
@@ -56,10 +56,12 @@
  * Returns the job's remaining work in CPU seconds. Replicas do not end, so each of their cores counts for the
  * mean of a busy core. That lies between the thresholds and causes neither scale-out nor scale-in.
  */
-function remainingWorkOfJob(job: Job, now: number, meanRemainingS: number, capS: number): number {
+function remainingWorkOfJob(job: Job, now: number, meanRemainingS: number, maxRemainingS: number): number {
 	if (job.isService) return (job.waitingTasks.length + job.attempts.size) * job.spec.cpus * meanRemainingS;
-	let work = job.waitingTasks.length * remainingCpuSecondsOfWaiting(job.spec.cpus, job.estimatedRunS, capS);
-	for (const attempt of job.attempts.values()) work += remainingCpuSecondsOfAttempt(attempt, now, capS);
+	let work =
+		job.waitingTasks.length * remainingCpuSecondsOfWaiting(job.spec.cpus, job.estimatedRunS, maxRemainingS);
+	for (const attempt of job.attempts.values())
+		work += remainingCpuSecondsOfAttempt(attempt, now, maxRemainingS);
 	return work;
 }
 
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -160,7 +160,7 @@
 		commandSender,
 		faultAttribution,
 		orphanCleanup,
-		finishIfDone: (job) => liveJobs.finalizeIfDone(job),
+		finalizeIfDone: (job) => liveJobs.finalizeIfDone(job),
 		tickDelay,
 		clock,
 		log,
@@ -180,7 +180,7 @@
 		cycleIntervalMs: operator.placing.cycle_s * 1000,
 		placerTimeoutMs: operator.placing.silent_s * 1000,
 		maxMachinesPerCycle: operator.placing.sample,
-		capS: operator.climb.cap_s,
+		maxRemainingS: operator.climb.cap_s,
 		quota: quotaAdmission && leaderQuota ? { admission: quotaAdmission, leaderQuota } : null,
 		onAttemptAssigned: (attempt) => heartbeats.onAssigned(attempt),
 	});
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -158,8 +158,8 @@
 	}
 
 	/** Returns the controller that forwards the machine's heartbeats; null: the machine sends them to this one. */
-	forwarderFor(machine: MachineId): NodeId | null {
-		return this.components.failureDetector.forwarderFor(machine, this.components.clock.now());
+	forwarderFor(machineId: MachineId): NodeId | null {
+		return this.components.failureDetector.forwarderFor(machineId, this.components.clock.now());
 	}
 
 	/** Applies the cloud's current machine types, whose prices may have changed and which may be added or removed. */
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -81,15 +81,15 @@
 	/** Represents the machines whose stored records are malformed, until all workers' leases have expired. */
 	private malformedRecordsPlaceholder: Machine | null = null;
 	/** Monotonic time from which machines count as unresponsive until they are reconciled. */
-	private unresponsiveTimeFrom: number;
+	private unresponsiveSince: number;
 
 	constructor(private readonly options: FailoverOptions) {
-		this.unresponsiveTimeFrom = options.termStartedAt;
+		this.unresponsiveSince = options.termStartedAt;
 	}
 
 	/** Excludes a process pause from the time without responses, since no response is received during it. */
 	onProcessPause(pauseMs: number): void {
-		this.unresponsiveTimeFrom += pauseMs;
+		this.unresponsiveSince += pauseMs;
 	}
 
 	/** Records that the machine may run unknown tasks, and queues a probe for the latest known epoch of its worker. */
@@ -155,10 +155,10 @@
 			post(() => this.probeFailed(probe));
 			return;
 		}
-		post(() => this.probeAnswered(probe, result));
+		post(() => this.responseReceived(probe, result));
 	}
 
-	private probeAnswered(
+	private responseReceived(
 		{ machine, attemptsLeft }: Probe,
 		{ executed, heartbeat }: DirectCommandResult,
 	): void {
@@ -187,7 +187,7 @@
 	private deleteUnresponsiveMachines(now: number): void {
 		const { clusterState, missingFromCloudList, log } = this.options;
 		const unreconciled = clusterState.unreconciledMachines;
-		const elapsedMs = now - this.unresponsiveTimeFrom;
+		const elapsedMs = now - this.unresponsiveSince;
 		if (unreconciled.size === 0 || elapsedMs < minUnresponsiveMs) return;
 		const notMissing = [...unreconciled].filter((machine) => !missingFromCloudList(machine.id));
 		const withinLimit = notMissing.length <= this.deletionLimit(elapsedMs);
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -50,7 +50,7 @@
 
 	constructor(
 		private readonly clusterState: ClusterState,
-		private readonly capS: number,
+		private readonly maxRemainingS: number,
 		private readonly sampleMachines: (machines: Machine[], maxSize: number) => Machine[],
 		private readonly log: Log,
 	) {}
@@ -173,7 +173,7 @@
 			.filter((attempt) => !attempt.job.isService)
 			.map((attempt) => ({
 				spec: attempt.job.spec,
-				seconds: remainingCpuSecondsOfAttempt(attempt, now, this.capS) / attempt.job.spec.cpus,
+				seconds: remainingCpuSecondsOfAttempt(attempt, now, this.maxRemainingS) / attempt.job.spec.cpus,
 			}))
 			.sort((a, b) => a.seconds - b.seconds);
 		let endingTasks = 0;
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -48,7 +48,7 @@
 	/** The number of machines whose capacity is offered in one cycle; of more, a random sample is offered. */
 	maxMachinesPerCycle: number;
 	/** The maximum remaining seconds that are counted for a task. */
-	capS: number;
+	maxRemainingS: number;
 	/** null: team quota is off. */
 	quota: { admission: QuotaAdmission; leaderQuota: LeaderQuotaPort } | null;
 	/** Called with each attempt that was assigned to a machine, whose start command has yet to be sent. */
@@ -70,7 +70,7 @@
 		this.clusterState = options.clusterState;
 		this.reservations = new MachineReservations(
 			options.clusterState,
-			options.capS,
+			options.maxRemainingS,
 			(machines, maxSize) => randomSample(machines, maxSize, options.random),
 			options.log,
 		);
--- a/src/coordination/replication/replica-sync.ts
+++ b/src/coordination/replication/replica-sync.ts
@@ -167,7 +167,7 @@
 			return;
 		}
 		post(() => {
-			this.responsiveness.callAnswered();
+			this.responsiveness.responseReceived();
 			this.watch();
 		});
 	}
@@ -209,7 +209,7 @@
 	 */
 	private changesReceived(afterRevision: Revision, response: WatchResponse, sentAt: number): void {
 		const { replica } = this.options;
-		this.responsiveness.callAnswered();
+		this.responsiveness.responseReceived();
 		if (!replica.loaded || afterRevision > replica.revision) return;
 		replica.apply(response.events, response.revision);
 		this.#syncedAt = Math.max(this.#syncedAt, sentAt);
--- a/src/coordination/replication/store-responsiveness.ts
+++ b/src/coordination/replication/store-responsiveness.ts
@@ -28,7 +28,7 @@
 	}
 
 	/** Records a response of the store. */
-	callAnswered(): void {
+	responseReceived(): void {
 		this.#lastResponseAt = this.clock.now();
 	}
 
--- a/src/coordination/state/orphan-registry.ts
+++ b/src/coordination/state/orphan-registry.ts
@@ -83,8 +83,8 @@
 	}
 
 	private adjustUnknownCount(machine: Machine, change: 1 | -1): void {
-		const tasks = (this.#unknownDemandCounts.get(machine) ?? 0) + change;
-		if (tasks > 0) this.#unknownDemandCounts.set(machine, tasks);
+		const count = (this.#unknownDemandCounts.get(machine) ?? 0) + change;
+		if (count > 0) this.#unknownDemandCounts.set(machine, count);
 		else this.#unknownDemandCounts.delete(machine);
 	}
 }
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -57,7 +57,7 @@
 	faultAttribution: FaultAttribution;
 	orphanCleanup: OrphanCleanup;
 	/** Ends the job in the store if all its tasks are done. */
-	finishIfDone(job: Job): void;
+	finalizeIfDone(job: Job): void;
 	tickDelay: TickDelay;
 	clock: Clock;
 	log: Log;
@@ -163,7 +163,7 @@
 			log.info({ machineId: machine.id, machineType: machine.type.name }, "machine running");
 		for (const outcome of result.outcomes) this.recordOutcome(outcome, now);
 		// Outcomes alone do not suffice: a job's last tasks may have ended while there was no leader (trace 33).
-		for (const job of result.jobsWithDoneTasks) this.options.finishIfDone(job);
+		for (const job of result.jobsWithDoneTasks) this.options.finalizeIfDone(job);
 		for (const replica of result.startedReplicas) log.debug(replicaLogFields(replica), "replica running");
 		for (const { taskId } of result.lostAttempts) log.info({ machineId: machine.id, taskId }, "task lost");
 		commandSender.sendStops(stopBeforeReclaim(machine, now, heartbeatIntervalS));
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -34,7 +34,7 @@
 			const { agent, health, lifecycle } = machine;
 			if (agent.unreachableSince !== null && !lifecycle.deleting) unreachable.push(machine);
 			if (health.quarantined || health.onProbation) health.applyExpiry(now);
-			this.expireIfSilent(machine, now);
+			this.expireLeaseIfDue(machine, now);
 		}
 		if (overloaded) this.ignoreIfMany(unreachable);
 	}
@@ -70,7 +70,7 @@
 	 * worker has killed its tasks when it ends ("a machine's tasks restart elsewhere only once…" in
 	 * tests/coordination/workers/lease-monitor.test.ts; traces 02, 09, 18).
 	 */
-	private expireIfSilent(machine: Machine, now: number): void {
+	private expireLeaseIfDue(machine: Machine, now: number): void {
 		const { agent } = machine;
 		if (agent.leaseExpired) return;
 		if (!agent.running && !this.clusterState.unreconciledMachines.has(machine)) return;
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -53,7 +53,7 @@
 	return value;
 }
 
-export function quotaCommand(time: Clock): Command {
+export function quotaCommand(clock: Clock): Command {
 	const quota = new Command("quota").description("Shows and changes teams' limits.").exitOverride();
 	const withCommonOptions = (command: Command) =>
 		command
@@ -63,14 +63,14 @@
 			.exitOverride();
 	withCommonOptions(quota.command("show [team]"))
 		.description("Limits, allotments, who holds them, what is pending and why.")
-		.action((team: string | undefined, options: CommandOptions) => run(() => show(time, options, team)));
+		.action((team: string | undefined, options: CommandOptions) => run(() => show(clock, options, team)));
 	withCommonOptions(quota.command("set <team>"))
 		.description("Changes a team's limit or guarantee; what is not named stays.")
 		.option("--cpus <number>", 'the limit, "none" for no limit', parseUnits)
 		.option("--gpus <number>", "the limit of accelerators", parseUnits)
 		.option("--guaranteed-cpus <number>", "the guarantee", parseUnits)
 		.option("--guaranteed-gpus <number>", "the guarantee of accelerators", parseUnits)
-		.action((team: string, options: SetOptions) => run(() => set(time, options, team)));
+		.action((team: string, options: SetOptions) => run(() => set(clock, options, team)));
 	return quota;
 }
 
@@ -87,33 +87,33 @@
 	}
 }
 
-function connect(time: Clock, options: CommandOptions): KeyValueStore {
+function connect(clock: Clock, options: CommandOptions): KeyValueStore {
 	const { cluster, endpoints } = parsePlatform(options.config, readSettingsFile(options.config));
 	return new StoreClient({
 		http: new HttpClient(endpoints.state, maxConnections),
-		clock: time,
+		clock: clock,
 		requestsPerS: cluster.state.rps,
 		writesPerS: cluster.state.write_rps,
 		controllers: 1,
 	});
 }
 
-async function show(time: Clock, options: CommandOptions, team: string | undefined): Promise<string> {
-	const shown = await showQuotas(quotaStore(connect(time, options)), keys.quota, team);
+async function show(clock: Clock, options: CommandOptions, team: string | undefined): Promise<string> {
+	const shown = await showQuotas(quotaStore(connect(clock, options)), keys.quota, team);
 	if (options.json) return JSON.stringify(shown, null, 2);
 	const faults = shown.faults.map(({ key, team: name, fault }) => `unreadable: ${key} ${name}: ${fault}`);
 	return [...shown.teams.map(describeTeam), ...faults].join("\n");
 }
 
-async function set(time: Clock, options: SetOptions, team: string): Promise<string> {
+async function set(clock: Clock, options: SetOptions, team: string): Promise<string> {
 	const { cpus, gpus, guaranteedCpus, guaranteedGpus } = options;
 	const request: LimitRequest = { cpus, gpus, guaranteedCpus, guaranteedGpus };
 	if (Object.values(request).every((value) => value === undefined))
 		throw new QuotaCommandError("name a limit or a guarantee to change", 2);
-	const store = connect(time, options);
+	const store = connect(clock, options);
 	const capacity = await maxCapacity(store, options);
 	const quotas: QuotaStore = quotaStore(store);
-	const shown = await setQuota(quotas, keys.quota, team, request, time.date().getTime(), capacity);
+	const shown = await setQuota(quotas, keys.quota, team, request, clock.date().getTime(), capacity);
 	return options.json ? JSON.stringify(shown, null, 2) : describeTeam(shown);
 }
 
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -109,7 +109,7 @@
 		random: xoroshiro128plus(seed),
 		schedule: setImmediate,
 		createTeamQuota: (post: (action: () => void) => void) =>
-			createTeamQuota({ platform, operator, incarnation, store, time: systemClock, log, post }),
+			createTeamQuota({ platform, operator, incarnation, store, clock: systemClock, log, post }),
 	};
 	return createController({ platform, operator, incarnation, ports });
 }
--- a/src/team-quota.ts
+++ b/src/team-quota.ts
@@ -39,14 +39,14 @@
 	/** Identifies this process among all processes of the node. */
 	incarnation: string;
 	store: KeyValueStore;
-	time: Clock;
+	clock: Clock;
 	log: Log;
 	post(command: () => void): void;
 }
 
 /** Returns null if operators have disabled team quota. */
 export function createTeamQuota(dependencies: TeamQuotaDependencies): TeamQuotaPort | null {
-	const { platform, operator, incarnation, store, time, log, post } = dependencies;
+	const { platform, operator, incarnation, store, clock: time, log, post } = dependencies;
 	const settings = operator.team_quota;
 	if (!settings.enabled) return null;
 	const { teams, state } = platform.cluster;
--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -54,7 +54,7 @@
 				cycleIntervalMs: 200,
 				placerTimeoutMs: 1000,
 				maxMachinesPerCycle: settings.placing.sample,
-				capS: 600,
+				maxRemainingS: 600,
 				onAttemptAssigned: () => {
 					started += 1;
 				},
--- a/tests/coordination/workers/heartbeat-service.test.ts
+++ b/tests/coordination/workers/heartbeat-service.test.ts
@@ -53,7 +53,7 @@
 				store: { read: async () => ({ row: null }) } as never,
 				onFinalRecord() {},
 			}),
-			finishIfDone() {},
+			finalizeIfDone() {},
 			tickDelay: new TickDelay(100, 0),
 			active,
 			recordMachine: (machine) => this.recorded.push(machine),
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -297,7 +297,15 @@
 			random: xoroshiro128plus(this.incarnation),
 			schedule: queueMicrotask,
 			createTeamQuota: (post) =>
-				createTeamQuota({ platform: settings, operator, incarnation, store: storeClient, time, log, post }),
+				createTeamQuota({
+					platform: settings,
+					operator,
+					incarnation,
+					store: storeClient,
+					clock: time,
+					log,
+					post,
+				}),
 		};
 		const controller = createController({ platform: settings, operator, incarnation, ports });
 		const app = publicApi(
