--- a/packages/team-quota/src/allotment-writer.ts
+++ b/packages/team-quota/src/allotment-writer.ts
@@ -23,7 +23,7 @@
 	maxChangesPerTransaction: number;
 	/** Monotonic time in milliseconds. */
 	now(): number;
-	/** Runs the command in the queue of the process that owns this object. */
+	/** Runs the command in the serial executor of the process. */
 	post(command: () => void): void;
 	log: QuotaLog;
 	/** Called with the teams whose records have changed. */
@@ -38,7 +38,7 @@
 const maxBytesPerWrite = 40 * 1024;
 
 /**
- * Writes records by compare-and-set, one transaction at a time, and reports the changed records. A write
+ * Writes records by compare-and-swap, one transaction at a time, and reports the changed records. A write
  * without an answer may still be executed later: its conditions prevent it from overwriting anything
  * written since, and the values are read again before the next write.
  */
--- a/packages/team-quota/src/charges.ts
+++ b/packages/team-quota/src/charges.ts
@@ -1,7 +1,7 @@
 import { type Amount, addAmounts, subtractAmounts, zeroAmount } from "./amount.js";
 
 /**
- * The amount that one task uses of its team's limit until it is proved to have ended, and the node
+ * The amount that one task uses of its team's limit until it is confirmed to have ended, and the node
  * against whose allotment it counts.
  */
 export interface Charge {
--- a/packages/team-quota/src/commands.ts
+++ b/packages/team-quota/src/commands.ts
@@ -41,7 +41,7 @@
 /** The state service holds no record of the team. */
 export class UnknownTeamError extends Error {}
 
-/** Every attempt to write conflicted with a write by someone else. */
+/** Every attempt to write conflicted with another write. */
 export class WriteConflictError extends Error {}
 
 const maxAttempts = 8;
--- a/packages/team-quota/src/holder-messages.ts
+++ b/packages/team-quota/src/holder-messages.ts
@@ -45,8 +45,8 @@
 	/** Number of the last update that was applied. */
 	confirmed: number;
 	/**
-	 * Number of the last closed batch. Links keep their order, so all batches up to it were sent before
-	 * or with this reply.
+	 * Number of the last closed batch. Links keep the order of messages, so all batches up to it were sent
+	 * before or with this reply.
 	 */
 	batch: number;
 	wanted?: RequestedAmount[] | undefined;
--- a/packages/team-quota/src/holder-registry.ts
+++ b/packages/team-quota/src/holder-registry.ts
@@ -48,7 +48,7 @@
  */
 export class HolderRegistry {
 	private readonly currentProcesses = new Map<string, HolderProcess>();
-	/** By node: a process that has not yet proved to be the current one of its node. */
+	/** By node: a process that has confirmed no message yet, and may be an earlier process of its node. */
 	private readonly candidates = new Map<string, HolderProcess>();
 	private readonly endedIncarnations = new Set<string>();
 
@@ -71,8 +71,8 @@
 		if (current?.incarnation === reply.incarnation) return this.recordReply(current, reply, now);
 		const candidate = this.candidateOf(node, reply.incarnation, now);
 		this.recordReply(candidate, reply, now);
-		// A delayed reply of an earlier process must not replace a later process: only a live one confirms
-		// messages.
+		// A delayed reply of an earlier process must not replace a later process. Only a live process confirms
+		// messages of this term.
 		if (candidate.confirmedMessageNumber > 0) this.makeCurrent(node, candidate);
 		return { batchAccepted: false };
 	}
--- a/packages/team-quota/src/manager.ts
+++ b/packages/team-quota/src/manager.ts
@@ -37,7 +37,7 @@
 const checkIntervalMs = 100;
 
 /**
- * The leader's side: divides each team's limit among the controllers by compare-and-set in the state
+ * The leader's side: divides each team's limit among the controllers by compare-and-swap in the state
  * service, and records against whose allotment each task counts. A controller may use an allotment only
  * after the store has confirmed that no other controller holds that part of the limit.
  */
--- a/src/bookkeeping/attempt.ts
+++ b/src/bookkeeping/attempt.ts
@@ -29,7 +29,7 @@
 	readonly graceS: number;
 }
 
-/** A start command was marked as sent or as lost in a phase that rules this out: a programming error. */
+/** Thrown if a start command is marked as sent or as lost in a phase that rules this out: a programming error. */
 export class IllegalTransitionError extends RamphubError {}
 
 /** Initial values of an attempt. */
--- a/src/bookkeeping/final-job-cache.ts
+++ b/src/bookkeeping/final-job-cache.ts
@@ -30,7 +30,7 @@
 /** Cache of jobs that have ended. Final records never change. */
 export class FinalJobCache {
 	private readonly recordsByJob = new Map<JobId, FinalJobRecord>();
-	/** Cancellations since the first load of the replica, which this controller may have reported to users. */
+	/** Cancellations since the first load of the replica, which this controller may have confirmed to users. */
 	private readonly cancellations = new Map<JobId, CancelledJob>();
 	/** The revision after which every cancellation is in the cache. */
 	private cancellationsCompleteAfter: Revision = Number.POSITIVE_INFINITY;
@@ -79,9 +79,9 @@
 	}
 
 	/**
-	 * Returns every cancellation after the revision that this node may have reported to a user. null: the list would be
-	 * incomplete, because cancellations after the revision were evicted, or because an earlier process of the node may
-	 * have reported some that this process never received. Test: "cancellationsSince returns every cancellation ..."
+	 * Returns every cancellation after the revision that this node may have confirmed to a user. null: the list would
+	 * be incomplete, because cancellations after the revision were evicted, or because an earlier process of the node
+	 * may have confirmed some that this process never received. Test: "cancellationsSince returns every cancellation ..."
 	 * in store-replica.test.ts.
 	 */
 	cancellationsSince(revision: Revision): CancelledJob[] | null {
--- a/src/bookkeeping/machine-health.ts
+++ b/src/bookkeeping/machine-health.ts
@@ -5,11 +5,11 @@
 
 import type { Job } from "./job.js";
 
-/** Quarantine and probation expire, because the fault may be gone before the machine is empty and deleted. */
+/** Quarantine and probation expire, because the fault may disappear before the machine is empty and deleted. */
 const quarantineDurationMs = 40_000;
 const probationDurationMs = 20_000;
 
-/** Runs needed to judge a machine's speed: the run times of one job's tasks differ by half. */
+/** Minimum number of runs for an estimate of a machine's speed: the run times of one job's tasks differ by half. */
 const minRunsForSpeed = 10;
 
 /** A machine this many times slower than the mean of others of its type is faulty; sound ones differ by a tenth. */
--- a/src/bookkeeping/remaining-work.ts
+++ b/src/bookkeeping/remaining-work.ts
@@ -1,6 +1,6 @@
 /**
  * The remaining work of tasks in CPU seconds, from which the hill climb computes the load on the machines. Run time
- * estimates are often wrong, so the remaining run time of a task is capped (`capS`, in seconds).
+ * estimates are often wrong, so the remaining run time of a task counts up to a bound (`maxRemainingS`).
  */
 
 import type { Attempt } from "./attempt.js";
--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -125,7 +125,7 @@
 		return this.finalJobs.demandOf(jobId);
 	}
 
-	/** Cancellations after the revision that this node may have reported to users; null: the cache may lack some. */
+	/** Cancellations after the revision that this node may have confirmed to users; null: the cache may lack some. */
 	cancellationsSince(revision: Revision): CancelledJob[] | null {
 		return this.finalJobs.cancellationsSince(revision);
 	}
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -181,7 +181,7 @@
 
 	private handleLeaderHeartbeat(from: NodeId, message: LeaderHeartbeat, now: number): void {
 		const { replica, readiness, runningTaskCounts, teamQuota } = this.components;
-		// Ignores late copies from earlier leaders, so that the task counts shown to users do not go back in time.
+		// Ignores late copies from earlier leaders, so that the task counts shown to users never become older.
 		if (message.term < (replica.leader?.revision ?? 0)) return;
 		if (message.storeReachable) readiness.onPeerStoreReachable(now);
 		runningTaskCounts.replace(message.runningTasks);
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -21,7 +21,10 @@
 	post(action: () => void): void;
 	/** True while this process may act as the leader. */
 	active(): boolean;
-	/** The cloud has confirmed the machine's deletion: its record can be deleted, and its tasks wait again. */
+	/**
+	 * Called when the cloud has confirmed the machine's deletion: its record can be deleted, and its tasks wait
+	 * again.
+	 */
 	onMachineDeleted(machine: Machine): void;
 }
 
@@ -135,7 +138,7 @@
 		this.runRound(takeFleetSnapshot(this.clusterState, now, this.climb));
 	}
 
-	/** The machine has sent its first heartbeat to this leader. */
+	/** Called when the machine has sent its first heartbeat to this leader. */
 	onMachineRunning(machine: Machine): void {
 		if (machine.lifecycle.createdByThisLeader) this.provisioningTimes.recordBoot(machine, this.clock.now());
 	}
--- a/src/coordination/fleet/machine-type-catalog.ts
+++ b/src/coordination/fleet/machine-type-catalog.ts
@@ -17,9 +17,9 @@
 	log: Log;
 	/** Runs the action in the process's serial executor. */
 	post(action: () => void): void;
-	/** The term in which this process may act for the controllers; null: it may not. */
+	/** Returns the term in which this process may act as the leader; null: it may not act. */
 	authorizedTerm(): number | null;
-	/** The machine types in the state service; null: there are none. */
+	/** Returns the machine types in the store; null: there are none. */
 	storedTypes(): MachineType[] | null;
 	/** Called with the machine types that were read from the cloud. */
 	onRefreshed(types: MachineType[]): void;
@@ -36,7 +36,7 @@
 
 	constructor(private readonly options: MachineTypeCatalogOptions) {}
 
-	/** null: they have been read neither from the cloud nor from the state service. */
+	/** The machine types; null: they have been read neither from the cloud nor from the store. */
 	get types(): MachineType[] | null {
 		return this.latestTypes ?? this.options.storedTypes();
 	}
--- a/src/coordination/fleet/replica-capacity.ts
+++ b/src/coordination/fleet/replica-capacity.ts
@@ -197,7 +197,7 @@
 		const fullZones = new Set(
 			Object.keys(replicasByZone).filter((zone) => zoneTaskHeadroom(spec, replicasByZone, zone) < 1),
 		);
-		// More replicas usually follow, so a machine that holds many may be worth its price.
+		// More replicas usually follow, so a larger machine may cost less per replica.
 		let expectedCpus = replicaCount * spec.cpus;
 		for (const expected of this.expectedSpecs()) expectedCpus += expected.taskCount * expected.cpus;
 		const need: ScaleOutNeed = {
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -5,7 +5,7 @@
 import type { ClusterState } from "../state/cluster-state.js";
 import type { ProvisioningTimes } from "./provisioning-times.js";
 
-/** Deleted machines are remembered for this long, since delayed heartbeats of them may still arrive. */
+/** The ids of deleted machines are kept for this long, since delayed heartbeats of them may still arrive. */
 const deletedRetentionMs = 10 * 60_000;
 /** A spot machine is deleted this long before the cloud reclaims it. */
 const reclaimLeadMs = 700;
@@ -20,7 +20,10 @@
 export interface ScaleInHooks {
 	/** Runs the action in the process's serial executor. */
 	post(action: () => void): void;
-	/** The cloud has confirmed the machine's deletion: its record can be deleted, and its tasks wait again. */
+	/**
+	 * Called when the cloud has confirmed the machine's deletion: its record can be deleted, and its tasks wait
+	 * again.
+	 */
 	onMachineDeleted(machine: Machine): void;
 }
 
@@ -124,8 +127,8 @@
 		mayHoldTasks: boolean,
 		now: number,
 	): string | null {
-		// If most machines of a zone are unresponsive, the zone is isolated. What runs there is worth more, once
-		// the zone is reachable again, than new machines that would have to boot then.
+		// If most machines of a zone are unresponsive, the zone is isolated. Its machines are kept for longer: once
+		// the zone is reachable again, they still run their tasks, whereas new machines would have to boot first.
 		const timeoutFactor = this.isolatedZones.has(machine.zone) ? isolatedZoneTimeoutFactor : 1;
 		if (
 			machine.agent.leaseExpired &&
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -56,7 +56,7 @@
 	post(action: () => void): void;
 	/** True while this process may act as the leader. */
 	active(): boolean;
-	/** More machines are needed than the request created: the next round should not wait for the counters. */
+	/** Called when more machines are needed than a request created: the next round should not wait for the counters. */
 	onUnfilled(): void;
 	isDeleted(machine: string): boolean;
 	isZoneIsolated(zone: string): boolean;
--- a/src/coordination/leadership/campaign-holdoff.ts
+++ b/src/coordination/leadership/campaign-holdoff.ts
@@ -52,7 +52,7 @@
 		this.state = { kind: "voted", until: Math.max(earlier, until) };
 	}
 
-	/** Ends a startup hold-off, when no leader can rely on a vote of an earlier process. Others continue. */
+	/** Ends a startup hold-off, when no leader can rely on a vote of an earlier process; one after a vote remains. */
 	endStartupHoldoff(): void {
 		if (this.state.kind === "startup") this.state = { kind: "none" };
 	}
--- a/src/coordination/leadership/failover.ts
+++ b/src/coordination/leadership/failover.ts
@@ -80,7 +80,7 @@
 	private readonly probes: Probe[] = [];
 	/** Represents the machines whose stored records are malformed, until all workers' leases have expired. */
 	private malformedRecordsPlaceholder: Machine | null = null;
-	/** Monotonic time from which machines count as unresponsive until they are reconciled. */
+	/** Monotonic time from which unreconciled machines count as unresponsive. */
 	private unresponsiveSince: number;
 
 	constructor(private readonly options: FailoverOptions) {
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -78,7 +78,7 @@
 	| { kind: "follower"; nextCampaignAt: number }
 	/** A campaign is in progress. */
 	| { kind: "campaigning" }
-	/** Holds the leader key, as far as this process can tell. */
+	/** Has won the leader key and has not resigned since; the key may have been lost without notice. */
 	| { kind: "leader"; lease: LeaderLease };
 
 /** Owns the role of this process: campaigns, renews the lease, votes, and resigns. */
--- a/src/coordination/leadership/peer-channel.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -10,7 +10,7 @@
 import type { Log } from "../ports/log.js";
 import type { PeerMessenger, PeerTransport } from "../ports/peers.js";
 
-/** Beyond this many combinations of sender and kind, each malformed message of a further one is logged. */
+/** Once this many combinations of sender and kind are recorded, every malformed message of another one is logged. */
 const maxTrackedMalformedSources = 200;
 
 /** Sends messages to other controllers and decodes theirs. */
--- a/src/coordination/leadership/worker-reachability.ts
+++ b/src/coordination/leadership/worker-reachability.ts
@@ -17,7 +17,7 @@
 /** A longer gap between ticks shows that the leader had no authority or its process paused in between. */
 const maxTickGapMs = 1500;
 
-/** A worker is reachable if its latest heartbeat is no older than so many heartbeat intervals, plus an allowance. */
+/** A worker is reachable if its latest heartbeat is at most this many heartbeat intervals old, plus an allowance. */
 const maxHeartbeatAgeIntervals = 2.5;
 const heartbeatAgeSlackMs = 500;
 
@@ -30,7 +30,7 @@
 /** Older replies of other controllers are ignored. */
 const maxReplyAgeMs = 2000;
 
-/** The leader resigns only if at least one in so many running workers sent heartbeats to the same other controller. */
+/** The leader resigns only if at least one in this many running workers sent heartbeats to one other controller. */
 const misdirectedThresholdDivisor = 10;
 
 /** The latest reply of another controller to the leader's heartbeat. */
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -4,7 +4,7 @@
 import { isService, type JobSpec } from "../../protocol/model/job.js";
 import type { Grant, MachineCapacity, Placement } from "../../protocol/peer/messages.js";
 
-/** Sums of decimals drift; amounts that differ by less are equal. */
+/** Amounts that differ by less are equal: sums of decimal fractions accumulate rounding errors. */
 const tolerance = 1e-6;
 
 /**
--- a/src/coordination/placement/grants.ts
+++ b/src/coordination/placement/grants.ts
@@ -8,7 +8,7 @@
 
 /** A job is not placed on a machine for this long after one of its tasks failed there. */
 const avoidFailedMachinesMs = 20_000;
-/** A job is not placed on machines of a type that does not suit it for this long after its last failure. */
+/** A job is not placed on machines of a type that is unfit for it, for this long after its last failure. */
 const avoidUnfitTypesMs = 60_000;
 
 export interface TeamGrant {
@@ -16,10 +16,9 @@
 	grant: Grant;
 }
 
-/** The time of a decision, in milliseconds of both clocks. */
+/** The time of a decision by both clocks, in milliseconds. */
 export interface ClockReadings {
 	monotonicMs: number;
-	/** Time of day. */
 	wallClockMs: number;
 }
 
--- a/src/coordination/placement/job-order.ts
+++ b/src/coordination/placement/job-order.ts
@@ -39,7 +39,7 @@
 const lateDeadlineFactor = 1.5;
 
 /**
- * Returns the time of day, in milliseconds, by which the job is ordered. Ordering by deadlines alone would
+ * Returns the wall-clock time, in milliseconds, by which the job is ordered. Ordering by deadlines alone would
  * cascade: a job that is already late delays the next one past its deadline, and so on. So a job that can no
  * longer meet its deadline is ordered by the later time until which it is still of use, and once it cannot meet
  * that either, after all jobs that can meet theirs.
@@ -67,8 +67,8 @@
  * Shortest remaining time alone would starve the largest array as long as smaller jobs arrive, so a job's age
  * is deducted from its remaining time.
  *
- * @param wallClockMs Time of day in milliseconds. A job's age must not depend on which process leads, so
- *   monotonic time will not do.
+ * @param wallClockMs Wall-clock time in milliseconds. Monotonic time differs from process to process, and a job's
+ *   age must not depend on which process leads.
  */
 export function schedulingOrder(
 	jobs: Job[],
--- a/src/coordination/placement/machine-reservations.ts
+++ b/src/coordination/placement/machine-reservations.ts
@@ -10,7 +10,7 @@
 const minWaitS = 60;
 /** The maximum number of machines reserved at a time, as a fraction of the schedulable machines. */
 const maxReservedFraction = 0.05;
-/** The number of machines searched for the one on which a task fits soonest; of more, a random sample is searched. */
+/** Maximum number of machines searched for the one on which a task fits soonest: a random sample if there are more. */
 const maxSampledMachines = 100;
 const searchIntervalMs = 1000;
 /**
@@ -26,7 +26,7 @@
 
 interface Reservation {
 	machine: Machine;
-	/** Monotonic time. */
+	/** Monotonic time at which the reservation is cancelled if the task does not fit until then. */
 	expiresAt: number;
 }
 
@@ -59,7 +59,7 @@
 	 * Starts the tasks that fit on their reserved machines and reserves further machines. Called before each
 	 * placement.
 	 *
-	 * @param wallClockMs Time of day in milliseconds.
+	 * @param wallClockMs Wall-clock time in milliseconds.
 	 * @returns The attempts that were assigned.
 	 */
 	update(now: number, wallClockMs: number): Attempt[] {
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -45,7 +45,7 @@
 	cycleIntervalMs: number;
 	/** A placer that has not answered a request within this time is marked unresponsive. */
 	placerTimeoutMs: number;
-	/** The number of machines whose capacity is offered in one cycle; of more, a random sample is offered. */
+	/** Maximum number of machines whose capacity is offered in one cycle: a random sample if there are more. */
 	maxMachinesPerCycle: number;
 	/** The maximum remaining seconds that are counted for a task. */
 	maxRemainingS: number;
@@ -131,7 +131,7 @@
 
 	/**
 	 * Requests allotments for the tasks that the leader's own node admits: those that fit on reserved machines,
-	 * and those of jobs that their placers do not know.
+	 * and those of jobs that their placers have reported as unknown.
 	 */
 	private updateLeaderDemands(now: number): void {
 		const { quota } = this.options;
--- a/src/coordination/ports/team-quota.ts
+++ b/src/coordination/ports/team-quota.ts
@@ -47,9 +47,9 @@
 	nextUpdate(node: string): unknown;
 	/** True if the node's holder responds and its allotment has capacity for one more task. */
 	canAdmit(demand: TaskDemand, node: string): boolean;
-	/** Moves the team's allotments to the preferred node, as far as the other nodes do not use theirs. */
+	/** Moves the parts of the team's allotments that the other nodes do not use to the preferred node. */
 	setPreferredHolder(team: string, preferred: string, nodes: readonly string[]): void;
-	/** Requests an allotment for so many further tasks on this controller, whichever holder is preferred; 0: none. */
+	/** Requests an allotment for this many further tasks on this controller, whichever holder is preferred; 0: none. */
 	setLeaderDemand(demand: TaskDemand, count: number): void;
 	/** Compares the charges with the usage of the running tasks by the leader's own count. */
 	verifyCharges(running: readonly TaskDemand[]): void;
--- a/src/coordination/preemption/preemption-planner.ts
+++ b/src/coordination/preemption/preemption-planner.ts
@@ -18,7 +18,7 @@
  */
 const minTaskLimitPerJob = 8;
 const taskLimitPerMachine = 0.01;
-/** Sums of decimals drift; amounts that differ by less are equal. */
+/** Amounts that differ by less are equal: sums of decimal fractions accumulate rounding errors. */
 const tolerance = 1e-6;
 /**
  * Tasks expected to end within this time provide capacity for as many waiting tasks, for which nothing is
@@ -79,7 +79,7 @@
 	);
 }
 
-/** The number of machines searched for tasks to stop; of more, a random sample is searched. */
+/** Maximum number of machines searched for tasks to stop: a random sample if there are more. */
 const maxSampledMachines = 150;
 
 interface ResourceAmounts {
--- a/src/coordination/replication/record-chunk.ts
+++ b/src/coordination/replication/record-chunk.ts
@@ -33,7 +33,7 @@
 	stale = false;
 	readonly #entries = new Map<string, V>();
 	#bytes = 0;
-	/** The entries that were set since the latest write that included them; those of a write in flight are not here. */
+	/** The entries that were set since the latest write that included them, without those of a write in flight. */
 	private unwritten = new Map<string, V>();
 	/** The chunks that the entries were moved to; empty: this chunk was not split. */
 	private successors: readonly RecordChunk<V>[] = [];
--- a/src/coordination/state/cluster-state.ts
+++ b/src/coordination/state/cluster-state.ts
@@ -141,7 +141,7 @@
 
 	// --- machines ---
 
-	/** The machines that may run tasks or be rented, in the order in which they were added. */
+	/** The machines that exist or may exist, in the order in which they were added. */
 	get machines(): ReadonlyMap<MachineId, Machine> {
 		return this.#machines;
 	}
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -73,7 +73,7 @@
 	term: Term;
 	/** Monotonic time of its latest message. */
 	lastMessageAt: number;
-	/** True if it reports that most workers can reach it. */
+	/** True if it reports that at least half of the workers can reach it. */
 	workersReachable: boolean;
 	/** True if it requests that heartbeats be forwarded to it. */
 	forwardHeartbeats: boolean;
--- a/src/coordination/workers/task-reconciliation.ts
+++ b/src/coordination/workers/task-reconciliation.ts
@@ -61,7 +61,7 @@
 	/**
 	 * Ends or retries the attempts that the heartbeat does not list.
 	 *
-	 * @param newAgentEpoch The worker's lease expired since the previous heartbeat, so it has killed all its tasks.
+	 * @param newAgentEpoch True if the worker's lease expired since the previous heartbeat, so its tasks were killed.
 	 * @returns Attempts that were on the machine and have disappeared.
 	 */
 	reconcileAbsent(newAgentEpoch: boolean): Attempt[] {
