--- a/packages/team-quota/src/commands.ts
+++ b/packages/team-quota/src/commands.ts
@@ -38,10 +38,10 @@
 	allotments: ShownAllotment[];
 }
 
-/** The state service holds no record of the team. */
+/** Thrown if the state service holds no record of the team. */
 export class UnknownTeamError extends Error {}
 
-/** Every attempt to write conflicted with another write. */
+/** Thrown if every attempt to write conflicted with another write. */
 export class WriteConflictError extends Error {}
 
 const maxAttempts = 8;
--- a/packages/team-quota/src/holder-messages.ts
+++ b/packages/team-quota/src/holder-messages.ts
@@ -17,7 +17,7 @@
 	free: Amount;
 }
 
-/** From the allotment manager to a holder. */
+/** A message from the allotment manager to a holder. */
 export interface AllotmentUpdate {
 	/** The process that the message is for, not an earlier process of the same node. */
 	incarnation: string;
@@ -37,7 +37,7 @@
 	amount: Amount;
 }
 
-/** From a holder to the allotment manager. */
+/** A message from a holder to the allotment manager. */
 export interface HolderReply {
 	incarnation: string;
 	/** Sequence number of the replies of this process. */
--- a/packages/team-quota/src/limit-change.ts
+++ b/packages/team-quota/src/limit-change.ts
@@ -9,7 +9,7 @@
 	guaranteedGpus?: number | undefined;
 }
 
-/** The requested change is invalid; the message contains the reason. */
+/** Thrown if a requested change is invalid; the message contains the reason. */
 export class LimitChangeError extends Error {}
 
 function requestedUnits(field: string, value: number | undefined, current: number): number {
--- a/packages/team-quota/src/record.ts
+++ b/packages/team-quota/src/record.ts
@@ -54,7 +54,7 @@
 	allotments: Allotment[];
 }
 
-/** A record is malformed or would allow more than the limit. Such a record is never written. */
+/** Thrown if a record is malformed or would allow more than the limit. Such a record is never written. */
 export class QuotaInvariantError extends Error {}
 
 const maxAllotments = 1000;
--- a/src/bookkeeping/final-job-cache.ts
+++ b/src/bookkeeping/final-job-cache.ts
@@ -73,7 +73,7 @@
 		return this.demands.get(jobId) ?? this.recordsByJob.get(jobId)?.demand ?? null;
 	}
 
-	/** The replica was loaded as of this revision: every later cancellation is added. */
+	/** Called when the replica was loaded as of this revision: from then on every later cancellation is added. */
 	onReplicaLoaded(revision: Revision): void {
 		this.cancellationsCompleteAfter = Math.min(this.cancellationsCompleteAfter, revision);
 	}
--- a/src/bookkeeping/machine-health.ts
+++ b/src/bookkeeping/machine-health.ts
@@ -23,12 +23,12 @@
 
 type HealthState =
 	| { kind: "healthy" }
-	| { kind: "probation"; sinceAt: number }
+	| { kind: "probation"; startedAt: number }
 	| {
 			kind: "quarantined";
 			cause: QuarantineCause;
-			sinceAt: number;
-			/** A probation after a failure has not ended, and continues if the quarantine is lifted. */
+			startedAt: number;
+			/** True if a probation after a failure has not ended: it continues if the quarantine is lifted. */
 			probationPending: boolean;
 	  };
 
@@ -90,8 +90,8 @@
 	startProbation(now: number): void {
 		this.#state =
 			this.#state.kind === "quarantined"
-				? { ...this.#state, sinceAt: now, probationPending: true }
-				: { kind: "probation", sinceAt: now };
+				? { ...this.#state, startedAt: now, probationPending: true }
+				: { kind: "probation", startedAt: now };
 	}
 
 	/** Ends the probation, because a task has succeeded or the jobs were at fault. */
@@ -102,7 +102,7 @@
 
 	/** Quarantines the machine, or changes the cause of its quarantine. */
 	quarantine(cause: QuarantineCause, now: number): void {
-		this.#state = { kind: "quarantined", cause, sinceAt: now, probationPending: this.onProbation };
+		this.#state = { kind: "quarantined", cause, startedAt: now, probationPending: this.onProbation };
 	}
 
 	/** Ends the quarantine because the evidence has turned out to be insufficient; a pending probation continues. */
@@ -110,7 +110,7 @@
 		const state = this.#state;
 		if (state.kind !== "quarantined") return;
 		this.#state = state.probationPending
-			? { kind: "probation", sinceAt: state.sinceAt }
+			? { kind: "probation", startedAt: state.startedAt }
 			: { kind: "healthy" };
 	}
 
@@ -118,11 +118,11 @@
 	applyExpiry(now: number): void {
 		const state = this.#state;
 		if (state.kind === "healthy") return;
-		const elapsedMs = now - state.sinceAt;
+		const elapsedMs = now - state.startedAt;
 		if (state.kind === "quarantined" && elapsedMs > quarantineDurationMs) {
 			this.clearFailures();
 			this.#comparedRuns = 0;
-			this.#state = { kind: "probation", sinceAt: now };
+			this.#state = { kind: "probation", startedAt: now };
 		} else if (elapsedMs > probationDurationMs) this.clearProbation();
 	}
 
--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -60,7 +60,7 @@
 
 	// --- contents ---
 
-	/** The replica holds every change up to this revision; -1: it was never loaded. */
+	/** Revision up to which the replica holds every change; -1: it was never loaded. */
 	get revision(): Revision {
 		return this.#revision;
 	}
--- a/src/bookkeeping/worker-agent.ts
+++ b/src/bookkeeping/worker-agent.ts
@@ -14,11 +14,11 @@
 
 /** Evidence in a heartbeat for whether earlier responses reached the worker. */
 export interface ResponseEffects {
-	/** The worker's lease expired although its heartbeats have been answered recently. */
+	/** True if the worker's lease expired although its heartbeats have been answered recently. */
 	leaseExpired: boolean;
-	/** A start command was sent, and the following heartbeat does not list the attempt. */
+	/** True if a start command was sent, and the following heartbeat does not list the attempt. */
 	startMissing: boolean;
-	/** The heartbeat lists an attempt for which a start command was sent. */
+	/** True if the heartbeat lists an attempt for which a start command was sent. */
 	startListed: boolean;
 }
 
--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -13,7 +13,7 @@
 
 interface DrainCandidate {
 	machine: Machine;
-	/** Replicas run on it, which would have to be relocated. */
+	/** True if replicas run on it, which would have to be relocated. */
 	hasReplicas: boolean;
 	/**
 	 * CPU seconds of remaining work per hourly price: of two equally busy machines, the more expensive one
@@ -114,8 +114,8 @@
 		for (const job of this.clusterState.jobs.values()) {
 			if (job.waitingTasks.length === 0) continue;
 			if (machines.some((m) => !chosen.has(m) && fitsEmptyMachine(m, job))) continue;
-			const holder = machines.find((m) => fitsEmptyMachine(m, job));
-			if (holder) chosen.delete(holder);
+			const fittingMachine = machines.find((m) => fitsEmptyMachine(m, job));
+			if (fittingMachine) chosen.delete(fittingMachine);
 		}
 	}
 
--- a/src/coordination/jobs/job-results.ts
+++ b/src/coordination/jobs/job-results.ts
@@ -14,7 +14,7 @@
 	running: number;
 }
 
-/** The request has no certain result at present. It may succeed when it is repeated. */
+/** The result of a request whose outcome is not certain. The request may succeed when it is repeated. */
 export interface Unavailable {
 	kind: "unavailable";
 	/** Shown to the user. */
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -89,7 +89,7 @@
 	/** True: only machines that have the image cached; false: only the others. */
 	withImage: boolean;
 	maxPerMachine: number;
-	/** Skips machines that run a replica of the job. */
+	/** True: skips machines that run a replica of the job. */
 	skipMachinesWithTask: boolean;
 }
 
--- a/src/coordination/placement/job-order.ts
+++ b/src/coordination/placement/job-order.ts
@@ -83,7 +83,7 @@
 			return {
 				job,
 				tier: urgent ? job.priorityRank : 2,
-				due: urgent ? effectiveDueAt(job, wallClockMs) : 0,
+				dueAt: urgent ? effectiveDueAt(job, wallClockMs) : 0,
 				weightedRemainingS:
 					(job.priorityRank > 2 ? remainingS * bestEffortLengthFactor : remainingS) -
 					ageingWeight * ageS(job, wallClockMs),
@@ -92,7 +92,7 @@
 		.sort(
 			(a, b) =>
 				a.tier - b.tier ||
-				(a.due === b.due ? 0 : a.due - b.due) ||
+				(a.dueAt === b.dueAt ? 0 : a.dueAt - b.dueAt) ||
 				a.weightedRemainingS - b.weightedRemainingS ||
 				a.job.acceptedAt - b.job.acceptedAt,
 		)
--- a/src/coordination/workers/lease-monitor.ts
+++ b/src/coordination/workers/lease-monitor.ts
@@ -36,7 +36,7 @@
 			if (health.quarantined || health.onProbation) health.applyExpiry(now);
 			this.expireLeaseIfDue(machine, now);
 		}
-		if (overloaded) this.ignoreIfMany(unreachable);
+		if (overloaded) this.assumeReachableIfMany(unreachable);
 	}
 
 	/**
@@ -44,7 +44,7 @@
 	 * the cause is that its own responses are late, and deleting the machines would lose all the work on them (trace
 	 * 23).
 	 */
-	private ignoreIfMany(unreachable: readonly Machine[]): void {
+	private assumeReachableIfMany(unreachable: readonly Machine[]): void {
 		const maxCredible = Math.max(
 			maxCredibleUnreachable,
 			this.clusterState.machines.size * maxCredibleUnreachableFraction,
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -24,7 +24,7 @@
 
 /** `ramphub quota`: operators read and change teams' limits directly in the state service. */
 
-/** The command failed. Exit code 2: the request was refused; 1: the state service failed or was contended. */
+/** Thrown if the command fails. Exit code 2: the request is refused; 1: the state service fails, or writes conflict. */
 export class QuotaCommandError extends Error {
 	constructor(
 		message: string,
