--- a/packages/team-quota/src/holder-registry.ts
+++ b/packages/team-quota/src/holder-registry.ts
@@ -125,8 +125,11 @@
 		const process = this.currentProcesses.get(node);
 		if (process && process.incarnation !== incarnation) return true;
 		const { termStartedAt, expiryMs, marginMs } = this.options;
-		const validFrom = Math.max(termStartedAt, process?.echoedReplyReceivedAt ?? Number.NEGATIVE_INFINITY);
-		return now > validFrom + expiryMs * (1 + 2 * maxClockDriftFraction) + marginMs;
+		const expiryCountsFrom = Math.max(
+			termStartedAt,
+			process?.echoedReplyReceivedAt ?? Number.NEGATIVE_INFINITY,
+		);
+		return now > expiryCountsFrom + expiryMs * (1 + 2 * maxClockDriftFraction) + marginMs;
 	}
 
 	/** Adds the team to the node's next messages until one is confirmed, since its allotment or charge changed. */
--- a/packages/team-quota/src/manager.ts
+++ b/packages/team-quota/src/manager.ts
@@ -229,8 +229,8 @@
 		let mostAvailable = -1;
 		for (const { node, amount } of record?.allotments ?? []) {
 			const available = subtractAmounts(amount, this.charges.chargedTo(team, node));
-			const availableUnits = size.cpus > 0 ? available.cpus : available.gpus;
-			if (availableUnits > mostAvailable) [bestNode, mostAvailable] = [node, availableUnits];
+			const availableThousandths = size.cpus > 0 ? available.cpus : available.gpus;
+			if (availableThousandths > mostAvailable) [bestNode, mostAvailable] = [node, availableThousandths];
 		}
 		return bestNode;
 	}
--- a/src/coordination/controller-composition.ts
+++ b/src/coordination/controller-composition.ts
@@ -161,7 +161,7 @@
 	return new Leadership({
 		node: platform.node,
 		incarnation,
-		otherControllers: otherControllers,
+		otherControllers,
 		settings: {
 			leaseTtlMs: operator.leadership.ttl_s * 1000,
 			marginMs: operator.leadership.margin_s * 1000,
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -115,7 +115,7 @@
 	const leaderQuota = options.teamQuota?.beginTerm(term) ?? null;
 	const failureDetector = new FailureDetector({
 		term,
-		termStartedAt: termStartedAt,
+		termStartedAt,
 		platform,
 		settings: operator,
 		clusterState,
@@ -209,7 +209,7 @@
 	const failover = new Failover({
 		clusterState,
 		workers,
-		termStartedAt: termStartedAt,
+		termStartedAt,
 		log,
 		post,
 		active,
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -91,7 +91,7 @@
 	const { cluster, endpoints } = parsePlatform(options.config, readSettingsFile(options.config));
 	return new StoreClient({
 		http: new HttpClient(endpoints.state, maxConnections),
-		clock: clock,
+		clock,
 		requestsPerS: cluster.state.rps,
 		writesPerS: cluster.state.write_rps,
 		controllers: 1,
