--- a/src/coordination/fleet/drain.ts
+++ b/src/coordination/fleet/drain.ts
@@ -46,7 +46,7 @@
 		this.log.info({ machineIds: [...chosen].map((m) => m.id) }, "draining started");
 	}
 
-	/** Returns the first candidates, as many as the low threshold allows. */
+	/** Returns the first candidates, as many as the low threshold allows, less those kept for waiting jobs. */
 	private chooseMachines(candidates: DrainCandidate[], snapshot: FleetSnapshot): Set<Machine> {
 		const cpusOfCandidates = candidates.map(({ machine }) => machine.type.cpus);
 		const lowThresholdPerCpu = this.climb.low * snapshot.meanRemainingS;
--- a/src/coordination/leadership/peer-channel.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -22,7 +22,7 @@
 		private readonly log: Log,
 	) {}
 
-	/** Best effort: a message to a controller that cannot be reached is dropped. */
+	/** Sends a message, best effort: it is dropped if the controller cannot be reached. */
 	send(node: NodeId, message: PeerMessage): void {
 		this.transport.send(node, encodePeerMessage(message));
 	}
--- a/src/coordination/ports/peers.ts
+++ b/src/coordination/ports/peers.ts
@@ -5,12 +5,12 @@
 
 /** Sends messages to other controllers. */
 export interface PeerMessenger {
-	/** Best effort: a message to a controller that cannot be reached is dropped. */
+	/** Sends a message, best effort: it is dropped if the controller cannot be reached. */
 	send(node: NodeId, message: PeerMessage): void;
 }
 
 /** Sends encoded messages to other controllers. */
 export interface PeerTransport {
-	/** Best effort: a message to a controller that cannot be reached is dropped. */
+	/** Sends a message, best effort: it is dropped if the controller cannot be reached. */
 	send(node: NodeId, encoded: unknown): void;
 }
--- a/src/coordination/ports/store.ts
+++ b/src/coordination/ports/store.ts
@@ -13,8 +13,8 @@
 
 /**
  * The priority of a call within the store's write rate limit. A call for a waiting user (`user`) is sent at once,
- * and retried if the store refuses it for its rate. `normal` and `background` calls wait until the rate limit leaves
- * capacity for them, `background` calls for more of it.
+ * and retried if the store refuses it for its rate. `normal` and `background` calls wait for unused capacity within
+ * the rate limit; `background` calls require more of it to be unused.
  */
 export type WritePriority = "user" | "normal" | "background";
 
