--- a/packages/team-quota/src/allotment-writer.ts
+++ b/packages/team-quota/src/allotment-writer.ts
@@ -39,7 +39,7 @@
 
 /**
  * Writes records by compare-and-swap, one transaction at a time, and reports the changed records. A write
- * without an answer may still be executed later: its conditions prevent it from overwriting anything
+ * without a response may still be executed later: its conditions prevent it from overwriting anything
  * written since, and the values are read again before the next write.
  */
 export class AllotmentWriter {
--- a/src/bookkeeping/worker-agent.ts
+++ b/src/bookkeeping/worker-agent.ts
@@ -14,7 +14,7 @@
 
 /** Evidence in a heartbeat for whether earlier responses reached the worker. */
 export interface ResponseEffects {
-	/** True if the worker's lease expired although its heartbeats have been answered recently. */
+	/** True if the worker's lease expired although responses were sent to it recently. */
 	leaseExpired: boolean;
 	/** True if a start command was sent, and the following heartbeat does not list the attempt. */
 	startMissing: boolean;
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -73,7 +73,7 @@
 		this.scheduleTick();
 	}
 
-	/** Resigns leadership and stops; requests in progress may still be answered. */
+	/** Resigns leadership and stops; responses to requests in progress may still be sent. */
 	stop(): void {
 		this.stopped = true;
 		this.components.replicaSync.stop();
--- a/src/coordination/jobs/job-state-reader.ts
+++ b/src/coordination/jobs/job-state-reader.ts
@@ -1,4 +1,4 @@
-/** Linearizable reads of job states: no answer is older than one that any controller has given before. */
+/** Linearizable reads of job states: no response is older than an earlier one of any controller. */
 
 import type { StoreReplica } from "../../bookkeeping/store-replica.js";
 import type { JobId } from "../../protocol/model/identifiers.js";
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -72,7 +72,7 @@
 	ports: LeaderPorts;
 	/** True if this process is authorized to act as the leader of the term now. */
 	mayAct(): boolean;
-	/** True if the store answers this controller. */
+	/** True if the store responds to this controller. */
 	storeReachable(): boolean;
 	/** Resigns leadership. */
 	resign(reason: ResignationReason): void;
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -54,7 +54,7 @@
 }
 
 /**
- * The leader of one term. It reconciles the machines of the previous leader, answers workers' heartbeats, and drives
+ * The leader of one term. It reconciles the machines of the previous leader, responds to heartbeats, and drives
  * the components that decide about placement, preemption, relocation and the fleet. All of its methods run in the
  * process's serial executor.
  */
@@ -152,7 +152,7 @@
 
 	// --- workers ---
 
-	/** Returns the commands for a worker; null: this process may not answer as the leader. */
+	/** Returns the commands for a worker; null: this process may not respond as the leader. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
 		return this.components.heartbeats.handle(heartbeat);
 	}
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -147,7 +147,7 @@
 		const now = this.options.clock.now();
 		switch (message.kind) {
 			case "leader-query":
-				this.answerQuery(message.incarnation);
+				this.replyToQuery(message.incarnation);
 				break;
 			case "leader-query-reply":
 				this.holdoff.replyReceived(from, message);
@@ -234,7 +234,7 @@
 		return this.role.kind === "follower" && this.options.clock.now() >= this.campaign.unresolvedWriteUntil;
 	}
 
-	private answerQuery(incarnation: Incarnation): void {
+	private replyToQuery(incarnation: Incarnation): void {
 		const term = this.currentTerm;
 		this.options.broadcast({
 			kind: "leader-query-reply",
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -43,7 +43,7 @@
 	log: Log;
 	/** The minimum time between two cycles. */
 	cycleIntervalMs: number;
-	/** A placer that has not answered a request within this time is marked unresponsive. */
+	/** A placer that has not responded to a request within this time is marked unresponsive. */
 	placerTimeoutMs: number;
 	/** Maximum number of machines whose capacity is offered in one cycle: a random sample if there are more. */
 	maxMachinesPerCycle: number;
@@ -91,7 +91,7 @@
 
 	/**
 	 * Discards the outstanding requests after a process pause: their proposals would be for the state before the
-	 * pause, and placers that seem to have exceeded the timeout may have answered.
+	 * pause, and placers that seem to have exceeded the timeout may have responded.
 	 */
 	onProcessPause(): void {
 		this.outstandingRequests.clear();
--- a/src/coordination/placement/placer.ts
+++ b/src/coordination/placement/placer.ts
@@ -6,7 +6,7 @@
 import { placeWithinAllotments } from "./admitted-placement.js";
 import { placeFirstFit } from "./first-fit.js";
 
-/** Answers the leader's placement requests from this controller's replica of the store. */
+/** Responds to the leader's placement requests from this controller's replica of the store. */
 export class Placer {
 	/** @param teamQuota null: team quota is off, and the leader alone checks limits. */
 	constructor(
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -34,9 +34,10 @@
 	}
 
 	/**
-	 * True if users' connections should go to this controller. If the store does not answer it, it can only respond
-	 * 503. It is then not ready if it is isolated or if the store answers others, since users should connect to these.
-	 * If the store answers no controller, it stays ready, because a controller taken out of rotation would return late.
+	 * True if users' connections should go to this controller. If the store does not respond to it, it can only return
+	 * 503. It is then not ready if it is isolated or if the store responds to others, since users should connect to
+	 * these. If the store responds to no controller, it stays ready, because a controller taken out of rotation would
+	 * return late.
 	 */
 	get ready(): boolean {
 		const { replica, replicaSync, hasPeers, clock } = this.options;
--- a/src/coordination/workers/heartbeat-forwarder.ts
+++ b/src/coordination/workers/heartbeat-forwarder.ts
@@ -19,14 +19,14 @@
 interface ForwardingRequest {
 	/** Monotonic time at which the heartbeat was accepted for forwarding. */
 	sentAt: number;
-	/** Called with null if the leader may not answer, or has not answered in time. */
+	/** Called with null if the leader may not respond, or has not responded in time. */
 	respond(commands: WorkerCommand[] | null): void;
 }
 
 /**
  * Owns the heartbeats forwarded to the leader that have no response yet. A forwarder makes no decisions and holds no
- * other state: the leader answers each heartbeat, and its response goes to the worker under the leader's fencing token.
- * For the worker and the leader, forwarding is equivalent to a slower network (docs/safety.md; traces 33 to 38).
+ * other state: the leader responds to each heartbeat, and the response goes to the worker under the leader's fencing
+ * token. For the worker and the leader, forwarding is equivalent to a slower network (docs/safety.md; traces 33 to 38).
  */
 export class HeartbeatForwarder {
 	private leader: NodeId = "";
@@ -55,7 +55,7 @@
 	 * Forwards a heartbeat to the leader.
 	 *
 	 * @returns null during the backoff after a timeout. Otherwise the leader's commands, or null if the leader may not
-	 *   answer or has not answered in time.
+	 *   respond or has not responded in time.
 	 */
 	forward(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> | null {
 		const now = this.clock.now();
--- a/src/coordination/workers/heartbeat-router.ts
+++ b/src/coordination/workers/heartbeat-router.ts
@@ -29,7 +29,7 @@
 
 /** The part of a leader that the router uses. */
 export interface HeartbeatHandler {
-	/** Applies a heartbeat and returns the response's commands; null: this process may not answer as the leader. */
+	/** Applies a heartbeat and returns the response's commands; null: this process may not respond as the leader. */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null>;
 	/** Returns the controller that forwards the machine's heartbeats; null: the machine sends them to this one. */
 	forwarderFor(machineId: MachineId): NodeId | null;
@@ -93,7 +93,7 @@
 		this.responseBatches = new ForwardedResponseBatches(options.peers, options.clock);
 	}
 
-	/** Answers a worker's heartbeat sent to this node. */
+	/** Returns the response to a worker's heartbeat sent to this node. */
 	async handle(heartbeat: WorkerHeartbeat): Promise<HeartbeatResponse> {
 		const active = this.options.activeLeader();
 		if (active) {
@@ -108,7 +108,7 @@
 	}
 
 	/**
-	 * Handles the heartbeat as the leader; null: this node may not answer, e.g. its authority ended during the hold.
+	 * Handles the heartbeat as the leader; null: this node may not respond, e.g. its authority ended during the hold.
 	 */
 	private async handleAsLeader(
 		{ leader, term }: ActiveLeader,
@@ -145,12 +145,12 @@
 	handleForwarded(from: NodeId, { term, heartbeats }: ForwardedHeartbeats): void {
 		const active = this.options.activeLeader();
 		for (const forwarded of heartbeats) {
-			if (active?.term === term) void this.answerForwarded(from, active, forwarded);
+			if (active?.term === term) void this.respondToForwarded(from, active, forwarded);
 			else this.responseBatches.add(from, term, { requestId: forwarded.requestId, commands: null });
 		}
 	}
 
-	private async answerForwarded(
+	private async respondToForwarded(
 		from: NodeId,
 		active: ActiveLeader,
 		{ requestId, heartbeat }: ForwardedHeartbeat,
@@ -237,7 +237,7 @@
 	};
 }
 
-/** Returns the response of the term's leader. If it may not answer, the worker must try another controller. */
+/** Returns the response of the term's leader. If it may not respond, the worker must try another controller. */
 function responseOf(term: Term, commands: WorkerCommand[] | null): HeartbeatResponse {
 	if (commands === null) return { kind: "redirect", node: null };
 	return { kind: "commands", fencingToken: fencingTokenOf(term), commands };
--- a/src/coordination/workers/heartbeat-service.ts
+++ b/src/coordination/workers/heartbeat-service.ts
@@ -40,7 +40,7 @@
 
 /** The part of the fleet that the heartbeat service uses. */
 export interface MachineLifecycleListener {
-	/** True if the cloud has confirmed the machine's deletion: late heartbeats of it must not be answered. */
+	/** True if the cloud has confirmed the machine's deletion: late heartbeats of it must get no response. */
 	isDeleted(machineId: MachineId): boolean;
 	/** Called when the machine has sent its first heartbeat to this leader. */
 	onMachineRunning(machine: Machine): void;
@@ -85,7 +85,7 @@
 		this.pending = new PendingHeartbeats({ clock, post, commandsFor: (id) => this.commandsById(id) });
 	}
 
-	/** Reconciles a heartbeat and returns the response's commands; null: this process may not answer as the leader. */
+	/** Reconciles a heartbeat and returns the response's commands; null: this process may not respond as the leader. */
 	handle(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
 		const { term, fleet, clock } = this.options;
 		// A worker that has received a later token drops this leader's response, and its lease would expire while it
@@ -125,7 +125,7 @@
 		return this.pending.hold(machine.id, now + holdMs, "idle");
 	}
 
-	/** Returns the commands for a response sent now, which may renew the lease; null: this process may not answer. */
+	/** Returns the commands for a response sent now, which may renew the lease; null: this process may not respond. */
 	private commandsFor(machine: Machine): WorkerCommand[] | null {
 		if (!this.options.active()) return null;
 		machine.agent.responseSent(this.options.clock.now());
@@ -239,7 +239,7 @@
 	}
 }
 
-/** The result for a heartbeat that this process may not answer. */
+/** The result for a heartbeat to which this process may not respond. */
 const refusedResponse: Promise<null> = Promise.resolve(null);
 
 function replicaLogFields({ taskId, machine }: Attempt): object {
--- a/src/coordination/workers/orphan-cleanup.ts
+++ b/src/coordination/workers/orphan-cleanup.ts
@@ -44,7 +44,7 @@
 
 	/**
 	 * Stops the machine's orphaned tasks by direct command. It is not certain that a heartbeat response will contain
-	 * the stops: for example, a probe during a failover returns a heartbeat that is not answered.
+	 * the stops: for example, a probe during a failover returns a heartbeat that gets no response.
 	 *
 	 * @param previousOrphans The orphaned tasks as of the previous heartbeat, for which stops have been sent.
 	 */
--- a/src/coordination/workers/pending-heartbeats.ts
+++ b/src/coordination/workers/pending-heartbeats.ts
@@ -12,10 +12,10 @@
 
 /** A heartbeat whose response is held. */
 interface PendingHeartbeat {
-	/** Monotonic time at which it is answered at the latest. */
+	/** Monotonic time at which the response is sent at the latest. */
 	dueAt: number;
 	reason: PendingReason;
-	/** Called with null if this process may not answer as the leader. */
+	/** Called with null if this process may not respond as the leader. */
 	respond(commands: WorkerCommand[] | null): void;
 }
 
@@ -24,7 +24,7 @@
 	clock: Clock;
 	/** Runs an action in the process's serial executor. */
 	post(action: () => void): void;
-	/** Returns the commands for a response to the machine sent now; null: this process may not answer. */
+	/** Returns the commands for a response to the machine sent now; null: this process may not respond. */
 	commandsFor(machineId: MachineId): WorkerCommand[] | null;
 }
 
@@ -50,13 +50,13 @@
 		});
 	}
 
-	/** Answers the machine's pending heartbeat without commands, because a later one has arrived. */
+	/** Responds to the machine's pending heartbeat without commands, because a later one has arrived. */
 	supersede(machineId: MachineId): void {
 		this.pending.get(machineId)?.respond([]);
 		this.pending.delete(machineId);
 	}
 
-	/** Answers the machine's pending heartbeat now. */
+	/** Responds to the machine's pending heartbeat now. */
 	release(machineId: MachineId): void {
 		const heartbeat = this.pending.get(machineId);
 		if (!heartbeat) return;
@@ -64,12 +64,12 @@
 		heartbeat.respond(this.options.commandsFor(machineId));
 	}
 
-	/** Answers all heartbeats whose responses are held for a placement. */
+	/** Responds to all heartbeats whose responses are held for a placement. */
 	releaseAwaitingPlacement(): void {
 		for (const [machineId, { reason }] of this.pending) if (reason === "placement") this.release(machineId);
 	}
 
-	/** Completes all pending heartbeats with null, because this process may no longer answer them. */
+	/** Completes all pending heartbeats with null, because this process may no longer respond to them. */
 	refuseAll(): void {
 		for (const { respond } of this.pending.values()) respond(null);
 		this.pending.clear();
--- a/tests/bookkeeping/store-replica.test.ts
+++ b/tests/bookkeeping/store-replica.test.ts
@@ -25,7 +25,7 @@
 	assert.equal(replica.jobs.has("j-1"), false);
 });
 
-test("cancellationsSince returns every cancellation after a revision that the node may have reported, or null if some may be missing", () => {
+test("cancellationsSince returns every cancellation after a revision that the node may have confirmed to a user, or null if some may be missing", () => {
 	const replica = new StoreReplica();
 	const cancelled = (id: string, revision: number) =>
 		replica.applyConfirmedWrite(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
@@ -35,7 +35,7 @@
 	assert.equal(
 		replica.cancellationsSince(9),
 		null,
-		"an earlier process may have reported cancellations from before the load",
+		"an earlier process may have confirmed cancellations from before the load",
 	);
 	cancelled("j-000001", 12);
 	assert.ok(
