--- a/src/bookkeeping/store-replica.ts
+++ b/src/bookkeeping/store-replica.ts
@@ -60,7 +60,7 @@
 
 	// --- contents ---
 
-	/** The replica holds every change up to this revision; -1: it was never loaded. */
+	/** Revision up to which the replica holds every change; -1: it was never loaded. */
 	get revision(): Revision {
 		return this.#revision;
 	}
@@ -125,7 +125,7 @@
 		return this.finalJobs.demandOf(jobId);
 	}
 
-	/** Cancellations after the revision that this node may have reported to users; null: the cache may lack some. */
+	/** Cancellations after the revision that this node may have confirmed to users; null: the cache may lack some. */
 	cancellationsSince(revision: Revision): CancelledJob[] | null {
 		return this.finalJobs.cancellationsSince(revision);
 	}
--- a/src/coordination/leader-composition.ts
+++ b/src/coordination/leader-composition.ts
@@ -72,7 +72,7 @@
 	ports: LeaderPorts;
 	/** True if this process is authorized to act as the leader of the term now. */
 	mayAct(): boolean;
-	/** True if the store answers this controller. */
+	/** True if the store responds to this controller. */
 	storeReachable(): boolean;
 	/** Resigns leadership. */
 	resign(reason: ResignationReason): void;
@@ -115,7 +115,7 @@
 	const leaderQuota = options.teamQuota?.beginTerm(term) ?? null;
 	const failureDetector = new FailureDetector({
 		term,
-		termStartedAt: termStartedAt,
+		termStartedAt,
 		platform,
 		settings: operator,
 		clusterState,
@@ -160,7 +160,7 @@
 		commandSender,
 		faultAttribution,
 		orphanCleanup,
-		finishIfDone: (job) => liveJobs.finalizeIfDone(job),
+		finalizeIfDone: (job) => liveJobs.finalizeIfDone(job),
 		tickDelay,
 		clock,
 		log,
@@ -180,7 +180,7 @@
 		cycleIntervalMs: operator.placing.cycle_s * 1000,
 		placerTimeoutMs: operator.placing.silent_s * 1000,
 		maxMachinesPerCycle: operator.placing.sample,
-		capS: operator.climb.cap_s,
+		maxRemainingS: operator.climb.cap_s,
 		quota: quotaAdmission && leaderQuota ? { admission: quotaAdmission, leaderQuota } : null,
 		onAttemptAssigned: (attempt) => heartbeats.onAssigned(attempt),
 	});
@@ -209,7 +209,7 @@
 	const failover = new Failover({
 		clusterState,
 		workers,
-		termStartedAt: termStartedAt,
+		termStartedAt,
 		log,
 		post,
 		active,
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -78,7 +78,7 @@
 	| { kind: "follower"; nextCampaignAt: number }
 	/** A campaign is in progress. */
 	| { kind: "campaigning" }
-	/** Holds the leader key, as far as this process can tell. */
+	/** Has won the leader key and has not resigned since; the key may have been lost without notice. */
 	| { kind: "leader"; lease: LeaderLease };
 
 /** Owns the role of this process: campaigns, renews the lease, votes, and resigns. */
@@ -147,7 +147,7 @@
 		const now = this.options.clock.now();
 		switch (message.kind) {
 			case "leader-query":
-				this.answerQuery(message.incarnation);
+				this.replyToQuery(message.incarnation);
 				break;
 			case "leader-query-reply":
 				this.holdoff.replyReceived(from, message);
@@ -234,7 +234,7 @@
 		return this.role.kind === "follower" && this.options.clock.now() >= this.campaign.unresolvedWriteUntil;
 	}
 
-	private answerQuery(incarnation: Incarnation): void {
+	private replyToQuery(incarnation: Incarnation): void {
 		const term = this.currentTerm;
 		this.options.broadcast({
 			kind: "leader-query-reply",
--- a/src/coordination/leadership/peer-channel.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -10,7 +10,7 @@
 import type { Log } from "../ports/log.js";
 import type { PeerMessenger, PeerTransport } from "../ports/peers.js";
 
-/** Beyond this many combinations of sender and kind, each malformed message of a further one is logged. */
+/** Once this many combinations of sender and kind are recorded, every malformed message of another one is logged. */
 const maxTrackedMalformedSources = 200;
 
 /** Sends messages to other controllers and decodes theirs. */
@@ -22,7 +22,7 @@
 		private readonly log: Log,
 	) {}
 
-	/** Best effort: a message to a controller that cannot be reached is dropped. */
+	/** Sends a message, best effort: it is dropped if the controller cannot be reached. */
 	send(node: NodeId, message: PeerMessage): void {
 		this.transport.send(node, encodePeerMessage(message));
 	}
--- a/src/coordination/placement/first-fit.ts
+++ b/src/coordination/placement/first-fit.ts
@@ -4,7 +4,7 @@
 import { isService, type JobSpec } from "../../protocol/model/job.js";
 import type { Grant, MachineCapacity, Placement } from "../../protocol/peer/messages.js";
 
-/** Sums of decimals drift; amounts that differ by less are equal. */
+/** Amounts that differ by less are equal: sums of decimal fractions accumulate rounding errors. */
 const tolerance = 1e-6;
 
 /**
@@ -89,7 +89,7 @@
 	/** True: only machines that have the image cached; false: only the others. */
 	withImage: boolean;
 	maxPerMachine: number;
-	/** Skips machines that run a replica of the job. */
+	/** True: skips machines that run a replica of the job. */
 	skipMachinesWithTask: boolean;
 }
 
--- a/src/coordination/placement/placement-cycle.ts
+++ b/src/coordination/placement/placement-cycle.ts
@@ -43,12 +43,12 @@
 	log: Log;
 	/** The minimum time between two cycles. */
 	cycleIntervalMs: number;
-	/** A placer that has not answered a request within this time is marked unresponsive. */
+	/** A placer that has not responded to a request within this time is marked unresponsive. */
 	placerTimeoutMs: number;
-	/** The number of machines whose capacity is offered in one cycle; of more, a random sample is offered. */
+	/** Maximum number of machines whose capacity is offered in one cycle: a random sample if there are more. */
 	maxMachinesPerCycle: number;
 	/** The maximum remaining seconds that are counted for a task. */
-	capS: number;
+	maxRemainingS: number;
 	/** null: team quota is off. */
 	quota: { admission: QuotaAdmission; leaderQuota: LeaderQuotaPort } | null;
 	/** Called with each attempt that was assigned to a machine, whose start command has yet to be sent. */
@@ -70,7 +70,7 @@
 		this.clusterState = options.clusterState;
 		this.reservations = new MachineReservations(
 			options.clusterState,
-			options.capS,
+			options.maxRemainingS,
 			(machines, maxSize) => randomSample(machines, maxSize, options.random),
 			options.log,
 		);
@@ -91,7 +91,7 @@
 
 	/**
 	 * Discards the outstanding requests after a process pause: their proposals would be for the state before the
-	 * pause, and placers that seem to have exceeded the timeout may have answered.
+	 * pause, and placers that seem to have exceeded the timeout may have responded.
 	 */
 	onProcessPause(): void {
 		this.outstandingRequests.clear();
@@ -131,7 +131,7 @@
 
 	/**
 	 * Requests allotments for the tasks that the leader's own node admits: those that fit on reserved machines,
-	 * and those of jobs that their placers do not know.
+	 * and those of jobs that their placers have reported as unknown.
 	 */
 	private updateLeaderDemands(now: number): void {
 		const { quota } = this.options;
