--- a/src/coordination/fleet/cloud-inventory.ts
+++ b/src/coordination/fleet/cloud-inventory.ts
@@ -65,10 +65,10 @@
 		const all: ListedMachine[] = [];
 		let afterId = "";
 		for (;;) {
-			const { machines, more } = await this.readPage(afterId);
+			const { machines, hasMore } = await this.readPage(afterId);
 			all.push(...machines);
 			const last = machines.at(-1);
-			if (!more || !last) return all;
+			if (!hasMore || !last) return all;
 			afterId = last.id;
 		}
 	}
--- a/src/coordination/leadership/feature-gate.ts
+++ b/src/coordination/leadership/feature-gate.ts
@@ -62,12 +62,12 @@
 	constructor(private readonly options: FeatureGateOptions) {}
 
 	/** Adds the supported features to the recorded ones. It is called after each reply of a controller. */
-	recordSupport(recorded: FeatureSet, supported: Omit<FeatureSet, "unknown">): void {
+	recordSupport(recorded: FeatureSet, supported: Omit<FeatureSet, "unknownFields">): void {
 		const serviceJobs = recorded.serviceJobs || supported.serviceJobs;
 		const teamQuota = recorded.teamQuota || supported.teamQuota;
 		const alreadyRecorded = serviceJobs === recorded.serviceJobs && teamQuota === recorded.teamQuota;
 		if (alreadyRecorded || this.writeInFlight || this.options.clock.now() < this.nextWriteAt) return;
-		void this.write({ serviceJobs, teamQuota, unknown: recorded.unknown });
+		void this.write({ serviceJobs, teamQuota, unknownFields: recorded.unknownFields });
 	}
 
 	private async write(features: FeatureSet): Promise<void> {
--- a/src/coordination/leadership/lease-extension-voter.ts
+++ b/src/coordination/leadership/lease-extension-voter.ts
@@ -58,13 +58,13 @@
 		if (mayVote()) this.vote(request);
 	}
 
-	private vote({ term, requestNumber, knownRevision }: LeaseExtensionRequest): void {
+	private vote({ term, requestNumber, replicaRevision }: LeaseExtensionRequest): void {
 		const { holdOffAfterVote, broadcast, cancellationsSince } = this.options;
 		holdOffAfterVote();
 		// The list is built in the same action that sends the vote. A cancellation that is not listed is confirmed to
 		// its user after the request was sent, so with this vote the leader has every cancellation of this voter that
 		// was confirmed before the request was sent. Traces 39 and 40; see docs/safety.md.
-		const cancellations = knownRevision === undefined ? null : cancellationsSince(knownRevision);
+		const cancellations = replicaRevision === undefined ? null : cancellationsSince(replicaRevision);
 		broadcast({
 			kind: "lease-extension-vote",
 			term,
--- a/src/coordination/leadership/lease-extension.ts
+++ b/src/coordination/leadership/lease-extension.ts
@@ -74,7 +74,7 @@
 			kind: "lease-extension-request",
 			term,
 			requestNumber: this.requestNumber,
-			knownRevision: replicaRevision(),
+			replicaRevision: replicaRevision(),
 		});
 	}
 
--- a/src/coordination/leadership/peer-channel.ts
+++ b/src/coordination/leadership/peer-channel.ts
@@ -5,7 +5,7 @@
 
 import { MalformedMessageError } from "../../protocol/errors.js";
 import type { NodeId } from "../../protocol/model/identifiers.js";
-import { claimedKind, decodePeerMessage, encodePeerMessage } from "../../protocol/peer/codec.js";
+import { decodePeerMessage, encodePeerMessage, wireKind } from "../../protocol/peer/codec.js";
 import type { PeerMessage } from "../../protocol/peer/messages.js";
 import type { Log } from "../ports/log.js";
 import type { PeerMessenger, PeerTransport } from "../ports/peers.js";
@@ -36,7 +36,7 @@
 			return decodePeerMessage(encoded);
 		} catch (error) {
 			if (!(error instanceof MalformedMessageError)) throw error;
-			this.logMalformed(from, claimedKind(encoded), error);
+			this.logMalformed(from, wireKind(encoded), error);
 			return null;
 		}
 	}
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,8 +3,8 @@
 
 import { Command, CommanderError } from "commander";
 import { SettingsError } from "./protocol/errors.js";
-import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
-import { parsePlatform } from "./protocol/settings/platform.js";
+import { defaultOperatorSettings, parseOperatorSettings } from "./protocol/settings/operator.js";
+import { parsePlatformSettings } from "./protocol/settings/platform.js";
 import { readSettingsFile } from "./protocol/settings/settings-file.js";
 import { QuotaCommandError, quotaCommand } from "./quota-command.js";
 import { serve } from "./serve.js";
@@ -15,7 +15,7 @@
 const exitFailure = 1;
 const exitUsage = 2;
 
-interface ServeOptions {
+interface CommandLineOptions {
 	config: string;
 	operator?: string;
 	check?: boolean;
@@ -30,7 +30,7 @@
 		.version(version)
 		.enablePositionalOptions()
 		.exitOverride()
-		.action(async (options: Partial<ServeOptions>) => {
+		.action(async (options: Partial<CommandLineOptions>) => {
 			const { config } = options;
 			if (config === undefined) program.error("error: required option '--config <file>' not specified");
 			else await checkOrServe({ ...options, config });
@@ -39,12 +39,12 @@
 	await program.parseAsync(argv);
 }
 
-async function checkOrServe(options: ServeOptions): Promise<void> {
-	const platform = parsePlatform(options.config, readSettingsFile(options.config));
+async function checkOrServe(options: CommandLineOptions): Promise<void> {
+	const platform = parsePlatformSettings(options.config, readSettingsFile(options.config));
 	const operator =
 		options.operator === undefined
-			? defaultOperator()
-			: await parseOperator(options.operator, readSettingsFile(options.operator));
+			? defaultOperatorSettings()
+			: await parseOperatorSettings(options.operator, readSettingsFile(options.operator));
 	if (options.check) process.stdout.write(`${options.config}: settings are good\n`);
 	else await serve(platform, operator);
 }
--- a/src/protocol/http/cloud-api.ts
+++ b/src/protocol/http/cloud-api.ts
@@ -23,7 +23,7 @@
 import * as v from "valibot";
 import type { MachineId } from "../model/identifiers.js";
 import type { ListedMachine, MachineType } from "../model/machine.js";
-import { amount, checkShape, name, orNull, positive } from "../schema-checks.js";
+import { checkShape, name, nonNegative, orNull, positive } from "../schema-checks.js";
 import { paths } from "./paths.js";
 
 /** Assumed where the cloud does not say how long a type takes to boot. */
@@ -35,20 +35,20 @@
 const MachineTypeBody = v.object({
 	sku: name,
 	cores: positive,
-	accelerators: orNull(amount),
+	accelerators: orNull(nonNegative),
 	ram_gb: positive,
-	local_gb: orNull(amount),
-	fetch_gb_per_s: orNull(amount),
-	rate: amount,
-	market_price: orNull(amount),
-	boot_s: orNull(amount),
+	local_gb: orNull(nonNegative),
+	fetch_gb_per_s: orNull(nonNegative),
+	rate: nonNegative,
+	market_price: orNull(nonNegative),
+	boot_s: orNull(nonNegative),
 	halls: v.array(name),
 });
 
 const MachineTypesBody = v.object({ shapes: v.array(MachineTypeBody) });
 
 /** Reads the machine types on offer. */
-export function machineTypesFrom(raw: unknown): MachineType[] {
+export function parseMachineTypes(raw: unknown): MachineType[] {
 	return checkShape(MachineTypesBody, raw).shapes.map((type) => ({
 		name: type.sku,
 		cpus: type.cores,
@@ -87,15 +87,15 @@
 const CreatedMachinesBody = v.object({ hosts: v.array(name) });
 
 /** Reads which machines were created. */
-export function createdMachinesFrom(raw: unknown): MachineId[] {
+export function parseCreatedMachines(raw: unknown): MachineId[] {
 	return checkShape(CreatedMachinesBody, raw).hosts;
 }
 
-const RefusalBody = v.object({ error: v.literal("no capacity") });
+const NoCapacityBody = v.object({ error: v.literal("no capacity") });
 
 /** Whether the body of a 503 says that there is no capacity for the request, rather than an outage. */
 export function isNoCapacity(raw: unknown): boolean {
-	return v.is(RefusalBody, raw);
+	return v.is(NoCapacityBody, raw);
 }
 
 /** The request that deletes machines. */
@@ -106,10 +106,10 @@
 /**
  * Path of a page of the machine list, in the order of the machines' names.
  *
- * @param after The page begins after this machine; empty: with the first one.
+ * @param afterMachine The page begins after this machine; empty: with the first one.
  */
-export function machineListPath(after: MachineId, limit: number): string {
-	const from = after === "" ? "" : `from=${encodeURIComponent(after)}&`;
+export function machineListPath(afterMachine: MachineId, limit: number): string {
+	const from = afterMachine === "" ? "" : `from=${encodeURIComponent(afterMachine)}&`;
 	return `${paths.machines}?${from}limit=${limit}`;
 }
 
@@ -129,13 +129,13 @@
 export interface MachineListPage {
 	machines: ListedMachine[];
 	/** Whether further pages follow. */
-	more: boolean;
+	hasMore: boolean;
 }
 
 /** Reads a page of the machine list. */
-export function machineListFrom(raw: unknown): MachineListPage {
+export function parseMachineList(raw: unknown): MachineListPage {
 	const { hosts, truncated } = checkShape(MachineListBody, raw);
-	return { machines: hosts.map(toListedMachine), more: truncated === true };
+	return { machines: hosts.map(toListedMachine), hasMore: truncated === true };
 }
 
 function toListedMachine(host: v.InferOutput<typeof ListedMachineBody>): ListedMachine {
--- a/src/protocol/http/paths.ts
+++ b/src/protocol/http/paths.ts
@@ -8,7 +8,7 @@
 	/** Users: submit a job. Below it are a job's state and, after `/abort`, its cancellation. */
 	jobs: "/v1/jobs",
 	/** Workers: send a heartbeat. */
-	report: "/v1/report",
+	heartbeats: "/v1/report",
 	/** Load balancer: may this controller be sent requests? */
 	ready: "/ready",
 
@@ -20,7 +20,7 @@
 	/** Of the cloud: create machines (POST), list them (GET). */
 	machines: "/hosts",
 	/** Of the cloud: delete machines. */
-	machinesReturn: "/hosts/return",
+	machineDeletions: "/hosts/return",
 
 	/** Of the store: rows. A key follows as the rest of the path. */
 	store: "/store",
--- a/src/protocol/http/store-api.ts
+++ b/src/protocol/http/store-api.ts
@@ -19,7 +19,7 @@
 
 import * as v from "valibot";
 import type { LeaseId, Revision } from "../model/identifiers.js";
-import { checkShape, count, name, orNull } from "../schema-checks.js";
+import { checkShape, name, nonNegativeInteger, orNull } from "../schema-checks.js";
 import { paths } from "./paths.js";
 
 /** A key of the store with its value. */
@@ -52,10 +52,10 @@
 	return `${paths.store}/${key}`;
 }
 
-const RowBody = v.object({ key: name, v: v.unknown(), stamp: count });
+const RowBody = v.object({ key: name, v: v.unknown(), stamp: nonNegativeInteger });
 
 /** Reads a row. */
-export function rowFrom(raw: unknown): StoreRow {
+export function parseRow(raw: unknown): StoreRow {
 	return toRow(checkShape(RowBody, raw));
 }
 
@@ -66,19 +66,23 @@
 /**
  * Path of a page of the rows below a prefix, in the order of their keys.
  *
- * @param after The page begins after this key; null: with the first one.
+ * @param afterKey The page begins after this key; null: with the first one.
  */
-export function rowsPath(prefix: string, after: string | null, limit: number): string {
-	const from = after === null ? "" : `&from=${after}`;
+export function rowsPath(prefix: string, afterKey: string | null, limit: number): string {
+	const from = afterKey === null ? "" : `&from=${afterKey}`;
 	return `${paths.store}?prefix=${prefix}${from}&limit=${limit}`;
 }
 
-const RowsBody = v.object({ rows: v.array(RowBody), truncated: orNull(v.boolean()), epoch: count });
+const RowsBody = v.object({
+	rows: v.array(RowBody),
+	truncated: orNull(v.boolean()),
+	epoch: nonNegativeInteger,
+});
 
 /** Reads a page of rows, whether more follow, and the revision of the store that it shows. */
-export function rowsFrom(raw: unknown): { rows: StoreRow[]; more: boolean; revision: Revision } {
+export function parseRows(raw: unknown): { rows: StoreRow[]; hasMore: boolean; revision: Revision } {
 	const { rows, truncated, epoch } = checkShape(RowsBody, raw);
-	return { rows: rows.map(toRow), more: truncated === true, revision: epoch };
+	return { rows: rows.map(toRow), hasMore: truncated === true, revision: epoch };
 }
 
 /** The request that makes all changes if all conditions hold. Without changes it only compares. */
@@ -95,17 +99,17 @@
 	return change.leaseId === undefined ? put : { ...put, permit: change.leaseId };
 }
 
-const RevisionBody = v.object({ epoch: count });
+const RevisionBody = v.object({ epoch: nonNegativeInteger });
 
 /** Reads the revision of a response that holds nothing else. */
-export function revisionFrom(raw: unknown): Revision {
+export function parseRevision(raw: unknown): Revision {
 	return checkShape(RevisionBody, raw).epoch;
 }
 
-const ConflictsBody = v.object({ failed: v.array(v.string()), epoch: count });
+const ConflictsBody = v.object({ failed: v.array(v.string()), epoch: nonNegativeInteger });
 
 /** Reads the keys whose conditions did not hold, as of a revision. */
-export function conflictsFrom(raw: unknown): { conflicts: string[]; revision: Revision } {
+export function parseConflicts(raw: unknown): { conflicts: string[]; revision: Revision } {
 	const { failed, epoch } = checkShape(ConflictsBody, raw);
 	return { conflicts: failed, revision: epoch };
 }
@@ -115,10 +119,10 @@
 	return { ttl_ms: ttlMs };
 }
 
-const LeaseBody = v.object({ permit: count });
+const LeaseBody = v.object({ permit: nonNegativeInteger });
 
 /** Reads the lease that was granted. */
-export function leaseIdFrom(raw: unknown): LeaseId {
+export function parseLeaseId(raw: unknown): LeaseId {
 	return checkShape(LeaseBody, raw).permit;
 }
 
@@ -140,16 +144,19 @@
  *
  * @param waitMs How long the store waits for a change before it answers without one; 0: not at all.
  */
-export function watchPath(prefix: string, from: Revision, waitMs: number): string {
-	return `${paths.watch}?prefix=${prefix}&from=${from}&block_ms=${waitMs}`;
+export function watchPath(prefix: string, afterRevision: Revision, waitMs: number): string {
+	return `${paths.watch}?prefix=${prefix}&from=${afterRevision}&block_ms=${waitMs}`;
 }
 
-const PutEventBody = v.object({ put: name, v: v.unknown(), stamp: count });
-const DropEventBody = v.object({ drop: name, stamp: count });
-const EventsBody = v.object({ epoch: count, events: v.array(v.union([PutEventBody, DropEventBody])) });
+const PutEventBody = v.object({ put: name, v: v.unknown(), stamp: nonNegativeInteger });
+const DropEventBody = v.object({ drop: name, stamp: nonNegativeInteger });
+const EventsBody = v.object({
+	epoch: nonNegativeInteger,
+	events: v.array(v.union([PutEventBody, DropEventBody])),
+});
 
 /** Reads the changes that a watch reports, and the revision up to which they are all there. */
-export function eventsFrom(raw: unknown): { events: StoreEvent[]; revision: Revision } {
+export function parseEvents(raw: unknown): { events: StoreEvent[]; revision: Revision } {
 	const { events, epoch } = checkShape(EventsBody, raw);
 	return { events: events.map(toEvent), revision: epoch };
 }
--- a/src/protocol/http/user-api.ts
+++ b/src/protocol/http/user-api.ts
@@ -23,7 +23,7 @@
 import { MalformedMessageError } from "../errors.js";
 import type { JobId } from "../model/identifiers.js";
 import type { JobSpec, JobStatus } from "../model/job.js";
-import { amount, checkShape, flag, name, orNull, parseObject, positive } from "../schema-checks.js";
+import { boolean, checkShape, name, nonNegative, orNull, parseObject, positive } from "../schema-checks.js";
 
 /** Most tasks of a job. */
 const maxTaskCount = 100_000;
@@ -59,18 +59,18 @@
 	urgency: priority,
 	pieces: taskCount,
 	cores: positive,
-	accelerators: amount,
-	ram_gb: amount,
+	accelerators: nonNegative,
+	ram_gb: nonNegative,
 	shapes: orNull(machineTypes),
 	hall: orNull(name),
-	one_zone: flag,
-	spread: flag,
-	loaners: flag,
+	one_zone: boolean,
+	spread: boolean,
+	loaners: boolean,
 	bundle: name,
-	image_gb: amount,
-	guess_s: amount,
-	bookmark_s: amount,
-	bookmark_cost_s: amount,
+	image_gb: nonNegative,
+	guess_s: nonNegative,
+	bookmark_s: nonNegative,
+	bookmark_cost_s: nonNegative,
 	due_s: orNull(positive),
 });
 
--- a/src/protocol/http/worker-api.ts
+++ b/src/protocol/http/worker-api.ts
@@ -52,46 +52,46 @@
  * hand-written code, which costs a fraction of a schema's processor time.
  */
 export function parseHeartbeat(body: string): WorkerHeartbeat {
-	return heartbeatFrom(parseObject(body));
+	return readHeartbeat(parseObject(body));
 }
 
 /** Reads the response to direct commands, which is the worker's heartbeat after them. */
-export function directCommandsResponseFrom(raw: unknown): WorkerHeartbeat {
-	return heartbeatFrom((raw ?? {}) as Record<string, unknown>);
+export function parseDirectCommandsResponse(raw: unknown): WorkerHeartbeat {
+	return readHeartbeat((raw ?? {}) as Record<string, unknown>);
 }
 
-function heartbeatFrom(raw: Record<string, unknown>): WorkerHeartbeat {
+function readHeartbeat(raw: Record<string, unknown>): WorkerHeartbeat {
 	if (!Array.isArray(raw.pieces)) throw new MalformedMessageError('field "pieces" must be a list');
-	const reclaimInS = reclaimOf(raw.recall_s);
+	const reclaimInS = readReclaimTime(raw.recall_s);
 	return {
-		machineId: textOf(raw.host, "host"),
-		endpoint: textOf(raw.endpoint, "endpoint"),
-		machineType: textOf(raw.shape, "shape"),
-		zone: textOf(raw.hall, "hall"),
+		machineId: readText(raw.host, "host"),
+		endpoint: readText(raw.endpoint, "endpoint"),
+		machineType: readText(raw.shape, "shape"),
+		zone: readText(raw.hall, "hall"),
 		spot: raw.loaners === true,
-		agentEpoch: countOf(raw.shift, "shift"),
-		sequence: countOf(raw.tick, "tick"),
-		fencingToken: countOf(raw.baton ?? 0, "baton"),
+		agentEpoch: readCount(raw.shift, "shift"),
+		sequence: readCount(raw.tick, "tick"),
+		fencingToken: readCount(raw.baton ?? 0, "baton"),
 		reclaimInS,
-		tasks: raw.pieces.map(taskFrom),
+		tasks: raw.pieces.map(readTask),
 	};
 }
 
-function countOf(value: unknown, field: string): number {
+function readCount(value: unknown, field: string): number {
 	if (typeof value !== "number" || !Number.isSafeInteger(value) || value < 0) {
 		throw new MalformedMessageError(`field "${field}" must be a whole number`);
 	}
 	return value;
 }
 
-function textOf(value: unknown, field: string): string {
+function readText(value: unknown, field: string): string {
 	if (typeof value !== "string" || value === "" || value.length > maxTextLength) {
 		throw new MalformedMessageError(`field "${field}" must be a string of 1 to ${maxTextLength} characters`);
 	}
 	return value;
 }
 
-function reclaimOf(value: unknown): number | null {
+function readReclaimTime(value: unknown): number | null {
 	if (value === null || value === undefined) return null;
 	if (typeof value !== "number" || !Number.isFinite(value)) {
 		throw new MalformedMessageError('field "recall_s" must be a number or null');
@@ -99,23 +99,23 @@
 	return value;
 }
 
-function taskFrom(raw: unknown): TaskStatus {
+function readTask(raw: unknown): TaskStatus {
 	const item = (raw ?? {}) as Record<string, unknown>;
-	const task = parseTaskId(textOf(item.piece, "pieces.piece"));
+	const task = parseTaskId(readText(item.piece, "pieces.piece"));
 	if (!task) throw new MalformedMessageError('field "pieces.piece" must look like "j-000412/3"');
 	const state = taskStates[String(item.status)];
 	if (!state) throw new MalformedMessageError('field "pieces.status" is not a known state');
 	return {
 		...task,
-		attempt: countOf(item.try, "pieces.try"),
+		attempt: readCount(item.try, "pieces.try"),
 		state,
-		exitCause: state === "exited" ? exitCauseOf(item.cause) : null,
+		exitCause: state === "exited" ? readExitCause(item.cause) : null,
 		checkpointed: item.stored === true,
 	};
 }
 
 /** A cause that is missing or not known still means that the attempt has ended without success. */
-function exitCauseOf(cause: unknown): ExitCause {
+function readExitCause(cause: unknown): ExitCause {
 	if (cause === undefined || cause === null) return "error";
 	return exitCauses[String(cause)] ?? "error";
 }
--- a/src/protocol/peer/codec.ts
+++ b/src/protocol/peer/codec.ts
@@ -61,17 +61,17 @@
 };
 
 /** Longest part of an unknown kind that is logged. */
-const maxKindLength = 40;
+const maxLoggedKindLength = 40;
 
 /** The kind that a message claims to have on the wire, for logs. */
-export function claimedKind(raw: unknown): string {
+export function wireKind(raw: unknown): string {
 	const kind = (raw as { kind?: unknown } | null)?.kind;
-	return typeof kind === "string" ? kind.slice(0, maxKindLength) : "none";
+	return typeof kind === "string" ? kind.slice(0, maxLoggedKindLength) : "none";
 }
 
 /** Throws a MalformedMessageError for a kind that is not known or a message that lacks its kind's form. */
 export function decodePeerMessage(raw: unknown): PeerMessage {
-	const kind = claimedKind(raw);
+	const kind = wireKind(raw);
 	const decode = Object.hasOwn(decoders, kind) ? decoders[kind] : undefined;
 	if (!decode) throw new MalformedMessageError(`no such kind of message: ${kind}`);
 	return decode(raw);
--- a/src/protocol/peer/forwarding-wire.ts
+++ b/src/protocol/peer/forwarding-wire.ts
@@ -7,7 +7,7 @@
 
 import * as v from "valibot";
 import type { ExitCause, TaskState, TaskStatus, WorkerCommand, WorkerHeartbeat } from "../model/worker.js";
-import { count } from "../schema-checks.js";
+import { nonNegativeInteger } from "../schema-checks.js";
 import type { ForwardedHeartbeats, ForwardedResponses } from "./messages.js";
 import { term } from "./wire-fields.js";
 
@@ -167,7 +167,7 @@
 export const ForwardedHeartbeatsSchema = v.object({
 	kind: v.literal("reports"),
 	epoch: term,
-	reports: v.array(v.tuple([count, v.custom<HeartbeatRow>(isHeartbeatRow, "must be a report")])),
+	reports: v.array(v.tuple([nonNegativeInteger, v.custom<HeartbeatRow>(isHeartbeatRow, "must be a report")])),
 });
 
 /** Responses to forwarded heartbeats on the wire. */
@@ -175,7 +175,10 @@
 	kind: v.literal("answers"),
 	epoch: term,
 	answers: v.array(
-		v.tuple([count, v.nullable(v.array(v.custom<WireCommand>(isWireCommand, "must be an order")))]),
+		v.tuple([
+			nonNegativeInteger,
+			v.nullable(v.array(v.custom<WireCommand>(isWireCommand, "must be an order"))),
+		]),
 	),
 });
 
--- a/src/protocol/peer/hello-wire.ts
+++ b/src/protocol/peer/hello-wire.ts
@@ -6,8 +6,8 @@
 import type { NodeId } from "../model/identifiers.js";
 
 /** The first message on a connection, on the wire. */
-export function encodeHello(self: NodeId): object {
-	return { hello: self };
+export function encodeHello(node: NodeId): object {
+	return { hello: node };
 }
 
 /** Reads which controller has connected; null: the message is not of that form. */
--- a/src/protocol/peer/leader-heartbeat-wire.ts
+++ b/src/protocol/peer/leader-heartbeat-wire.ts
@@ -1,7 +1,7 @@
 /** Leader heartbeats (`running` on the wire) and their replies (`pong`). */
 
 import * as v from "valibot";
-import { count, name } from "../schema-checks.js";
+import { name, nonNegativeInteger } from "../schema-checks.js";
 import type { LeaderHeartbeat, LeaderHeartbeatReply } from "./messages.js";
 import { teamQuota, term } from "./wire-fields.js";
 
@@ -9,7 +9,7 @@
 export const LeaderHeartbeatSchema = v.object({
 	kind: v.literal("running"),
 	epoch: term,
-	counts: v.array(v.tuple([name, count])),
+	counts: v.array(v.tuple([name, nonNegativeInteger])),
 	served: v.boolean(),
 	hearing: v.boolean(),
 	relay: v.boolean(),
@@ -20,7 +20,7 @@
 export const LeaderHeartbeatReplySchema = v.object({
 	kind: v.literal("pong"),
 	epoch: term,
-	strays: count,
+	strays: nonNegativeInteger,
 	standing: v.optional(v.boolean()),
 	quota: teamQuota,
 });
--- a/src/protocol/peer/leadership-wire.ts
+++ b/src/protocol/peer/leadership-wire.ts
@@ -4,7 +4,7 @@
  */
 
 import * as v from "valibot";
-import { count, name } from "../schema-checks.js";
+import { name, nonNegativeInteger } from "../schema-checks.js";
 import type {
 	Cancellation,
 	LeaderQuery,
@@ -12,35 +12,35 @@
 	LeaseExtensionRequest,
 	LeaseExtensionVote,
 } from "./messages.js";
-import { term, text } from "./wire-fields.js";
+import { shortText, term } from "./wire-fields.js";
 
 /** A lease-extension request on the wire. */
 export const LeaseExtensionRequestSchema = v.object({
 	kind: v.literal("ask"),
 	epoch: term,
-	number: count,
+	number: nonNegativeInteger,
 	known: v.optional(v.pipe(v.number(), v.integer())),
 });
 
-const CancellationSchema = v.tuple([name, count, count, count]);
+const CancellationSchema = v.tuple([name, nonNegativeInteger, nonNegativeInteger, nonNegativeInteger]);
 
 /** A lease-extension vote on the wire. */
 export const LeaseExtensionVoteSchema = v.object({
 	kind: v.literal("promise"),
 	epoch: term,
-	number: count,
+	number: nonNegativeInteger,
 	cancelled: v.optional(v.array(CancellationSchema)),
 });
 
 /** A leader query on the wire. */
-export const LeaderQuerySchema = v.object({ kind: v.literal("who"), epoch: term, asker: text });
+export const LeaderQuerySchema = v.object({ kind: v.literal("who"), epoch: term, asker: shortText });
 
 /** The reply to a leader query on the wire. */
 export const LeaderQueryReplySchema = v.object({
 	kind: v.literal("leading"),
 	epoch: term,
 	leading: v.boolean(),
-	asker: text,
+	asker: shortText,
 });
 
 const encodeCancellation = (cancellation: Cancellation): v.InferInput<typeof CancellationSchema> => {
@@ -56,12 +56,12 @@
 export function encodeLeaseExtensionRequest(
 	message: LeaseExtensionRequest,
 ): v.InferInput<typeof LeaseExtensionRequestSchema> {
-	const { term, requestNumber, knownRevision } = message;
+	const { term, requestNumber, replicaRevision } = message;
 	return {
 		kind: "ask",
 		epoch: term,
 		number: requestNumber,
-		...(knownRevision !== undefined && { known: knownRevision }),
+		...(replicaRevision !== undefined && { known: replicaRevision }),
 	};
 }
 
@@ -74,7 +74,7 @@
 		kind: "lease-extension-request",
 		term: epoch,
 		requestNumber: number,
-		...(known !== undefined && { knownRevision: known }),
+		...(known !== undefined && { replicaRevision: known }),
 	};
 }
 
--- a/src/protocol/peer/messages.ts
+++ b/src/protocol/peer/messages.ts
@@ -133,7 +133,7 @@
 	/** Counts the requests of the leader's process. */
 	requestNumber: number;
 	/** Revision up to which the leader knows the store; versions before 0.4.0 leave it out. */
-	knownRevision?: Revision | undefined;
+	replicaRevision?: Revision | undefined;
 }
 
 /** A cancellation that a user was told of. */
--- a/src/protocol/peer/placement-wire.ts
+++ b/src/protocol/peer/placement-wire.ts
@@ -1,7 +1,7 @@
 /** Placement requests (`view` on the wire) and proposals (`placed`). */
 
 import * as v from "valibot";
-import { amount, count, name } from "../schema-checks.js";
+import { name, nonNegative, nonNegativeInteger } from "../schema-checks.js";
 import type { Grant, Placement, PlacementProposal, PlacementRequest } from "./messages.js";
 import { teamQuota, term } from "./wire-fields.js";
 
@@ -14,26 +14,26 @@
 	cpus: v.number(),
 	gpus: v.number(),
 	memory: v.number(),
-	slots: amount,
+	slots: nonNegative,
 	images: v.array(v.string()),
 });
 
 const GrantSchema = v.object({
 	job: name,
-	count,
+	count: nonNegativeInteger,
 	avoid: v.array(v.string()),
 	zones: v.record(v.string(), v.number()),
 	beside: v.optional(v.array(v.string())),
 });
 
-const PlacementSchema = v.object({ job: name, machine: name, count });
+const PlacementSchema = v.object({ job: name, machine: name, count: nonNegativeInteger });
 
 /** A placement request on the wire. */
 export const PlacementRequestSchema = v.object({
 	kind: v.literal("view"),
 	epoch: term,
-	cycle: count,
-	start: count,
+	cycle: nonNegativeInteger,
+	start: nonNegativeInteger,
 	machines: v.array(MachineCapacitySchema),
 	grants: v.array(GrantSchema),
 	quota: teamQuota,
@@ -43,7 +43,7 @@
 export const PlacementProposalSchema = v.object({
 	kind: v.literal("placed"),
 	epoch: term,
-	cycle: count,
+	cycle: nonNegativeInteger,
 	placements: v.array(PlacementSchema),
 	/** The first versions did not say which jobs they lack. */
 	unknown: v.optional(v.array(v.string()), []),
--- a/src/protocol/peer/wire-fields.ts
+++ b/src/protocol/peer/wire-fields.ts
@@ -6,7 +6,7 @@
 export const term = v.pipe(v.number(), v.integer());
 
 /** A short text. */
-export const text = v.pipe(v.string(), v.maxLength(1000));
+export const shortText = v.pipe(v.string(), v.maxLength(1000));
 
 /** Fields of team quota's package, which checks them itself. */
 export const teamQuota = v.optional(v.unknown());
--- a/src/protocol/records/final-record.ts
+++ b/src/protocol/records/final-record.ts
@@ -2,7 +2,7 @@
 
 import * as v from "valibot";
 import type { TaskDemand } from "../model/job.js";
-import { amount, checkShape, count, name } from "../schema-checks.js";
+import { checkShape, name, nonNegative, nonNegativeInteger } from "../schema-checks.js";
 
 /** A job that is over. */
 export interface FinalJobRecord {
@@ -18,9 +18,9 @@
 
 const StoredFinalSchema = v.looseObject({
 	status: v.picklist(["done", "cancelled"]),
-	tasks: count,
-	done: count,
-	demand: v.optional(v.looseObject({ team: name, cpus: amount, gpus: amount })),
+	tasks: nonNegativeInteger,
+	done: nonNegativeInteger,
+	demand: v.optional(v.looseObject({ team: name, cpus: nonNegative, gpus: nonNegative })),
 });
 
 /** The stored form of a final record. */
--- a/src/protocol/records/job-record.ts
+++ b/src/protocol/records/job-record.ts
@@ -4,7 +4,7 @@
 import { MalformedMessageError } from "../errors.js";
 import type { JobId } from "../model/identifiers.js";
 import type { JobSpec } from "../model/job.js";
-import { amount, checkShape, count, flag, name, positive } from "../schema-checks.js";
+import { boolean, checkShape, name, nonNegative, nonNegativeInteger, positive } from "../schema-checks.js";
 
 /** A live job. */
 export interface JobRecord {
@@ -20,21 +20,21 @@
 	lane: v.string(),
 	team: name,
 	priority: v.picklist(["critical", "urgent", "normal", "best_effort"]),
-	tasks: v.pipe(count, v.minValue(1)),
+	tasks: v.pipe(nonNegativeInteger, v.minValue(1)),
 	cpus: positive,
-	gpus: amount,
-	memoryGb: amount,
+	gpus: nonNegative,
+	memoryGb: nonNegative,
 	types: v.nullable(v.array(v.string())),
 	zone: v.nullable(v.string()),
-	oneZone: flag,
-	spread: flag,
-	spot: flag,
+	oneZone: boolean,
+	spread: boolean,
+	spot: boolean,
 	image: v.string(),
-	imageGb: amount,
-	estimateS: amount,
-	checkpointS: amount,
-	saveS: amount,
-	deadlineS: v.nullable(amount),
+	imageGb: nonNegative,
+	estimateS: nonNegative,
+	checkpointS: nonNegative,
+	saveS: nonNegative,
+	deadlineS: v.nullable(nonNegative),
 });
 
 const StoredJobSchema = v.looseObject({ spec: StoredSpecSchema, at: v.number() });
--- a/src/protocol/records/machine-record.ts
+++ b/src/protocol/records/machine-record.ts
@@ -2,7 +2,7 @@
 
 import * as v from "valibot";
 import type { AgentEpoch } from "../model/identifiers.js";
-import { count, flag } from "../schema-checks.js";
+import { boolean, nonNegativeInteger } from "../schema-checks.js";
 
 /** What a later leader must know of a machine that may run tasks. */
 export interface MachineRecord {
@@ -19,8 +19,8 @@
 	endpoint: v.string(),
 	type: v.string(),
 	zone: v.string(),
-	spot: flag,
-	session: count,
+	spot: boolean,
+	session: nonNegativeInteger,
 });
 
 /** The stored form of a machine's record. */
--- a/src/protocol/records/singleton-records.ts
+++ b/src/protocol/records/singleton-records.ts
@@ -3,7 +3,7 @@
 import * as v from "valibot";
 import type { Incarnation, NodeId } from "../model/identifiers.js";
 import type { MachineType } from "../model/machine.js";
-import { amount, checkShape, name } from "../schema-checks.js";
+import { checkShape, name, nonNegative } from "../schema-checks.js";
 
 /** The value of the leader key. */
 export interface LeaderRecord {
@@ -37,11 +37,11 @@
 	/** Team quota: limits are divided among the controllers from the beginning of each term; since 0.8.0. */
 	teamQuota: boolean;
 	/** Fields of later versions, which are written back as they are. */
-	unknown: Readonly<Record<string, unknown>>;
+	unknownFields: Readonly<Record<string, unknown>>;
 }
 
 /** No controller has said anything yet. */
-export const noFeatures: FeatureSet = { serviceJobs: false, teamQuota: false, unknown: {} };
+export const noFeatures: FeatureSet = { serviceJobs: false, teamQuota: false, unknownFields: {} };
 
 const StoredFeaturesSchema = v.looseObject({
 	standing: v.optional(v.boolean()),
@@ -52,14 +52,14 @@
 export type StoredFeatures = v.InferOutput<typeof StoredFeaturesSchema>;
 
 /** Maps a set of features to its stored form. */
-export function encodeFeatures({ serviceJobs, teamQuota, unknown }: FeatureSet): StoredFeatures {
-	return { ...unknown, ...(serviceJobs && { standing: true }), ...(teamQuota && { quota: true }) };
+export function encodeFeatures({ serviceJobs, teamQuota, unknownFields }: FeatureSet): StoredFeatures {
+	return { ...unknownFields, ...(serviceJobs && { standing: true }), ...(teamQuota && { quota: true }) };
 }
 
 /** Reads stored features. Throws a MalformedMessageError that names the first faulty field. */
 export function decodeFeatures(value: unknown): FeatureSet {
-	const { standing, quota, ...unknown } = checkShape(StoredFeaturesSchema, value);
-	return { serviceJobs: standing === true, teamQuota: quota === true, unknown };
+	const { standing, quota, ...unknownFields } = checkShape(StoredFeaturesSchema, value);
+	return { serviceJobs: standing === true, teamQuota: quota === true, unknownFields };
 }
 
 /** The stored form of the machine types; the fields of a type are stored under their own names. */
@@ -69,14 +69,14 @@
 
 const StoredMachineTypeSchema = v.looseObject({
 	name,
-	cpus: amount,
-	gpus: amount,
-	memoryGb: amount,
-	cacheGb: amount,
-	fetchGbPerS: amount,
-	price: amount,
-	spotPrice: amount,
-	bootS: amount,
+	cpus: nonNegative,
+	gpus: nonNegative,
+	memoryGb: nonNegative,
+	cacheGb: nonNegative,
+	fetchGbPerS: nonNegative,
+	price: nonNegative,
+	spotPrice: nonNegative,
+	bootS: nonNegative,
 	zones: v.array(v.string()),
 });
 
--- a/src/protocol/schema-checks.ts
+++ b/src/protocol/schema-checks.ts
@@ -14,10 +14,10 @@
 export const positive = v.pipe(finite, v.gtValue(0, "must be above 0"));
 
 /** A finite number of 0 or more. */
-export const amount = v.pipe(finite, v.minValue(0, "must not be negative"));
+export const nonNegative = v.pipe(finite, v.minValue(0, "must not be negative"));
 
 /** A whole number of 0 or more. */
-export const count = v.pipe(
+export const nonNegativeInteger = v.pipe(
 	v.number("must be a number"),
 	v.safeInteger("must be a whole number"),
 	v.minValue(0, "must not be negative"),
@@ -31,7 +31,7 @@
 );
 
 /** true or false. */
-export const flag = v.boolean("must be true or false");
+export const boolean = v.boolean("must be true or false");
 
 /** A field that may be null or left out; either is read as null. */
 export const orNull = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
--- a/src/protocol/settings/objectives.ts
+++ b/src/protocol/settings/objectives.ts
@@ -10,10 +10,10 @@
 
 /** The objectives about start times (`kind = "wait"`). Those that lack a class or a time are left out. */
 export function startTimeObjectives(objectives: readonly ServiceLevelObjective[]): StartTimeObjective[] {
-	const found: StartTimeObjective[] = [];
+	const result: StartTimeObjective[] = [];
 	for (const { kind, class: jobClass, within_s: withinS } of objectives) {
 		if (kind !== "wait" || jobClass === undefined || withinS === undefined) continue;
-		found.push({ jobClass, withinS });
+		result.push({ jobClass, withinS });
 	}
-	return found;
+	return result;
 }
--- a/src/protocol/settings/operator.ts
+++ b/src/protocol/settings/operator.ts
@@ -7,7 +7,7 @@
 
 import * as v from "valibot";
 import { SettingsError } from "../errors.js";
-import { amount, positive } from "../schema-checks.js";
+import { nonNegative, positive } from "../schema-checks.js";
 import { checkSettings, fieldError, formatError } from "./settings-file.js";
 
 const positiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
@@ -27,13 +27,13 @@
 	high: v.optional(positive, 1.2),
 	low: v.optional(positive, 0.8),
 	/** The fleet scales out once the counter of rounds with high load exceeds this. */
-	up_past: v.optional(amount, 3),
+	up_past: v.optional(nonNegative, 3),
 	/** The fleet scales in once the counter of rounds with low load reaches this. */
 	down_at: v.optional(positiveInteger, 6),
 	/** Most remaining seconds of a task that count as load, per core. */
 	cap_s: v.optional(positive, 600),
 	/** How long a machine type, zone and kind is not asked for again after the cloud had no capacity. */
-	refusal_s: v.optional(amount, 20),
+	refusal_s: v.optional(nonNegative, 20),
 	/** Most machines at once, as a bound of the operators' own; 0: none. */
 	most_machines: v.optional(nonNegativeInteger, 0),
 });
@@ -43,7 +43,7 @@
 	/** Lease of the leader key. A longer one survives more hiccups of the store, a shorter one fails over sooner. */
 	ttl_s: v.optional(leaseS, 3),
 	/** Kept free at the end of every lease, in addition to the allowance for clock drift. */
-	margin_s: v.optional(amount, 0.3),
+	margin_s: v.optional(nonNegative, 0.3),
 });
 
 /** Placement of tasks: `coordination/placement`. */
@@ -62,7 +62,7 @@
 	 * With more heartbeats a second than this for each core of a controller's share, all controllers receive them
 	 * and forward them to the leader; 0: never.
 	 */
-	relay_per_core: v.optional(amount, 500),
+	relay_per_core: v.optional(nonNegative, 500),
 });
 
 /** Team quota: `packages/team-quota`. */
@@ -72,11 +72,11 @@
 	/** A controller that has not been heard for about this long loses its allotments. */
 	expiry_s: v.optional(leaseS, 2.5),
 	/** Kept free at the end of that, in addition to the allowance for clock drift. */
-	margin_s: v.optional(amount, 0.1),
+	margin_s: v.optional(nonNegative, 0.1),
 	/** Least time between moves of one team's allotment. */
-	move_pause_s: v.optional(amount, 1),
+	move_pause_s: v.optional(nonNegative, 1),
 	/** How long a team may run more than a lowered limit before tasks are stopped; 0: until they end. */
-	preempt_after_s: v.optional(amount, 60),
+	preempt_after_s: v.optional(nonNegative, 60),
 });
 
 /** Machines: `coordination/workers` and `coordination/fleet`. */
@@ -89,7 +89,7 @@
 	 */
 	boot_times: v.optional(positive, 3),
 	/** A machine is deleted once it has been silent for this much longer than its worker's lease. */
-	silent_extra_s: v.optional(amount, 15),
+	silent_extra_s: v.optional(nonNegative, 15),
 });
 
 const Operator = v.strictObject({
@@ -105,7 +105,7 @@
 export type OperatorSettings = v.InferOutput<typeof Operator>;
 
 /** The settings without an operators' file. */
-export function defaultOperator(): OperatorSettings {
+export function defaultOperatorSettings(): OperatorSettings {
 	return checkOperator("defaults", {});
 }
 
@@ -116,7 +116,7 @@
  * @param source Its text.
  * @throws SettingsError that names the file and the first faulty field.
  */
-export async function parseOperator(file: string, source: string): Promise<OperatorSettings> {
+export async function parseOperatorSettings(file: string, source: string): Promise<OperatorSettings> {
 	// Loaded only when there is such a file: the time that a start takes is paid for.
 	const { parse } = await import("yaml");
 	let raw: unknown;
--- a/src/protocol/settings/platform.ts
+++ b/src/protocol/settings/platform.ts
@@ -9,30 +9,30 @@
 import { parse as parseToml } from "smol-toml";
 import * as v from "valibot";
 import type { TeamQuota } from "../model/team-quota.js";
-import { amount, positive } from "../schema-checks.js";
+import { nonNegative, positive } from "../schema-checks.js";
 import { checkSettings, fieldError, formatError } from "./settings-file.js";
 
-const count = v.pipe(v.number(), v.integer(), v.minValue(1));
+const positiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
 
-const text = v.pipe(v.string(), v.nonEmpty());
+const nonEmptyText = v.pipe(v.string(), v.nonEmpty());
 
 const address = v.pipe(v.string(), v.regex(/^\S+:\d{1,5}$/, "expected an address such as 10.0.0.1:8080"));
 
 /** 0 stands for no limit: a team without one, such as a guest team, may use whatever is idle. */
 const limit = v.pipe(
-	amount,
-	v.transform((most) => (most === 0 ? Number.POSITIVE_INFINITY : most)),
+	nonNegative,
+	v.transform((value) => (value === 0 ? Number.POSITIVE_INFINITY : value)),
 );
 
 /** A team. What it is guaranteed, and its limit, are amounts that its running tasks take together. */
 const Team = v.object({
-	name: text,
+	name: nonEmptyText,
 	/** Guaranteed CPU cores. */
-	cpus: amount,
+	cpus: nonNegative,
 	/** Most CPU cores; 0 in the file: no limit. */
 	cpus_max: limit,
 	/** Guaranteed accelerators. */
-	gpus: v.optional(amount, 0),
+	gpus: v.optional(nonNegative, 0),
 	/** Most accelerators; 0 in the file, or left out: no limit. */
 	gpus_max: v.optional(limit, 0),
 });
@@ -71,7 +71,7 @@
 	/** Largest value, in KiB. */
 	value_kb: positive,
 	/** Most puts and deletes in one transaction; it may have four times as many conditions. */
-	txn_ops: count,
+	txn_ops: positiveInteger,
 };
 
 const StoreSettings = v.object({
@@ -93,7 +93,7 @@
 	/** Requests per second. */
 	rps: positive,
 	/** How far the machine list lags behind; at times up to twice that. */
-	list_lag_s: amount,
+	list_lag_s: nonNegative,
 });
 
 /** What the process may use. */
@@ -103,16 +103,16 @@
 	/** Memory, in MiB. */
 	ram_mb: v.optional(positive),
 	/** Open files and sockets. */
-	fd_limit: v.optional(count, 1000),
+	fd_limit: v.optional(positiveInteger, 1000),
 });
 
 const ClusterSettings = v.object({
 	/** Number of controllers, this one included. */
-	nodes: v.optional(count),
+	nodes: v.optional(positiveInteger),
 	/** The zones of the cluster; empty: not known. */
-	zones: v.optional(v.array(text), []),
+	zones: v.optional(v.array(nonEmptyText), []),
 	/** Bound on the error of the time of day. */
-	clock_off_ms: v.optional(amount, 0),
+	clock_off_ms: v.optional(nonNegative, 0),
 	teams: v.optional(v.array(TeamQuotaOfTeam), []),
 	objectives: v.optional(v.array(ServiceLevelObjective), []),
 	workers: WorkerSettings,
@@ -125,18 +125,18 @@
 /** Another controller. */
 const OtherController = v.object({
 	/** Its name. */
-	node: text,
+	node: nonEmptyText,
 	/** Its failure domain, which is its zone. */
-	domain: text,
+	domain: nonEmptyText,
 	/** Where it takes connections of controllers, `host:port`. */
 	addr: address,
 });
 
 const Platform = v.object({
 	/** Name of this controller. */
-	node: text,
+	node: nonEmptyText,
 	/** Failure domain of this controller, which is its zone. */
-	domain: text,
+	domain: nonEmptyText,
 	/** Public address, for users, workers and the load balancer, `host:port`. */
 	front: address,
 	/** Address for the other controllers, `host:port`. */
@@ -163,7 +163,7 @@
  * @param source Its text.
  * @throws SettingsError that names the file and the first faulty field.
  */
-export function parsePlatform(file: string, source: string): PlatformSettings {
+export function parsePlatformSettings(file: string, source: string): PlatformSettings {
 	let raw: unknown;
 	try {
 		raw = parseToml(source);
@@ -173,8 +173,8 @@
 	const settings = checkSettings(file, Platform, raw);
 	checkTeams(file, settings);
 	checkControllers(file, settings);
-	checkWorkerTimes(file, settings);
-	settings.cluster.state = lesserLimits(settings.cluster.state);
+	checkWorkerTimings(file, settings);
+	settings.cluster.state = lowerLimits(settings.cluster.state);
 	return settings;
 }
 
@@ -193,8 +193,8 @@
 }
 
 /** Votes of leadership are counted by the names of controllers, so each must be named once. */
-function checkControllers(file: string, { node: self, others, cluster }: PlatformSettings): void {
-	const names = new Set([self]);
+function checkControllers(file: string, { node: localNode, others, cluster }: PlatformSettings): void {
+	const names = new Set([localNode]);
 	others.forEach(({ node }, i) => {
 		if (names.has(node)) throw fieldError(file, `others.${i}.node`, `"${node}" is named twice`);
 		names.add(node);
@@ -207,7 +207,7 @@
 }
 
 /** A lease is longer than the time between heartbeats, and a cancellation takes at least a lease. */
-function checkWorkerTimes(file: string, { cluster }: PlatformSettings): void {
+function checkWorkerTimings(file: string, { cluster }: PlatformSettings): void {
 	const { report_s, lease_s, cancel_s } = cluster.workers;
 	if (report_s >= lease_s) {
 		throw fieldError(file, "cluster.workers.report_s", 'must be less than "lease_s"');
@@ -218,13 +218,14 @@
 }
 
 /** Limits that are to come are kept from the start, since the change comes without notice. */
-function lesserLimits(state: StoreSettings): StoreSettings {
-	const lesser = (limit: keyof typeof storeLimits) => Math.min(state[limit], state.next[limit] ?? Infinity);
+function lowerLimits(state: StoreSettings): StoreSettings {
+	const lowerLimit = (limit: keyof typeof storeLimits) =>
+		Math.min(state[limit], state.next[limit] ?? Infinity);
 	return {
 		...state,
-		rps: lesser("rps"),
-		write_rps: lesser("write_rps"),
-		value_kb: lesser("value_kb"),
-		txn_ops: lesser("txn_ops"),
+		rps: lowerLimit("rps"),
+		write_rps: lowerLimit("write_rps"),
+		value_kb: lowerLimit("value_kb"),
+		txn_ops: lowerLimit("txn_ops"),
 	};
 }
--- a/src/quota-command.ts
+++ b/src/quota-command.ts
@@ -15,8 +15,8 @@
 import type { KeyValueStore } from "./coordination/ports/store.js";
 import { keys } from "./protocol/records/keys.js";
 import { decodeStoredRecord } from "./protocol/records/stored-record.js";
-import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
-import { parsePlatform } from "./protocol/settings/platform.js";
+import { defaultOperatorSettings, parseOperatorSettings } from "./protocol/settings/operator.js";
+import { parsePlatformSettings } from "./protocol/settings/platform.js";
 import { readSettingsFile } from "./protocol/settings/settings-file.js";
 import { quotaStore } from "./team-quota.js";
 import { HttpClient } from "./transport/clients/http-client.js";
@@ -88,7 +88,7 @@
 }
 
 function connect(time: Clock, options: CommandOptions): KeyValueStore {
-	const { cluster, endpoints } = parsePlatform(options.config, readSettingsFile(options.config));
+	const { cluster, endpoints } = parsePlatformSettings(options.config, readSettingsFile(options.config));
 	return new StoreClient({
 		http: new HttpClient(endpoints.state, maxConnections),
 		clock: time,
@@ -124,8 +124,8 @@
 async function maxCapacity(store: KeyValueStore, options: CommandOptions) {
 	const operator =
 		options.operator === undefined
-			? defaultOperator()
-			: await parseOperator(options.operator, readSettingsFile(options.operator));
+			? defaultOperatorSettings()
+			: await parseOperatorSettings(options.operator, readSettingsFile(options.operator));
 	const machines = operator.climb.most_machines;
 	if (machines === 0) return null;
 	const { row } = await store.read(keys.machineTypes);
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -24,14 +24,14 @@
 const standardErrorFd = 2;
 
 /** Most connections to the store and to the cloud. */
-const storeConnections = 40;
-const cloudConnections = 8;
+const maxStoreConnections = 40;
+const maxCloudConnections = 8;
 
 /** Of the sockets that the process may have, this part is for users and workers, less those kept back. */
-const publicSocketsPart = 0.8;
+const publicSocketsFraction = 0.8;
 /** Sockets kept back for the store, the cloud, direct commands and the other controllers. */
-const socketsKeptBack = 60;
-const leastPublicSockets = 16;
+const reservedSockets = 60;
+const minPublicSockets = 16;
 
 /** After this the process ends, whatever is still open. */
 const exitDelayMs = 200;
@@ -41,32 +41,32 @@
 	const log = createLog(platform.node);
 	logUncaughtErrors(log);
 	const peers = new PeerLinks({
-		self: platform.node,
+		localNode: platform.node,
 		peers: platform.others,
 		onMessage: (from, message) => controller.receivePeerMessage(from, message),
 		log,
 	});
 	const controller = buildController(platform, operator, peers, log);
 	const server = await startPublicServer({
-		service: publicService(controller),
+		service: createPublicService(controller),
 		log,
 		...parseAddress(platform.front),
-		maxConnections: publicSockets(platform),
+		maxConnections: maxPublicConnections(platform),
 	});
-	const back = parseAddress(platform.back);
-	await peers.listen(back.host, back.port);
+	const peerAddress = parseAddress(platform.back);
+	await peers.listen(peerAddress.host, peerAddress.port);
 	controller.start();
 	log.info({ front: platform.front, back: platform.back, version }, "controller started");
 
-	const stop = () => {
+	const shutDown = () => {
 		log.info({}, "controller stopping");
 		controller.stop();
 		void server.close();
 		void peers.close();
 		setTimeout(() => process.exit(0), exitDelayMs);
 	};
-	process.once("SIGTERM", stop);
-	process.once("SIGINT", stop);
+	process.once("SIGTERM", shutDown);
+	process.once("SIGINT", shutDown);
 }
 
 function createLog(node: string): Logger {
@@ -93,7 +93,7 @@
 	const incarnation = randomBytes(6).toString("hex");
 	const seed = randomBytes(4).readInt32LE(0);
 	const store = new StoreClient({
-		http: new HttpClient(endpoints.state, storeConnections),
+		http: new HttpClient(endpoints.state, maxStoreConnections),
 		clock: systemClock,
 		requestsPerS: cluster.state.rps,
 		writesPerS: cluster.state.write_rps,
@@ -101,7 +101,11 @@
 	});
 	const ports = {
 		store,
-		cloud: new CloudClient(new HttpClient(endpoints.cloud, cloudConnections), systemClock, cluster.cloud.rps),
+		cloud: new CloudClient(
+			new HttpClient(endpoints.cloud, maxCloudConnections),
+			systemClock,
+			cluster.cloud.rps,
+		),
 		workers: new WorkerClient(),
 		peers,
 		clock: systemClock,
@@ -114,7 +118,7 @@
 	return createController({ platform, operator, incarnation, ports });
 }
 
-function publicService(controller: Controller): PublicService {
+function createPublicService(controller: Controller): PublicService {
 	return {
 		submit: (spec) => controller.jobs.submit(spec),
 		status: (id) => controller.jobs.status(id),
@@ -124,7 +128,7 @@
 	};
 }
 
-function publicSockets({ cluster }: PlatformSettings): number {
-	const sockets = Math.floor(cluster.resources.fd_limit * publicSocketsPart) - socketsKeptBack;
-	return Math.max(leastPublicSockets, sockets);
+function maxPublicConnections({ cluster }: PlatformSettings): number {
+	const sockets = Math.floor(cluster.resources.fd_limit * publicSocketsFraction) - reservedSockets;
+	return Math.max(minPublicSockets, sockets);
 }
--- a/src/transport/clients/cloud-client.ts
+++ b/src/transport/clients/cloud-client.ts
@@ -4,14 +4,14 @@
 import { type Clock, delay } from "../../coordination/ports/clock.js";
 import type { CloudProvider } from "../../coordination/ports/cloud.js";
 import {
-	createdMachinesFrom,
 	createMachinesBody,
 	deleteMachinesBody,
 	isNoCapacity,
 	type MachineListPage,
-	machineListFrom,
 	machineListPath,
-	machineTypesFrom,
+	parseCreatedMachines,
+	parseMachineList,
+	parseMachineTypes,
 	type ScaleOutRequest,
 } from "../../protocol/http/cloud-api.js";
 import { paths } from "../../protocol/http/paths.js";
@@ -30,7 +30,7 @@
 const maxRateWaitMs = 1000;
 
 /** Part of the cloud's limit that this client uses; only the leader calls the cloud. */
-const rateShare = 0.9;
+const rateFraction = 0.9;
 /** Requests that may come at once, in seconds of the limit. The cloud allows for two. */
 const burstS = 1.5;
 /** Requests that are kept for scaling, in seconds of the limit; one request is enough. */
@@ -41,7 +41,7 @@
  * create and delete machines come before those that list, which leave a reserve to them.
  */
 export class CloudClient implements CloudProvider {
-	private readonly requests: TokenBucket;
+	private readonly requestTokens: TokenBucket;
 	private readonly scalingReserve: number;
 
 	/** @param requestsPerS The cloud's limit on requests (`cluster.cloud.rps` in the platform's settings). */
@@ -50,40 +50,44 @@
 		private readonly clock: Clock,
 		requestsPerS: number,
 	) {
-		this.requests = new TokenBucket(requestsPerS * rateShare, Math.max(1, requestsPerS * burstS), clock);
+		this.requestTokens = new TokenBucket(
+			requestsPerS * rateFraction,
+			Math.max(1, requestsPerS * burstS),
+			clock,
+		);
 		this.scalingReserve = Math.min(1, requestsPerS * scalingReserveS);
 	}
 
 	async machineTypes(): Promise<MachineType[]> {
-		await this.admit(this.scalingReserve);
+		await this.acquireToken(this.scalingReserve);
 		const response = await this.http.call("GET", paths.machineTypes, undefined, callTimeoutMs);
 		expectStatus(response, "machine types", 200);
-		return parseResponse(response, "machine types", machineTypesFrom);
+		return parseResponse(response, "machine types", parseMachineTypes);
 	}
 
 	async createMachines(request: ScaleOutRequest): Promise<MachineId[]> {
-		await this.admit(0);
+		await this.acquireToken(0);
 		const body = createMachinesBody(request);
 		const response = await this.http.call("POST", paths.machines, body, callTimeoutMs);
 		// A 503 with this body says that there is no capacity; one during an outage of the cloud has another.
 		if (response.status === 503 && isNoCapacity(response.body)) return [];
 		expectStatus(response, "creation of machines", 200, 201);
-		return parseResponse(response, "creation of machines", createdMachinesFrom);
+		return parseResponse(response, "creation of machines", parseCreatedMachines);
 	}
 
 	async deleteMachines(machines: MachineId[]): Promise<void> {
-		await this.admit(0);
+		await this.acquireToken(0);
 		const body = deleteMachinesBody(machines);
-		const response = await this.http.call("POST", paths.machinesReturn, body, callTimeoutMs);
+		const response = await this.http.call("POST", paths.machineDeletions, body, callTimeoutMs);
 		expectStatus(response, "deletion of machines", 200);
 	}
 
 	async listMachines(after: MachineId): Promise<MachineListPage> {
-		await this.admit(this.scalingReserve);
+		await this.acquireToken(this.scalingReserve);
 		const path = machineListPath(after, machineListPageSize);
 		const response = await this.http.call("GET", path, undefined, callTimeoutMs);
 		expectStatus(response, "machine list", 200);
-		return parseResponse(response, "machine list", machineListFrom);
+		return parseResponse(response, "machine list", parseMachineList);
 	}
 
 	/** Closes the connections. Calls that are still open reject. */
@@ -92,12 +96,12 @@
 	}
 
 	/** Waits for a request's share of the rate, beyond the reserve. */
-	private async admit(reserve: number): Promise<void> {
-		if (this.requests.take(1, reserve)) return;
-		const waitMs = this.requests.waitMs(1, reserve);
+	private async acquireToken(reserve: number): Promise<void> {
+		if (this.requestTokens.tryTake(1, reserve)) return;
+		const waitMs = this.requestTokens.waitMs(1, reserve);
 		if (waitMs < maxRateWaitMs) {
 			await delay(this.clock, waitMs + 1);
-			if (this.requests.take(1, reserve)) return;
+			if (this.requestTokens.tryTake(1, reserve)) return;
 		}
 		throw new CallError("not executed", 429, "this controller's share of the cloud's rate is used up");
 	}
--- a/src/transport/clients/http-client.ts
+++ b/src/transport/clients/http-client.ts
@@ -14,9 +14,9 @@
 	 * Sends a request and resolves to its response, whatever the status. Rejects with a CallError.
 	 *
 	 * @param body Sent as JSON; undefined: the request has no body.
-	 * @param deadlineMs Longest time until the whole response is here.
+	 * @param timeoutMs Longest time until the whole response is here.
 	 */
-	call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpResponse>;
+	call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse>;
 	/** Closes all connections. Calls that are still open reject. */
 	close(): void;
 }
@@ -45,9 +45,9 @@
 		});
 	}
 
-	call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpResponse> {
+	call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
 		const { target, agent, onSettled } = this;
-		const exchange = new HttpExchange({ method, path, body, deadlineMs }, { target, agent, onSettled });
+		const exchange = new HttpExchange({ method, path, body, timeoutMs }, { target, agent, onSettled });
 		this.openExchanges.add(exchange);
 		return exchange.response;
 	}
--- a/src/transport/clients/http-exchange.ts
+++ b/src/transport/clients/http-exchange.ts
@@ -14,7 +14,7 @@
 	/** Sent as JSON; undefined: the request has no body. */
 	body: unknown;
 	/** Longest time from now until the whole response is here. */
-	deadlineMs: number;
+	timeoutMs: number;
 }
 
 /** Where a request goes, and who is told when it has been settled. */
@@ -53,14 +53,14 @@
 			this.resolve = resolve;
 			this.reject = reject;
 		});
-		const { method, path, body, deadlineMs } = httpRequest;
+		const { method, path, body, timeoutMs } = httpRequest;
 		const payload = body === undefined ? undefined : JSON.stringify(body);
 		const { target, agent } = options;
 		this.clientRequest = request({ ...target, method, path, headers: headersOf(payload), agent });
-		this.clientRequest.on("socket", (socket) => this.noteConnection(socket));
+		this.clientRequest.on("socket", (socket) => this.trackConnection(socket));
 		this.clientRequest.on("response", (message) => this.receive(message));
 		this.clientRequest.on("error", (error) => this.fail(error.message, error));
-		this.deadline = new ResponseDeadline(deadlineMs, () => this.fail("no response in time"));
+		this.deadline = new ResponseDeadline(timeoutMs, () => this.fail("no response in time"));
 		this.clientRequest.end(payload);
 	}
 
@@ -69,7 +69,7 @@
 		this.fail("the client was closed");
 	}
 
-	private noteConnection(socket: Socket): void {
+	private trackConnection(socket: Socket): void {
 		if (!socket.connecting) {
 			this.connected = true;
 			return;
--- a/src/transport/clients/http-response.ts
+++ b/src/transport/clients/http-response.ts
@@ -17,9 +17,10 @@
 }
 
 /** Throws a CallError unless the response has one of the expected statuses. */
-export function expectStatus(response: HttpResponse, call: string, ...expected: number[]): void {
+export function expectStatus(response: HttpResponse, operation: string, ...expected: number[]): void {
 	const { status } = response;
-	if (!expected.includes(status)) throw new CallError(outcomeOf(status), status, `${call}: status ${status}`);
+	if (!expected.includes(status))
+		throw new CallError(outcomeOf(status), status, `${operation}: status ${status}`);
 }
 
 /**
@@ -27,12 +28,12 @@
  * counts as no response (a CallError with the outcome `unknown`), and nothing of it is used. The test is
  * `tests/protocol/http/malformed-responses.test.ts`.
  */
-export function parseResponse<T>(response: HttpResponse, call: string, parse: (body: unknown) => T): T {
+export function parseResponse<T>(response: HttpResponse, operation: string, parse: (body: unknown) => T): T {
 	try {
 		return parse(response.body);
 	} catch (error) {
 		if (!(error instanceof MalformedMessageError)) throw error;
-		const message = `${call}: malformed response: ${error.message}`;
+		const message = `${operation}: malformed response: ${error.message}`;
 		throw new CallError("unknown", response.status, message, { cause: error });
 	}
 }
--- a/src/transport/clients/response-deadline.ts
+++ b/src/transport/clients/response-deadline.ts
@@ -16,13 +16,13 @@
 export class ResponseDeadline {
 	private timer: NodeJS.Timeout;
 
-	constructor(deadlineMs: number, onExpired: () => void) {
-		const dueAt = performance.now() + deadlineMs;
+	constructor(timeoutMs: number, onExpired: () => void) {
+		const deadlineAt = performance.now() + timeoutMs;
 		this.timer = setTimeout(() => {
-			const pausedMs = performance.now() - dueAt;
-			if (pausedMs > pauseThresholdMs) this.timer = setTimeout(onExpired, graceAfterPauseMs);
+			const latenessMs = performance.now() - deadlineAt;
+			if (latenessMs > pauseThresholdMs) this.timer = setTimeout(onExpired, graceAfterPauseMs);
 			else onExpired();
-		}, deadlineMs);
+		}, timeoutMs);
 	}
 
 	/** The action does not run any more. */
--- a/src/transport/clients/store-client.ts
+++ b/src/transport/clients/store-client.ts
@@ -6,17 +6,17 @@
 import { paths } from "../../protocol/http/paths.js";
 import {
 	compareAndSwapBody,
-	conflictsFrom,
-	eventsFrom,
 	grantLeaseBody,
-	leaseIdFrom,
 	leasePath,
+	parseConflicts,
+	parseEvents,
+	parseLeaseId,
+	parseRevision,
+	parseRow,
+	parseRows,
 	renewLeaseBody,
 	renewLeasePath,
-	revisionFrom,
-	rowFrom,
 	rowPath,
-	rowsFrom,
 	rowsPath,
 	type StoreChange,
 	type StoreCondition,
@@ -45,9 +45,9 @@
 const maxWriteWaitMs = 200;
 
 /** Part of the store's limit on changes that a controller uses. */
-const writeShare = 0.6;
+const writeRateFraction = 0.6;
 /** Part of that which background writes leave to others, and changes that normal ones leave. */
-const backgroundReservePart = 0.5;
+const backgroundReserveFraction = 0.5;
 const normalReserve = 1;
 
 /** How often, and after how long each time, a write that a user waits for is sent again after a 429. */
@@ -73,7 +73,7 @@
  * The part of the limit on requests that one controller uses. A controller may be busier than the others, so it
  * is somewhat more than an equal part; what exceeds the common limit is refused with 429 and tried again.
  */
-function requestShare(controllers: number): number {
+function requestRateFraction(controllers: number): number {
 	return controllers > 1 ? 1.4 / controllers : 0.9;
 }
 
@@ -81,51 +81,51 @@
 export class StoreClient implements KeyValueStore {
 	private readonly http: HttpCaller;
 	private readonly clock: Clock;
-	private readonly requests: TokenBucket;
+	private readonly requestTokens: TokenBucket;
 	/**
 	 * Users' writes may come to any controller, all at once, and draw on the whole limit; what a leader writes
 	 * besides keeps to a part of it, and waits while users' writes use it up.
 	 */
-	private readonly writes: TokenBucket;
+	private readonly writeTokens: TokenBucket;
 	private readonly backgroundReserve: number;
 	private rateRetries = 0;
 
 	constructor({ http, clock, requestsPerS, writesPerS, controllers }: StoreClientOptions) {
 		this.http = http;
 		this.clock = clock;
-		const requestRate = requestsPerS * requestShare(controllers);
-		this.requests = new TokenBucket(requestRate, requestRate, clock);
-		const writeRate = writesPerS * writeShare;
-		this.writes = new TokenBucket(writeRate, writeRate, clock);
-		this.backgroundReserve = writeRate * backgroundReservePart;
+		const requestRate = requestsPerS * requestRateFraction(controllers);
+		this.requestTokens = new TokenBucket(requestRate, requestRate, clock);
+		const writeRate = writesPerS * writeRateFraction;
+		this.writeTokens = new TokenBucket(writeRate, writeRate, clock);
+		this.backgroundReserve = writeRate * backgroundReserveFraction;
 	}
 
 	async read(key: string): Promise<{ row: StoreRow | null }> {
-		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		await this.acquireTokens(this.requestTokens, 1, 0, maxRequestWaitMs);
 		const response = await this.http.call("GET", rowPath(key), undefined, callTimeoutMs);
 		expectStatus(response, "read", 200, 404);
-		if (response.status === 200) return { row: parseResponse(response, "read", rowFrom) };
+		if (response.status === 200) return { row: parseResponse(response, "read", parseRow) };
 		// A 404 without a revision does not come from the store and does not tell that the key is absent.
-		parseResponse(response, "read", revisionFrom);
+		parseResponse(response, "read", parseRevision);
 		return { row: null };
 	}
 
 	async readPrefix(prefix: string): Promise<{ rows: StoreRow[]; revision: Revision }> {
-		const all: StoreRow[] = [];
-		let after: string | null = null;
+		const allRows: StoreRow[] = [];
+		let afterKey: string | null = null;
 		let firstRevision: Revision | null = null;
 		for (;;) {
-			await this.admit(this.requests, 1, 0, maxPageWaitMs);
-			const path = rowsPath(prefix, after, pageSize);
+			await this.acquireTokens(this.requestTokens, 1, 0, maxPageWaitMs);
+			const path = rowsPath(prefix, afterKey, pageSize);
 			const response = await this.http.call("GET", path, undefined, rowsTimeoutMs);
 			expectStatus(response, "rows", 200);
-			const { rows, more, revision } = parseResponse(response, "rows", rowsFrom);
+			const { rows, hasMore, revision } = parseResponse(response, "rows", parseRows);
 			// Later pages may hold later changes. A watch from the revision of the first page repeats those.
 			firstRevision ??= revision;
-			all.push(...rows);
+			allRows.push(...rows);
 			const last = rows.at(-1);
-			if (!more || !last) return { rows: all, revision: firstRevision };
-			after = last.key;
+			if (!hasMore || !last) return { rows: allRows, revision: firstRevision };
+			afterKey = last.key;
 		}
 	}
 
@@ -134,19 +134,19 @@
 		changes: StoreChange[],
 		priority: WritePriority,
 	): Promise<CompareAndSwapResult> {
-		await this.admitWrite(changes.length, priority);
-		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		await this.acquireWriteTokens(changes.length, priority);
+		await this.acquireTokens(this.requestTokens, 1, 0, maxRequestWaitMs);
 		const response = await this.transact(compareAndSwapBody(conditions, changes), priority);
 		expectStatus(response, "transaction", 200, 409);
 		return response.status === 200
-			? { swapped: true, revision: parseResponse(response, "transaction", revisionFrom) }
-			: { swapped: false, ...parseResponse(response, "transaction", conflictsFrom) };
+			? { swapped: true, revision: parseResponse(response, "transaction", parseRevision) }
+			: { swapped: false, ...parseResponse(response, "transaction", parseConflicts) };
 	}
 
 	async grantLease(ttlMs: number): Promise<LeaseId> {
 		const response = await this.http.call("POST", paths.leases, grantLeaseBody(ttlMs), callTimeoutMs);
 		expectStatus(response, "lease", 200, 201);
-		return parseResponse(response, "lease", leaseIdFrom);
+		return parseResponse(response, "lease", parseLeaseId);
 	}
 
 	async renewLease(lease: LeaseId): Promise<void> {
@@ -161,14 +161,19 @@
 
 	async watch(
 		prefix: string,
-		from: Revision,
+		afterRevision: Revision,
 		waitMs: number,
 	): Promise<{ events: StoreEvent[]; revision: Revision }> {
-		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		await this.acquireTokens(this.requestTokens, 1, 0, maxRequestWaitMs);
 		const timeoutMs = waitMs + (waitMs === 0 ? callTimeoutMs : watchGraceMs);
-		const response = await this.http.call("GET", watchPath(prefix, from, waitMs), undefined, timeoutMs);
+		const response = await this.http.call(
+			"GET",
+			watchPath(prefix, afterRevision, waitMs),
+			undefined,
+			timeoutMs,
+		);
 		expectStatus(response, "watch", 200);
-		return parseResponse(response, "watch", eventsFrom);
+		return parseResponse(response, "watch", parseEvents);
 	}
 
 	/** Closes the connections. Calls that are still open reject. */
@@ -177,25 +182,30 @@
 	}
 
 	/** Waits for a request's share of a rate, beyond the reserve, but no longer than given. */
-	private async admit(bucket: TokenBucket, count: number, reserve: number, maxWaitMs: number): Promise<void> {
-		if (bucket.take(count, reserve)) return;
+	private async acquireTokens(
+		bucket: TokenBucket,
+		count: number,
+		reserve: number,
+		maxWaitMs: number,
+	): Promise<void> {
+		if (bucket.tryTake(count, reserve)) return;
 		const waitMs = bucket.waitMs(count, reserve);
 		if (waitMs <= maxWaitMs) {
 			await delay(this.clock, waitMs + 1);
-			if (bucket.take(count, reserve)) return;
+			if (bucket.tryTake(count, reserve)) return;
 		}
 		throw new CallError("not executed", 429, "this controller's share of the store's rate is used up");
 	}
 
 	/** A write that a user waits for is sent at once, whatever the rate; the others wait for it to be paid for. */
-	private async admitWrite(changes: number, priority: WritePriority): Promise<void> {
+	private async acquireWriteTokens(changes: number, priority: WritePriority): Promise<void> {
 		switch (priority) {
 			case "user":
-				return this.writes.debit(changes);
+				return this.writeTokens.debit(changes);
 			case "normal":
-				return this.admit(this.writes, changes, normalReserve, maxWriteWaitMs);
+				return this.acquireTokens(this.writeTokens, changes, normalReserve, maxWriteWaitMs);
 			case "background":
-				return this.admit(this.writes, changes, this.backgroundReserve, maxWriteWaitMs);
+				return this.acquireTokens(this.writeTokens, changes, this.backgroundReserve, maxWriteWaitMs);
 		}
 	}
 
--- a/src/transport/clients/token-bucket.ts
+++ b/src/transport/clients/token-bucket.ts
@@ -8,7 +8,7 @@
  */
 export class TokenBucket {
 	private tokens: number;
-	private refilledAt: number;
+	private lastRefillAt: number;
 
 	/**
 	 * @param ratePerS Tokens that come in a second.
@@ -20,11 +20,11 @@
 		private readonly clock: Pick<Clock, "now">,
 	) {
 		this.tokens = burst;
-		this.refilledAt = clock.now();
+		this.lastRefillAt = clock.now();
 	}
 
 	/** Takes tokens if that leaves at least the reserve; returns whether it did. */
-	take(count = 1, reserve = 0): boolean {
+	tryTake(count = 1, reserve = 0): boolean {
 		this.refill();
 		if (this.tokens < count + reserve) return false;
 		this.tokens -= count;
@@ -45,7 +45,7 @@
 
 	private refill(): void {
 		const now = this.clock.now();
-		this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) / 1000) * this.ratePerS);
-		this.refilledAt = now;
+		this.tokens = Math.min(this.burst, this.tokens + ((now - this.lastRefillAt) / 1000) * this.ratePerS);
+		this.lastRefillAt = now;
 	}
 }
--- a/src/transport/clients/worker-client.ts
+++ b/src/transport/clients/worker-client.ts
@@ -2,7 +2,7 @@
 
 import type { DirectCommandResult, WorkerGateway } from "../../coordination/ports/workers.js";
 import { paths } from "../../protocol/http/paths.js";
-import { directCommandsBody, directCommandsResponseFrom } from "../../protocol/http/worker-api.js";
+import { directCommandsBody, parseDirectCommandsResponse } from "../../protocol/http/worker-api.js";
 import type { AgentEpoch, FencingToken } from "../../protocol/model/identifiers.js";
 import type { WorkerCommand } from "../../protocol/model/worker.js";
 import { type HttpCaller, HttpClient } from "./http-client.js";
@@ -32,7 +32,7 @@
 			const response = await http.call("POST", paths.commands, body, callTimeoutMs);
 			// 409: the fencing token is too low or the agent epoch is another, and nothing was executed.
 			expectStatus(response, "direct commands", 200, 409);
-			const heartbeat = parseResponse(response, "direct commands", directCommandsResponseFrom);
+			const heartbeat = parseResponse(response, "direct commands", parseDirectCommandsResponse);
 			return { executed: response.status === 200, heartbeat };
 		} finally {
 			http.close();
--- a/src/transport/peers/outgoing-peer-link.ts
+++ b/src/transport/peers/outgoing-peer-link.ts
@@ -11,8 +11,8 @@
 const connectTimeoutMs = 1000;
 
 /** The pause before the next attempt grows with each failure in a row, up to a maximum. */
-const retryStepMs = 200;
-const maxRetryMs = 2000;
+const retryDelayStepMs = 200;
+const maxRetryDelayMs = 2000;
 
 /** With more than this waiting to be sent, the other controller does not read any more. */
 const maxQueuedBytes = 2 * 1024 * 1024;
@@ -20,7 +20,7 @@
 /** What an outgoing link needs. */
 export interface OutgoingPeerLinkOptions {
 	/** This controller, which names itself to the other one. */
-	self: NodeId;
+	localNode: NodeId;
 	peer: NodeId;
 	/** Of the form `host:port`. */
 	address: string;
@@ -41,7 +41,7 @@
 export class OutgoingPeerLink {
 	private readonly address: HostAndPort;
 	private state: LinkState = { kind: "disconnected", retryAt: 0 };
-	private failuresInARow = 0;
+	private consecutiveFailures = 0;
 
 	constructor(private readonly options: OutgoingPeerLinkOptions) {
 		this.address = parseAddress(options.address);
@@ -86,13 +86,13 @@
 
 	private onConnected(socket: Socket): void {
 		this.state = { kind: "connected", socket };
-		this.failuresInARow = 0;
-		socket.write(encodeFrame(encodeHello(this.options.self)));
+		this.consecutiveFailures = 0;
+		socket.write(encodeFrame(encodeHello(this.options.localNode)));
 	}
 
 	private onClosed(): void {
-		this.failuresInARow += 1;
-		const pauseMs = Math.min(maxRetryMs, retryStepMs * this.failuresInARow);
-		this.state = { kind: "disconnected", retryAt: performance.now() + pauseMs };
+		this.consecutiveFailures += 1;
+		const retryDelayMs = Math.min(maxRetryDelayMs, retryDelayStepMs * this.consecutiveFailures);
+		this.state = { kind: "disconnected", retryAt: performance.now() + retryDelayMs };
 	}
 }
--- a/src/transport/peers/peer-links.ts
+++ b/src/transport/peers/peer-links.ts
@@ -10,7 +10,7 @@
 import { OutgoingPeerLink } from "./outgoing-peer-link.js";
 
 /** How often links without a connection are looked at. */
-const connectEveryMs = 250;
+const reconnectIntervalMs = 250;
 
 /** Accepted connections for each controller: old ones may be there for a while beside new ones. */
 const maxConnectionsPerController = 4;
@@ -25,7 +25,7 @@
 /** What the links need. */
 export interface PeerLinksOptions {
 	/** This controller. */
-	self: NodeId;
+	localNode: NodeId;
 	/** All other controllers. */
 	peers: readonly PeerAddress[];
 	/** Takes every message that another controller has sent. Its form is not checked yet. */
@@ -44,9 +44,12 @@
 	private connectTimer: NodeJS.Timeout | null = null;
 
 	constructor(private readonly options: PeerLinksOptions) {
-		const { self, peers, log } = options;
+		const { localNode, peers, log } = options;
 		this.outgoing = new Map(
-			peers.map(({ node, addr }) => [node, new OutgoingPeerLink({ self, peer: node, address: addr, log })]),
+			peers.map(({ node, addr }) => [
+				node,
+				new OutgoingPeerLink({ localNode, peer: node, address: addr, log }),
+			]),
 		);
 	}
 
@@ -61,8 +64,8 @@
 		server.listen(port, host);
 		await once(server, "listening");
 		server.on("error", (err) => this.options.log.error({ err }, "peer listener failed"));
-		this.connectTimer = setInterval(() => this.connectAll(), connectEveryMs);
-		this.connectAll();
+		this.connectTimer = setInterval(() => this.connectDueLinks(), reconnectIntervalMs);
+		this.connectDueLinks();
 		return boundPort(server) ?? port;
 	}
 
@@ -92,7 +95,7 @@
 		socket.on("close", () => this.incoming.delete(link));
 	}
 
-	private connectAll(): void {
+	private connectDueLinks(): void {
 		const now = performance.now();
 		for (const link of this.outgoing.values()) link.connectIfDue(now);
 	}
--- a/src/transport/public/heartbeat-listener.ts
+++ b/src/transport/public/heartbeat-listener.ts
@@ -21,7 +21,7 @@
 
 /** Whether a request is a heartbeat. */
 export function isHeartbeat({ method, url }: IncomingMessage): boolean {
-	return method === "POST" && (url === paths.report || url?.startsWith(`${paths.report}?`) === true);
+	return method === "POST" && (url === paths.heartbeats || url?.startsWith(`${paths.heartbeats}?`) === true);
 }
 
 /**
@@ -42,23 +42,23 @@
 		});
 		// The worker has closed the connection within its request: there is nobody to respond to, and the worker
 		// sends its next heartbeat in any case.
-		request.on("error", (err) => this.options.log.debug({ path: paths.report, err }, "request aborted"));
+		request.on("error", (err) => this.options.log.debug({ path: paths.heartbeats, err }, "request aborted"));
 		request.on("end", () => {
-			if (bytes <= maxBodyBytes) void this.answer(joined(chunks).toString("utf8"), response);
+			if (bytes <= maxBodyBytes) void this.processHeartbeat(concatChunks(chunks).toString("utf8"), response);
 		});
 	}
 
-	private async answer(body: string, response: ServerResponse): Promise<void> {
+	private async processHeartbeat(body: string, response: ServerResponse): Promise<void> {
 		try {
 			const result = await this.options.service.handleHeartbeat(parseHeartbeat(body));
 			if (result.kind === "redirect") this.respond(response, 421, redirectBody(result.node));
 			else this.respond(response, 200, heartbeatResponseBody(result.fencingToken, result.commands));
 		} catch (error) {
-			this.fail(error, response);
+			this.respondWithError(error, response);
 		}
 	}
 
-	private fail(error: unknown, response: ServerResponse): void {
+	private respondWithError(error: unknown, response: ServerResponse): void {
 		if (error instanceof MalformedMessageError) {
 			this.respond(response, 400, { error: error.message });
 			return;
@@ -87,7 +87,7 @@
 	}
 }
 
-function joined(chunks: Buffer[]): Buffer {
+function concatChunks(chunks: Buffer[]): Buffer {
 	const [first] = chunks;
 	return first && chunks.length === 1 ? first : Buffer.concat(chunks);
 }
--- a/src/transport/public/public-api.ts
+++ b/src/transport/public/public-api.ts
@@ -24,31 +24,31 @@
 export function publicApi(service: PublicService, log: Log): Hono {
 	const app = new Hono();
 	app.get(paths.ready, () =>
-		service.ready() ? Response.json({ ready: true }) : unavailable("the node is starting"),
+		service.ready() ? Response.json({ ready: true }) : unavailableResponse("the node is starting"),
 	);
 	app.post(paths.jobs, (context) => submit(service, context.req.raw));
 	app.get(jobPath, (context) => lookUp(service, context.req.param("id")));
 	app.post(cancelPath, (context) => cancel(service, context.req.param("id")));
 	// After the handlers of the methods that are allowed.
-	app.all(paths.ready, () => methodNotAllowed("GET"));
-	app.all(paths.report, () => methodNotAllowed("POST"));
-	app.all(paths.jobs, () => methodNotAllowed("POST"));
-	app.all(jobPath, () => methodNotAllowed("GET"));
-	app.all(cancelPath, () => methodNotAllowed("POST"));
-	app.notFound(() => failure(404, "there is nothing at this path"));
-	app.onError((error, context) => failed(error, context, log));
+	app.all(paths.ready, () => methodNotAllowedResponse("GET"));
+	app.all(paths.heartbeats, () => methodNotAllowedResponse("POST"));
+	app.all(paths.jobs, () => methodNotAllowedResponse("POST"));
+	app.all(jobPath, () => methodNotAllowedResponse("GET"));
+	app.all(cancelPath, () => methodNotAllowedResponse("POST"));
+	app.notFound(() => errorResponse(404, "there is nothing at this path"));
+	app.onError((error, context) => handleError(error, context, log));
 	return app;
 }
 
 async function submit(service: PublicService, request: Request): Promise<Response> {
 	const body = await readBody(request);
-	if (body === null) return failure(413, bodyTooLargeMessage);
+	if (body === null) return errorResponse(413, bodyTooLargeMessage);
 	let spec: JobSpec;
 	try {
 		spec = parseJobSpec(body);
 	} catch (error) {
-		const known = await acceptedEarlier(service, body);
-		if (known) return known;
+		const existingJobResponse = await responseIfAlreadyAccepted(service, body);
+		if (existingJobResponse) return existingJobResponse;
 		throw error;
 	}
 	return submitResponse(spec.id, await service.submit(spec));
@@ -58,11 +58,11 @@
  * A submission that names an accepted job is answered with the job's state, whatever is wrong with it: an
  * accepted job may never get 400 or 422. The test is in `tests/transport/public/public-api.test.ts`.
  */
-async function acceptedEarlier(service: PublicService, body: string): Promise<Response | null> {
+async function responseIfAlreadyAccepted(service: PublicService, body: string): Promise<Response | null> {
 	const id = jobIdOf(body);
 	if (id === null) return null;
-	const known = await service.status(id);
-	return known.kind === "found" ? Response.json(jobResponseBody(id, known.status)) : null;
+	const lookup = await service.status(id);
+	return lookup.kind === "found" ? Response.json(jobResponseBody(id, lookup.status)) : null;
 }
 
 function submitResponse(id: JobId, result: SubmitResult): Response {
@@ -72,16 +72,16 @@
 		case "duplicate":
 			return Response.json(jobResponseBody(id, result.status));
 		case "malformed":
-			return failure(400, result.reason);
+			return errorResponse(400, result.reason);
 		case "rejected":
-			return failure(422, result.reason);
+			return errorResponse(422, result.reason);
 		case "unavailable":
-			return unavailable(result.reason);
+			return unavailableResponse(result.reason);
 	}
 }
 
 async function lookUp(service: PublicService, id: string): Promise<Response> {
-	if (!isJobId(id)) return noSuchJob();
+	if (!isJobId(id)) return noSuchJobResponse();
 	const result = await service.status(id);
 	if (result.kind !== "found") return notFoundResponse(result);
 	const { status, done, running } = result;
@@ -89,37 +89,37 @@
 }
 
 async function cancel(service: PublicService, id: string): Promise<Response> {
-	if (!isJobId(id)) return noSuchJob();
+	if (!isJobId(id)) return noSuchJobResponse();
 	const result = await service.cancel(id);
 	if (result.kind !== "found") return notFoundResponse(result);
 	return Response.json(jobResponseBody(id, result.status));
 }
 
 function notFoundResponse(result: Exclude<JobLookup, { kind: "found" }>): Response {
-	return result.kind === "not-found" ? noSuchJob() : unavailable(result.reason);
+	return result.kind === "not-found" ? noSuchJobResponse() : unavailableResponse(result.reason);
 }
 
-function failed(error: Error, context: Context, log: Log): Response {
+function handleError(error: Error, context: Context, log: Log): Response {
 	if (error instanceof MalformedMessageError) {
 		log.debug({ path: context.req.path, err: error }, "malformed request");
-		return failure(400, error.message);
+		return errorResponse(400, error.message);
 	}
 	log.error({ err: error }, "request failed");
-	return unavailable("the request could not be handled");
+	return unavailableResponse("the request could not be handled");
 }
 
-function noSuchJob(): Response {
-	return failure(404, "there is no such job");
+function noSuchJobResponse(): Response {
+	return errorResponse(404, "there is no such job");
 }
 
-function methodNotAllowed(allow: string): Response {
-	return failure(405, `the method is not allowed here, use ${allow}`, { allow });
+function methodNotAllowedResponse(allow: string): Response {
+	return errorResponse(405, `the method is not allowed here, use ${allow}`, { allow });
 }
 
-function unavailable(reason: string): Response {
-	return failure(503, reason, { "retry-after": retryAfterS });
+function unavailableResponse(reason: string): Response {
+	return errorResponse(503, reason, { "retry-after": retryAfterS });
 }
 
-function failure(status: number, error: string, headers?: Record<string, string>): Response {
+function errorResponse(status: number, error: string, headers?: Record<string, string>): Response {
 	return Response.json({ error }, { status, headers });
 }
--- a/src/transport/public/public-server.ts
+++ b/src/transport/public/public-server.ts
@@ -10,7 +10,7 @@
 import type { PublicService } from "./public-service.js";
 
 /** With a larger part of its connections in use, the server asks workers to close theirs after each heartbeat. */
-const scarcePart = 0.9;
+const scarceSocketsFraction = 0.9;
 
 // Idle and half-open connections must not use up the sockets.
 const keepAliveTimeoutMs = 65_000;
@@ -42,9 +42,9 @@
 	const heartbeats = new HeartbeatListener({
 		service,
 		log,
-		socketsScarce: () => connections.count > maxConnections * scarcePart,
+		socketsScarce: () => connections.count > maxConnections * scarceSocketsFraction,
 	});
-	const server = createServer(requestListener(service, heartbeats, log));
+	const server = createServer(createRequestListener(service, heartbeats, log));
 	connections.observe(server);
 	server.keepAliveTimeout = keepAliveTimeoutMs;
 	server.headersTimeout = headersTimeoutMs;
@@ -54,10 +54,10 @@
 	await once(server, "listening");
 	server.on("error", (err) => log.error({ err }, "public listener failed"));
 	rejectMalformedRequests(server, log);
-	return { port: boundPort(server) ?? port, close: () => close(server) };
+	return { port: boundPort(server) ?? port, close: () => closeServer(server) };
 }
 
-function requestListener(service: PublicService, heartbeats: HeartbeatListener, log: Log) {
+function createRequestListener(service: PublicService, heartbeats: HeartbeatListener, log: Log) {
 	const routes = getRequestListener(publicApi(service, log).fetch);
 	return (request: IncomingMessage, response: ServerResponse): void => {
 		if (isHeartbeat(request)) heartbeats.handle(request, response);
@@ -88,7 +88,7 @@
 	});
 }
 
-function close(server: Server): Promise<void> {
+function closeServer(server: Server): Promise<void> {
 	return new Promise((resolve) => {
 		server.close(() => resolve());
 		server.closeAllConnections();
--- a/src/transport/public/request-body.ts
+++ b/src/transport/public/request-body.ts
@@ -11,11 +11,11 @@
 	const declaredBytes = request.headers.get("content-length");
 	// The server reads no more of a body than was declared.
 	if (declaredBytes !== null) return Number(declaredBytes) > maxBodyBytes ? null : request.text();
-	return readUndeclaredBody(request);
+	return readChunkedBody(request);
 }
 
 /** Reads a body that comes in chunks, so that its size is known only at its end. */
-async function readUndeclaredBody(request: Request): Promise<string | null> {
+async function readChunkedBody(request: Request): Promise<string | null> {
 	const chunks: Uint8Array[] = [];
 	let bytes = 0;
 	const reader = request.body?.getReader();
--- a/tests/coordination/fleet/drain.test.ts
+++ b/tests/coordination/fleet/drain.test.ts
@@ -3,7 +3,7 @@
 import { Attempt } from "../../../src/bookkeeping/attempt.js";
 import type { Machine } from "../../../src/bookkeeping/machine.js";
 import { Fleet } from "../../../src/coordination/fleet/fleet.js";
-import { defaultOperator } from "../../../src/protocol/settings/operator.js";
+import { defaultOperatorSettings } from "../../../src/protocol/settings/operator.js";
 import { FakeTime } from "../../support/fake-time.js";
 import { silentLog } from "../../support/silent-log.js";
 import { tablesWith } from "../../support/small-cluster.js";
@@ -39,10 +39,10 @@
 			machineTypes: async () => [],
 			createMachines: async () => [],
 			deleteMachines: async () => {},
-			listMachines: async () => ({ machines: [], more: false }),
+			listMachines: async () => ({ machines: [], hasMore: false }),
 		},
 		clock: time,
-		settings: defaultOperator(),
+		settings: defaultOperatorSettings(),
 		objectives: [],
 		listLagMs: 1000,
 		leaseMs: 10_000,
--- a/tests/coordination/fleet/replica-capacity.test.ts
+++ b/tests/coordination/fleet/replica-capacity.test.ts
@@ -6,7 +6,7 @@
 import type { ScaleOutRequest } from "../../../src/protocol/http/cloud-api.js";
 import type { JobSpec } from "../../../src/protocol/model/job.js";
 import { startTimeObjectives } from "../../../src/protocol/settings/objectives.js";
-import { defaultOperator } from "../../../src/protocol/settings/operator.js";
+import { defaultOperatorSettings } from "../../../src/protocol/settings/operator.js";
 import type { ServiceLevelObjective } from "../../../src/protocol/settings/platform.js";
 import { FakeTime } from "../../support/fake-time.js";
 import { makeSchedulable } from "../../support/machines.js";
@@ -33,10 +33,10 @@
 					return Array.from({ length: request.count }, (_, i) => `${request.name}-${i}`);
 				},
 				deleteMachines: async () => {},
-				listMachines: async () => ({ machines: [], more: false }),
+				listMachines: async () => ({ machines: [], hasMore: false }),
 			},
 			clock: this.time,
-			settings: defaultOperator(),
+			settings: defaultOperatorSettings(),
 			objectives: startTimeObjectives(objectives),
 			listLagMs: 1000,
 			leaseMs: 10_000,
--- a/tests/coordination/leadership/failure-detector.test.ts
+++ b/tests/coordination/leadership/failure-detector.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { FailureDetector } from "../../../src/coordination/leadership/failure-detector.js";
-import { defaultOperator } from "../../../src/protocol/settings/operator.js";
+import { defaultOperatorSettings } from "../../../src/protocol/settings/operator.js";
 import type { PlatformSettings } from "../../../src/protocol/settings/platform.js";
 import { heartbeatOf } from "../../support/machines.js";
 import { fleetOf } from "../../support/running-fleet.js";
@@ -18,7 +18,7 @@
 			others: [{ node: "b" }],
 			cluster: { workers: { report_s: 1 }, resources: {} },
 		} as unknown as PlatformSettings,
-		settings: defaultOperator(),
+		settings: defaultOperatorSettings(),
 		clusterState,
 		peers: { send() {} },
 		teamQuotaMessageFor: () => undefined,
--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -5,7 +5,7 @@
 import { PlacementCycle } from "../../../src/coordination/placement/placement-cycle.js";
 import { encodePeerMessage } from "../../../src/protocol/peer/codec.js";
 import type { PeerMessage } from "../../../src/protocol/peer/messages.js";
-import { defaultOperator } from "../../../src/protocol/settings/operator.js";
+import { defaultOperatorSettings } from "../../../src/protocol/settings/operator.js";
 import type { PlatformSettings } from "../../../src/protocol/settings/platform.js";
 import { encodeFrame } from "../../../src/transport/peers/frame.js";
 import { FakeTime } from "../../support/fake-time.js";
@@ -18,7 +18,7 @@
 		test(`${size} machines: placement requests stay within the message size limit of links, and the tasks start`, async () => {
 			const clock = new FakeTime();
 			const clusterState = largeFleet(size);
-			const settings = defaultOperator();
+			const settings = defaultOperatorSettings();
 			const others = ["b", "c"].map((node) => ({ node, domain: "z", addr: "127.0.0.1:1" }));
 			const platform = { node: "a", others, cluster: { workers: { report_s: 3 }, resources: {} } };
 			let largestMessageBytes = 0;
--- a/tests/protocol/http/cloud-api.test.ts
+++ b/tests/protocol/http/cloud-api.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import {
-	createdMachinesFrom,
 	createMachinesBody,
 	deleteMachinesBody,
 	isNoCapacity,
-	machineListFrom,
 	machineListPath,
-	machineTypesFrom,
+	parseCreatedMachines,
+	parseMachineList,
+	parseMachineTypes,
 } from "../../../src/protocol/http/cloud-api.js";
 
 describe("the cloud's API", () => {
@@ -24,7 +24,7 @@
 			boot_s: 45,
 			halls: ["a", "b"],
 		};
-		assert.deepStrictEqual(machineTypesFrom({ shapes: [wire] }), [
+		assert.deepStrictEqual(parseMachineTypes({ shapes: [wire] }), [
 			{
 				name: "g8",
 				cpus: 96,
@@ -42,7 +42,7 @@
 
 	test("machine types, with what is assumed where the cloud says nothing", () => {
 		const wire = { sku: "c4", cores: 4, ram_gb: 16, rate: 0.5, halls: [], accelerators: null };
-		assert.deepStrictEqual(machineTypesFrom({ shapes: [wire] }), [
+		assert.deepStrictEqual(parseMachineTypes({ shapes: [wire] }), [
 			{
 				name: "c4",
 				cpus: 4,
@@ -67,7 +67,7 @@
 			loaners: true,
 			count: 12,
 		});
-		assert.deepStrictEqual(createdMachinesFrom({ hosts: ["n-000231"] }), ["n-000231"]);
+		assert.deepStrictEqual(parseCreatedMachines({ hosts: ["n-000231"] }), ["n-000231"]);
 		assert.equal(isNoCapacity({ error: "no capacity" }), true);
 		for (const body of [null, undefined, "no capacity", {}, { error: "trouble" }, { error: 7 }]) {
 			assert.equal(isNoCapacity(body), false, JSON.stringify(body));
@@ -96,7 +96,7 @@
 			{ ...wire, status: "of a later version" },
 			{ id: "n-000232", shape: "c4", hall: "b" },
 		];
-		assert.deepStrictEqual(machineListFrom({ hosts, truncated: true }), {
+		assert.deepStrictEqual(parseMachineList({ hosts, truncated: true }), {
 			machines: [
 				{ ...machine, status: "running", ageS: 61.5 },
 				{ ...machine, status: "booting", ageS: 2 },
@@ -112,8 +112,8 @@
 					ageS: 0,
 				},
 			],
-			more: true,
+			hasMore: true,
 		});
-		assert.equal(machineListFrom({ hosts: [] }).more, false);
+		assert.equal(parseMachineList({ hosts: [] }).hasMore, false);
 	});
 });
--- a/tests/protocol/http/malformed-responses.test.ts
+++ b/tests/protocol/http/malformed-responses.test.ts
@@ -3,19 +3,19 @@
 import { CallError } from "../../../src/coordination/ports/call-error.js";
 import { MalformedMessageError } from "../../../src/protocol/errors.js";
 import {
-	createdMachinesFrom,
-	machineListFrom,
-	machineTypesFrom,
+	parseCreatedMachines,
+	parseMachineList,
+	parseMachineTypes,
 } from "../../../src/protocol/http/cloud-api.js";
 import {
-	conflictsFrom,
-	eventsFrom,
-	leaseIdFrom,
-	revisionFrom,
-	rowFrom,
-	rowsFrom,
+	parseConflicts,
+	parseEvents,
+	parseLeaseId,
+	parseRevision,
+	parseRow,
+	parseRows,
 } from "../../../src/protocol/http/store-api.js";
-import { directCommandsResponseFrom } from "../../../src/protocol/http/worker-api.js";
+import { parseDirectCommandsResponse } from "../../../src/protocol/http/worker-api.js";
 import { parseResponse } from "../../../src/transport/clients/http-response.js";
 
 interface MalformedBodies {
@@ -25,21 +25,21 @@
 
 const malformed: MalformedBodies[] = [
 	{
-		parse: machineTypesFrom,
+		parse: parseMachineTypes,
 		bodies: [null, {}, { shapes: [{ sku: "g8" }] }, { shapes: [{ sku: "g8", cores: 0 }] }],
 	},
-	{ parse: createdMachinesFrom, bodies: [null, {}, { hosts: "n-000001" }, { hosts: [7] }] },
+	{ parse: parseCreatedMachines, bodies: [null, {}, { hosts: "n-000001" }, { hosts: [7] }] },
 	{
-		parse: machineListFrom,
+		parse: parseMachineList,
 		bodies: [{}, { hosts: [{ shape: "g8", hall: "a" }] }, { hosts: [{ id: "", shape: "g8", hall: "a" }] }],
 	},
-	{ parse: revisionFrom, bodies: [null, {}, { epoch: "7" }, { epoch: -1 }, { epoch: 1.5 }] },
-	{ parse: conflictsFrom, bodies: [null, {}, { epoch: 7 }, { failed: "a/b", epoch: 7 }] },
-	{ parse: leaseIdFrom, bodies: [{}, { permit: null }] },
-	{ parse: rowFrom, bodies: [{}, { key: "a", v: 1 }] },
-	{ parse: rowsFrom, bodies: [{ rows: [] }, { rows: [{ key: "a" }], epoch: 1 }] },
-	{ parse: eventsFrom, bodies: [{ epoch: 1 }, { epoch: 1, events: [{ stamp: 1 }] }] },
-	{ parse: directCommandsResponseFrom, bodies: [null, {}, "executed", { pieces: [] }] },
+	{ parse: parseRevision, bodies: [null, {}, { epoch: "7" }, { epoch: -1 }, { epoch: 1.5 }] },
+	{ parse: parseConflicts, bodies: [null, {}, { epoch: 7 }, { failed: "a/b", epoch: 7 }] },
+	{ parse: parseLeaseId, bodies: [{}, { permit: null }] },
+	{ parse: parseRow, bodies: [{}, { key: "a", v: 1 }] },
+	{ parse: parseRows, bodies: [{ rows: [] }, { rows: [{ key: "a" }], epoch: 1 }] },
+	{ parse: parseEvents, bodies: [{ epoch: 1 }, { epoch: 1, events: [{ stamp: 1 }] }] },
+	{ parse: parseDirectCommandsResponse, bodies: [null, {}, "executed", { pieces: [] }] },
 ];
 
 describe("a response of an outside system that lacks the published form", () => {
@@ -64,7 +64,7 @@
 	}
 
 	test("is not one that has further fields", () => {
-		assert.deepEqual(eventsFrom({ epoch: 3, later: 1, events: [{ drop: "a", stamp: 2 }] }).events, [
+		assert.deepEqual(parseEvents({ epoch: 3, later: 1, events: [{ drop: "a", stamp: 2 }] }).events, [
 			{ key: "a", value: undefined, revision: 2 },
 		]);
 	});
--- a/tests/protocol/http/store-api.test.ts
+++ b/tests/protocol/http/store-api.test.ts
@@ -2,17 +2,17 @@
 import { describe, test } from "node:test";
 import {
 	compareAndSwapBody,
-	conflictsFrom,
-	eventsFrom,
 	grantLeaseBody,
-	leaseIdFrom,
 	leasePath,
+	parseConflicts,
+	parseEvents,
+	parseLeaseId,
+	parseRevision,
+	parseRow,
+	parseRows,
 	renewLeaseBody,
 	renewLeasePath,
-	revisionFrom,
-	rowFrom,
 	rowPath,
-	rowsFrom,
 	rowsPath,
 	watchPath,
 } from "../../../src/protocol/http/store-api.js";
@@ -22,15 +22,15 @@
 		assert.equal(rowPath("r/job/j-1"), "/store/r/job/j-1");
 		const row = { key: "a/b", value: { x: 1 }, revision: 412 };
 		const wire = { key: "a/b", v: { x: 1 }, stamp: 412, permit: 7 };
-		assert.deepStrictEqual(rowFrom(wire), row);
+		assert.deepStrictEqual(parseRow(wire), row);
 		assert.equal(rowsPath("c/", null, 200), "/store?prefix=c/&limit=200");
 		assert.equal(rowsPath("c/", "c/7", 200), "/store?prefix=c/&from=c/7&limit=200");
-		assert.deepStrictEqual(rowsFrom({ rows: [wire], truncated: true, epoch: 431 }), {
+		assert.deepStrictEqual(parseRows({ rows: [wire], truncated: true, epoch: 431 }), {
 			rows: [row],
-			more: true,
+			hasMore: true,
 			revision: 431,
 		});
-		assert.deepStrictEqual(rowsFrom({ rows: [], epoch: 431 }), { rows: [], more: false, revision: 431 });
+		assert.deepStrictEqual(parseRows({ rows: [], epoch: 431 }), { rows: [], hasMore: false, revision: 431 });
 	});
 
 	test("compare-and-swap: conditions and changes, and the revision or the conflicts", () => {
@@ -46,8 +46,8 @@
 			then: [{ put: "a/b", v: { x: 1 }, permit: 7 }, { put: "c/e", v: null }, { drop: "c/d" }],
 		});
 		assert.deepStrictEqual(compareAndSwapBody(conditions, []), { when: [{ key: "a/b", stamp: 0 }] });
-		assert.equal(revisionFrom({ epoch: 432 }), 432);
-		assert.deepStrictEqual(conflictsFrom({ failed: ["a/b"], epoch: 431 }), {
+		assert.equal(parseRevision({ epoch: 432 }), 432);
+		assert.deepStrictEqual(parseConflicts({ failed: ["a/b"], epoch: 431 }), {
 			conflicts: ["a/b"],
 			revision: 431,
 		});
@@ -55,7 +55,7 @@
 
 	test("leases: granted, renewed, revoked", () => {
 		assert.deepStrictEqual(grantLeaseBody(5000), { ttl_ms: 5000 });
-		assert.equal(leaseIdFrom({ permit: 7 }), 7);
+		assert.equal(parseLeaseId({ permit: 7 }), 7);
 		assert.equal(renewLeasePath(7), "/leases/7/renew");
 		assert.deepStrictEqual(renewLeaseBody, {});
 		assert.equal(leasePath(7), "/leases/7");
@@ -67,7 +67,7 @@
 			{ put: "c/9", v: { x: 1 }, stamp: 433 },
 			{ drop: "c/d", stamp: 432 },
 		];
-		assert.deepStrictEqual(eventsFrom({ epoch: 433, events }), {
+		assert.deepStrictEqual(parseEvents({ epoch: 433, events }), {
 			events: [
 				{ key: "c/9", value: { x: 1 }, revision: 433 },
 				{ key: "c/d", value: undefined, revision: 432 },
--- a/tests/protocol/http/worker-api.test.ts
+++ b/tests/protocol/http/worker-api.test.ts
@@ -2,8 +2,8 @@
 import { describe, test } from "node:test";
 import {
 	directCommandsBody,
-	directCommandsResponseFrom,
 	heartbeatResponseBody,
+	parseDirectCommandsResponse,
 	parseHeartbeat,
 	redirectBody,
 } from "../../../src/protocol/http/worker-api.js";
@@ -61,7 +61,7 @@
 			],
 		};
 		assert.deepStrictEqual(parseHeartbeat(JSON.stringify(wire)), heartbeat);
-		assert.deepStrictEqual(directCommandsResponseFrom(wire), heartbeat);
+		assert.deepStrictEqual(parseDirectCommandsResponse(wire), heartbeat);
 	});
 
 	test("has tasks in the service's own terms, and no time of reclaim unless one is given", () => {
--- a/tests/protocol/peer/wire-examples.test.ts
+++ b/tests/protocol/peer/wire-examples.test.ts
@@ -7,7 +7,7 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { MalformedMessageError } from "../../../src/protocol/errors.js";
-import { claimedKind, decodePeerMessage, encodePeerMessage } from "../../../src/protocol/peer/codec.js";
+import { decodePeerMessage, encodePeerMessage, wireKind } from "../../../src/protocol/peer/codec.js";
 import { decodeHello, encodeHello } from "../../../src/protocol/peer/hello-wire.js";
 import type { PeerMessage } from "../../../src/protocol/peer/messages.js";
 
@@ -306,7 +306,7 @@
 		{
 			shows: "every field",
 			wire: { kind: "ask", epoch: 21, number: 4, known: 412 },
-			message: { kind: "lease-extension-request", term: 21, requestNumber: 4, knownRevision: 412 },
+			message: { kind: "lease-extension-request", term: 21, requestNumber: 4, replicaRevision: 412 },
 		},
 		{
 			shows: "a version before 0.4.0, which does not say what it knows",
@@ -373,9 +373,8 @@
 	test("an unknown kind is refused, and its name is cut for the log", () => {
 		const wire = { kind: "x".repeat(100) };
 		assert.throws(() => decodePeerMessage(wire), MalformedMessageError);
-		assert.equal(claimedKind(wire), "x".repeat(40));
-		for (const other of [null, undefined, 7, "view", {}, { kind: 7 }])
-			assert.equal(claimedKind(other), "none");
+		assert.equal(wireKind(wire), "x".repeat(40));
+		for (const other of [null, undefined, 7, "view", {}, { kind: 7 }]) assert.equal(wireKind(other), "none");
 	});
 });
 
--- a/tests/protocol/records/stored-examples.test.ts
+++ b/tests/protocol/records/stored-examples.test.ts
@@ -180,11 +180,11 @@
 	test("the features that all controllers support are encoded and decoded, those of later versions too", () => {
 		const features: [FeatureSet, object][] = [
 			[
-				{ serviceJobs: true, teamQuota: true, unknown: { later: 1 } },
+				{ serviceJobs: true, teamQuota: true, unknownFields: { later: 1 } },
 				{ later: 1, standing: true, quota: true },
 			],
-			[{ serviceJobs: true, teamQuota: false, unknown: {} }, { standing: true }],
-			[{ serviceJobs: false, teamQuota: false, unknown: {} }, {}],
+			[{ serviceJobs: true, teamQuota: false, unknownFields: {} }, { standing: true }],
+			[{ serviceJobs: false, teamQuota: false, unknownFields: {} }, {}],
 		];
 		assert.equal(keys.features, "r/one/able");
 		for (const [value, stored] of features) {
--- a/tests/protocol/settings/operator.test.ts
+++ b/tests/protocol/settings/operator.test.ts
@@ -2,15 +2,15 @@
 import { readFileSync } from "node:fs";
 import { describe, test } from "node:test";
 import { SettingsError } from "../../../src/protocol/errors.js";
-import { defaultOperator, parseOperator } from "../../../src/protocol/settings/operator.js";
+import { defaultOperatorSettings, parseOperatorSettings } from "../../../src/protocol/settings/operator.js";
 
-const parse = (source: string) => parseOperator("o.yaml", source);
+const parse = (source: string) => parseOperatorSettings("o.yaml", source);
 
 describe("the operators' settings", () => {
 	test("take what the file gives, and defaults for the rest", async () => {
 		assert.equal((await parse("climb:\n  high: 2\n")).climb.high, 2);
 		assert.equal((await parse("")).climb.up_past, 3);
-		assert.deepEqual(await parse(""), defaultOperator());
+		assert.deepEqual(await parse(""), defaultOperatorSettings());
 	});
 
 	test("are refused by name for an unknown field", async () => {
@@ -34,13 +34,13 @@
 
 describe("the operators' settings of team quota", () => {
 	test("are off unless the file switches them on", () => {
-		assert.equal(defaultOperator().team_quota.enabled, false);
+		assert.equal(defaultOperatorSettings().team_quota.enabled, false);
 	});
 
 	test("are read from the file that the service is deployed with", async () => {
 		// Compiled tests run from target/tests/tests; the deployment's files stay in the source tree.
 		const file = new URL("../../../../../deploy/operator.yaml", import.meta.url);
-		const deployed = await parseOperator("operator.yaml", readFileSync(file, "utf8"));
+		const deployed = await parseOperatorSettings("operator.yaml", readFileSync(file, "utf8"));
 		assert.equal(deployed.team_quota.expiry_s, 2.5);
 	});
 
--- a/tests/protocol/settings/platform.test.ts
+++ b/tests/protocol/settings/platform.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { parsePlatform } from "../../../src/protocol/settings/platform.js";
+import { parsePlatformSettings } from "../../../src/protocol/settings/platform.js";
 import { platformSettingsToml } from "../../support/platform-settings.js";
 
-const parse = (source: string) => parsePlatform("s.toml", source);
+const parse = (source: string) => parsePlatformSettings("s.toml", source);
 
 /** The settings with one text replaced, which must be there. */
 function changed(from: string | RegExp, to: string): string {
--- a/tests/support/close-transport.ts
+++ b/tests/support/close-transport.ts
@@ -31,7 +31,7 @@
 
 function linksOf(self: string, peers: Record<string, string>): PeerLinks {
 	const addresses = Object.entries(peers).map(([node, addr]) => ({ node, addr }));
-	return new PeerLinks({ self, peers: addresses, onMessage: () => undefined, log: silentLog });
+	return new PeerLinks({ localNode: self, peers: addresses, onMessage: () => undefined, log: silentLog });
 }
 
 function outcomeOf(call: Promise<unknown>): Promise<string> {
--- a/tests/support/quota-node.ts
+++ b/tests/support/quota-node.ts
@@ -84,7 +84,7 @@
 	constructor(private readonly config: NodeConfig) {
 		const { node, incarnation, others, teams } = config;
 		this.links = new PeerLinks({
-			self: node,
+			localNode: node,
 			peers: others,
 			onMessage: (from, message) => this.handlePeerMessage(from, message as QuotaPeerMessage),
 			log: silentLog,
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -4,8 +4,8 @@
 import type { Clock } from "../../src/coordination/ports/clock.js";
 import type { Log } from "../../src/coordination/ports/log.js";
 import { heartbeatResponseBody, parseHeartbeat, redirectBody } from "../../src/protocol/http/worker-api.js";
-import { defaultOperator } from "../../src/protocol/settings/operator.js";
-import { parsePlatform } from "../../src/protocol/settings/platform.js";
+import { defaultOperatorSettings } from "../../src/protocol/settings/operator.js";
+import { parsePlatformSettings } from "../../src/protocol/settings/platform.js";
 import { createTeamQuota } from "../../src/team-quota.js";
 import { CloudClient } from "../../src/transport/clients/cloud-client.js";
 import type { HttpCaller } from "../../src/transport/clients/http-client.js";
@@ -252,7 +252,10 @@
 		this.incarnation += 1;
 		const id = `${node}#${this.incarnation}`;
 		const { nodes, relayed, nextKnown } = this;
-		const settings = parsePlatform("test settings", settingsText({ node, nodes, relayed, nextKnown }));
+		const settings = parsePlatformSettings(
+			"test settings",
+			settingsText({ node, nodes, relayed, nextKnown }),
+		);
 		const note =
 			(level: string) =>
 			(fields: object, message: string): void => {
@@ -265,7 +268,7 @@
 		const store = gate.caller(
 			this.network.caller(id, "state", (m, p, b) => this.state.handle(m, p, b, node)),
 		);
-		const operator = defaultOperator();
+		const operator = defaultOperatorSettings();
 		operator.team_quota.enabled = this.teamQuota;
 		const incarnation = `inc${this.incarnation}`;
 		const storeClient = new StoreClient({
--- a/tests/transport/clients/token-bucket.test.ts
+++ b/tests/transport/clients/token-bucket.test.ts
@@ -6,12 +6,12 @@
 	test("keeps a rate and a reserve", () => {
 		let now = 0;
 		const bucket = new TokenBucket(10, 5, { now: () => now });
-		for (let i = 0; i < 3; i++) assert.ok(bucket.take(1, 2));
-		assert.equal(bucket.take(1, 2), false);
-		assert.ok(bucket.take(2));
-		assert.equal(bucket.take(1), false);
+		for (let i = 0; i < 3; i++) assert.ok(bucket.tryTake(1, 2));
+		assert.equal(bucket.tryTake(1, 2), false);
+		assert.ok(bucket.tryTake(2));
+		assert.equal(bucket.tryTake(1), false);
 		now = 100;
-		assert.ok(bucket.take(1));
+		assert.ok(bucket.tryTake(1));
 	});
 
 	test("tells how long a request has to wait, and never holds more than a burst", () => {
--- a/tests/transport/peers/peer-links.test.ts
+++ b/tests/transport/peers/peer-links.test.ts
@@ -33,7 +33,7 @@
 	const note = (_fields: object, message: string) => logged.push(message);
 	const log: Log = { error: note, info: note, debug: () => undefined };
 	const links = new PeerLinks({
-		self,
+		localNode: self,
 		peers: Object.entries(peers).map(([node, addr]) => ({ node, addr })),
 		onMessage: (from, message) => received.push({ from, message }),
 		log,
