--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line: serves a controller, checks its settings, or shows and changes teams' quotas. */
+/** The command line: runs a controller, checks its settings, or shows and changes team quotas. */
 
 import { Command, CommanderError } from "commander";
 import { SettingsError } from "./protocol/errors.js";
@@ -11,7 +11,7 @@
 import { systemClock } from "./system-clock.js";
 import { version } from "./version.js";
 
-/** Exit codes beside 0: a failure while running, and bad options or settings. */
+/** Exit codes other than 0: a failure at run time, and invalid options or settings. */
 const exitFailure = 1;
 const exitUsage = 2;
 
@@ -49,9 +49,9 @@
 	else await serve(platform, operator);
 }
 
-/** Says what went wrong on standard error and returns the exit code. */
+/** Writes the error to standard error and returns the exit code. */
 function reportFailure(error: unknown): number {
-	// Commander has said it already.
+	// Commander has already printed its message.
 	if (error instanceof CommanderError) return error.exitCode === 0 ? 0 : exitUsage;
 	process.stderr.write(`ramphub: ${error instanceof Error ? error.message : error}\n`);
 	if (error instanceof SettingsError) return exitUsage;
--- a/src/protocol/errors.ts
+++ b/src/protocol/errors.ts
@@ -1,6 +1,6 @@
-/** The errors of the service. Each says in its message what went wrong with what. */
+/** The errors of the service. Each message names the object and its fault. */
 
-/** Base class of all errors that the service throws by itself. */
+/** Base class of all errors that the service throws itself. */
 export class RamphubError extends Error {
 	constructor(message: string, options?: ErrorOptions) {
 		super(message, options);
@@ -8,7 +8,7 @@
 	}
 }
 
-/** What was received does not have the published form. The message names the field and what is expected. */
+/** A received message does not have the published form. The error text names the field and what is expected. */
 export class MalformedMessageError extends RamphubError {}
 
 /** A settings file that cannot be used. The message names the file, the field and what is expected. */
--- a/src/protocol/http/cloud-api.ts
+++ b/src/protocol/http/cloud-api.ts
@@ -1,7 +1,7 @@
 /**
- * The cloud's API: machine types, creation and deletion of machines, and the machine list. `xBody` and `xPath`
- * make requests, `xFrom` reads responses and throws a MalformedMessageError for one that lacks the published
- * form.
+ * The cloud's API: machine types, creation and deletion of machines, and the machine list. Functions named `xBody`
+ * and `xPath` build requests; functions named `parseX` read responses and throw a MalformedMessageError if a
+ * response does not have the published form.
  *
  * | on the wire | here |
  * | --- | --- |
@@ -16,7 +16,7 @@
  * | `hosts` | machines |
  * | `hire` | the name of a scale-out request |
  * | `age_s` | `ageS` |
- * | `truncated` | `more` machines follow |
+ * | `truncated` | `hasMore`: further machines follow |
  * | `from` | the machine after which a page of the list begins |
  */
 
@@ -26,10 +26,10 @@
 import { checkShape, name, nonNegative, orNull, positive } from "../schema-checks.js";
 import { paths } from "./paths.js";
 
-/** Assumed where the cloud does not say how long a type takes to boot. */
+/** The boot time of a machine type for which the cloud states none. */
 const defaultBootS = 60;
 
-/** Assumed where the cloud does not say how fast a type fetches images. */
+/** The image fetch rate of a machine type for which the cloud states none. */
 const defaultFetchGbPerS = 0.1;
 
 const MachineTypeBody = v.object({
@@ -47,7 +47,7 @@
 
 const MachineTypesBody = v.object({ shapes: v.array(MachineTypeBody) });
 
-/** Reads the machine types on offer. */
+/** Parses the machine types that the cloud offers. */
 export function parseMachineTypes(raw: unknown): MachineType[] {
 	return checkShape(MachineTypesBody, raw).shapes.map((type) => ({
 		name: type.sku,
@@ -63,9 +63,11 @@
 	}));
 }
 
-/** A request to create machines of one type, zone and kind. */
+/** A request to create machines of one type in one zone, either all spot or all on-demand. */
 export interface ScaleOutRequest {
-	/** Never used for another request: the cloud answers a repeated name as it did the first time. */
+	/**
+	 * Unique to the request: the cloud answers a repeated name with the response to the first request of that name.
+	 */
 	name: string;
 	machineType: string;
 	zone: string;
@@ -73,7 +75,7 @@
 	count: number;
 }
 
-/** The request that creates machines. */
+/** Returns the body of a request that creates machines. */
 export function createMachinesBody(request: ScaleOutRequest) {
 	return {
 		hire: request.name,
@@ -86,27 +88,27 @@
 
 const CreatedMachinesBody = v.object({ hosts: v.array(name) });
 
-/** Reads which machines were created. */
+/** Parses the ids of the created machines. */
 export function parseCreatedMachines(raw: unknown): MachineId[] {
 	return checkShape(CreatedMachinesBody, raw).hosts;
 }
 
 const NoCapacityBody = v.object({ error: v.literal("no capacity") });
 
-/** Whether the body of a 503 says that there is no capacity for the request, rather than an outage. */
+/** True if the body of a 503 response reports a lack of capacity rather than an outage. */
 export function isNoCapacity(raw: unknown): boolean {
 	return v.is(NoCapacityBody, raw);
 }
 
-/** The request that deletes machines. */
+/** Returns the body of a request that deletes machines. */
 export function deleteMachinesBody(machines: MachineId[]) {
 	return { hosts: machines };
 }
 
 /**
- * Path of a page of the machine list, in the order of the machines' names.
+ * Returns the path of one page of the machine list, which is ordered by machine id.
  *
- * @param afterMachine The page begins after this machine; empty: with the first one.
+ * @param afterMachine The page begins after this machine; empty: with the first machine.
  */
 export function machineListPath(afterMachine: MachineId, limit: number): string {
 	const from = afterMachine === "" ? "" : `from=${encodeURIComponent(afterMachine)}&`;
@@ -128,11 +130,11 @@
 /** One page of the machine list. */
 export interface MachineListPage {
 	machines: ListedMachine[];
-	/** Whether further pages follow. */
+	/** Further pages follow. */
 	hasMore: boolean;
 }
 
-/** Reads a page of the machine list. */
+/** Parses a page of the machine list. */
 export function parseMachineList(raw: unknown): MachineListPage {
 	const { hosts, truncated } = checkShape(MachineListBody, raw);
 	return { machines: hosts.map(toListedMachine), hasMore: truncated === true };
@@ -145,7 +147,7 @@
 		machineType: host.shape,
 		zone: host.hall,
 		spot: host.loaners === true,
-		// A machine in any other state may hold tasks.
+		// A machine with any other status may run tasks, so it counts as running.
 		status: host.status === "booting" || host.status === "failed" ? host.status : "running",
 		ageS: host.age_s ?? 0,
 	};
--- a/src/protocol/http/paths.ts
+++ b/src/protocol/http/paths.ts
@@ -1,33 +1,33 @@
 /**
- * Paths of the HTTP interfaces. Their words are published and stay as they are: `/hosts` are machines,
- * `/hosts/return` deletes them, `/v1/report` takes workers' heartbeats, `/multi` is a compare-and-swap.
+ * Paths of the HTTP APIs. They are published and must not change: `/hosts` are machines, `/hosts/return` deletes
+ * them, `/v1/report` receives workers' heartbeats, `/multi` is a compare-and-swap.
  */
 
-/** The paths of this service, and those of the workers, the cloud and the store. */
+/** The paths of this service, the workers, the cloud and the store. */
 export const paths = {
-	/** Users: submit a job. Below it are a job's state and, after `/abort`, its cancellation. */
+	/** For users: submits a job. Paths below it show a job's state and, with the suffix `/abort`, cancel the job. */
 	jobs: "/v1/jobs",
-	/** Workers: send a heartbeat. */
+	/** For workers: receives a heartbeat. */
 	heartbeats: "/v1/report",
-	/** Load balancer: may this controller be sent requests? */
+	/** For the load balancer: shows if this controller is ready to receive requests. */
 	ready: "/ready",
 
-	/** Of a worker: take commands at once. */
+	/** Of a worker: receives direct commands. */
 	commands: "/commands",
 
-	/** Of the cloud: the machine types on offer. */
+	/** Of the cloud: lists the machine types. */
 	machineTypes: "/machine_types",
-	/** Of the cloud: create machines (POST), list them (GET). */
+	/** Of the cloud: creates machines (POST) and lists them (GET). */
 	machines: "/hosts",
-	/** Of the cloud: delete machines. */
+	/** Of the cloud: deletes machines. */
 	machineDeletions: "/hosts/return",
 
-	/** Of the store: rows. A key follows as the rest of the path. */
+	/** Of the store: reads rows. The key of a row is appended to the path. */
 	store: "/store",
-	/** Of the store: compare-and-swap. */
+	/** Of the store: executes a compare-and-swap. */
 	transaction: "/multi",
-	/** Of the store: grant a lease. Below it are the leases, to be renewed and revoked. */
+	/** Of the store: grants a lease. The paths below it renew and revoke leases. */
 	leases: "/leases",
-	/** Of the store: wait for changes. */
+	/** Of the store: waits for changes. */
 	watch: "/watch",
 } as const;
--- a/src/protocol/http/store-api.ts
+++ b/src/protocol/http/store-api.ts
@@ -1,6 +1,7 @@
 /**
- * The store's API: rows, compare-and-swap transactions, leases and watches. `xBody` and `xPath` make requests,
- * `xFrom` reads responses and throws a MalformedMessageError for one that lacks the published form.
+ * The store's API: rows, compare-and-swap transactions, leases and watches. Functions named `xBody` and `xPath`
+ * build requests; functions named `parseX` read responses and throw a MalformedMessageError if a response does not
+ * have the published form.
  *
  * | on the wire | here |
  * | --- | --- |
@@ -12,7 +13,7 @@
  * | `failed` | `conflicts`: keys whose conditions did not hold |
  * | `permit` | `leaseId` |
  * | `ttl_ms` | `ttlMs` |
- * | `truncated` | `more` rows follow |
+ * | `truncated` | `hasMore`: further rows follow |
  * | `from` | of rows: the key after which they begin; of a watch: the revision after which |
  * | `block_ms` | `waitMs` |
  */
@@ -26,35 +27,35 @@
 export interface StoreRow {
 	key: string;
 	value: unknown;
-	/** Revision at which the key last changed. */
+	/** The revision of the latest change of the key. */
 	revision: Revision;
 }
 
-/** A key must have this revision; 0: it must not exist. */
+/** Requires a key to have this revision; 0: requires that the key does not exist. */
 export interface StoreCondition {
 	key: string;
 	revision: Revision;
 }
 
-/** A key that is set, and attached to a lease if one is given; or one that is deleted. */
+/** Sets a key, which is attached to the lease if one is given, or deletes a key. */
 export type StoreChange = { put: string; value: unknown; leaseId?: LeaseId } | { delete: string };
 
 /** A change that a watch reports. */
 export interface StoreEvent {
 	key: string;
-	/** undefined: the key was deleted */
+	/** undefined: the key was deleted. */
 	value: unknown;
 	revision: Revision;
 }
 
-/** Path of a key's row. Slashes in keys stay as they are. */
+/** Returns the path of a key's row. Slashes in keys are not escaped. */
 export function rowPath(key: string): string {
 	return `${paths.store}/${key}`;
 }
 
 const RowBody = v.object({ key: name, v: v.unknown(), stamp: nonNegativeInteger });
 
-/** Reads a row. */
+/** Parses a row. */
 export function parseRow(raw: unknown): StoreRow {
 	return toRow(checkShape(RowBody, raw));
 }
@@ -64,9 +65,9 @@
 }
 
 /**
- * Path of a page of the rows below a prefix, in the order of their keys.
+ * Returns the path of one page of the rows below a prefix, which are ordered by key.
  *
- * @param afterKey The page begins after this key; null: with the first one.
+ * @param afterKey The page begins after this key; null: with the first row.
  */
 export function rowsPath(prefix: string, afterKey: string | null, limit: number): string {
 	const from = afterKey === null ? "" : `&from=${afterKey}`;
@@ -79,17 +80,20 @@
 	epoch: nonNegativeInteger,
 });
 
-/** Reads a page of rows, whether more follow, and the revision of the store that it shows. */
+/** Parses a page of rows, with a flag for further rows and the store revision that the page shows. */
 export function parseRows(raw: unknown): { rows: StoreRow[]; hasMore: boolean; revision: Revision } {
 	const { rows, truncated, epoch } = checkShape(RowsBody, raw);
 	return { rows: rows.map(toRow), hasMore: truncated === true, revision: epoch };
 }
 
-/** The request that makes all changes if all conditions hold. Without changes it only compares. */
+/**
+ * Returns the body of a transaction that makes all changes if all conditions hold. Without changes it only checks
+ * the conditions.
+ */
 export function compareAndSwapBody(conditions: StoreCondition[], changes: StoreChange[]) {
 	const when = conditions.map(({ key, revision }) => ({ key, stamp: revision }));
 	if (changes.length === 0) return { when };
-	// biome-ignore lint/suspicious/noThenProperty: the store's own word for the changes
+	// biome-ignore lint/suspicious/noThenProperty: the store's name of the field
 	return { when, then: changes.map(changeBody) };
 }
 
@@ -101,48 +105,49 @@
 
 const RevisionBody = v.object({ epoch: nonNegativeInteger });
 
-/** Reads the revision of a response that holds nothing else. */
+/** Parses a response that contains only a revision. */
 export function parseRevision(raw: unknown): Revision {
 	return checkShape(RevisionBody, raw).epoch;
 }
 
 const ConflictsBody = v.object({ failed: v.array(v.string()), epoch: nonNegativeInteger });
 
-/** Reads the keys whose conditions did not hold, as of a revision. */
+/** Parses the keys whose conditions did not hold, and the revision at which they were checked. */
 export function parseConflicts(raw: unknown): { conflicts: string[]; revision: Revision } {
 	const { failed, epoch } = checkShape(ConflictsBody, raw);
 	return { conflicts: failed, revision: epoch };
 }
 
-/** The request for a lease that ends unless it is renewed within this time. */
+/** Returns the body of a request for a lease that expires unless it is renewed within this time. */
 export function grantLeaseBody(ttlMs: number) {
 	return { ttl_ms: ttlMs };
 }
 
 const LeaseBody = v.object({ permit: nonNegativeInteger });
 
-/** Reads the lease that was granted. */
+/** Parses the id of a granted lease. */
 export function parseLeaseId(raw: unknown): LeaseId {
 	return checkShape(LeaseBody, raw).permit;
 }
 
-/** Path of a lease, to be revoked. */
+/** Returns the path for revoking a lease. */
 export function leasePath(lease: LeaseId): string {
 	return `${paths.leases}/${lease}`;
 }
 
-/** Path at which a lease is renewed. */
+/** Returns the path for renewing a lease. */
 export function renewLeasePath(lease: LeaseId): string {
 	return `${leasePath(lease)}/renew`;
 }
 
-/** The request that renews a lease: all is said by its path. */
+/** The body of a request that renews a lease. It is empty because the path identifies the lease. */
 export const renewLeaseBody = {} as const;
 
 /**
- * Path of a watch: the changes below a prefix after a revision.
+ * Returns the path of a watch for the changes below a prefix after a revision.
  *
- * @param waitMs How long the store waits for a change before it answers without one; 0: not at all.
+ * @param waitMs The time for which the store waits for a change before it responds without one; 0: it does not
+ * wait.
  */
 export function watchPath(prefix: string, afterRevision: Revision, waitMs: number): string {
 	return `${paths.watch}?prefix=${prefix}&from=${afterRevision}&block_ms=${waitMs}`;
@@ -155,7 +160,7 @@
 	events: v.array(v.union([PutEventBody, DropEventBody])),
 });
 
-/** Reads the changes that a watch reports, and the revision up to which they are all there. */
+/** Parses the changes that a watch reports, and the revision up to which they are complete. */
 export function parseEvents(raw: unknown): { events: StoreEvent[]; revision: Revision } {
 	const { events, epoch } = checkShape(EventsBody, raw);
 	return { events: events.map(toEvent), revision: epoch };
--- a/src/protocol/http/user-api.ts
+++ b/src/protocol/http/user-api.ts
@@ -1,5 +1,5 @@
 /**
- * The users' API: submissions, and the states of jobs.
+ * The users' API: submissions and the states of jobs.
  *
  * | on the wire | here |
  * | --- | --- |
@@ -25,10 +25,9 @@
 import type { JobSpec, JobStatus } from "../model/job.js";
 import { boolean, checkShape, name, nonNegative, orNull, parseObject, positive } from "../schema-checks.js";
 
-/** Most tasks of a job. */
 const maxTaskCount = 100_000;
 
-/** Most machine types that a job may name. */
+/** The maximum number of machine types that a job may list. */
 const maxMachineTypes = 100;
 
 const jobId = v.pipe(v.string("must be a string"), v.regex(/^j-\d{1,18}$/, 'must look like "j-000412"'));
@@ -74,23 +73,23 @@
 	due_s: orNull(positive),
 });
 
-/** Whether the text has the form of a job's id. */
+/** True if the text has the form of a job id. */
 export function isJobId(text: string): boolean {
 	return v.is(jobId, text);
 }
 
-/** The id of a submission that may be malformed otherwise; null: it has none. */
+/** Returns the job id of a submission that may otherwise be malformed; null: it has no valid job id. */
 export function jobIdOf(body: string): JobId | null {
 	try {
 		const { id } = JSON.parse(body) as { id?: unknown };
 		return v.is(jobId, id) ? id : null;
 	} catch {
-		// Not JSON, or JSON without fields: a submission without an id.
+		// The body is not JSON or has no fields, so it has no job id.
 		return null;
 	}
 }
 
-/** Reads a submission. Throws a MalformedMessageError that names the first faulty field. */
+/** Parses a submission. Throws a MalformedMessageError that names the first invalid field. */
 export function parseJobSpec(body: string): JobSpec {
 	const job = checkShape(JobBody, parseObject(body));
 	const isService = job.form === "standing";
@@ -124,7 +123,9 @@
 	};
 }
 
-/** The response that tells a job's state, with the numbers of done and running tasks where they are asked for. */
+/**
+ * Returns the response body with a job's status, and with the numbers of done and running tasks if they are given.
+ */
 export function jobResponseBody(id: JobId, status: JobStatus, counts?: { done: number; running: number }) {
 	return counts ? { id, status, ...counts } : { id, status };
 }
--- a/src/protocol/http/worker-api.ts
+++ b/src/protocol/http/worker-api.ts
@@ -1,5 +1,5 @@
 /**
- * The workers' API: heartbeats, and the commands in the responses to them and in direct requests.
+ * The workers' API: heartbeats, and the commands in responses to heartbeats and in direct requests.
  *
  * | on the wire | here |
  * | --- | --- |
@@ -42,20 +42,20 @@
 	no_such: "unknown",
 };
 
-/** Longest text in a heartbeat. */
+/** The maximum length of a string in a heartbeat. */
 const maxTextLength = 200;
 
 /**
- * Reads the body of a heartbeat. Throws a MalformedMessageError that names the first faulty field.
+ * Parses the body of a heartbeat. Throws a MalformedMessageError that names the first invalid field.
  *
- * Heartbeats come by the hundred a second and from our own machines, so the fields that are used are checked by
- * hand-written code, which costs a fraction of a schema's processor time.
+ * A controller receives hundreds of heartbeats per second, from machines that belong to the service. Hand-written
+ * code therefore checks only the fields that are used, at a fraction of a schema's CPU time.
  */
 export function parseHeartbeat(body: string): WorkerHeartbeat {
 	return readHeartbeat(parseObject(body));
 }
 
-/** Reads the response to direct commands, which is the worker's heartbeat after them. */
+/** Parses the response to direct commands, which is the worker's heartbeat after their execution. */
 export function parseDirectCommandsResponse(raw: unknown): WorkerHeartbeat {
 	return readHeartbeat((raw ?? {}) as Record<string, unknown>);
 }
@@ -114,13 +114,13 @@
 	};
 }
 
-/** A cause that is missing or not known still means that the attempt has ended without success. */
+/** A missing or unknown cause counts as `error`, because the attempt has ended without success. */
 function readExitCause(cause: unknown): ExitCause {
 	if (cause === undefined || cause === null) return "error";
 	return exitCauses[String(cause)] ?? "error";
 }
 
-/** Reads a task's name, such as `j-000412/3`; null: it does not have that form. */
+/** Parses a task id such as `j-000412/3`; null: the text does not have that form. */
 function parseTaskId(taskId: string): { jobId: JobId; taskIndex: number } | null {
 	const slash = taskId.indexOf("/");
 	const taskIndex = Number(taskId.slice(slash + 1));
@@ -129,17 +129,17 @@
 	return { jobId: taskId.slice(0, slash), taskIndex };
 }
 
-/** The response to a heartbeat that was accepted. */
+/** Returns the response body for an accepted heartbeat. */
 export function heartbeatResponseBody(fencingToken: FencingToken, commands: WorkerCommand[]) {
 	return { baton: fencingToken, orders: commands.map(commandBody) };
 }
 
-/** The response to a heartbeat that another controller should receive; null: any other. */
+/** Returns the response body that redirects a worker to another controller; null: to any other controller. */
 export function redirectBody(controller: NodeId | null) {
 	return controller === null ? {} : { foreman: controller };
 }
 
-/** The request that brings commands straight to a worker. */
+/** Returns the request body for direct commands to a worker. */
 export function directCommandsBody(
 	fencingToken: FencingToken,
 	agentEpoch: AgentEpoch,
--- a/src/protocol/model/identifiers.ts
+++ b/src/protocol/model/identifiers.ts
@@ -9,52 +9,52 @@
 
 type Flavor<Base, Name extends string> = Base & { readonly [flavor]?: Name };
 
-/** A job, as its user named it, such as `j-000412`. */
+/** The id of a job, chosen by its user, such as `j-000412`. */
 export type JobId = Flavor<string, "JobId">;
 
-/** A task of a job, such as `j-000412/3`: what log lines and users call it. */
+/** The id of a task in log lines and for users, such as `j-000412/3`. */
 export type TaskId = Flavor<string, "TaskId">;
 
-/** A rented machine, as the cloud named it, such as `n-000231`. */
+/** The id of a rented machine, assigned by the cloud, such as `n-000231`. */
 export type MachineId = Flavor<string, "MachineId">;
 
 /** The host name of a controller, such as `runner-0`. */
 export type NodeId = Flavor<string, "NodeId">;
 
-/** One process of a controller, or one of its attempts to become leader. */
+/** The id of one controller process, or of one of its attempts to become leader. */
 export type Incarnation = Flavor<string, "Incarnation">;
 
-/** A state of the store, and of a key in it: the store counts every change. */
+/** The version of the store or of one key. The store increments it with every change. */
 export type Revision = Flavor<number, "Revision">;
 
-/** One leadership: the revision of the write that won the leader key. */
+/** The period of one leader, identified by the revision of the write that acquired the leader key. */
 export type Term = Flavor<number, "Term">;
 
-/** What workers compare to drop responses and commands of earlier leaders. */
+/** The number by which workers reject responses and commands of earlier leaders. */
 export type FencingToken = Flavor<number, "FencingToken">;
 
-/** A lease of the store. */
+/** The id of a lease of the store. */
 export type LeaseId = Flavor<number, "LeaseId">;
 
-/** A worker's life between two expired leases, counted from 1. */
+/** The number of a worker's period between two expired leases, counted from 1. */
 export type AgentEpoch = Flavor<number, "AgentEpoch">;
 
-/** The fencing token of a term: later terms have larger ones, since the store's revisions grow. */
+/** Returns the fencing token of a term. Later terms have larger tokens, because the store's revisions increase. */
 export function fencingTokenOf(term: Term): FencingToken {
 	return Number(term);
 }
 
-/** The term that a write at the revision began. */
+/** Returns the term that began with the write at the revision. */
 export function termOf(revision: Revision): Term {
 	return Number(revision);
 }
 
-/** The revision of the write that began the term, which the leader key has for as long as the term lasts. */
+/** Returns the revision of the write that began the term. The leader key keeps this revision until the term ends. */
 export function revisionOf(term: Term): Revision {
 	return Number(term);
 }
 
-/** The id of a job's task, by its index in the job. */
+/** Returns the id of a task from its index in the job. */
 export function taskIdOf(jobId: JobId, taskIndex: number): TaskId {
 	return `${jobId}/${taskIndex}`;
 }
--- a/src/protocol/model/job.ts
+++ b/src/protocol/model/job.ts
@@ -1,11 +1,11 @@
-/** Jobs as their users describe them, in the service's own terms. */
+/** Jobs as described by their users, decoded from the names on the wire. */
 
 import type { JobId } from "./identifiers.js";
 
-/** How important a job is: `critical` before `urgent` before `normal` before `best_effort`. */
+/** The priority of a job, highest first: `critical`, `urgent`, `normal`, `best_effort`. */
 export type Priority = "critical" | "urgent" | "normal" | "best_effort";
 
-/** Smaller ranks come first. */
+/** The rank of each priority. Jobs with smaller ranks come first. */
 export const priorityRank: Readonly<Record<Priority, number>> = {
 	critical: 0,
 	urgent: 1,
@@ -14,8 +14,8 @@
 };
 
 /**
- * `array`: independent tasks, each of which runs to completion. `service`: replicas, which run until the job
- * is cancelled and are started again wherever one ends.
+ * `array`: independent tasks, each of which runs to completion. `service`: replicas, which run until the job is
+ * cancelled; a replica that ends is started again on any machine.
  */
 export type JobForm = "array" | "service";
 
@@ -23,14 +23,14 @@
 export interface JobSpec {
 	id: JobId;
 	form: JobForm;
-	/** The class of jobs that service-level objectives speak of. */
+	/** The class of the job, by which service-level objectives select jobs. */
 	jobClass: string;
-	/** Whose quota the job uses. */
+	/** The team whose quota the job uses. */
 	team: string;
 	priority: Priority;
 	/** Number of tasks, or of replicas. */
 	taskCount: number;
-	/** What each task takes of its machine. */
+	/** The resources that each task uses on its machine. */
 	cpus: number;
 	gpus: number;
 	memoryGb: number;
@@ -44,31 +44,31 @@
 	spreadZones: boolean;
 	/** The job may run on spot machines. */
 	allowSpot: boolean;
-	/** Image that a machine fetches before a task can start. */
+	/** The image that a machine fetches before a task can start. */
 	image: string;
 	imageGb: number;
-	/** The owner's estimate of a task's run time without the image fetch; 0 for a service. */
+	/** The user's estimate of a task's run time without the image fetch; 0 for a service job. */
 	estimatedRunS: number;
-	/** Progress after which a running task saves a checkpoint by itself; 0: it never saves. */
+	/** The progress after which a running task saves a checkpoint by itself; 0: it never saves one. */
 	checkpointIntervalS: number;
-	/** Time that a task needs to save a checkpoint when it is stopped. */
+	/** The time that a task needs to save a checkpoint when it is stopped. */
 	checkpointCostS: number;
-	/** When the job should be done, counted from its submission; null: no deadline. */
+	/** The time from submission until the job should be done; null: no deadline. */
 	deadlineS: number | null;
 }
 
-/** Whether the job's tasks are replicas. Every decision that differs by form asks this. */
+/** True if the job's tasks are replicas. Every decision that depends on the form calls this function. */
 export function isService({ form }: Pick<JobSpec, "form">): boolean {
 	return form === "service";
 }
 
-/** What one task of a job takes of its team's quota. */
+/** The amount of its team's quota that one task of a job uses. */
 export type TaskDemand = Pick<JobSpec, "team" | "cpus" | "gpus">;
 
-/** What one task of the job takes of its team's quota. */
+/** Returns the amount of its team's quota that one task of the job uses. */
 export function taskDemandOf({ team, cpus, gpus }: JobSpec): TaskDemand {
 	return { team, cpus, gpus };
 }
 
-/** A job's state as users see it: no task runs, some run, all are done, or the job is cancelled. */
+/** A job's status as shown to users: no task runs, some tasks run, all tasks are done, or the job is cancelled. */
 export type JobStatus = "pending" | "running" | "done" | "cancelled";
--- a/src/protocol/model/machine.ts
+++ b/src/protocol/model/machine.ts
@@ -1,4 +1,4 @@
-/** Machines as the cloud offers and lists them, in the service's own terms. */
+/** Machine types that the cloud offers and machines that it lists, decoded from the names on the wire. */
 
 import type { MachineId } from "./identifiers.js";
 
@@ -11,7 +11,7 @@
 	/** Size of the image cache. */
 	cacheGb: number;
 	fetchGbPerS: number;
-	/** Price per hour of an ordinary machine, and the present one of a spot machine. */
+	/** Price per hour of an on-demand machine, and the current price per hour of a spot machine. */
 	price: number;
 	spotPrice: number;
 	/** Usual boot time. */
@@ -19,7 +19,7 @@
 	zones: string[];
 }
 
-/** A machine in the cloud's list, which may be out of date. */
+/** A machine in the cloud's list, which may be outdated. */
 export interface ListedMachine {
 	id: MachineId;
 	/** Address of its worker; empty: not known yet. */
@@ -29,6 +29,6 @@
 	spot: boolean;
 	/** A failed machine has stopped by itself and stays listed until it is deleted. */
 	status: "booting" | "running" | "failed";
-	/** Seconds since the request that created it. */
+	/** Seconds since the request that created the machine. */
 	ageS: number;
 }
--- a/src/protocol/model/team-quota.ts
+++ b/src/protocol/model/team-quota.ts
@@ -1,4 +1,4 @@
-/** What teams may use, in the service's own terms. The platform's settings spell it `cpus`, `cpus_max` and so on. */
+/** The quotas of teams. The platform's settings name these fields `cpus`, `cpus_max` and so on. */
 
 /** Amounts of the resources that quotas count. */
 export interface QuotaAmounts {
@@ -6,12 +6,12 @@
 	gpus: number;
 }
 
-/** A team's quota. The guaranteed part never exceeds the limit. */
+/** A team's quota. The guarantee never exceeds the limit. */
 export interface TeamQuota {
 	/** The team's name. */
 	name: string;
-	/** What the team gets before others may borrow it. */
+	/** The amount that is available to the team before other teams may borrow it. */
 	guaranteed: QuotaAmounts;
-	/** What the team's tasks together never exceed; Infinity: there is no limit. */
+	/** The maximum that all tasks of the team together may use; Infinity: there is no limit. */
 	limit: QuotaAmounts;
 }
--- a/src/protocol/model/worker.ts
+++ b/src/protocol/model/worker.ts
@@ -1,25 +1,26 @@
-/** What workers, the agents on machines, and controllers tell each other, in the service's own terms. */
+/** Messages between controllers and workers, the agents on machines, decoded from the names on the wire. */
 
 import type { AgentEpoch, FencingToken, JobId, MachineId } from "./identifiers.js";
 
-/** `fetching` waits for the image, `checkpointing` was told to stop and saves, `exited` has ended. */
+/** `fetching`: waits for the image. `checkpointing`: saves a checkpoint after a stop command. `exited`: has ended. */
 export type TaskState = "fetching" | "running" | "checkpointing" | "exited";
 
 /**
- * Why a task has exited. `done`: completed. `stopped`: by command. `error`: failed. The others are refused
- * starts: `no_room` on the machine, `busy` with another attempt of the task, `unknown` job or task.
+ * The reason for the exit of a task. `done`: completed. `stopped`: stopped by a command. `error`: failed. The other
+ * causes are rejected starts. `no_room`: insufficient capacity on the machine. `busy`: another attempt at the task
+ * is on the machine. `unknown`: the job or the task is unknown.
  */
 export type ExitCause = "done" | "stopped" | "error" | "no_room" | "busy" | "unknown";
 
-/** One try at one task. */
+/** Identifies one attempt at one task. */
 export interface AttemptRef {
 	jobId: JobId;
 	taskIndex: number;
-	/** Number of the try; later tries of a task have larger numbers. */
+	/** The attempt number; later attempts at a task have larger numbers. */
 	attempt: number;
 }
 
-/** An attempt as a heartbeat lists it. */
+/** The state of an attempt in a heartbeat. */
 export interface TaskStatus extends AttemptRef {
 	state: TaskState;
 	/** null: the attempt has not exited. */
@@ -31,23 +32,23 @@
 /** A worker's periodic message with the state of its machine. */
 export interface WorkerHeartbeat {
 	machineId: MachineId;
-	/** Address at which the worker takes direct commands. */
+	/** The address at which the worker receives direct commands. */
 	endpoint: string;
 	machineType: string;
 	zone: string;
 	spot: boolean;
 	agentEpoch: AgentEpoch;
-	/** Orders the worker's messages within an agent epoch: the larger is the newer one. */
+	/** Orders the worker's messages within an agent epoch: a message with a larger number is newer. */
 	sequence: number;
-	/** The highest fencing token that the worker has seen. */
+	/** The highest fencing token that the worker has received. */
 	fencingToken: FencingToken;
-	/** Seconds until the cloud reclaims a spot machine; null: no notice was given. */
+	/** Seconds until the cloud reclaims a spot machine; null: the cloud has given no notice. */
 	reclaimInS: number | null;
-	/** All attempts on the machine, exited ones included until they are forgotten. */
+	/** All attempts on the machine; exited ones are included until a forget command removes them. */
 	tasks: TaskStatus[];
 }
 
-/** Starts the attempt, unless the worker knows it already in any state. */
+/** Starts the attempt, unless the worker already lists it in any state. */
 export interface StartCommand extends AttemptRef {
 	kind: "start";
 }
@@ -63,5 +64,5 @@
 	kind: "forget";
 }
 
-/** What a worker is told to do. Each may be repeated, but a start after a forget starts the attempt once more. */
+/** A command to a worker. Every command may be repeated, but a start after a forget starts the attempt again. */
 export type WorkerCommand = StartCommand | StopCommand | ForgetCommand;
--- a/src/protocol/peer/codec.ts
+++ b/src/protocol/peer/codec.ts
@@ -1,7 +1,7 @@
 /**
- * The edge between the messages that controllers exchange and their form on the wire. The strings in `kind`
- * and the field names on the wire are what versions in production send and expect: they stay as they are,
- * whatever the types of the service are called. Unknown fields are ignored.
+ * Encodes and decodes the messages between controllers. Versions in production send and expect the `kind` strings
+ * and the field names on the wire, so these must not change when types of the service are renamed. Unknown fields
+ * are ignored.
  */
 
 import { MalformedMessageError } from "../errors.js";
@@ -46,7 +46,7 @@
 	PlacementRequestSchema,
 } from "./placement-wire.js";
 
-/** Decoders by the kind that the wire names. */
+/** Decoders by the kind on the wire. */
 const decoders: Readonly<Record<string, (raw: unknown) => PeerMessage>> = {
 	view: (raw) => decodePlacementRequest(checkShape(PlacementRequestSchema, raw)),
 	placed: (raw) => decodePlacementProposal(checkShape(PlacementProposalSchema, raw)),
@@ -60,16 +60,21 @@
 	leading: (raw) => decodeLeaderQueryReply(checkShape(LeaderQueryReplySchema, raw)),
 };
 
-/** Longest part of an unknown kind that is logged. */
+/** The maximum number of characters of an unknown kind that are logged. */
 const maxLoggedKindLength = 40;
 
-/** The kind that a message claims to have on the wire, for logs. */
+/**
+ * Returns the kind of a message on the wire for logs, cut to the maximum length; "none" if the message has no kind.
+ */
 export function wireKind(raw: unknown): string {
 	const kind = (raw as { kind?: unknown } | null)?.kind;
 	return typeof kind === "string" ? kind.slice(0, maxLoggedKindLength) : "none";
 }
 
-/** Throws a MalformedMessageError for a kind that is not known or a message that lacks its kind's form. */
+/**
+ * Decodes a message. Throws a MalformedMessageError for an unknown kind, and for a message that does not have the
+ * form of its kind.
+ */
 export function decodePeerMessage(raw: unknown): PeerMessage {
 	const kind = wireKind(raw);
 	const decode = Object.hasOwn(decoders, kind) ? decoders[kind] : undefined;
@@ -77,7 +82,7 @@
 	return decode(raw);
 }
 
-/** Maps a message to the wire. */
+/** Encodes a message. */
 export function encodePeerMessage(message: PeerMessage): object {
 	switch (message.kind) {
 		case "placement-request":
--- a/src/protocol/peer/forwarding-wire.ts
+++ b/src/protocol/peer/forwarding-wire.ts
@@ -1,8 +1,8 @@
 /**
  * Forwarded heartbeats (`reports` on the wire) and the responses to them (`answers`).
  *
- * They pass by the hundred a second, so heartbeats go as rows without field names and the checks of rows and
- * commands are written by hand.
+ * Controllers exchange hundreds of them per second. Heartbeats are therefore encoded as rows without field names,
+ * and rows and commands are checked by hand-written code.
  */
 
 import * as v from "valibot";
@@ -33,12 +33,15 @@
 	checkpointed: boolean,
 ];
 
-/** A worker's command on the wire between controllers. */
+/** A command to a worker on the wire between controllers. */
 type WireCommand =
 	| { op: "start" | "forget"; job: string; index: number; attempt: number }
 	| { op: "stop"; job: string; index: number; attempt: number; graceS: number };
 
-/** States and causes stand for their index on the wire: the order is data of the versions in production. */
+/**
+ * On the wire, states and causes are encoded as indexes into these lists. Versions in production rely on this
+ * order, so it must not change.
+ */
 const states: readonly TaskState[] = ["fetching", "running", "checkpointing", "exited"];
 const exitCauses: readonly ExitCause[] = ["done", "stopped", "error", "no_room", "busy", "unknown"];
 const noExitCause = -1;
@@ -59,7 +62,7 @@
 	};
 }
 
-/** Maps a worker's heartbeat to a row. */
+/** Encodes a worker's heartbeat as a row. */
 export function encodeHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatRow {
 	return [
 		heartbeat.machineId,
@@ -75,7 +78,7 @@
 	];
 }
 
-/** Reads a row that was checked by its schema. */
+/** Decodes a row that was checked by its schema. */
 export function decodeHeartbeat(row: HeartbeatRow): WorkerHeartbeat {
 	const [
 		machineId,
@@ -182,7 +185,7 @@
 	),
 });
 
-/** Maps forwarded heartbeats to the wire. */
+/** Encodes forwarded heartbeats. */
 export function encodeForwardedHeartbeats(
 	message: ForwardedHeartbeats,
 ): v.InferInput<typeof ForwardedHeartbeatsSchema> {
@@ -193,7 +196,7 @@
 	};
 }
 
-/** Reads forwarded heartbeats that have the form of their schema. */
+/** Decodes forwarded heartbeats that were checked by their schema. */
 export function decodeForwardedHeartbeats(
 	wire: v.InferOutput<typeof ForwardedHeartbeatsSchema>,
 ): ForwardedHeartbeats {
@@ -204,7 +207,7 @@
 	};
 }
 
-/** Maps responses to forwarded heartbeats to the wire. */
+/** Encodes responses to forwarded heartbeats. */
 export function encodeForwardedResponses(
 	message: ForwardedResponses,
 ): v.InferInput<typeof ForwardedResponsesSchema> {
@@ -218,7 +221,7 @@
 	};
 }
 
-/** Reads responses to forwarded heartbeats that have the form of their schema. */
+/** Decodes responses to forwarded heartbeats that were checked by their schema. */
 export function decodeForwardedResponses(
 	wire: v.InferOutput<typeof ForwardedResponsesSchema>,
 ): ForwardedResponses {
--- a/src/protocol/peer/hello-wire.ts
+++ b/src/protocol/peer/hello-wire.ts
@@ -1,16 +1,19 @@
 /**
- * The first message on a connection between controllers, by which the one that connected names itself. It comes
- * before all messages of `messages.ts` and is no part of them.
+ * The first message on a connection between controllers, with the name of the controller that opened the
+ * connection. It precedes all messages of `messages.ts` and is not one of them.
  */
 
 import type { NodeId } from "../model/identifiers.js";
 
-/** The first message on a connection, on the wire. */
+/** Encodes the first message on a connection. */
 export function encodeHello(node: NodeId): object {
 	return { hello: node };
 }
 
-/** Reads which controller has connected; null: the message is not of that form. */
+/**
+ * Returns the name of the controller that opened the connection; null: the message does not have the form of a
+ * first message.
+ */
 export function decodeHello(raw: unknown): NodeId | null {
 	const hello = (raw as { hello?: unknown } | null | undefined)?.hello;
 	return typeof hello === "string" ? hello : null;
--- a/src/protocol/peer/leader-heartbeat-wire.ts
+++ b/src/protocol/peer/leader-heartbeat-wire.ts
@@ -25,7 +25,7 @@
 	quota: teamQuota,
 });
 
-/** Maps a leader heartbeat to the wire. */
+/** Encodes a leader heartbeat. */
 export function encodeLeaderHeartbeat(message: LeaderHeartbeat): v.InferInput<typeof LeaderHeartbeatSchema> {
 	const { term, runningTasks, storeReachable, workersReachable, forwardHeartbeats, teamQuota } = message;
 	return {
@@ -39,7 +39,7 @@
 	};
 }
 
-/** Reads a leader heartbeat that has the form of its schema. */
+/** Decodes a leader heartbeat that was checked by its schema. */
 export function decodeLeaderHeartbeat(wire: v.InferOutput<typeof LeaderHeartbeatSchema>): LeaderHeartbeat {
 	const { epoch, counts, served, hearing, relay, quota } = wire;
 	return {
@@ -53,7 +53,7 @@
 	};
 }
 
-/** Maps the reply to a leader heartbeat to the wire. */
+/** Encodes the reply to a leader heartbeat. */
 export function encodeLeaderHeartbeatReply(
 	message: LeaderHeartbeatReply,
 ): v.InferInput<typeof LeaderHeartbeatReplySchema> {
@@ -67,7 +67,7 @@
 	};
 }
 
-/** Reads the reply to a leader heartbeat that has the form of its schema. */
+/** Decodes the reply to a leader heartbeat that was checked by its schema. */
 export function decodeLeaderHeartbeatReply(
 	wire: v.InferOutput<typeof LeaderHeartbeatReplySchema>,
 ): LeaderHeartbeatReply {
--- a/src/protocol/peer/leadership-wire.ts
+++ b/src/protocol/peer/leadership-wire.ts
@@ -1,6 +1,6 @@
 /**
- * What leadership exchanges: lease-extension requests (`ask` on the wire) and votes (`promise`), leader
- * queries (`who`) and their replies (`leading`).
+ * Messages of leadership: lease extension requests (`ask` on the wire) and votes (`promise`), leader queries
+ * (`who`) and their replies (`leading`).
  */
 
 import * as v from "valibot";
@@ -14,7 +14,7 @@
 } from "./messages.js";
 import { shortText, term } from "./wire-fields.js";
 
-/** A lease-extension request on the wire. */
+/** A lease extension request on the wire. */
 export const LeaseExtensionRequestSchema = v.object({
 	kind: v.literal("ask"),
 	epoch: term,
@@ -24,7 +24,7 @@
 
 const CancellationSchema = v.tuple([name, nonNegativeInteger, nonNegativeInteger, nonNegativeInteger]);
 
-/** A lease-extension vote on the wire. */
+/** A lease extension vote on the wire. */
 export const LeaseExtensionVoteSchema = v.object({
 	kind: v.literal("promise"),
 	epoch: term,
@@ -52,7 +52,7 @@
 	typeof CancellationSchema
 >): Cancellation => ({ jobId, revision, taskCount, doneCount });
 
-/** Maps a lease-extension request to the wire. */
+/** Encodes a lease extension request. */
 export function encodeLeaseExtensionRequest(
 	message: LeaseExtensionRequest,
 ): v.InferInput<typeof LeaseExtensionRequestSchema> {
@@ -65,7 +65,7 @@
 	};
 }
 
-/** Reads a lease-extension request that has the form of its schema. */
+/** Decodes a lease extension request that was checked by its schema. */
 export function decodeLeaseExtensionRequest(
 	wire: v.InferOutput<typeof LeaseExtensionRequestSchema>,
 ): LeaseExtensionRequest {
@@ -78,7 +78,7 @@
 	};
 }
 
-/** Maps a lease-extension vote to the wire. */
+/** Encodes a lease extension vote. */
 export function encodeLeaseExtensionVote(
 	message: LeaseExtensionVote,
 ): v.InferInput<typeof LeaseExtensionVoteSchema> {
@@ -91,7 +91,7 @@
 	};
 }
 
-/** Reads a lease-extension vote that has the form of its schema. */
+/** Decodes a lease extension vote that was checked by its schema. */
 export function decodeLeaseExtensionVote(
 	wire: v.InferOutput<typeof LeaseExtensionVoteSchema>,
 ): LeaseExtensionVote {
@@ -104,7 +104,7 @@
 	};
 }
 
-/** Maps a leader query to the wire. */
+/** Encodes a leader query. */
 export function encodeLeaderQuery({
 	term,
 	incarnation,
@@ -112,12 +112,12 @@
 	return { kind: "who", epoch: term, asker: incarnation };
 }
 
-/** Reads a leader query that has the form of its schema. */
+/** Decodes a leader query that was checked by its schema. */
 export function decodeLeaderQuery({ epoch, asker }: v.InferOutput<typeof LeaderQuerySchema>): LeaderQuery {
 	return { kind: "leader-query", term: epoch, incarnation: asker };
 }
 
-/** Maps the reply to a leader query to the wire. */
+/** Encodes the reply to a leader query. */
 export function encodeLeaderQueryReply(
 	message: LeaderQueryReply,
 ): v.InferInput<typeof LeaderQueryReplySchema> {
@@ -125,7 +125,7 @@
 	return { kind: "leading", epoch: term, leading: isLeader, asker: incarnation };
 }
 
-/** Reads the reply to a leader query that has the form of its schema. */
+/** Decodes the reply to a leader query that was checked by its schema. */
 export function decodeLeaderQueryReply(wire: v.InferOutput<typeof LeaderQueryReplySchema>): LeaderQueryReply {
 	const { epoch, leading, asker } = wire;
 	return { kind: "leader-query-reply", term: epoch, isLeader: leading, incarnation: asker };
--- a/src/protocol/peer/messages.ts
+++ b/src/protocol/peer/messages.ts
@@ -1,122 +1,131 @@
 /**
- * Messages between controllers, as the service uses them. How each looks on the wire is known by the modules
- * beside this one, which `codec.ts` brings together: versions in production keep the historic names there.
+ * Messages between controllers in their decoded form. The `*-wire.ts` modules in this folder, combined by
+ * `codec.ts`, define their form on the wire, which keeps the historic names of the versions in production.
  */
 
 import type { Incarnation, JobId, MachineId, NodeId, Revision, Term } from "../model/identifiers.js";
 import type { WorkerCommand, WorkerHeartbeat } from "../model/worker.js";
 
-/** A machine's free capacity, as a placement request shows it. */
+/** The free capacity of a machine in a placement request. */
 export interface MachineCapacity {
 	id: MachineId;
 	type: string;
 	zone: string;
 	spot: boolean;
-	/** Free amounts; memory in GB. */
+	/** Free resources; memory in GB. */
 	cpus: number;
 	gpus: number;
 	memory: number;
-	/** Most tasks that may be added. */
+	/** The maximum number of further tasks. */
 	slots: number;
-	/** Images that the machine should have in its cache. */
+	/** Images that the machine is expected to have in its cache. */
 	images: string[];
 }
 
-/** How many tasks of a job may start now, by quota and order of service; decided by the leader. */
+/** The number of tasks of a job that may start now, which the leader determines by quota and scheduling order. */
 export interface Grant {
 	jobId: JobId;
 	count: number;
 	/** Machines on which tasks of the job have failed. */
 	avoidedMachines: MachineId[];
-	/** Tasks of the job that may be running anywhere, by zone; empty where the job has no zone rule. */
+	/** The numbers of the job's tasks that may be running, by zone; empty if the job has no zone constraint. */
 	tasksByZone: Record<string, number>;
-	/** Machines that may run replicas of the job already; versions before 0.5.0 leave it out. */
+	/** Machines that may already run replicas of the job; versions before 0.5.0 omit the field. */
 	replicaMachines?: MachineId[] | undefined;
 }
 
-/** A placer's proposal to start that many tasks of the job on the machine. */
+/** A placer's proposal to start `count` tasks of the job on the machine. */
 export interface Placement {
 	jobId: JobId;
 	machineId: MachineId;
 	count: number;
 }
 
-/** Leader to placer: free capacity, and how many tasks of each job may start. */
+/** Sent by the leader to a placer: free capacity, and the number of tasks of each job that may start. */
 export interface PlacementRequest {
 	kind: "placement-request";
 	term: Term;
-	/** Counts the placement cycles of the term. */
+	/** The number of the placement cycle within the term. */
 	cycle: number;
-	/** Index of the machine with which this placer begins, so that placers seldom compete for the same one. */
+	/**
+	 * Index of the machine with which this placer begins. It differs between placers, so that they seldom compete
+	 * for the same machine.
+	 */
 	startIndex: number;
 	machines: MachineCapacity[];
 	grants: Grant[];
-	/** Team quota's message to the holder, which its package decodes; left out where team quota is off. */
+	/**
+	 * The message of team quota to the holder, which the team quota package decodes; omitted if team quota is
+	 * disabled.
+	 */
 	teamQuota?: unknown;
 }
 
-/** Placer to leader: where the granted tasks should start. */
+/** Sent by a placer to the leader: the machines on which the granted tasks should start. */
 export interface PlacementProposal {
 	kind: "placement-proposal";
 	term: Term;
 	cycle: number;
 	placements: Placement[];
-	/** Granted jobs that the placer's replica of the store lacks. */
+	/** Granted jobs that are missing in the placer's store replica. */
 	unknownJobs: JobId[];
-	/** Team quota's reply, with the batch of admissions that the placements belong to. */
+	/** The reply of team quota, with the batch of admissions to which the placements belong. */
 	teamQuota?: unknown;
 }
 
-/** Tasks of a job that run, shown to users by every controller. */
+/** The number of running tasks of a job, which every controller shows to users. */
 export type RunningTaskCount = [jobId: JobId, running: number];
 
-/** Leader to every other controller, twice a second. */
+/** Sent by the leader to every other controller, twice a second. */
 export interface LeaderHeartbeat {
 	kind: "leader-heartbeat";
 	term: Term;
 	runningTasks: RunningTaskCount[];
-	/** The store answers the leader. */
+	/** The store responds to the leader. */
 	storeReachable: boolean;
-	/** Most workers reach the leader. */
+	/** At least half of the workers reach the leader. */
 	workersReachable: boolean;
-	/** Every controller may receive workers' heartbeats and is to forward them to the leader. */
+	/** Every controller may receive workers' heartbeats and must forward them to the leader. */
 	forwardHeartbeats: boolean;
 	/** As in a placement request. */
 	teamQuota?: unknown;
 }
 
-/** Answer to a leader heartbeat; also sent unasked by a controller to which the leader's workers turn. */
+/**
+ * The reply to a leader heartbeat. A controller also sends it without a leader heartbeat when the leader's workers
+ * send their heartbeats to that controller.
+ */
 export interface LeaderHeartbeatReply {
 	kind: "leader-heartbeat-reply";
 	term: Term;
-	/** Workers whose heartbeats came to this controller lately although it does not lead. */
+	/** The number of workers that recently sent heartbeats to this controller although it is not the leader. */
 	misdirectedWorkers: number;
-	/** This controller serves service jobs; versions before 0.5.0 leave it out. */
+	/** This controller supports service jobs; versions before 0.5.0 omit the field. */
 	supportsServiceJobs?: boolean | undefined;
-	/** Team quota's reply; left out by versions before 0.8.0 and where team quota is off. */
+	/** The reply of team quota; omitted by versions before 0.8.0, and if team quota is disabled. */
 	teamQuota?: unknown;
 }
 
-/** A worker's heartbeat with a number of the controller that forwards it. */
+/** A worker's heartbeat with a request id of the controller that forwards it. */
 export interface ForwardedHeartbeat {
 	requestId: number;
 	heartbeat: WorkerHeartbeat;
 }
 
-/** Controller to leader: heartbeats of workers, gathered for a moment. */
+/** Sent by a controller to the leader: the workers' heartbeats of a short batch window. */
 export interface ForwardedHeartbeats {
 	kind: "forwarded-heartbeats";
 	term: Term;
 	heartbeats: ForwardedHeartbeat[];
 }
 
-/** What the worker behind a forwarded heartbeat is to be told; null: this leader may not answer it. */
+/** The commands for the worker of a forwarded heartbeat; null: this leader may not respond to the worker. */
 export interface ForwardedResponse {
 	requestId: number;
 	commands: WorkerCommand[] | null;
 }
 
-/** Leader to forwarding controller, in answer to forwarded heartbeats. */
+/** Sent by the leader to a forwarding controller: the responses to forwarded heartbeats. */
 export interface ForwardedResponses {
 	kind: "forwarded-responses";
 	term: Term;
@@ -124,19 +133,19 @@
 }
 
 /**
- * Leader to every other controller while the store refuses it: are you refused too, and will you not campaign
- * for the duration of a lease?
+ * Sent by the leader to every other controller while the store refuses the leader's requests. It asks the receiver
+ * to vote if the store refuses its requests too, and not to campaign for the duration of a lease after the vote.
  */
 export interface LeaseExtensionRequest {
 	kind: "lease-extension-request";
 	term: Term;
-	/** Counts the requests of the leader's process. */
+	/** The number of the request, counted by the leader's process. */
 	requestNumber: number;
-	/** Revision up to which the leader knows the store; versions before 0.4.0 leave it out. */
+	/** Revision up to which the leader's store replica is complete; versions before 0.4.0 omit the field. */
 	replicaRevision?: Revision | undefined;
 }
 
-/** A cancellation that a user was told of. */
+/** A cancellation that was confirmed to a user. */
 export interface Cancellation {
 	jobId: JobId;
 	/** Revision of the write that cancelled the job. */
@@ -152,28 +161,28 @@
 	term: Term;
 	requestNumber: number;
 	/**
-	 * Every cancellation after the leader's revision that this controller can have told a user of. Left out by
-	 * one that cannot say, such as a version before 0.4.0.
+	 * Every cancellation after the revision of the leader's replica that this controller may have confirmed to a
+	 * user. Omitted by a controller that cannot list them all, such as one of a version before 0.4.0.
 	 */
 	cancellations?: Cancellation[] | undefined;
 }
 
-/** A process that has just started, to every other controller: do you lead? */
+/** Sent by a process that has just started to every other controller, to ask if the receiver is the leader. */
 export interface LeaderQuery {
 	kind: "leader-query";
-	/** Always 0: the asking process knows no term. */
+	/** Always 0, because the sending process has no record of a term. */
 	term: Term;
-	/** The process that asks. */
+	/** The sending process. */
 	incarnation: Incarnation;
 }
 
-/** Answer to a leader query. */
+/** The reply to a leader query. */
 export interface LeaderQueryReply {
 	kind: "leader-query-reply";
-	/** The term that the answering controller leads; 0: none. */
+	/** The term in which the replying controller is the leader; 0: it is not the leader. */
 	term: Term;
 	isLeader: boolean;
-	/** The process that asked, so that a late copy of an answer to an earlier process is recognized. */
+	/** The process that sent the query, so that a delayed reply to an earlier process is recognized. */
 	incarnation: Incarnation;
 }
 
@@ -190,7 +199,7 @@
 	| LeaderQuery
 	| LeaderQueryReply;
 
-/** What leadership exchanges with the other controllers. */
+/** The messages of leadership between controllers. */
 export type LeadershipMessage = LeaseExtensionRequest | LeaseExtensionVote | LeaderQuery | LeaderQueryReply;
 
 /** A message with the controller that sent it. */
--- a/src/protocol/peer/placement-wire.ts
+++ b/src/protocol/peer/placement-wire.ts
@@ -5,7 +5,7 @@
 import type { Grant, Placement, PlacementProposal, PlacementRequest } from "./messages.js";
 import { teamQuota, term } from "./wire-fields.js";
 
-/** The fields of a machine's capacity have the same names on the wire, so a list of them passes as it is. */
+/** The fields of a machine's capacity have the same names on the wire, so lists of machines are not converted. */
 const MachineCapacitySchema = v.object({
 	id: name,
 	type: name,
@@ -45,7 +45,7 @@
 	epoch: term,
 	cycle: nonNegativeInteger,
 	placements: v.array(PlacementSchema),
-	/** The first versions did not say which jobs they lack. */
+	/** The first versions omit this field. */
 	unknown: v.optional(v.array(v.string()), []),
 	quota: teamQuota,
 });
@@ -85,7 +85,7 @@
 	count,
 });
 
-/** Maps a placement request to the wire. */
+/** Encodes a placement request. */
 export function encodePlacementRequest(
 	message: PlacementRequest,
 ): v.InferInput<typeof PlacementRequestSchema> {
@@ -101,7 +101,7 @@
 	};
 }
 
-/** Reads a placement request that has the form of its schema. */
+/** Decodes a placement request that was checked by its schema. */
 export function decodePlacementRequest(wire: v.InferOutput<typeof PlacementRequestSchema>): PlacementRequest {
 	const { epoch, cycle, start, machines, grants, quota } = wire;
 	return {
@@ -115,7 +115,7 @@
 	};
 }
 
-/** Maps a placement proposal to the wire. */
+/** Encodes a placement proposal. */
 export function encodePlacementProposal(
 	message: PlacementProposal,
 ): v.InferInput<typeof PlacementProposalSchema> {
@@ -130,7 +130,7 @@
 	};
 }
 
-/** Reads a placement proposal that has the form of its schema. */
+/** Decodes a placement proposal that was checked by its schema. */
 export function decodePlacementProposal(
 	wire: v.InferOutput<typeof PlacementProposalSchema>,
 ): PlacementProposal {
--- a/src/protocol/peer/wire-fields.ts
+++ b/src/protocol/peer/wire-fields.ts
@@ -5,8 +5,8 @@
 /** A term. Its historic name on the wire is `epoch`. */
 export const term = v.pipe(v.number(), v.integer());
 
-/** A short text. */
+/** A string of at most 1000 characters. */
 export const shortText = v.pipe(v.string(), v.maxLength(1000));
 
-/** Fields of team quota's package, which checks them itself. */
+/** The message of team quota, which the team quota package checks itself. */
 export const teamQuota = v.optional(v.unknown());
--- a/src/protocol/records/chunk.ts
+++ b/src/protocol/records/chunk.ts
@@ -1,6 +1,6 @@
 /**
- * Chunks: values of the store that hold many small records by name, since changes per second are what the
- * store has least of. Machines and pages of done tasks are stored this way.
+ * Chunks: values of the store that each contain many small records by name, because the number of changes per
+ * second is the store's scarcest resource. Records of machines and pages of done tasks are stored in chunks.
  */
 
 import * as v from "valibot";
@@ -14,12 +14,12 @@
 /** A stored chunk of text entries: pages of bitmaps of done tasks, named by `pageName`. */
 export const StoredProgressChunkSchema = v.looseObject({ entries: v.record(v.string(), v.string()) });
 
-/** Name of a page of a job's bitmap of done tasks. */
+/** Returns the name of a page of a job's bitmap of done tasks. */
 export function pageName(jobId: JobId, page: number): string {
 	return `${jobId}/${page}`;
 }
 
-/** The job and page that a name stands for. */
+/** Returns the job and the page number of a page name. */
 export function parsePageName(entryName: string): { jobId: JobId; page: number } {
 	const slash = entryName.lastIndexOf("/");
 	return { jobId: entryName.slice(0, slash), page: Number(entryName.slice(slash + 1)) };
--- a/src/protocol/records/final-record.ts
+++ b/src/protocol/records/final-record.ts
@@ -1,17 +1,17 @@
-/** Records of jobs that are over, as they are stored below `r/fin/`. They never change and are kept for good. */
+/** Records of ended jobs, stored below `r/fin/`. They never change and are never deleted. */
 
 import * as v from "valibot";
 import type { TaskDemand } from "../model/job.js";
 import { checkShape, name, nonNegative, nonNegativeInteger } from "../schema-checks.js";
 
-/** A job that is over. */
+/** The record of an ended job. */
 export interface FinalJobRecord {
 	status: "done" | "cancelled";
 	taskCount: number;
 	doneCount: number;
 	/**
-	 * What a task of the job took, for a leader that finds one running and never knew the job. Records of
-	 * versions before 0.4.0 lack it.
+	 * The quota that a task of the job used. A leader needs it if it finds a running task of the job and has never
+	 * had the job's live record. Versions before 0.4.0 write records without it.
 	 */
 	demand?: TaskDemand | undefined;
 }
@@ -26,7 +26,7 @@
 /** The stored form of a final record. */
 export type StoredFinalRecord = v.InferOutput<typeof StoredFinalSchema>;
 
-/** Maps a final record to its stored form. */
+/** Encodes a final record in its stored form. */
 export function encodeFinalRecord({
 	status,
 	taskCount,
@@ -36,7 +36,7 @@
 	return { status, tasks: taskCount, done: doneCount, ...(demand && { demand }) };
 }
 
-/** Reads a stored final record. Throws a MalformedMessageError that names the first faulty field. */
+/** Decodes a stored final record. Throws a MalformedMessageError that names the first invalid field. */
 export function decodeFinalRecord(value: unknown): FinalJobRecord {
 	const { status, tasks, done, demand } = checkShape(StoredFinalSchema, value);
 	return { status, taskCount: tasks, doneCount: done, demand };
--- a/src/protocol/records/job-record.ts
+++ b/src/protocol/records/job-record.ts
@@ -1,4 +1,4 @@
-/** Records of live jobs, as they are stored below `r/job/`: one value for each job. */
+/** Records of live jobs, stored below `r/job/` with one value for each job. */
 
 import * as v from "valibot";
 import { MalformedMessageError } from "../errors.js";
@@ -6,16 +6,16 @@
 import type { JobSpec } from "../model/job.js";
 import { boolean, checkShape, name, nonNegative, nonNegativeInteger, positive } from "../schema-checks.js";
 
-/** A live job. */
+/** The record of a live job. */
 export interface JobRecord {
 	spec: JobSpec;
-	/** Time of day of acceptance in milliseconds: for order and due times, never for safety. */
+	/** Time of day of the acceptance, in milliseconds. It is used for ordering and deadlines, never for safety. */
 	acceptedAt: number;
 }
 
 const StoredSpecSchema = v.looseObject({
 	id: name,
-	/** Versions before 0.5.0 know job arrays only and write no form. */
+	/** Versions before 0.5.0 support only array jobs and do not write the field. */
 	form: v.optional(v.picklist(["array", "standing"])),
 	lane: v.string(),
 	team: name,
@@ -39,13 +39,13 @@
 
 const StoredJobSchema = v.looseObject({ spec: StoredSpecSchema, at: v.number() });
 
-/** A job's description as it is stored. */
+/** The stored form of a job's description. */
 type StoredJobSpec = v.InferOutput<typeof StoredSpecSchema>;
 
 /** The stored form of a live job's record. */
 export type StoredJobRecord = v.InferOutput<typeof StoredJobSchema>;
 
-/** Maps a live job's record to its stored form. */
+/** Encodes a live job's record in its stored form. */
 export function encodeJobRecord({ spec, acceptedAt }: JobRecord): StoredJobRecord {
 	return { spec: encodeSpec(spec), at: acceptedAt };
 }
@@ -75,7 +75,7 @@
 	};
 }
 
-/** Reads a stored job. Throws a MalformedMessageError that names the first faulty field. */
+/** Decodes a stored job. Throws a MalformedMessageError that names the first invalid field. */
 export function decodeJobRecord(id: JobId, value: unknown): JobRecord {
 	const { spec, at } = checkShape(StoredJobSchema, value);
 	if (spec.id !== id) throw new MalformedMessageError(`field "spec.id" must be "${id}"`);
--- a/src/protocol/records/keys.ts
+++ b/src/protocol/records/keys.ts
@@ -1,38 +1,38 @@
 /**
- * Keys of the state service under which controllers keep their records.
+ * Keys of the records of controllers in the state service.
  *
- * Everything that changes while jobs live is below `r/`, which every controller watches. Jobs that are over
- * move to `r/fin/`, which is never listed, so that start-up time does not grow with history.
+ * All data that changes while jobs are live is below `r/`, which every controller watches. Records of ended jobs
+ * are moved to `r/fin/`, which is never listed, so that the start-up time does not grow with history.
  *
- * Keys are data of the versions in production: they keep their historic spelling.
+ * Versions in production use the same keys, so they must not change.
  */
 
 import type { JobId } from "../model/identifiers.js";
 
 /** Keys and key prefixes; a prefix ends with a slash. */
 export const keys = {
-	/** Prefix of all that a controller watches. */
+	/** Prefix of all keys that a controller watches. */
 	root: "r/",
 	/** The leader key, attached to the leader's lease. */
 	leader: "r/one/leader",
 	/** The machine types that the cloud offers. */
 	machineTypes: "r/one/types",
-	/** What every controller has said it supports. */
+	/** The features that every controller has reported as supported. */
 	features: "r/one/able",
-	/** Prefix of records of which there is one. */
+	/** Prefix of singleton records. */
 	singletons: "r/one/",
-	/** Prefix of live jobs. */
+	/** Prefix of the records of live jobs. */
 	jobs: "r/job/",
-	/** Prefix of the chunks that hold which tasks of live jobs are done. */
+	/** Prefix of the chunks that record the done tasks of live jobs. */
 	progress: "r/prog/",
-	/** Prefix of the chunks that hold machines that may run tasks. */
+	/** Prefix of the chunks that record the machines that may run tasks. */
 	machines: "r/machs/",
-	/** Prefix of jobs that are over. */
+	/** Prefix of the records of ended jobs. */
 	finals: "r/fin/",
-	/** Prefix of team quota's records, which its package reads and writes. */
+	/** Prefix of the records of team quota, which the team quota package reads and writes. */
 	quota: "r/quota/",
 	/** The record of a live job. */
 	job: (id: JobId) => `r/job/${id}`,
-	/** The record of a job that is over. */
+	/** The record of an ended job. */
 	final: (id: JobId) => `r/fin/${id}`,
 } as const;
--- a/src/protocol/records/machine-record.ts
+++ b/src/protocol/records/machine-record.ts
@@ -1,17 +1,17 @@
-/** Records of machines that may run tasks, as they are stored below `r/machs/`, many to a chunk. */
+/** Records of machines that may run tasks, stored in chunks below `r/machs/`. */
 
 import * as v from "valibot";
 import type { AgentEpoch } from "../model/identifiers.js";
 import { boolean, nonNegativeInteger } from "../schema-checks.js";
 
-/** What a later leader must know of a machine that may run tasks. */
+/** The data that a later leader needs about a machine that may run tasks. */
 export interface MachineRecord {
-	/** Address of its worker, `host:port`. */
+	/** Address of the machine's worker, `host:port`. */
 	endpoint: string;
 	machineType: string;
 	zone: string;
 	spot: boolean;
-	/** The worker's epoch when the record was written. */
+	/** The worker's agent epoch when the record was written. */
 	agentEpoch: AgentEpoch;
 }
 
@@ -27,18 +27,18 @@
 export type StoredMachineRecord = v.InferOutput<typeof StoredMachineSchema>;
 
 /**
- * A stored chunk of machines. Its entries stay in their stored form until they are used: a chunk is written
- * back as a whole, and fields that a later version has added to an entry must not be lost by that.
+ * A stored chunk of machine records. Entries stay in their stored form until they are used: a chunk is written back
+ * as a whole, and must keep the fields that a later version has added to an entry.
  */
 export const StoredMachineChunkSchema = v.looseObject({ entries: v.record(v.string(), StoredMachineSchema) });
 
-/** Maps a machine's record to its stored form. */
+/** Encodes a machine's record in its stored form. */
 export function encodeMachineRecord(record: MachineRecord): StoredMachineRecord {
 	const { endpoint, machineType, zone, spot, agentEpoch } = record;
 	return { endpoint, type: machineType, zone, spot, session: agentEpoch };
 }
 
-/** Maps an entry of a chunk that was checked when it was read. */
+/** Decodes an entry of a chunk that was checked when it was read. */
 export function decodeMachineRecord(stored: StoredMachineRecord): MachineRecord {
 	const { endpoint, type, zone, spot, session } = stored;
 	return { endpoint, machineType: type, zone, spot, agentEpoch: session };
--- a/src/protocol/records/singleton-records.ts
+++ b/src/protocol/records/singleton-records.ts
@@ -1,4 +1,4 @@
-/** Records of which there is one each, as they are stored below `r/one/`. */
+/** Singleton records, stored below `r/one/`. */
 
 import * as v from "valibot";
 import type { Incarnation, NodeId } from "../model/identifiers.js";
@@ -8,7 +8,7 @@
 /** The value of the leader key. */
 export interface LeaderRecord {
 	node: NodeId;
-	/** Names the one attempt to become leader that wrote the value. */
+	/** Identifies the attempt to become leader that wrote the value. */
 	incarnation: Incarnation;
 }
 
@@ -17,30 +17,30 @@
 /** The stored form of the leader key. */
 export type StoredLeader = v.InferOutput<typeof StoredLeaderSchema>;
 
-/** Maps the value of the leader key to its stored form. */
+/** Encodes the value of the leader key in its stored form. */
 export function encodeLeaderRecord({ node, incarnation }: LeaderRecord): StoredLeader {
 	return { node, incarnation };
 }
 
-/** Reads the stored leader key. Throws a MalformedMessageError that names the first faulty field. */
+/** Decodes the stored leader key. Throws a MalformedMessageError that names the first invalid field. */
 export function decodeLeaderRecord(value: unknown): LeaderRecord {
 	return checkShape(StoredLeaderSchema, value);
 }
 
 /**
- * Features that every controller has said it supports, so that they may be used. Once recorded a feature
- * stays recorded.
+ * Features that every controller has reported as supported, so that they may be used. A recorded feature is never
+ * removed.
  */
 export interface FeatureSet {
 	/** Service jobs, whose replicas run until the job is cancelled; since 0.5.0. */
 	serviceJobs: boolean;
 	/** Team quota: limits are divided among the controllers from the beginning of each term; since 0.8.0. */
 	teamQuota: boolean;
-	/** Fields of later versions, which are written back as they are. */
+	/** Fields of later versions, which are written back unchanged. */
 	unknownFields: Readonly<Record<string, unknown>>;
 }
 
-/** No controller has said anything yet. */
+/** The features before any feature is recorded. */
 export const noFeatures: FeatureSet = { serviceJobs: false, teamQuota: false, unknownFields: {} };
 
 const StoredFeaturesSchema = v.looseObject({
@@ -48,15 +48,15 @@
 	quota: v.optional(v.boolean()),
 });
 
-/** The stored form of a set of features: a feature that is not supported by all is left out. */
+/** The stored form of a set of features, without the features that not all controllers support. */
 export type StoredFeatures = v.InferOutput<typeof StoredFeaturesSchema>;
 
-/** Maps a set of features to its stored form. */
+/** Encodes a set of features in its stored form. */
 export function encodeFeatures({ serviceJobs, teamQuota, unknownFields }: FeatureSet): StoredFeatures {
 	return { ...unknownFields, ...(serviceJobs && { standing: true }), ...(teamQuota && { quota: true }) };
 }
 
-/** Reads stored features. Throws a MalformedMessageError that names the first faulty field. */
+/** Decodes stored features. Throws a MalformedMessageError that names the first invalid field. */
 export function decodeFeatures(value: unknown): FeatureSet {
 	const { standing, quota, ...unknownFields } = checkShape(StoredFeaturesSchema, value);
 	return { serviceJobs: standing === true, teamQuota: quota === true, unknownFields };
@@ -82,12 +82,12 @@
 
 const StoredMachineTypesSchema = v.looseObject({ types: v.array(StoredMachineTypeSchema) });
 
-/** Maps the machine types to their stored form. */
+/** Encodes the machine types in their stored form. */
 export function encodeMachineTypes(types: MachineType[]): StoredMachineTypes {
 	return { types };
 }
 
-/** Reads the stored machine types. Throws a MalformedMessageError that names the first faulty field. */
+/** Decodes the stored machine types. Throws a MalformedMessageError that names the first invalid field. */
 export function decodeMachineTypes(value: unknown): MachineType[] {
 	return checkShape(StoredMachineTypesSchema, value).types;
 }
--- a/src/protocol/records/stored-record.ts
+++ b/src/protocol/records/stored-record.ts
@@ -1,4 +1,4 @@
-/** Reads any value of the store by its key, for the local replica. */
+/** Decodes any value of the store by its key, for the store replica. */
 
 import type { JobId } from "../model/identifiers.js";
 import type { MachineType } from "../model/machine.js";
@@ -16,7 +16,7 @@
 	type LeaderRecord,
 } from "./singleton-records.js";
 
-/** A value of the store with the kind that its key gives it. */
+/** A decoded value of the store, of the kind that its key determines. */
 export type StoredRecord =
 	| { kind: "job"; jobId: JobId; value: JobRecord }
 	| { kind: "final"; jobId: JobId; value: FinalJobRecord }
@@ -27,10 +27,10 @@
 	| { kind: "machine types"; value: MachineType[] }
 	/** Unchecked: the package `team-quota` decodes it. */
 	| { kind: "quota"; value: unknown }
-	/** Of another version: nothing that this one reads. */
+	/** The key of another version, which this version does not read. */
 	| { kind: "other" };
 
-/** Throws a MalformedMessageError for a value that does not have the form that its key asks for. */
+/** Decodes a value. Throws a MalformedMessageError if the value does not have the form that its key requires. */
 export function decodeStoredRecord(key: string, value: unknown): StoredRecord {
 	if (key.startsWith(keys.jobs)) {
 		const jobId = key.slice(keys.jobs.length);
--- a/src/protocol/schema-checks.ts
+++ b/src/protocol/schema-checks.ts
@@ -1,6 +1,6 @@
 /**
- * Checks shared by the parsers of everything that comes from outside this process. The messages are shown to
- * users after the name of the field: `field "cores" must be above 0`.
+ * Schemas shared by the parsers of all data from outside this process. Users see the messages after the name of the
+ * field: `field "cores" must be above 0`.
  */
 
 import * as v from "valibot";
@@ -16,24 +16,23 @@
 /** A finite number of 0 or more. */
 export const nonNegative = v.pipe(finite, v.minValue(0, "must not be negative"));
 
-/** A whole number of 0 or more. */
+/** An integer of 0 or more. */
 export const nonNegativeInteger = v.pipe(
 	v.number("must be a number"),
 	v.safeInteger("must be a whole number"),
 	v.minValue(0, "must not be negative"),
 );
 
-/** A text of 1 to 200 characters. */
+/** A string of 1 to 200 characters. */
 export const name = v.pipe(
 	v.string("must be a string"),
 	v.nonEmpty("must not be empty"),
 	v.maxLength(maxNameLength, `must have at most ${maxNameLength} characters`),
 );
 
-/** true or false. */
 export const boolean = v.boolean("must be true or false");
 
-/** A field that may be null or left out; either is read as null. */
+/** An optional field; a missing field and null are both read as null. */
 export const orNull = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
 
 function describeIssue(issue: v.BaseIssue<unknown>): string {
@@ -42,14 +41,17 @@
 	return `field "${path}" ${issue.input === undefined ? "is missing" : issue.message}`;
 }
 
-/** Returns the input in the schema's form. Throws a MalformedMessageError that names the first faulty field. */
+/**
+ * Validates the input and returns it in the schema's output form. Throws a MalformedMessageError that names the
+ * first invalid field.
+ */
 export function checkShape<T extends v.GenericSchema>(schema: T, input: unknown): v.InferOutput<T> {
 	const result = v.safeParse(schema, input, { abortEarly: true });
 	if (!result.success) throw new MalformedMessageError(describeIssue(result.issues[0]));
 	return result.output;
 }
 
-/** Reads a text that must hold a JSON object. Throws a MalformedMessageError. */
+/** Parses a JSON object. Throws a MalformedMessageError for any other text. */
 export function parseObject(body: string): Record<string, unknown> {
 	let raw: unknown;
 	try {
--- a/src/protocol/settings/objectives.ts
+++ b/src/protocol/settings/objectives.ts
@@ -1,14 +1,14 @@
-/** Service-level objectives of the platform's settings that the service acts on. */
+/** The service-level objectives of the platform's settings that the service uses. */
 
 import type { ServiceLevelObjective } from "./platform.js";
 
-/** Tasks of a class of jobs should start within a time of their submission. */
+/** An objective for the time from the submission of a job of the class until its tasks start. */
 export interface StartTimeObjective {
 	jobClass: string;
 	withinS: number;
 }
 
-/** The objectives about start times (`kind = "wait"`). Those that lack a class or a time are left out. */
+/** Returns the objectives for start times (`kind = "wait"`). Objectives without a class or a time are ignored. */
 export function startTimeObjectives(objectives: readonly ServiceLevelObjective[]): StartTimeObjective[] {
 	const result: StartTimeObjective[] = [];
 	for (const { kind, class: jobClass, within_s: withinS } of objectives) {
--- a/src/protocol/settings/operator.ts
+++ b/src/protocol/settings/operator.ts
@@ -1,6 +1,6 @@
 /**
- * Operators' settings: a YAML file (`--operator`) in which every field is optional. Fields that are not known
- * are rejected by name. The names stay as they are; `docs/operations.md` lists them for operators.
+ * Operators' settings: a YAML file (`--operator`) in which every field is optional. Unknown fields are rejected
+ * with their names. Field names must not change; `docs/operations.md` lists them for operators.
  *
  * A name that ends in `_s` is a duration in seconds.
  */
@@ -13,16 +13,17 @@
 const positiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
 const nonNegativeInteger = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-/** A lease of half a second to a minute. */
+/** A lease duration of half a second to one minute. */
 const leaseS = v.pipe(v.number(), v.minValue(0.5), v.maxValue(60));
 
-/** The hill climb, which scales the fleet: `coordination/fleet`. */
+/** The hill climb that scales the fleet: `coordination/fleet`. */
 const HillClimb = v.strictObject({
 	/** Time between scaling rounds. */
 	round_s: v.optional(positive, 0.5),
 	/**
-	 * Load above which machines are wanted and up to which machines can be spared, as multiples of a machine's
-	 * mean cores times half the mean estimated run time of the present tasks.
+	 * The high threshold, above which the fleet needs more machines, and the low threshold, up to which it can
+	 * spare machines. Both are multiples of a machine's mean cores times half the mean estimated run time of the
+	 * current tasks.
 	 */
 	high: v.optional(positive, 1.2),
 	low: v.optional(positive, 0.8),
@@ -30,65 +31,74 @@
 	up_past: v.optional(nonNegative, 3),
 	/** The fleet scales in once the counter of rounds with low load reaches this. */
 	down_at: v.optional(positiveInteger, 6),
-	/** Most remaining seconds of a task that count as load, per core. */
+	/** Maximum remaining seconds of a task that count as load, per core. */
 	cap_s: v.optional(positive, 600),
-	/** How long a machine type, zone and kind is not asked for again after the cloud had no capacity. */
+	/**
+	 * Time for which a combination of machine type, zone and kind (spot or on-demand) is not requested again after
+	 * the cloud had no capacity for it.
+	 */
 	refusal_s: v.optional(nonNegative, 20),
-	/** Most machines at once, as a bound of the operators' own; 0: none. */
+	/** The operators' own limit on the number of machines; 0: no limit. */
 	most_machines: v.optional(nonNegativeInteger, 0),
 });
 
 /** Leadership among the controllers: `coordination/leadership`. */
 const LeadershipTiming = v.strictObject({
-	/** Lease of the leader key. A longer one survives more hiccups of the store, a shorter one fails over sooner. */
+	/**
+	 * Duration of the leader key's lease. A longer lease survives longer interruptions of the store; a shorter
+	 * lease makes failover faster.
+	 */
 	ttl_s: v.optional(leaseS, 3),
-	/** Kept free at the end of every lease, in addition to the allowance for clock drift. */
+	/** Safety margin at the end of every lease, in addition to the allowance for clock drift. */
 	margin_s: v.optional(nonNegative, 0.3),
 });
 
 /** Placement of tasks: `coordination/placement`. */
 const Placement = v.strictObject({
-	/** Least time between placement cycles. */
+	/** Minimum time between placement cycles. */
 	cycle_s: v.optional(positive, 0.2),
-	/** A placer that has not answered for this long is taken to be out of reach. */
+	/** A placer that has not replied for this long is considered unreachable. */
 	silent_s: v.optional(positive, 1),
-	/** Most machines in a placement request; of more, a random sample is shown. */
+	/** Maximum number of machines in a placement request; of a larger fleet, a random sample is sent. */
 	sample: v.optional(positiveInteger, 200),
 });
 
 /** Workers' heartbeats: `coordination/workers`. */
 const Heartbeats = v.strictObject({
 	/**
-	 * With more heartbeats a second than this for each core of a controller's share, all controllers receive them
-	 * and forward them to the leader; 0: never.
+	 * Heartbeats per second, for each core of a controller's CPU share, above which all controllers receive
+	 * heartbeats and forward them to the leader; 0: heartbeats are never forwarded.
 	 */
 	relay_per_core: v.optional(nonNegative, 500),
 });
 
 /** Team quota: `packages/team-quota`. */
 const TeamQuota = v.strictObject({
-	/** Teams' limits are divided among the controllers, each of which admits tasks by its own allotment. */
+	/** Divides teams' limits among the controllers, each of which admits tasks by its own allotment. */
 	enabled: v.optional(v.boolean(), false),
-	/** A controller that has not been heard for about this long loses its allotments. */
+	/** A controller from which the leader has received nothing for about this long loses its allotments. */
 	expiry_s: v.optional(leaseS, 2.5),
-	/** Kept free at the end of that, in addition to the allowance for clock drift. */
+	/** Safety margin at the end of the expiry time, in addition to the allowance for clock drift. */
 	margin_s: v.optional(nonNegative, 0.1),
-	/** Least time between moves of one team's allotment. */
+	/** Minimum time between changes of one team's allotments. */
 	move_pause_s: v.optional(nonNegative, 1),
-	/** How long a team may run more than a lowered limit before tasks are stopped; 0: until they end. */
+	/**
+	 * Time for which a team's tasks may exceed a lowered limit before tasks are stopped; 0: they are never stopped
+	 * and run to their end.
+	 */
 	preempt_after_s: v.optional(nonNegative, 60),
 });
 
 /** Machines: `coordination/workers` and `coordination/fleet`. */
 const Machines = v.strictObject({
-	/** Failures of different jobs after which a machine is quarantined. */
+	/** Number of failures of different jobs after which a machine is quarantined. */
 	faulty_after: v.optional(positiveInteger, 2),
 	/**
-	 * A machine that has not come up after twice this many stated boot times of its type is deleted; after two
-	 * stated boot times, if a machine of the type that was requested no earlier is up.
+	 * A machine that is not up after twice this many stated boot times of its type is deleted; if a machine of the
+	 * type that was requested no earlier is up, after two stated boot times.
 	 */
 	boot_times: v.optional(positive, 3),
-	/** A machine is deleted once it has been silent for this much longer than its worker's lease. */
+	/** A machine is deleted once it has been unresponsive for its worker's lease and this additional time. */
 	silent_extra_s: v.optional(nonNegative, 15),
 });
 
@@ -101,23 +111,23 @@
 	machines: v.optional(Machines, {}),
 });
 
-/** The operators' settings after all checks, with the defaults of what the file leaves out. */
+/** The operators' settings after validation, with defaults for the fields that the file omits. */
 export type OperatorSettings = v.InferOutput<typeof Operator>;
 
-/** The settings without an operators' file. */
+/** Returns the settings that apply without an operators' file. */
 export function defaultOperatorSettings(): OperatorSettings {
 	return checkOperator("defaults", {});
 }
 
 /**
- * Reads an operators' file.
+ * Parses an operators' file.
  *
  * @param file Name of the file, for errors.
- * @param source Its text.
- * @throws SettingsError that names the file and the first faulty field.
+ * @param source Text of the file.
+ * @throws SettingsError that names the file and the first invalid field.
  */
 export async function parseOperatorSettings(file: string, source: string): Promise<OperatorSettings> {
-	// Loaded only when there is such a file: the time that a start takes is paid for.
+	// Loaded only if there is such a file, because loading the parser lengthens the start-up.
 	const { parse } = await import("yaml");
 	let raw: unknown;
 	try {
--- a/src/protocol/settings/platform.ts
+++ b/src/protocol/settings/platform.ts
@@ -1,8 +1,8 @@
 /**
- * The platform's settings: what the platform that runs the controllers hands over in a TOML file (`--config`).
- * The names are the platform's and stay as they are. Fields that are not known are ignored.
+ * The platform's settings: a TOML file (`--config`) from the platform that runs the controllers. The field names
+ * are the platform's and must not change. Unknown fields are ignored.
  *
- * A name that ends in `_s` or `_ms` is a duration in seconds or milliseconds, `rps` counts per second, `kb` and
+ * A name that ends in `_s` or `_ms` is a duration in seconds or milliseconds, `rps` is a rate per second, `kb` and
  * `mb` are KiB and MiB.
  */
 
@@ -18,26 +18,28 @@
 
 const address = v.pipe(v.string(), v.regex(/^\S+:\d{1,5}$/, "expected an address such as 10.0.0.1:8080"));
 
-/** 0 stands for no limit: a team without one, such as a guest team, may use whatever is idle. */
+/**
+ * The limit of a team; 0 means no limit. A team without a limit, such as a guest team, may use all idle resources.
+ */
 const limit = v.pipe(
 	nonNegative,
 	v.transform((value) => (value === 0 ? Number.POSITIVE_INFINITY : value)),
 );
 
-/** A team. What it is guaranteed, and its limit, are amounts that its running tasks take together. */
+/** A team. Its guarantee and its limit are amounts that all its running tasks use together. */
 const Team = v.object({
 	name: nonEmptyText,
 	/** Guaranteed CPU cores. */
 	cpus: nonNegative,
-	/** Most CPU cores; 0 in the file: no limit. */
+	/** Maximum CPU cores; 0 in the file: no limit. */
 	cpus_max: limit,
 	/** Guaranteed accelerators. */
 	gpus: v.optional(nonNegative, 0),
-	/** Most accelerators; 0 in the file, or left out: no limit. */
+	/** Maximum accelerators; 0 in the file, or omitted: no limit. */
 	gpus_max: v.optional(limit, 0),
 });
 
-/** A team in the service's own terms. */
+/** A team, converted to a `TeamQuota`. */
 const TeamQuotaOfTeam = v.pipe(
 	Team,
 	v.transform(
@@ -49,16 +51,16 @@
 	),
 );
 
-/** What users expect of a class of jobs; see `objectives.ts` for those that the service acts on. */
+/** A service-level objective for a class of jobs; see `objectives.ts` for the objectives that the service uses. */
 const ServiceLevelObjective = v.object({
 	/** `wait`: until the start of tasks; `finished`, `deadline`: until the end of jobs. */
 	kind: v.string(),
 	/** The class of jobs (`lane` of a submission). */
 	class: v.optional(v.string()),
 	within_s: v.optional(v.number()),
-	/** Part of the jobs or tasks that should meet the objective, 0 to 1. */
+	/** Fraction of the jobs or tasks that should meet the objective, 0 to 1. */
 	share: v.optional(v.number()),
-	/** For `deadline`: multiples of the deadline. */
+	/** For `deadline`: a multiple of the deadline. */
 	times: v.optional(v.number()),
 });
 
@@ -68,50 +70,50 @@
 	rps: positive,
 	/** Puts and deletes per second of all controllers together. */
 	write_rps: positive,
-	/** Largest value, in KiB. */
+	/** Maximum size of a value, in KiB. */
 	value_kb: positive,
-	/** Most puts and deletes in one transaction; it may have four times as many conditions. */
+	/** Maximum number of puts and deletes in one transaction, which may have four times as many conditions. */
 	txn_ops: positiveInteger,
 };
 
 const StoreSettings = v.object({
 	...storeLimits,
-	/** Limits that will replace those above at some moment, without notice. */
+	/** Limits that will replace those above at an unknown time, without notice. */
 	next: v.optional(v.partial(v.object(storeLimits)), {}),
 });
 
 const WorkerSettings = v.object({
-	/** Time between heartbeats of a worker, give or take a quarter. */
+	/** Time between heartbeats of a worker, which varies by up to a quarter. */
 	report_s: positive,
-	/** A worker whose heartbeats are not answered for this long stops all its tasks. */
+	/** A worker that receives no response to its heartbeats for this long stops all its tasks. */
 	lease_s: positive,
-	/** Within this time of a cancellation all tasks of the job must be gone. */
+	/** Time from a cancellation until all tasks of the job must have ended. */
 	cancel_s: positive,
 });
 
 const CloudSettings = v.object({
 	/** Requests per second. */
 	rps: positive,
-	/** How far the machine list lags behind; at times up to twice that. */
+	/** Delay with which the machine list shows changes; occasionally up to twice as long. */
 	list_lag_s: nonNegative,
 });
 
-/** What the process may use. */
+/** Resource limits of the process. */
 const ResourceSettings = v.object({
-	/** Share of a processor, in cores. */
+	/** CPU share, in cores. */
 	cores: v.optional(positive),
 	/** Memory, in MiB. */
 	ram_mb: v.optional(positive),
-	/** Open files and sockets. */
+	/** Maximum number of open files and sockets. */
 	fd_limit: v.optional(positiveInteger, 1000),
 });
 
 const ClusterSettings = v.object({
 	/** Number of controllers, this one included. */
 	nodes: v.optional(positiveInteger),
-	/** The zones of the cluster; empty: not known. */
+	/** The zones of the cluster; empty: unknown. */
 	zones: v.optional(v.array(nonEmptyText), []),
-	/** Bound on the error of the time of day. */
+	/** Maximum error of the time of day. */
 	clock_off_ms: v.optional(nonNegative, 0),
 	teams: v.optional(v.array(TeamQuotaOfTeam), []),
 	objectives: v.optional(v.array(ServiceLevelObjective), []),
@@ -124,11 +126,11 @@
 
 /** Another controller. */
 const OtherController = v.object({
-	/** Its name. */
+	/** Name of the controller. */
 	node: nonEmptyText,
-	/** Its failure domain, which is its zone. */
+	/** Failure domain of the controller, which is its zone. */
 	domain: nonEmptyText,
-	/** Where it takes connections of controllers, `host:port`. */
+	/** Address at which it accepts connections of other controllers, `host:port`. */
 	addr: address,
 });
 
@@ -143,25 +145,25 @@
 	back: address,
 	/** All other controllers. */
 	others: v.optional(v.array(OtherController), []),
-	/** Addresses of outside systems: the cloud's API and the store, `host:port`. */
+	/** Addresses of external systems: the cloud's API and the store, `host:port`. */
 	endpoints: v.object({ cloud: address, state: address }),
 	cluster: ClusterSettings,
 });
 
-/** The platform's settings after all checks, with the lesser of present and coming store limits. */
+/** The platform's settings after validation, with the lower of the present and the future store limits. */
 export type PlatformSettings = v.InferOutput<typeof Platform>;
 
-/** What users expect of a class of jobs. */
+/** A service-level objective for a class of jobs. */
 export type ServiceLevelObjective = v.InferOutput<typeof ServiceLevelObjective>;
 
 type StoreSettings = PlatformSettings["cluster"]["state"];
 
 /**
- * Reads the platform's settings.
+ * Parses the platform's settings.
  *
  * @param file Name of the file, for errors.
- * @param source Its text.
- * @throws SettingsError that names the file and the first faulty field.
+ * @param source Text of the file.
+ * @throws SettingsError that names the file and the first invalid field.
  */
 export function parsePlatformSettings(file: string, source: string): PlatformSettings {
 	let raw: unknown;
@@ -192,7 +194,7 @@
 	});
 }
 
-/** Votes of leadership are counted by the names of controllers, so each must be named once. */
+/** Leadership counts votes by the names of controllers, so the names must be unique. */
 function checkControllers(file: string, { node: localNode, others, cluster }: PlatformSettings): void {
 	const names = new Set([localNode]);
 	others.forEach(({ node }, i) => {
@@ -206,7 +208,10 @@
 	}
 }
 
-/** A lease is longer than the time between heartbeats, and a cancellation takes at least a lease. */
+/**
+ * Checks that a lease is longer than the time between heartbeats, and shorter than the time for a cancellation,
+ * which takes at least a lease.
+ */
 function checkWorkerTimings(file: string, { cluster }: PlatformSettings): void {
 	const { report_s, lease_s, cancel_s } = cluster.workers;
 	if (report_s >= lease_s) {
@@ -217,7 +222,7 @@
 	}
 }
 
-/** Limits that are to come are kept from the start, since the change comes without notice. */
+/** Applies lower future limits from the start, because they come into force without notice. */
 function lowerLimits(state: StoreSettings): StoreSettings {
 	const lowerLimit = (limit: keyof typeof storeLimits) =>
 		Math.min(state[limit], state.next[limit] ?? Infinity);
--- a/src/protocol/settings/settings-file.ts
+++ b/src/protocol/settings/settings-file.ts
@@ -1,4 +1,4 @@
-/** Reading and checking of settings files, with errors that name the file and the field. */
+/** Reads and validates settings files. Errors name the file and the field. */
 
 import { readFileSync } from "node:fs";
 import * as v from "valibot";
@@ -14,7 +14,10 @@
 	}
 }
 
-/** Returns the settings in the schema's form. Throws a SettingsError that names the first faulty field. */
+/**
+ * Validates the settings and returns them in the schema's output form. Throws a SettingsError that names the first
+ * invalid field.
+ */
 export function checkSettings<T extends v.GenericSchema>(
 	file: string,
 	schema: T,
@@ -28,12 +31,15 @@
 	throw new SettingsError(`${file}: top level: ${issue.message}`);
 }
 
-/** The error for a field that is wrong, or does not go with another one. */
+/** Returns the error for a field that is invalid, or inconsistent with another field. */
 export function fieldError(file: string, field: string, fault: string): SettingsError {
 	return new SettingsError(`${file}: field "${field}": ${fault}`);
 }
 
-/** The error for a file that is not in its format. Only the first line of what its parser says is of use. */
+/**
+ * Returns the error for a file that does not have the expected format. It contains only the first line of the
+ * parser's message, because the other lines are of no use.
+ */
 export function formatError(file: string, format: "TOML" | "YAML", error: unknown): SettingsError {
 	const message = error instanceof Error ? error.message : String(error);
 	return new SettingsError(`${file}: not ${format}: ${message.split("\n")[0]}`, { cause: error });
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -1,4 +1,4 @@
-/** Runs a controller in this process: wires it to the network, the clocks and the log, until it is told to stop. */
+/** Runs a controller in this process, connected to the network, the clocks and the log, until a signal stops it. */
 
 import { randomBytes } from "node:crypto";
 import { type Logger, pino } from "pino";
@@ -23,20 +23,22 @@
 const defaultLogLevel = "info";
 const standardErrorFd = 2;
 
-/** Most connections to the store and to the cloud. */
 const maxStoreConnections = 40;
 const maxCloudConnections = 8;
 
-/** Of the sockets that the process may have, this part is for users and workers, less those kept back. */
+/**
+ * The fraction of the process's file descriptor limit that connections of users and workers may use, before the
+ * reserved sockets are subtracted.
+ */
 const publicSocketsFraction = 0.8;
-/** Sockets kept back for the store, the cloud, direct commands and the other controllers. */
+/** Sockets reserved for the store, the cloud, direct commands and the other controllers. */
 const reservedSockets = 60;
 const minPublicSockets = 16;
 
-/** After this the process ends, whatever is still open. */
+/** The process exits this long after a stop signal, even if connections are still open. */
 const exitDelayMs = 200;
 
-/** Starts a controller and returns once it listens. The process then runs until SIGTERM or SIGINT. */
+/** Starts a controller and resolves once it listens. The process then runs until SIGTERM or SIGINT. */
 export async function serve(platform: PlatformSettings, operator: OperatorSettings): Promise<void> {
 	const log = createLog(platform.node);
 	logUncaughtErrors(log);
@@ -77,7 +79,7 @@
 	);
 }
 
-/** A fault in one request or answer must not end the process. */
+/** Logs uncaught errors, because a fault in one request or response must not end the process. */
 function logUncaughtErrors(log: Logger): void {
 	process.on("uncaughtException", (error) => log.error({ err: error }, "uncaught exception"));
 	process.on("unhandledRejection", (reason) => log.error({ err: reason }, "unhandled promise rejection"));
--- a/src/system-clock.ts
+++ b/src/system-clock.ts
@@ -2,7 +2,7 @@
 
 import type { Clock } from "./coordination/ports/clock.js";
 
-/** The standard library's steady clock, time of day and timers. */
+/** The monotonic time, the time of day and the timers of the standard library. */
 export const systemClock: Clock = {
 	now: () => performance.now(),
 	date: () => new Date(),
--- a/src/transport/address.ts
+++ b/src/transport/address.ts
@@ -1,4 +1,4 @@
-/** Addresses of the form `host:port`, as the platform's settings and the workers' heartbeats give them. */
+/** Addresses of the form `host:port`, as in the platform's settings and in workers' heartbeats. */
 
 import type { Server } from "node:net";
 
@@ -8,13 +8,13 @@
 	port: number;
 }
 
-/** Splits an address at its last colon. The form of an address is checked where it comes in, not here. */
+/** Splits an address at its last colon. Does not check the form of the address, which is checked on input. */
 export function parseAddress(address: string): HostAndPort {
 	const colon = address.lastIndexOf(":");
 	return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** The port that a listening server is bound to; null: it is bound to no port. */
+/** Returns the port of a listening server; null: it is not bound to a port. */
 export function boundPort(server: Server): number | null {
 	const address = server.address();
 	return typeof address === "object" && address ? address.port : null;
--- a/src/transport/clients/cloud-client.ts
+++ b/src/transport/clients/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Client of the cloud's API, which keeps below the cloud's limit on requests. */
+/** Client of the cloud's API, which stays below the cloud's rate limit. */
 
 import { CallError } from "../../coordination/ports/call-error.js";
 import { type Clock, delay } from "../../coordination/ports/clock.js";
@@ -23,28 +23,34 @@
 
 const callTimeoutMs = 4000;
 
-/** Largest page of the machine list that the cloud gives. */
+/** The largest page of the machine list that the cloud returns. */
 const machineListPageSize = 500;
 
-/** A call that would wait this long for its share of the rate fails at once. */
+/** A call that would wait this long or longer for the rate limit fails at once. */
 const maxRateWaitMs = 1000;
 
-/** Part of the cloud's limit that this client uses; only the leader calls the cloud. */
+/**
+ * The fraction of the cloud's rate limit that this client uses. It can be large, because only the leader calls the
+ * cloud.
+ */
 const rateFraction = 0.9;
-/** Requests that may come at once, in seconds of the limit. The cloud allows for two. */
+/** The requests that may be sent at once, in seconds of the rate limit. The cloud allows a burst of two seconds. */
 const burstS = 1.5;
-/** Requests that are kept for scaling, in seconds of the limit; one request is enough. */
+/** The requests reserved for scaling, in seconds of the rate limit, but at most one request, which is enough. */
 const scalingReserveS = 0.5;
 
 /**
- * The cloud's API. Only the leader calls it, so one controller may use nearly all of the rate. Calls that
- * create and delete machines come before those that list, which leave a reserve to them.
+ * Calls the cloud's API. Only the leader calls it, so one controller may use nearly the whole rate limit. Calls
+ * that list machines or machine types leave a reserve for calls that create and delete machines.
  */
 export class CloudClient implements CloudProvider {
 	private readonly requestTokens: TokenBucket;
 	private readonly scalingReserve: number;
 
-	/** @param requestsPerS The cloud's limit on requests (`cluster.cloud.rps` in the platform's settings). */
+	/**
+	 * @param requestsPerS The cloud's limit on requests per second (`cluster.cloud.rps` in the platform's
+	 * settings).
+	 */
 	constructor(
 		private readonly http: HttpCaller,
 		private readonly clock: Clock,
@@ -69,7 +75,8 @@
 		await this.acquireToken(0);
 		const body = createMachinesBody(request);
 		const response = await this.http.call("POST", paths.machines, body, callTimeoutMs);
-		// A 503 with this body says that there is no capacity; one during an outage of the cloud has another.
+		// A 503 with this body reports a lack of capacity; a 503 during an outage of the cloud has a different
+		// body.
 		if (response.status === 503 && isNoCapacity(response.body)) return [];
 		expectStatus(response, "creation of machines", 200, 201);
 		return parseResponse(response, "creation of machines", parseCreatedMachines);
@@ -90,12 +97,15 @@
 		return parseResponse(response, "machine list", parseMachineList);
 	}
 
-	/** Closes the connections. Calls that are still open reject. */
+	/** Closes the connections. Pending calls reject. */
 	close(): void {
 		this.http.close();
 	}
 
-	/** Waits for a request's share of the rate, beyond the reserve. */
+	/**
+	 * Takes the token of a request and leaves the reserve, after a wait if necessary. Throws a CallError if no
+	 * token is available in time.
+	 */
 	private async acquireToken(reserve: number): Promise<void> {
 		if (this.requestTokens.tryTake(1, reserve)) return;
 		const waitMs = this.requestTokens.waitMs(1, reserve);
--- a/src/transport/clients/http-client.ts
+++ b/src/transport/clients/http-client.ts
@@ -1,27 +1,27 @@
-/** The HTTP client of one outside system: the store, the cloud, or a worker. */
+/** The HTTP client of one external system: the store, the cloud or a worker. */
 
 import { Agent } from "node:http";
 import { type HostAndPort, parseAddress } from "../address.js";
 import { HttpExchange } from "./http-exchange.js";
 import type { HttpResponse } from "./http-response.js";
 
-/** Connections that are kept open while no call uses them. */
+/** The maximum number of idle connections that are kept open. */
 const maxIdleSockets = 4;
 
-/** What the clients of outside systems need of HTTP. The tests put a simulated network in its place. */
+/** The HTTP interface that the clients of external systems use. Tests replace it by a simulated network. */
 export interface HttpCaller {
 	/**
-	 * Sends a request and resolves to its response, whatever the status. Rejects with a CallError.
+	 * Sends a request and resolves to its response, with any status. Rejects with a CallError.
 	 *
 	 * @param body Sent as JSON; undefined: the request has no body.
-	 * @param timeoutMs Longest time until the whole response is here.
+	 * @param timeoutMs Maximum time until the whole response has been received.
 	 */
 	call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse>;
-	/** Closes all connections. Calls that are still open reject. */
+	/** Closes all connections. Pending calls reject. */
 	close(): void;
 }
 
-/** Calls one outside system over connections that stay open between calls. Owns those connections. */
+/** Calls one external system over persistent connections, which it owns. */
 export class HttpClient implements HttpCaller {
 	private readonly target: HostAndPort;
 	private readonly agent: Agent;
@@ -32,7 +32,7 @@
 
 	/**
 	 * @param address Of the form `host:port`.
-	 * @param maxSockets Most connections at once; further calls wait for one, within their deadlines.
+	 * @param maxSockets Maximum number of connections; further calls wait for one, within their timeouts.
 	 */
 	constructor(address: string, maxSockets: number) {
 		this.target = parseAddress(address);
@@ -40,7 +40,7 @@
 			keepAlive: true,
 			maxSockets,
 			maxFreeSockets: maxIdleSockets,
-			// The connection used last is the least likely to have been closed by the other side.
+			// The most recently used connection is the least likely to have been closed by the server.
 			scheduling: "lifo",
 		});
 	}
--- a/src/transport/clients/http-exchange.ts
+++ b/src/transport/clients/http-exchange.ts
@@ -1,4 +1,4 @@
-/** One HTTP request on its way, and its response. */
+/** One HTTP request and its response. */
 
 import { type Agent, type ClientRequest, type IncomingMessage, request } from "node:http";
 import type { Socket } from "node:net";
@@ -7,17 +7,17 @@
 import type { HttpResponse } from "./http-response.js";
 import { ResponseDeadline } from "./response-deadline.js";
 
-/** A request to be sent. */
+/** A request to send. */
 export interface HttpRequest {
 	method: string;
 	path: string;
 	/** Sent as JSON; undefined: the request has no body. */
 	body: unknown;
-	/** Longest time from now until the whole response is here. */
+	/** Maximum time from the start of the exchange until the whole response has been received. */
 	timeoutMs: number;
 }
 
-/** Where a request goes, and who is told when it has been settled. */
+/** The target and the connections of a request, and the callback for its completion. */
 export interface HttpExchangeOptions {
 	target: HostAndPort;
 	agent: Agent;
@@ -30,16 +30,17 @@
 }
 
 /**
- * Sends a request and settles it exactly once: with the response, or with a CallError. As long as no connection
- * was made nothing was sent, so nothing can be executed later, and the outcome is `not executed`; after that a
- * request without a usable response may have been executed, or may still be, and the outcome is `unknown`.
+ * Sends a request and settles it exactly once: with the response, or with a CallError. Before a connection is
+ * established nothing has been sent, so nothing can be executed later, and the outcome of a failure is `not
+ * executed`. After that, a request without a usable response may have been executed, or may still be executed, and
+ * the outcome is `unknown`.
  */
 export class HttpExchange {
 	/** Rejects with a CallError. */
 	readonly response: Promise<HttpResponse>;
 	private readonly clientRequest: ClientRequest;
 	private readonly deadline: ResponseDeadline;
-	/** Whether a connection was made, so that the request may have been sent. */
+	/** True once a connection is established, so that the request may have been sent. */
 	private connected = false;
 	private settled = false;
 	private resolve!: (response: HttpResponse) => void;
@@ -64,7 +65,7 @@
 		this.clientRequest.end(payload);
 	}
 
-	/** Gives the request up, if it is not settled yet. */
+	/** Aborts the request if it is not settled yet. */
 	abort(): void {
 		this.fail("the client was closed");
 	}
@@ -104,7 +105,7 @@
 		this.clientRequest.destroy();
 	}
 
-	/** Returns whether this call settles the exchange: only the first one does. */
+	/** Returns true if this call settles the exchange, which only the first call does. */
 	private settle(): boolean {
 		if (this.settled) return false;
 		this.settled = true;
--- a/src/transport/clients/http-response.ts
+++ b/src/transport/clients/http-response.ts
@@ -1,16 +1,16 @@
-/** Responses of outside systems, and how they become results or errors of known consequence. */
+/** Responses of external systems, and their conversion to results or to errors with a known outcome. */
 
 import { CallError, type CallOutcome } from "../../coordination/ports/call-error.js";
 import { MalformedMessageError } from "../../protocol/errors.js";
 
-/** A response whose body has been received as a whole. */
+/** A response whose body has been received completely. */
 export interface HttpResponse {
 	status: number;
 	/** The JSON value of the body; null for an empty body. */
 	body: unknown;
 }
 
-/** What a request has brought about if it was answered with a status that its caller does not expect. */
+/** Returns the outcome of a request that was answered with an unexpected status. */
 function outcomeOf(status: number): CallOutcome {
 	if (status === 429 || status === 503) return "not executed";
 	return status >= 500 ? "unknown" : "rejected";
@@ -24,9 +24,9 @@
 }
 
 /**
- * Reads the body of a response. A body that does not have the published form does not tell what was done: it
- * counts as no response (a CallError with the outcome `unknown`), and nothing of it is used. The test is
- * `tests/protocol/http/malformed-responses.test.ts`.
+ * Parses the body of a response. A body that does not have the published form does not show if the request was
+ * executed: it counts as a missing response (a CallError with the outcome `unknown`), and no part of it is used.
+ * The test is `tests/protocol/http/malformed-responses.test.ts`.
  */
 export function parseResponse<T>(response: HttpResponse, operation: string, parse: (body: unknown) => T): T {
 	try {
--- a/src/transport/clients/response-deadline.ts
+++ b/src/transport/clients/response-deadline.ts
@@ -1,17 +1,17 @@
-/** The deadline of a call, which is fair to the other side when this process itself stood still. */
+/** The deadline of a call. It does not count a process pause as a missing response. */
 
-/** A deadline that is noticed later than this passed while the process stood still. */
+/** If the deadline's timer runs later than this, the process was paused. */
 const pauseThresholdMs = 500;
 
-/** How long a response that arrived during a pause of the process may take to be read after it. */
+/** Time after a process pause for reading a response that arrived during the pause. */
 const graceAfterPauseMs = 50;
 
 /**
- * Runs an action once the deadline has passed, unless it is cancelled before.
+ * Runs a callback once the deadline has passed, unless it is cancelled before.
  *
- * Node.js runs timers before it reads sockets. After a pause of the whole process the response may have been
- * waiting in the socket for long, and the other side is not to blame: the deadline is then extended by a
- * moment, in which the response is read. The test is in `tests/transport/clients/http-client.test.ts`.
+ * Node.js runs timers before it reads sockets. After a process pause, the response may have been in the socket for
+ * a long time without a fault of the other side. The deadline is then extended by a grace period, in which the
+ * response is read. The test is in `tests/transport/clients/http-client.test.ts`.
  */
 export class ResponseDeadline {
 	private timer: NodeJS.Timeout;
@@ -25,7 +25,7 @@
 		}, timeoutMs);
 	}
 
-	/** The action does not run any more. */
+	/** Prevents the callback from running. */
 	cancel(): void {
 		clearTimeout(this.timer);
 	}
--- a/src/transport/clients/store-client.ts
+++ b/src/transport/clients/store-client.ts
@@ -1,4 +1,4 @@
-/** Client of the key-value store, which keeps below the controller's share of the store's limits. */
+/** Client of the key-value store, which stays below this controller's share of the store's limits. */
 
 import { CallError } from "../../coordination/ports/call-error.js";
 import { type Clock, delay } from "../../coordination/ports/clock.js";
@@ -30,34 +30,40 @@
 import { TokenBucket } from "./token-bucket.js";
 
 const callTimeoutMs = 1500;
-/** Reading many rows takes the store longer than other calls do. */
+/** Reading many rows takes the store longer than other calls. */
 const rowsTimeoutMs = 4000;
 const renewalTimeoutMs = 1000;
-/** How much longer than asked for a watch may take. */
+/** Time that a watch may take beyond its requested wait. */
 const watchGraceMs = 3000;
 
-/** Rows on one page of a prefix. */
+/** Rows per page in reads of a prefix. */
 const pageSize = 200;
 
-/** How long calls wait for their share of a rate. */
+/** Maximum waiting times of calls for their share of a rate limit. */
 const maxRequestWaitMs = 300;
 const maxPageWaitMs = 1000;
 const maxWriteWaitMs = 200;
 
-/** Part of the store's limit on changes that a controller uses. */
+/** The fraction of the store's limit on changes that one controller uses. */
 const writeRateFraction = 0.6;
-/** Part of that which background writes leave to others, and changes that normal ones leave. */
+/**
+ * The reserve that background writes leave to other writes, as a fraction of that rate, and the reserve that normal
+ * writes leave, as a number of changes.
+ */
 const backgroundReserveFraction = 0.5;
 const normalReserve = 1;
 
-/** How often, and after how long each time, a write that a user waits for is sent again after a 429. */
+/**
+ * The number of retries after 429 responses to a write for which a user waits, and the delay per retry, which grows
+ * by this step each time.
+ */
 const maxRateRetries = 4;
 const rateRetryMs = 100;
 /** Spreads the retries of simultaneous writes. */
 const retryJitterSteps = 7;
 const retryJitterMs = 20;
 
-/** What a store client needs. */
+/** Dependencies and limits of a store client. */
 export interface StoreClientOptions {
 	http: HttpCaller;
 	clock: Clock;
@@ -70,21 +76,25 @@
 }
 
 /**
- * The part of the limit on requests that one controller uses. A controller may be busier than the others, so it
- * is somewhat more than an equal part; what exceeds the common limit is refused with 429 and tried again.
+ * Returns the fraction of the store's limit on requests that one controller uses. It is somewhat more than an equal
+ * share, because one controller may be busier than the others. The store rejects requests beyond the common limit
+ * with 429, and they are retried.
  */
 function requestRateFraction(controllers: number): number {
 	return controllers > 1 ? 1.4 / controllers : 0.9;
 }
 
-/** The key-value store over HTTP. Rates are this controller's share of limits that all controllers draw on. */
+/**
+ * The key-value store over HTTP. Its rates are this controller's shares of limits that apply to all controllers
+ * together.
+ */
 export class StoreClient implements KeyValueStore {
 	private readonly http: HttpCaller;
 	private readonly clock: Clock;
 	private readonly requestTokens: TokenBucket;
 	/**
-	 * Users' writes may come to any controller, all at once, and draw on the whole limit; what a leader writes
-	 * besides keeps to a part of it, and waits while users' writes use it up.
+	 * Tokens for changes. Any controller may receive a burst of users' writes, which may use the whole rate. A
+	 * leader's other writes leave a reserve, and wait while users' writes use up the tokens.
 	 */
 	private readonly writeTokens: TokenBucket;
 	private readonly backgroundReserve: number;
@@ -105,7 +115,7 @@
 		const response = await this.http.call("GET", rowPath(key), undefined, callTimeoutMs);
 		expectStatus(response, "read", 200, 404);
 		if (response.status === 200) return { row: parseResponse(response, "read", parseRow) };
-		// A 404 without a revision does not come from the store and does not tell that the key is absent.
+		// A 404 without a revision does not come from the store, and does not prove that the key is absent.
 		parseResponse(response, "read", parseRevision);
 		return { row: null };
 	}
@@ -120,7 +130,7 @@
 			const response = await this.http.call("GET", path, undefined, rowsTimeoutMs);
 			expectStatus(response, "rows", 200);
 			const { rows, hasMore, revision } = parseResponse(response, "rows", parseRows);
-			// Later pages may hold later changes. A watch from the revision of the first page repeats those.
+			// Later pages may contain later changes. A watch from the revision of the first page repeats those.
 			firstRevision ??= revision;
 			allRows.push(...rows);
 			const last = rows.at(-1);
@@ -176,12 +186,15 @@
 		return parseResponse(response, "watch", parseEvents);
 	}
 
-	/** Closes the connections. Calls that are still open reject. */
+	/** Closes the connections. Pending calls reject. */
 	close(): void {
 		this.http.close();
 	}
 
-	/** Waits for a request's share of a rate, beyond the reserve, but no longer than given. */
+	/**
+	 * Takes tokens and leaves the reserve, after a wait of at most `maxWaitMs` if necessary. Throws a CallError if
+	 * the tokens are not available in time.
+	 */
 	private async acquireTokens(
 		bucket: TokenBucket,
 		count: number,
@@ -197,7 +210,10 @@
 		throw new CallError("not executed", 429, "this controller's share of the store's rate is used up");
 	}
 
-	/** A write that a user waits for is sent at once, whatever the rate; the others wait for it to be paid for. */
+	/**
+	 * A write for which a user waits is sent at once and may overdraw the bucket; other writes wait until the
+	 * bucket has recovered.
+	 */
 	private async acquireWriteTokens(changes: number, priority: WritePriority): Promise<void> {
 		switch (priority) {
 			case "user":
@@ -210,8 +226,8 @@
 	}
 
 	/**
-	 * Sends a transaction. One that was refused for its rate was not executed: if a user waits for it, it is sent
-	 * again a few times within a second before the user is told to come back.
+	 * Sends a transaction. If the store rejects it with 429, it was not executed. If a user waits for it, it is
+	 * then retried a few times within about a second before the user gets an error.
 	 */
 	private async transact(body: object, priority: WritePriority): Promise<HttpResponse> {
 		let response = await this.http.call("POST", paths.transaction, body, callTimeoutMs);
--- a/src/transport/clients/token-bucket.ts
+++ b/src/transport/clients/token-bucket.ts
@@ -1,18 +1,18 @@
-/** A token bucket, which keeps a rate of requests below a limit of an outside system. */
+/** A token bucket, which keeps a rate of requests below a limit of an external system. */
 
 import type { Clock } from "../../coordination/ports/clock.js";
 
 /**
- * Tokens come at a steady rate up to the size of a burst; each request takes some. The number of tokens may be
- * negative: see `debit`. The bucket only counts, the caller waits.
+ * Tokens are added at a constant rate up to the burst size, and each request takes some. The number of tokens may
+ * be negative: see `debit`. The bucket only counts; its caller waits.
  */
 export class TokenBucket {
 	private tokens: number;
 	private lastRefillAt: number;
 
 	/**
-	 * @param ratePerS Tokens that come in a second.
-	 * @param burst Most tokens at once; a new bucket has as many.
+	 * @param ratePerS Tokens added per second.
+	 * @param burst Maximum number of tokens, which is also the initial number.
 	 */
 	constructor(
 		private readonly ratePerS: number,
@@ -23,7 +23,7 @@
 		this.lastRefillAt = clock.now();
 	}
 
-	/** Takes tokens if that leaves at least the reserve; returns whether it did. */
+	/** Takes tokens if at least the reserve remains. Returns true if the tokens were taken. */
 	tryTake(count = 1, reserve = 0): boolean {
 		this.refill();
 		if (this.tokens < count + reserve) return false;
@@ -31,13 +31,16 @@
 		return true;
 	}
 
-	/** Takes tokens whether they are there or not, up to one burst of debt; others wait until it is paid. */
+	/**
+	 * Takes tokens even if too few are available, up to a debt of one burst. Other requests wait until the debt is
+	 * refilled.
+	 */
 	debit(count: number): void {
 		this.refill();
 		this.tokens = Math.max(-this.burst, this.tokens - count);
 	}
 
-	/** Milliseconds until so many tokens beyond the reserve are there; at least 1. */
+	/** Returns the milliseconds until this many tokens are available beyond the reserve; at least 1. */
 	waitMs(count = 1, reserve = 0): number {
 		this.refill();
 		return Math.max(1, ((count + reserve - this.tokens) / this.ratePerS) * 1000);
--- a/src/transport/clients/worker-client.ts
+++ b/src/transport/clients/worker-client.ts
@@ -1,4 +1,4 @@
-/** Client of the workers' own addresses, for commands that must not wait for the next heartbeat. */
+/** Client for direct commands to workers, which must not wait for the next heartbeat. */
 
 import type { DirectCommandResult, WorkerGateway } from "../../coordination/ports/workers.js";
 import { paths } from "../../protocol/http/paths.js";
@@ -11,11 +11,11 @@
 const callTimeoutMs = 2000;
 
 /**
- * Sends commands straight to workers. Each call has its own short-lived connection: a worker is called seldom,
- * and there are more workers than the process may have sockets.
+ * Sends direct commands to workers. Each call uses its own short-lived connection, because each worker is called
+ * seldom and there are more workers than the process may have sockets.
  */
 export class WorkerClient implements WorkerGateway {
-	/** @param openClient Makes the client of one worker's address; the call closes it. */
+	/** @param openClient Creates the client of one worker's address; each call closes its client. */
 	constructor(
 		private readonly openClient: (endpoint: string) => HttpCaller = (endpoint) => new HttpClient(endpoint, 1),
 	) {}
@@ -30,7 +30,7 @@
 		try {
 			const body = directCommandsBody(fencingToken, agentEpoch, commands);
 			const response = await http.call("POST", paths.commands, body, callTimeoutMs);
-			// 409: the fencing token is too low or the agent epoch is another, and nothing was executed.
+			// 409: the fencing token is too low or the agent epoch is different, and no command was executed.
 			expectStatus(response, "direct commands", 200, 409);
 			const heartbeat = parseResponse(response, "direct commands", parseDirectCommandsResponse);
 			return { executed: response.status === 200, heartbeat };
--- a/src/transport/peers/frame.ts
+++ b/src/transport/peers/frame.ts
@@ -1,18 +1,18 @@
-/** Framing of the byte streams between controllers: four bytes of length, then a message in CBOR. */
+/** Framing of the byte streams between controllers: a length of four bytes, then a message in CBOR. */
 
 import { Decoder, Encoder } from "cbor-x";
 import { MalformedMessageError } from "../../protocol/errors.js";
 
 const headerBytes = 4;
 
-/** No message is nearly as long: a longer frame is a stream of something else. */
+/** All messages are much shorter. A longer frame means that the stream does not contain frames. */
 const maxFrameBytes = 4 * 1024 * 1024;
 
-// Without records every message can be read by itself, as the versions in production do.
+// Without CBOR records, each message can be decoded by itself, as the versions in production do.
 const encoder = new Encoder({ useRecords: false });
 const decoder = new Decoder({ useRecords: false });
 
-/** The frame of one message. */
+/** Returns the frame of one message. */
 export function encodeFrame(message: unknown): Buffer {
 	const body = encoder.encode(message);
 	const header = Buffer.allocUnsafe(headerBytes);
@@ -20,14 +20,14 @@
 	return Buffer.concat([header, body]);
 }
 
-/** Splits the byte stream of one connection into messages. Holds the bytes of a frame that is not complete. */
+/** Splits the byte stream of one connection into messages. Buffers the bytes of an incomplete frame. */
 export class FrameReader {
 	private chunks: Buffer[] = [];
 	private bufferedBytes = 0;
 
 	/**
-	 * Takes the next part of the stream and returns the messages that it completes. Throws for a frame that is
-	 * longer than any message, and for one that is not CBOR; the stream cannot be read any further then.
+	 * Adds the next chunk of the stream and returns the messages that it completes. Throws for a frame that is
+	 * longer than the maximum, and for one that is not CBOR; the rest of the stream cannot be read after that.
 	 */
 	push(chunk: Buffer): unknown[] {
 		this.chunks.push(chunk);
--- a/src/transport/peers/incoming-peer-link.ts
+++ b/src/transport/peers/incoming-peer-link.ts
@@ -1,4 +1,4 @@
-/** A connection on which another controller sends to this one. */
+/** A connection on which another controller sends messages to this one. */
 
 import type { Socket } from "node:net";
 import type { Log } from "../../coordination/ports/log.js";
@@ -8,27 +8,27 @@
 import { FrameReader } from "./frame.js";
 
 /**
- * A connection on which nothing comes for this long is closed: its far end is gone or cut off. A leader and the
- * others exchange heartbeats twice a second.
+ * A connection on which no data arrives for this long is closed, because its remote end has stopped or is
+ * unreachable. The leader and the other controllers exchange heartbeats twice a second.
  */
 const idleTimeoutMs = 30_000;
 
-/** What an incoming link needs. */
+/** Dependencies of an incoming link. */
 export interface IncomingPeerLinkOptions {
-	/** Whether there is another controller of this name. */
+	/** True if there is another controller of this name. */
 	isPeer(node: NodeId): boolean;
 	onMessage(from: NodeId, message: unknown): void;
 	log: Log;
 }
 
 /**
- * Reads the messages of one connection that another controller has made; nothing is sent on it. The first
- * message names the controller, and everything after it is handed on under that name. A connection on which
- * something else comes is closed.
+ * Receives the messages on one connection that another controller has opened; nothing is sent on it. The first
+ * message names the controller, which is then the sender of all later messages. A connection with any other data is
+ * closed.
  */
 export class IncomingPeerLink {
 	private readonly frames = new FrameReader();
-	/** The controller that has connected; null: it has not named itself yet. */
+	/** The controller that opened the connection; null: it has not sent its name yet. */
 	private peer: NodeId | null = null;
 
 	constructor(
@@ -37,7 +37,7 @@
 	) {
 		socket.setNoDelay(true);
 		socket.setTimeout(idleTimeoutMs, () => socket.destroy());
-		// The socket closes itself; the other controller connects again when it has something to say.
+		// The socket closes itself. The other controller opens a new connection.
 		socket.on("error", (err) => options.log.debug({ peer: this.peer, err }, "peer link failed"));
 		socket.on("data", (chunk) => this.read(chunk));
 	}
--- a/src/transport/peers/outgoing-peer-link.ts
+++ b/src/transport/peers/outgoing-peer-link.ts
@@ -1,4 +1,4 @@
-/** The connection on which this controller sends to one other controller. */
+/** The connection on which this controller sends messages to one other controller. */
 
 import { connect, type Socket } from "node:net";
 import type { Log } from "../../coordination/ports/log.js";
@@ -7,19 +7,19 @@
 import { type HostAndPort, parseAddress } from "../address.js";
 import { encodeFrame } from "./frame.js";
 
-/** Longest time for a connection to be made. */
+/** Maximum time for establishing a connection. */
 const connectTimeoutMs = 1000;
 
-/** The pause before the next attempt grows with each failure in a row, up to a maximum. */
+/** The delay before the next attempt grows by this step with each consecutive failure, up to the maximum. */
 const retryDelayStepMs = 200;
 const maxRetryDelayMs = 2000;
 
-/** With more than this waiting to be sent, the other controller does not read any more. */
+/** If more than this is queued, the other controller has stopped reading. */
 const maxQueuedBytes = 2 * 1024 * 1024;
 
-/** What an outgoing link needs. */
+/** Dependencies of an outgoing link. */
 export interface OutgoingPeerLinkOptions {
-	/** This controller, which names itself to the other one. */
+	/** The name of this controller, which the first message contains. */
 	localNode: NodeId;
 	peer: NodeId;
 	/** Of the form `host:port`. */
@@ -28,15 +28,15 @@
 }
 
 type LinkState =
-	/** No connection. The next one may be tried at `retryAt` (steady time in milliseconds). */
+	/** No connection. The next attempt may be made at `retryAt` (monotonic time in milliseconds). */
 	| { kind: "disconnected"; retryAt: number }
 	| { kind: "connecting"; socket: Socket }
 	| { kind: "connected"; socket: Socket };
 
 /**
- * Connects to one other controller and sends on that connection; nothing is read from it. A message that cannot
- * be sent now is dropped: what must not be lost is repeated by its sender. A controller that hangs fills only
- * the queue of its own link, which is then dropped together with the connection.
+ * Connects to one other controller and sends messages on the connection; no messages are received on it. A message
+ * that cannot be sent at once is dropped: senders repeat messages that must not be lost. A controller that hangs
+ * fills only the queue of its own link, which is then dropped together with the connection.
  */
 export class OutgoingPeerLink {
 	private readonly address: HostAndPort;
@@ -47,12 +47,12 @@
 		this.address = parseAddress(options.address);
 	}
 
-	/** Connects if there is no connection and it is time for the next attempt. */
+	/** Connects if there is no connection and the next attempt is due. */
 	connectIfDue(now: number): void {
 		if (this.state.kind === "disconnected" && now >= this.state.retryAt) this.connect();
 	}
 
-	/** Sends a message if the connection stands, and drops it otherwise. */
+	/** Sends a message if the connection is established, and drops it otherwise. */
 	send(message: unknown): void {
 		if (this.state.kind !== "connected") return;
 		const { socket } = this.state;
@@ -60,7 +60,7 @@
 		else socket.write(encodeFrame(message));
 	}
 
-	/** Closes the connection. The owner does not call `connectIfDue` any more. */
+	/** Closes the connection. The owner must not call `connectIfDue` afterwards. */
 	close(): void {
 		if (this.state.kind !== "disconnected") this.state.socket.destroy();
 	}
@@ -74,9 +74,9 @@
 			clearTimeout(timeout);
 			this.onConnected(socket);
 		});
-		// A failed connection is closed by the socket itself, and tried again.
+		// The socket closes itself after an error, and the link connects again.
 		socket.on("error", (err) => this.options.log.debug({ peer: this.options.peer, err }, "peer link failed"));
-		// The other side sends on a connection of its own. Reading what comes here notices the end of this one.
+		// The other controller sends on its own connection. Data on this one is read only to detect its end.
 		socket.resume();
 		socket.on("close", () => {
 			clearTimeout(timeout);
--- a/src/transport/peers/peer-links.ts
+++ b/src/transport/peers/peer-links.ts
@@ -9,33 +9,36 @@
 import { IncomingPeerLink } from "./incoming-peer-link.js";
 import { OutgoingPeerLink } from "./outgoing-peer-link.js";
 
-/** How often links without a connection are looked at. */
+/** Interval between checks for links without a connection. */
 const reconnectIntervalMs = 250;
 
-/** Accepted connections for each controller: old ones may be there for a while beside new ones. */
+/**
+ * Maximum number of accepted connections per controller: old connections may remain open beside new ones until
+ * their end is detected.
+ */
 const maxConnectionsPerController = 4;
 
-/** Another controller as the platform's settings name it. */
+/** Another controller, as in the platform's settings. */
 export interface PeerAddress {
 	node: NodeId;
 	/** Of the form `host:port`. */
 	addr: string;
 }
 
-/** What the links need. */
+/** Dependencies of the links. */
 export interface PeerLinksOptions {
 	/** This controller. */
 	localNode: NodeId;
 	/** All other controllers. */
 	peers: readonly PeerAddress[];
-	/** Takes every message that another controller has sent. Its form is not checked yet. */
+	/** Receives every message of another controller, before its form is checked. */
 	onMessage(from: NodeId, message: unknown): void;
 	log: Log;
 }
 
 /**
- * Owns the listener, the timer and the sockets of the links. Each controller connects to every other one, sends
- * on the connections that it has made and reads from those that it has accepted.
+ * Owns the listener, the timer and the sockets of the links. Each controller connects to every other one, sends on
+ * the connections that it has opened and receives on those that it has accepted.
  */
 export class PeerLinks implements PeerTransport {
 	private readonly outgoing: ReadonlyMap<NodeId, OutgoingPeerLink>;
@@ -54,8 +57,8 @@
 	}
 
 	/**
-	 * Begins to accept connections and to make them. Resolves to the port, which the system chooses for port 0.
-	 * Rejects if the address cannot be listened on.
+	 * Starts to accept and to open connections. Resolves to the port, which the operating system chooses for port
+	 * 0. Rejects if it cannot listen on the address.
 	 */
 	async listen(host: string, port: number): Promise<number> {
 		const server = createServer((socket) => this.accept(socket));
@@ -73,7 +76,10 @@
 		this.outgoing.get(node)?.send(message);
 	}
 
-	/** Stops listening and closes all connections. Resolves once the listener and what it accepted are closed. */
+	/**
+	 * Stops listening and closes all connections. Resolves once the listener and the accepted connections are
+	 * closed.
+	 */
 	async close(): Promise<void> {
 		if (this.connectTimer) clearInterval(this.connectTimer);
 		for (const link of this.outgoing.values()) link.close();
--- a/src/transport/public/heartbeat-listener.ts
+++ b/src/transport/public/heartbeat-listener.ts
@@ -8,30 +8,30 @@
 import type { PublicService } from "./public-service.js";
 import { bodyTooLargeMessage, maxBodyBytes } from "./request-body.js";
 
-/** What the listener needs. */
+/** Dependencies of the listener. */
 export interface HeartbeatListenerOptions {
 	service: Pick<PublicService, "handleHeartbeat">;
 	log: Log;
 	/**
-	 * Whether sockets are short. A worker is then asked to close its connection after each heartbeat, so that
-	 * users get connections; users are not asked.
+	 * True if few sockets are left. Workers are then asked to close their connections after each heartbeat, so that
+	 * users can connect; users are not asked.
 	 */
 	socketsScarce(): boolean;
 }
 
-/** Whether a request is a heartbeat. */
+/** True if the request is a heartbeat. */
 export function isHeartbeat({ method, url }: IncomingMessage): boolean {
 	return method === "POST" && (url === paths.heartbeats || url?.startsWith(`${paths.heartbeats}?`) === true);
 }
 
 /**
- * Handles heartbeats without the routes and objects that users' requests pass through: heartbeats are most of
- * what a leader receives, hundreds a second for a small share of a core.
+ * Handles heartbeats without the router and the request objects of users' requests: most requests that a leader
+ * receives are heartbeats, hundreds per second on a small share of a core.
  */
 export class HeartbeatListener {
 	constructor(private readonly options: HeartbeatListenerOptions) {}
 
-	/** Reads the body of a heartbeat within the bound and responds to it. */
+	/** Reads the body of a heartbeat up to the maximum size and responds to it. */
 	handle(request: IncomingMessage, response: ServerResponse): void {
 		const chunks: Buffer[] = [];
 		let bytes = 0;
@@ -40,8 +40,8 @@
 			if (bytes <= maxBodyBytes) chunks.push(chunk);
 			else this.respond(response, 413, { error: bodyTooLargeMessage }, { connection: "close" });
 		});
-		// The worker has closed the connection within its request: there is nobody to respond to, and the worker
-		// sends its next heartbeat in any case.
+		// The worker closed the connection during its request: no response can be sent, and the worker sends its
+		// next heartbeat in any case.
 		request.on("error", (err) => this.options.log.debug({ path: paths.heartbeats, err }, "request aborted"));
 		request.on("end", () => {
 			if (bytes <= maxBodyBytes) void this.processHeartbeat(concatChunks(chunks).toString("utf8"), response);
@@ -74,7 +74,8 @@
 		body: object,
 		headers?: OutgoingHttpHeaders,
 	): void {
-		// A body that is too large is answered once, and a response may come after the worker has gone.
+		// A body that is too large gets only one response, and the worker may close its connection before the
+		// response is ready.
 		if (response.headersSent || response.destroyed) return;
 		const text = JSON.stringify(body);
 		response.writeHead(status, {
--- a/src/transport/public/public-api.ts
+++ b/src/transport/public/public-api.ts
@@ -1,6 +1,6 @@
 /**
- * Routes of the public HTTP API: users' requests, and the load balancer's question whether this controller is
- * ready. Workers' heartbeats come to the same port but pass by the routes, see `heartbeat-listener.ts`.
+ * Routes of the public HTTP API: users' requests, and the load balancer's readiness checks. Workers' heartbeats
+ * arrive at the same port but bypass the routes, see `heartbeat-listener.ts`.
  */
 
 import { type Context, Hono } from "hono";
@@ -14,13 +14,13 @@
 import type { PublicService } from "./public-service.js";
 import { bodyTooLargeMessage, readBody } from "./request-body.js";
 
-/** What users are told to wait before they try again. */
+/** The delay after which users should retry, for the `retry-after` header. */
 const retryAfterS = "1";
 
 const jobPath = `${paths.jobs}/:id` as const;
 const cancelPath = `${jobPath}/abort` as const;
 
-/** The routes of one service. */
+/** Returns the routes of one service. */
 export function publicApi(service: PublicService, log: Log): Hono {
 	const app = new Hono();
 	app.get(paths.ready, () =>
@@ -29,7 +29,7 @@
 	app.post(paths.jobs, (context) => submit(service, context.req.raw));
 	app.get(jobPath, (context) => lookUp(service, context.req.param("id")));
 	app.post(cancelPath, (context) => cancel(service, context.req.param("id")));
-	// After the handlers of the methods that are allowed.
+	// These routes must follow the handlers of the allowed methods.
 	app.all(paths.ready, () => methodNotAllowedResponse("GET"));
 	app.all(paths.heartbeats, () => methodNotAllowedResponse("POST"));
 	app.all(paths.jobs, () => methodNotAllowedResponse("POST"));
@@ -55,8 +55,9 @@
 }
 
 /**
- * A submission that names an accepted job is answered with the job's state, whatever is wrong with it: an
- * accepted job may never get 400 or 422. The test is in `tests/transport/public/public-api.test.ts`.
+ * Returns the state of the job if the submission names a job that was accepted earlier, even if the submission is
+ * invalid: a submission of an accepted job must never get 400 or 422. The test is in
+ * `tests/transport/public/public-api.test.ts`.
  */
 async function responseIfAlreadyAccepted(service: PublicService, body: string): Promise<Response | null> {
 	const id = jobIdOf(body);
--- a/src/transport/public/public-server.ts
+++ b/src/transport/public/public-server.ts
@@ -9,7 +9,9 @@
 import { publicApi } from "./public-api.js";
 import type { PublicService } from "./public-service.js";
 
-/** With a larger part of its connections in use, the server asks workers to close theirs after each heartbeat. */
+/**
+ * If a larger fraction of its connections is in use, the server asks workers to close theirs after each heartbeat.
+ */
 const scarceSocketsFraction = 0.9;
 
 // Idle and half-open connections must not use up the sockets.
@@ -17,25 +19,25 @@
 const headersTimeoutMs = 10_000;
 const requestTimeoutMs = 15_000;
 
-/** What the server needs. */
+/** Dependencies and settings of the server. */
 export interface PublicServerOptions {
 	service: PublicService;
 	log: Log;
 	host: string;
-	/** 0: the system chooses one. */
+	/** 0: the operating system chooses a port. */
 	port: number;
 	/** Further connections are refused. */
 	maxConnections: number;
 }
 
-/** A server that listens. */
+/** A listening server. */
 export interface PublicServer {
 	readonly port: number;
 	/** Stops listening and closes all connections. Resolves once the server is closed. */
 	close(): Promise<void>;
 }
 
-/** Starts the server. Rejects if the address cannot be listened on. */
+/** Starts the server. Rejects if it cannot listen on the address. */
 export async function startPublicServer(options: PublicServerOptions): Promise<PublicServer> {
 	const { service, log, host, port, maxConnections } = options;
 	const connections = new ConnectionCounter();
@@ -79,7 +81,9 @@
 	}
 }
 
-/** What is not HTTP, or does not come in time, is answered as far as possible and its connection closed. */
+/**
+ * Closes connections with data that is not HTTP or does not arrive in time, with a 400 response if one can be sent.
+ */
 function rejectMalformedRequests(server: Server, log: Log): void {
 	server.on("clientError", (err, socket) => {
 		log.debug({ err }, "client connection failed");
--- a/src/transport/public/public-service.ts
+++ b/src/transport/public/public-service.ts
@@ -1,4 +1,4 @@
-/** What the public API needs of the service behind it. */
+/** The interface of the service to the public API. */
 
 import type { JobLookup, SubmitResult } from "../../coordination/jobs/job-results.js";
 import type { HeartbeatResponse } from "../../coordination/workers/heartbeat-router.js";
@@ -6,16 +6,19 @@
 import type { JobSpec } from "../../protocol/model/job.js";
 import type { WorkerHeartbeat } from "../../protocol/model/worker.js";
 
-/** The service as users, workers and the load balancer see it. */
+/** The operations of the service for users, workers and the load balancer. */
 export interface PublicService {
-	/** Accepts a job. Resolves once that is certain or certainly not so. */
+	/** Submits a job. Resolves once it is certain that the job is accepted or that it is not. */
 	submit(spec: JobSpec): Promise<SubmitResult>;
-	/** The state of a job as of some moment after the call. */
+	/** Returns the state of a job at some time after the call. */
 	status(id: JobId): Promise<JobLookup>;
-	/** Cancels a job. Resolves to its state afterwards. */
+	/** Cancels a job. Resolves to its state after the cancellation. */
 	cancel(id: JobId): Promise<JobLookup>;
-	/** Takes a worker's heartbeat. Resolves to commands, or to the controller that should receive it. */
+	/**
+	 * Handles a worker's heartbeat. Resolves to commands, or to the controller to which the heartbeat should go
+	 * instead.
+	 */
 	handleHeartbeat(heartbeat: WorkerHeartbeat): Promise<HeartbeatResponse>;
-	/** Whether this controller should be sent requests. */
+	/** True if the load balancer should send requests to this controller. */
 	ready(): boolean;
 }
--- a/src/transport/public/request-body.ts
+++ b/src/transport/public/request-body.ts
@@ -1,20 +1,19 @@
-/** The bound on the bodies of requests, and the reading of bodies within it. */
+/** Reads the bodies of requests up to a maximum size. */
 
-/** Largest body of a request. */
 export const maxBodyBytes = 64 * 1024;
 
-/** Said to the sender of a larger body. */
+/** The error message for a larger body. */
 export const bodyTooLargeMessage = `the body is larger than ${maxBodyBytes} bytes`;
 
-/** Reads a body as text; null: it is larger than allowed, and is not read to its end. */
+/** Reads a body as text; null: it is larger than the maximum size and is not read to its end. */
 export async function readBody(request: Request): Promise<string | null> {
 	const declaredBytes = request.headers.get("content-length");
-	// The server reads no more of a body than was declared.
+	// The server reads no more of a body than the declared length.
 	if (declaredBytes !== null) return Number(declaredBytes) > maxBodyBytes ? null : request.text();
 	return readChunkedBody(request);
 }
 
-/** Reads a body that comes in chunks, so that its size is known only at its end. */
+/** Reads a body that is sent in chunks, so that its size is unknown before its end. */
 async function readChunkedBody(request: Request): Promise<string | null> {
 	const chunks: Uint8Array[] = [];
 	let bytes = 0;
--- a/src/version.ts
+++ b/src/version.ts
@@ -1,5 +1,5 @@
 /**
- * The version of the service, as `--version` and the first log line give it. A test keeps it equal to package.json;
- * reading that file at start would cost start-up time.
+ * The version of the service, shown by `--version` and in the first log line. It is a constant because reading
+ * package.json would lengthen the start-up; a test keeps the two equal.
  */
 export const version = "0.8.0";
