--- a/tests/protocol/http/cloud-api.test.ts
+++ b/tests/protocol/http/cloud-api.test.ts
@@ -10,8 +10,8 @@
 	parseMachineTypes,
 } from "../../../src/protocol/http/cloud-api.js";
 
-describe("the cloud's API", () => {
-	test("machine types, with all that the cloud says", () => {
+describe("the cloud's API encoding", () => {
+	test("machine types with all fields are parsed", () => {
 		const wire = {
 			sku: "g8",
 			cores: 96,
@@ -40,7 +40,7 @@
 		]);
 	});
 
-	test("machine types, with what is assumed where the cloud says nothing", () => {
+	test("machine types with missing fields are parsed with defaults", () => {
 		const wire = { sku: "c4", cores: 4, ram_gb: 16, rate: 0.5, halls: [], accelerators: null };
 		assert.deepStrictEqual(parseMachineTypes({ shapes: [wire] }), [
 			{
@@ -58,7 +58,7 @@
 		]);
 	});
 
-	test("creation of machines, and its refusal for want of capacity", () => {
+	test("a creation request is encoded, and its response and the no-capacity response are recognized", () => {
 		const request = { name: "r-17", machineType: "g8", zone: "a", spot: true, count: 12 };
 		assert.deepStrictEqual(createMachinesBody(request), {
 			hire: "r-17",
@@ -74,11 +74,11 @@
 		}
 	});
 
-	test("deletion of machines", () => {
+	test("a deletion request is encoded", () => {
 		assert.deepStrictEqual(deleteMachinesBody(["n-000231"]), { hosts: ["n-000231"] });
 	});
 
-	test("the list of machines, page by page", () => {
+	test("the machine list is requested and parsed page by page, with defaults for missing fields", () => {
 		assert.equal(machineListPath("", 500), "/hosts?limit=500");
 		assert.equal(machineListPath("n-000230", 500), "/hosts?from=n-000230&limit=500");
 		const wire = { id: "n-000231", endpoint: "10.1.0.232:9000", shape: "g8", hall: "a", loaners: true };
--- a/tests/protocol/http/malformed-responses.test.ts
+++ b/tests/protocol/http/malformed-responses.test.ts
@@ -42,15 +42,15 @@
 	{ parse: parseDirectCommandsResponse, bodies: [null, {}, "executed", { pieces: [] }] },
 ];
 
-describe("a response of an outside system that lacks the published form", () => {
+describe("a response of an external system without the published form", () => {
 	for (const { parse, bodies } of malformed) {
-		test(`is refused as a whole by ${parse.name}`, () => {
+		test(`is rejected completely by ${parse.name}`, () => {
 			for (const body of bodies) {
 				assert.throws(() => parse(body), MalformedMessageError, JSON.stringify(body));
 			}
 		});
 
-		test(`counts as no response to the call that ${parse.name} reads`, () => {
+		test(`results in an unknown outcome of the call whose response ${parse.name} parses`, () => {
 			for (const body of bodies) {
 				assert.throws(
 					() => parseResponse({ status: 200, body }, "call", parse),
@@ -63,7 +63,7 @@
 		});
 	}
 
-	test("is not one that has further fields", () => {
+	test("does not include a response with additional fields", () => {
 		assert.deepEqual(parseEvents({ epoch: 3, later: 1, events: [{ drop: "a", stamp: 2 }] }).events, [
 			{ key: "a", value: undefined, revision: 2 },
 		]);
--- a/tests/protocol/http/store-api.test.ts
+++ b/tests/protocol/http/store-api.test.ts
@@ -17,8 +17,8 @@
 	watchPath,
 } from "../../../src/protocol/http/store-api.js";
 
-describe("the store's API", () => {
-	test("rows: one by its key, a page of those below a prefix", () => {
+describe("the store's API encoding", () => {
+	test("a row is read by its key, and rows below a prefix page by page", () => {
 		assert.equal(rowPath("r/job/j-1"), "/store/r/job/j-1");
 		const row = { key: "a/b", value: { x: 1 }, revision: 412 };
 		const wire = { key: "a/b", v: { x: 1 }, stamp: 412, permit: 7 };
@@ -33,7 +33,7 @@
 		assert.deepStrictEqual(parseRows({ rows: [], epoch: 431 }), { rows: [], hasMore: false, revision: 431 });
 	});
 
-	test("compare-and-swap: conditions and changes, and the revision or the conflicts", () => {
+	test("a compare-and-swap is encoded with conditions and changes, and its revision or conflicts are parsed", () => {
 		const conditions = [{ key: "a/b", revision: 0 }];
 		const changes = [
 			{ put: "a/b", value: { x: 1 }, leaseId: 7 },
@@ -42,7 +42,7 @@
 		];
 		assert.deepStrictEqual(compareAndSwapBody(conditions, changes), {
 			when: [{ key: "a/b", stamp: 0 }],
-			// biome-ignore lint/suspicious/noThenProperty: the store's own word for the changes
+			// biome-ignore lint/suspicious/noThenProperty: the store's name of the field
 			then: [{ put: "a/b", v: { x: 1 }, permit: 7 }, { put: "c/e", v: null }, { drop: "c/d" }],
 		});
 		assert.deepStrictEqual(compareAndSwapBody(conditions, []), { when: [{ key: "a/b", stamp: 0 }] });
@@ -53,7 +53,7 @@
 		});
 	});
 
-	test("leases: granted, renewed, revoked", () => {
+	test("requests to grant, renew and revoke leases are encoded, and the lease id is parsed", () => {
 		assert.deepStrictEqual(grantLeaseBody(5000), { ttl_ms: 5000 });
 		assert.equal(parseLeaseId({ permit: 7 }), 7);
 		assert.equal(renewLeasePath(7), "/leases/7/renew");
@@ -61,7 +61,7 @@
 		assert.equal(leasePath(7), "/leases/7");
 	});
 
-	test("watches: keys that were set and keys that were deleted", () => {
+	test("a watch is encoded, and its set and deleted keys are parsed", () => {
 		assert.equal(watchPath("c/", 431, 10_000), "/watch?prefix=c/&from=431&block_ms=10000");
 		const events = [
 			{ put: "c/9", v: { x: 1 }, stamp: 433 },
--- a/tests/protocol/http/user-api.test.ts
+++ b/tests/protocol/http/user-api.test.ts
@@ -7,7 +7,7 @@
 	parseJobSpec(JSON.stringify(submissionBody(fields)));
 
 describe("a submission", () => {
-	test("is read field by field", () => {
+	test("is parsed with every field", () => {
 		assert.deepStrictEqual(parse({}), {
 			id: "j-000412",
 			form: "array",
@@ -32,13 +32,13 @@
 		});
 	});
 
-	test("of a standing job is read as one of a service", () => {
+	test("of a standing job is parsed as a service job", () => {
 		const spec = parse({ form: "standing", guess_s: 0 });
 		assert.equal(spec.form, "service");
 		assert.equal(spec.estimatedRunS, 0);
 	});
 
-	test("may leave out fields that may be null, and have further fields", () => {
+	test("may omit nullable fields, and may have unknown fields", () => {
 		assert.equal(parse({}).team, "red");
 		const body = JSON.stringify({ ...submissionBody({ hall: undefined }), extra: 1 });
 		assert.equal(parseJobSpec(body).zone, null);
@@ -78,15 +78,15 @@
 		["spread", "yes", /"spread" must be true or false/],
 		["urgency", null, /"urgency" must be/],
 	];
-	test("with a faulty field is refused by the name of the field", () => {
+	test("with an invalid field is rejected with the name of the field", () => {
 		for (const [field, value, message] of faults) assert.throws(() => parse({ [field]: value }), message);
 	});
 
-	test("of a standing job may not estimate a run time", () => {
+	test("of a standing job is rejected if it estimates a run time", () => {
 		assert.throws(() => parse({ form: "standing", guess_s: 5 }), /"guess_s" must be 0 for a standing job/);
 	});
 
-	test("that is not a JSON object is refused", () => {
+	test("that is not a JSON object is rejected", () => {
 		assert.throws(() => parseJobSpec("[1]"), /not a JSON object/);
 		assert.throws(() => parseJobSpec("{"), /not JSON/);
 		assert.throws(() => parseJobSpec('{"id":"j-1","cores":1e999}'), /is missing|finite/);
@@ -94,21 +94,21 @@
 });
 
 describe("the id of a job", () => {
-	test("is found in a submission that is malformed otherwise", () => {
+	test("is found in a submission with other malformed fields, and is null if it is missing or invalid", () => {
 		assert.equal(jobIdOf('{"id":"j-7","cores":-1}'), "j-7");
 		for (const body of ["", "{", "null", "7", "[]", "{}", '{"id":7}', '{"id":"x-7"}']) {
 			assert.equal(jobIdOf(body), null, body);
 		}
 	});
 
-	test("has a form that is checked", () => {
+	test("is valid only in the form of a job id", () => {
 		for (const id of ["j-0", "j-000412", "j-123456789012345678"]) assert.ok(isJobId(id), id);
 		for (const id of ["", "j-", "j-1/0", "J-1", "j-1234567890123456789"]) assert.ok(!isJobId(id), id);
 	});
 });
 
-describe("the state of a job", () => {
-	test("is told with the numbers of tasks only where they are asked for", () => {
+describe("the response with the state of a job", () => {
+	test("contains the numbers of done and running tasks only if they are given", () => {
 		assert.deepStrictEqual(jobResponseBody("j-1", "pending"), { id: "j-1", status: "pending" });
 		assert.deepStrictEqual(jobResponseBody("j-1", "running", { done: 3, running: 13 }), {
 			id: "j-1",
--- a/tests/protocol/http/worker-api.test.ts
+++ b/tests/protocol/http/worker-api.test.ts
@@ -14,7 +14,7 @@
 	parseHeartbeat(JSON.stringify(heartbeatBody(fields)));
 
 describe("a worker's heartbeat", () => {
-	test("is read field by field, with every state of a task and every cause of its end", () => {
+	test("is parsed with every field, every task state and every exit cause", () => {
 		const wire = {
 			host: "n-000231",
 			endpoint: "10.1.0.232:9000",
@@ -64,7 +64,7 @@
 		assert.deepStrictEqual(parseDirectCommandsResponse(wire), heartbeat);
 	});
 
-	test("has tasks in the service's own terms, and no time of reclaim unless one is given", () => {
+	test("has decoded task states and exit causes, and no reclaim time unless one is given", () => {
 		const heartbeat = parseHeartbeat(
 			JSON.stringify({
 				host: "n-1",
@@ -91,7 +91,7 @@
 		assert.equal(heartbeat.reclaimInS, null);
 	});
 
-	test("may leave out the fencing token, and the cause of an end, which is an error then", () => {
+	test("may omit the fencing token, which is then 0, and the exit cause, which is then error", () => {
 		const pieces = [
 			{ piece: "j-1/0", try: 1, status: "exited" },
 			{ piece: "j-1/1", try: 1, status: "exited", cause: "of a later version" },
@@ -104,7 +104,7 @@
 		);
 	});
 
-	test("is refused by the name of the first faulty field", () => {
+	test("is rejected with the name of the first invalid field", () => {
 		const faults: [Parameters<typeof heartbeatBody>[0], RegExp][] = [
 			[{ pieces: undefined, host: "" }, /^field "pieces" must be a list$/],
 			[{ recall_s: "soon", host: "" }, /^field "recall_s" must be a number or null$/],
@@ -140,15 +140,15 @@
 		{ verb: "forget", piece: "j-000398/0", try: 1 },
 	];
 
-	test("go in the response to a heartbeat", () => {
+	test("are encoded in the response to a heartbeat", () => {
 		assert.deepStrictEqual(heartbeatResponseBody(41, commands), { baton: 41, orders });
 	});
 
-	test("go in a direct request, with the agent epoch", () => {
+	test("are encoded in a direct request, with the agent epoch", () => {
 		assert.deepStrictEqual(directCommandsBody(41, 1, commands), { baton: 41, shift: 1, orders });
 	});
 
-	test("to go to another controller name it, if it is known", () => {
+	test("that redirect it to another controller name that controller, if one is given", () => {
 		assert.deepStrictEqual(redirectBody("runner-2"), { foreman: "runner-2" });
 		assert.deepStrictEqual(redirectBody(null), {});
 	});
--- a/tests/protocol/peer/wire-examples.test.ts
+++ b/tests/protocol/peer/wire-examples.test.ts
@@ -1,7 +1,7 @@
 /**
- * Messages between controllers as literal wire examples. Controllers of different versions exchange them during
- * an upgrade, so that no name or value on the wire may change. The fixtures of production versions show the
- * same for what those versions have sent; these examples also cover values that the recorded runs lack.
+ * Literal wire examples of the messages between controllers. Controllers of different versions exchange these
+ * messages during an upgrade, so no name or value on the wire may change. The fixtures of production versions check
+ * the same for recorded messages of those versions; these examples also cover values that the recorded runs lack.
  */
 
 import assert from "node:assert/strict";
@@ -13,7 +13,7 @@
 
 interface WireExample<Message> {
 	/** What the example shows. */
-	shows: string;
+	description: string;
 	wire: object;
 	message: Message;
 }
@@ -23,7 +23,7 @@
 const examples: ExamplesByKind = {
 	"placement-request": [
 		{
-			shows: "every field",
+			description: "every field",
 			wire: {
 				kind: "view",
 				epoch: 21,
@@ -84,7 +84,7 @@
 			},
 		},
 		{
-			shows: "a version before 0.5.0, which knows neither replicas nor team quota",
+			description: "a version before 0.5.0, which supports neither replicas nor team quota",
 			wire: {
 				kind: "view",
 				epoch: 21,
@@ -105,7 +105,7 @@
 	],
 	"placement-proposal": [
 		{
-			shows: "every field",
+			description: "every field",
 			wire: {
 				kind: "placed",
 				epoch: 21,
@@ -124,14 +124,14 @@
 			},
 		},
 		{
-			shows: "nothing placed, team quota off",
+			description: "no placements, team quota disabled",
 			wire: { kind: "placed", epoch: 21, cycle: 9, placements: [], unknown: [] },
 			message: { kind: "placement-proposal", term: 21, cycle: 9, placements: [], unknownJobs: [] },
 		},
 	],
 	"leader-heartbeat": [
 		{
-			shows: "every field",
+			description: "every field",
 			wire: {
 				kind: "running",
 				epoch: 21,
@@ -152,7 +152,7 @@
 			},
 		},
 		{
-			shows: "nothing runs, team quota off",
+			description: "no running tasks, team quota disabled",
 			wire: { kind: "running", epoch: 21, counts: [], served: false, hearing: true, relay: false },
 			message: {
 				kind: "leader-heartbeat",
@@ -166,7 +166,7 @@
 	],
 	"leader-heartbeat-reply": [
 		{
-			shows: "every field",
+			description: "every field",
 			wire: { kind: "pong", epoch: 21, strays: 2, standing: true, quota: { charges: [] } },
 			message: {
 				kind: "leader-heartbeat-reply",
@@ -177,14 +177,14 @@
 			},
 		},
 		{
-			shows: "a version before 0.5.0, which does not know service jobs",
+			description: "a version before 0.5.0, which does not support service jobs",
 			wire: { kind: "pong", epoch: 21, strays: 0 },
 			message: { kind: "leader-heartbeat-reply", term: 21, misdirectedWorkers: 0 },
 		},
 	],
 	"forwarded-heartbeats": [
 		{
-			shows: "every state of a task and every cause of its end",
+			description: "every task state and every exit cause",
 			wire: {
 				kind: "reports",
 				epoch: 21,
@@ -267,7 +267,7 @@
 	],
 	"forwarded-responses": [
 		{
-			shows: "every command, a response without commands, and a refusal",
+			description: "every command, a response without commands, and a rejection",
 			wire: {
 				kind: "answers",
 				epoch: 21,
@@ -304,19 +304,19 @@
 	],
 	"lease-extension-request": [
 		{
-			shows: "every field",
+			description: "every field",
 			wire: { kind: "ask", epoch: 21, number: 4, known: 412 },
 			message: { kind: "lease-extension-request", term: 21, requestNumber: 4, replicaRevision: 412 },
 		},
 		{
-			shows: "a version before 0.4.0, which does not say what it knows",
+			description: "a version before 0.4.0, which omits the revision of its replica",
 			wire: { kind: "ask", epoch: 21, number: 4 },
 			message: { kind: "lease-extension-request", term: 21, requestNumber: 4 },
 		},
 	],
 	"lease-extension-vote": [
 		{
-			shows: "every field",
+			description: "every field",
 			wire: { kind: "promise", epoch: 21, number: 4, cancelled: [["j-000412", 415, 16, 3]] },
 			message: {
 				kind: "lease-extension-vote",
@@ -326,21 +326,21 @@
 			},
 		},
 		{
-			shows: "a controller that cannot say which jobs were cancelled",
+			description: "a controller that cannot list the cancellations",
 			wire: { kind: "promise", epoch: 21, number: 4 },
 			message: { kind: "lease-extension-vote", term: 21, requestNumber: 4 },
 		},
 	],
 	"leader-query": [
 		{
-			shows: "every field",
+			description: "every field",
 			wire: { kind: "who", epoch: 0, asker: "3f9a0c" },
 			message: { kind: "leader-query", term: 0, incarnation: "3f9a0c" },
 		},
 	],
 	"leader-query-reply": [
 		{
-			shows: "every field",
+			description: "every field",
 			wire: { kind: "leading", epoch: 21, leading: true, asker: "3f9a0c" },
 			message: { kind: "leader-query-reply", term: 21, isLeader: true, incarnation: "3f9a0c" },
 		},
@@ -353,24 +353,24 @@
 
 describe("messages between controllers on the wire", () => {
 	for (const [kind, examplesOfKind] of Object.entries(examples)) {
-		for (const { shows, wire, message } of examplesOfKind) {
-			test(`${kind} is decoded: ${shows}`, () => {
+		for (const { description, wire, message } of examplesOfKind) {
+			test(`${kind} is decoded: ${description}`, () => {
 				assert.deepStrictEqual(decodePeerMessage(wire), message);
 			});
 
-			test(`${kind} is encoded: ${shows}`, () => {
+			test(`${kind} is encoded: ${description}`, () => {
 				assert.deepStrictEqual(encodePeerMessage(message), wire);
 			});
 		}
 	}
 
-	test("a placement proposal of a first version, which does not name the jobs that it lacks, is decoded", () => {
+	test("a placement proposal of a first version, which omits the unknown jobs, is decoded", () => {
 		const wire = { kind: "placed", epoch: 21, cycle: 9, placements: [] };
 		const message = { kind: "placement-proposal", term: 21, cycle: 9, placements: [], unknownJobs: [] };
 		assert.deepStrictEqual(decodePeerMessage(wire), message);
 	});
 
-	test("an unknown kind is refused, and its name is cut for the log", () => {
+	test("an unknown kind is rejected, and its name is truncated for the log", () => {
 		const wire = { kind: "x".repeat(100) };
 		assert.throws(() => decodePeerMessage(wire), MalformedMessageError);
 		assert.equal(wireKind(wire), "x".repeat(40));
@@ -379,12 +379,12 @@
 });
 
 describe("the first message on a connection between controllers", () => {
-	test("names the controller that has connected", () => {
+	test("contains the name of the controller that opened the connection", () => {
 		assert.deepStrictEqual(encodeHello("runner-2"), { hello: "runner-2" });
 		assert.equal(decodeHello({ hello: "runner-2" }), "runner-2");
 	});
 
-	test("is refused in any other form", () => {
+	test("is rejected in any other form", () => {
 		for (const raw of [null, undefined, "runner-2", 7, {}, { hello: 7 }])
 			assert.equal(decodeHello(raw), null);
 	});
--- a/tests/protocol/records/stored-examples.test.ts
+++ b/tests/protocol/records/stored-examples.test.ts
@@ -1,6 +1,6 @@
 /**
- * Stored records as literal examples. Every controller reads what others, of earlier versions too, have
- * written, so that no name or value in the store may change.
+ * Literal examples of stored records. Every controller reads records that other controllers have written, also of
+ * earlier versions, so no name or value in the store may change.
  */
 
 import assert from "node:assert/strict";
@@ -72,7 +72,7 @@
 describe("the record of a live job", () => {
 	const key = "r/job/j-000412";
 
-	test("of an array is encoded and decoded", () => {
+	test("of an array job is encoded and decoded", () => {
 		const stored = { spec: storedArrayJob, at: acceptedAt };
 		const record = { spec: arrayJob, acceptedAt };
 		assert.equal(keys.job("j-000412"), key);
@@ -84,7 +84,7 @@
 		});
 	});
 
-	test("of a service is encoded and decoded", () => {
+	test("of a service job is encoded and decoded", () => {
 		const stored = { spec: { ...storedArrayJob, form: "standing", estimateS: 0, deadlineS: null }, at: 0 };
 		const spec: JobSpec = { ...arrayJob, form: "service", estimatedRunS: 0, deadlineS: null };
 		const record = { spec, acceptedAt: 0 };
@@ -96,7 +96,7 @@
 		});
 	});
 
-	test("of a version before 0.5.0, which knows arrays only, is decoded as an array", () => {
+	test("of a version before 0.5.0, which supports only array jobs, is decoded as an array job", () => {
 		const { form: _, ...withoutForm } = storedArrayJob;
 		assert.deepStrictEqual(decodeStoredRecord(key, { spec: withoutForm, at: acceptedAt }), {
 			kind: "job",
@@ -105,13 +105,13 @@
 		});
 	});
 
-	test("under the key of another job is refused", () => {
+	test("under the key of another job is rejected", () => {
 		const stored = { spec: storedArrayJob, at: acceptedAt };
 		assert.throws(() => decodeStoredRecord("r/job/j-000413", stored), MalformedMessageError);
 	});
 });
 
-describe("the record of a job that is over", () => {
+describe("the record of an ended job", () => {
 	const key = "r/fin/j-000412";
 
 	test("is encoded and decoded", () => {
@@ -127,7 +127,7 @@
 		});
 	});
 
-	test("of a version before 0.4.0, which does not say what its tasks took, is encoded and decoded", () => {
+	test("of a version before 0.4.0, which omits the quota of its tasks, is encoded and decoded", () => {
 		const stored = { status: "done", tasks: 16, done: 16 };
 		const record: FinalJobRecord = { status: "done", taskCount: 16, doneCount: 16, demand: undefined };
 		assert.deepStrictEqual(encodeFinalRecord(record), stored);
@@ -139,8 +139,8 @@
 	});
 });
 
-describe("the chunks of done tasks", () => {
-	test("name each page by job and number, and hold it as it is", () => {
+describe("chunks of done tasks", () => {
+	test("name each page by job and page number, and are decoded unchanged", () => {
 		const stored = { entries: { "j-000412/0": "BwA=", "j-000412/1": "AQ==" } };
 		assert.deepStrictEqual(decodeStoredRecord("r/prog/21-1", stored), { kind: "progress", value: stored });
 		assert.equal(pageName("j-000412", 1), "j-000412/1");
@@ -148,10 +148,10 @@
 	});
 });
 
-describe("the chunks of machines", () => {
+describe("chunks of machines", () => {
 	const storedMachine = { endpoint: "10.1.0.232:9000", type: "g8", zone: "a", spot: true, session: 2 };
 
-	test("hold a machine's record, which is encoded and decoded", () => {
+	test("contain machine records, which are encoded and decoded", () => {
 		const record = {
 			endpoint: "10.1.0.232:9000",
 			machineType: "g8",
@@ -163,21 +163,21 @@
 		assert.deepStrictEqual(decodeMachineRecord(storedMachine), record);
 	});
 
-	test("keep fields that a later version has added to an entry", () => {
+	test("keep the fields that a later version has added to an entry", () => {
 		const stored = { entries: { "n-000231": { ...storedMachine, later: 1 } } };
 		assert.deepStrictEqual(decodeStoredRecord("r/machs/21-1", stored), { kind: "machines", value: stored });
 	});
 });
 
-describe("records of which there is one", () => {
-	test("the leader key is encoded and decoded", () => {
+describe("singleton records", () => {
+	test("of the leader key are encoded and decoded", () => {
 		const record = { node: "runner-0", incarnation: "3f9a0c.1200.5" };
 		assert.equal(keys.leader, "r/one/leader");
 		assert.deepStrictEqual(encodeLeaderRecord(record), record);
 		assert.deepStrictEqual(decodeStoredRecord(keys.leader, record), { kind: "leader", value: record });
 	});
 
-	test("the features that all controllers support are encoded and decoded, those of later versions too", () => {
+	test("of the features that all controllers support are encoded and decoded, with the features of later versions", () => {
 		const features: [FeatureSet, object][] = [
 			[
 				{ serviceJobs: true, teamQuota: true, unknownFields: { later: 1 } },
@@ -193,7 +193,7 @@
 		}
 	});
 
-	test("the machine types are encoded and decoded under their own names", () => {
+	test("of the machine types are encoded and decoded with unchanged field names", () => {
 		const type: MachineType = {
 			name: "g8",
 			cpus: 96,
@@ -217,12 +217,12 @@
 });
 
 describe("other keys", () => {
-	test("of team quota are handed on unread", () => {
+	test("of team quota are passed on without decoding", () => {
 		const value = { limit: [8, 0] };
 		assert.deepStrictEqual(decodeStoredRecord("r/quota/red", value), { kind: "quota", value });
 	});
 
-	test("of other versions are left alone, whatever their values", () => {
+	test("of other versions are ignored, with any value", () => {
 		assert.deepStrictEqual(decodeStoredRecord("r/later/1", "anything"), { kind: "other" });
 	});
 });
--- a/tests/protocol/settings/objectives.test.ts
+++ b/tests/protocol/settings/objectives.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { startTimeObjectives } from "../../../src/protocol/settings/objectives.js";
 
-test("of the objectives those about start times are kept, where they name a class and a time", () => {
+test("only objectives for start times with a class and a time are returned", () => {
 	const objectives = [
 		{ kind: "wait", class: "web", within_s: 40, share: 0.88 },
 		{ kind: "wait", within_s: 40 },
--- a/tests/protocol/settings/platform.test.ts
+++ b/tests/protocol/settings/platform.test.ts
@@ -5,7 +5,7 @@
 
 const parse = (source: string) => parsePlatformSettings("s.toml", source);
 
-/** The settings with one text replaced, which must be there. */
+/** Returns the settings with one text replaced, which must exist. */
 function changed(from: string | RegExp, to: string): string {
 	const source = platformSettingsToml.replace(from, to);
 	assert.notEqual(source, platformSettingsToml);
@@ -13,37 +13,37 @@
 }
 
 describe("the platform's settings", () => {
-	test("may have unknown fields", () => {
+	test("may contain unknown fields", () => {
 		assert.equal(parse(platformSettingsToml).node, "runner-0");
 	});
 
-	test("are refused, by file, where they are not TOML", () => {
+	test("are rejected with the file name if they are not TOML", () => {
 		assert.throws(() => parse("node = "), /s\.toml: not TOML/);
 	});
 
-	test("are refused, by file and field, where a field is missing", () => {
+	test("are rejected with the field name if a field is missing", () => {
 		assert.throws(() => parse(changed("lease_s = 10.0", "")), /"cluster\.workers\.lease_s"/);
 	});
 
-	test("are refused where times of workers do not go together", () => {
+	test("are rejected if the workers' times are inconsistent", () => {
 		assert.throws(() => parse(changed("report_s = 1.0", "report_s = 10.0")), /"cluster\.workers\.report_s"/);
 		assert.throws(() => parse(changed("cancel_s = 37.0", "cancel_s = 9.0")), /"cluster\.workers\.lease_s"/);
 	});
 });
 
 describe("the limits of teams in the platform's settings", () => {
-	test("are none where the file says 0 or nothing", () => {
+	test("are infinite if the file has 0 or omits them", () => {
 		assert.equal(parse(platformSettingsToml).cluster.teams[0]?.limit.gpus, Number.POSITIVE_INFINITY);
 		const guest = changed(/cpus = [\d.]+\ncpus_max = 8\.0/, "cpus = 0.0\ncpus_max = 0.0");
 		const [team] = parse(guest).cluster.teams;
 		assert.deepEqual([team?.guaranteed.cpus, team?.limit.cpus], [0, Number.POSITIVE_INFINITY]);
 	});
 
-	test("are refused below the team's guarantee", () => {
+	test("are rejected below the team's guarantee", () => {
 		assert.throws(() => parse(changed("cpus_max = 8.0", "cpus_max = 1.0")), /guarantee must not exceed/);
 	});
 
-	test("are refused for a team that is named twice", () => {
+	test("are rejected if a team is named twice", () => {
 		const team = '[[cluster.teams]]\nname = "red"\ncpus = 4.0\ncpus_max = 8.0\n';
 		const source = changed("[[cluster.teams]]", `${team}[[cluster.teams]]`);
 		assert.throws(() => parse(source), /"cluster\.teams\.1\.name": "red" is named twice/);
@@ -54,16 +54,16 @@
 	const peer = (node: string) => `[[others]]\nnode = "${node}"\ndomain = "z"\naddr = "127.0.0.1:9"\n`;
 	const fiveControllers = `${changed("nodes = 1", "nodes = 5")}${["a", "b", "c", "d"].map(peer).join("")}`;
 
-	test("are each named once, and as many as the cluster has", () => {
+	test("are accepted if each is named once and their number is that of the cluster", () => {
 		assert.equal(parse(fiveControllers).others.length, 4);
 	});
 
-	test("are refused in another number", () => {
+	test("are rejected if their number differs from that of the cluster", () => {
 		const source = fiveControllers.replace("nodes = 5", "nodes = 3");
 		assert.throws(() => parse(source), /"cluster\.nodes": is 3, but .* are 5/);
 	});
 
-	test("are refused where one is named twice", () => {
+	test("are rejected if one is named twice", () => {
 		const twice = fiveControllers.replace('"d"', '"a"');
 		assert.throws(() => parse(twice), /"others\.3\.node": "a" is named twice/);
 		const self = fiveControllers.replace('"d"', '"runner-0"');
@@ -71,17 +71,17 @@
 	});
 });
 
-describe("limits of the store that are to come", () => {
+describe("future limits of the store", () => {
 	const storeLimits = (next: string) =>
 		parse(`${platformSettingsToml}[cluster.state.next]\n${next}\n`).cluster.state;
 
-	test("hold from the start where they are lower", () => {
+	test("apply from the start if they are lower", () => {
 		const lesser = storeLimits("value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 40.0");
 		assert.deepEqual([lesser.value_kb, lesser.txn_ops, lesser.write_rps, lesser.rps], [2, 4, 20, 100]);
 		assert.equal(storeLimits("").value_kb, 16);
 	});
 
-	test("are refused by field where they are impossible", () => {
+	test("are rejected with the field name if they are invalid", () => {
 		for (const wrong of [
 			"value_kb = 0",
 			"txn_ops = -1",
--- a/tests/transport/clients/cloud-client.test.ts
+++ b/tests/transport/clients/cloud-client.test.ts
@@ -14,31 +14,31 @@
 }
 
 describe("creating machines", () => {
-	test("resolves to those created", async () => {
+	test("resolves to the created machines", async () => {
 		const { cloud } = cloudWith([{ status: 200, body: { hosts: ["n-000231"] } }]);
 		assert.deepEqual(await cloud.createMachines(request), ["n-000231"]);
 	});
 
-	test("resolves to none where there is no capacity", async () => {
+	test("resolves to no machines if there is no capacity", async () => {
 		const { cloud } = cloudWith([{ status: 503, body: { error: "no capacity" } }]);
 		assert.deepEqual(await cloud.createMachines(request), []);
 	});
 
-	test("fails, not executed, during an outage of the cloud", async () => {
+	test("rejects with the outcome not executed during an outage of the cloud", async () => {
 		const { cloud } = cloudWith([{ status: 503, body: { error: "trouble" } }]);
 		await assert.rejects(cloud.createMachines(request), { outcome: "not executed", status: 503 });
 	});
 
-	test("fails, rejected, for a request that the cloud does not take", async () => {
+	test("rejects with the outcome rejected if the cloud rejects the request", async () => {
 		const { cloud } = cloudWith([{ status: 400, body: {} }]);
 		await assert.rejects(cloud.createMachines(request), { outcome: "rejected", status: 400 });
 	});
 });
 
-describe("the cloud's rate", () => {
+describe("the cloud's rate limit", () => {
 	const page: HttpResponse = { status: 200, body: { hosts: [] } };
 
-	test("is kept by waiting for less than a second", async () => {
+	test("delays a call by less than a second", async () => {
 		const { http, clock, cloud } = cloudWith([page, page, page, page], 2);
 		for (let i = 0; i < 3; i++) await cloud.deleteMachines(["n-1"]);
 		const fourth = cloud.deleteMachines(["n-1"]);
@@ -49,7 +49,7 @@
 		assert.equal(http.requests.length, 4);
 	});
 
-	test("leaves a reserve to creation and deletion: listing waits first", async () => {
+	test("has a reserve for creation and deletion, so that listing is rejected before deletion", async () => {
 		const { http, clock, cloud } = cloudWith([page, page, page], 2);
 		await cloud.listMachines("");
 		await cloud.listMachines("");
--- a/tests/transport/clients/http-client.test.ts
+++ b/tests/transport/clients/http-client.test.ts
@@ -6,7 +6,7 @@
 import { CallError } from "../../../src/coordination/ports/call-error.js";
 import { HttpClient } from "../../../src/transport/clients/http-client.js";
 
-/** Runs a test with a client of a server that answers by the listener. */
+/** Runs a test with the client of a server that has the request listener. */
 async function withServer(listener: RequestListener, run: (client: HttpClient) => Promise<void>) {
 	const server = createServer(listener);
 	await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -21,7 +21,7 @@
 }
 
 describe("a call over HTTP", () => {
-	test("resolves to the response, whatever its status", async () => {
+	test("resolves to the response with any status", async () => {
 		await withServer(
 			(request, response) => {
 				request.setEncoding("utf8");
@@ -42,13 +42,14 @@
 		);
 	});
 
-	test("without a response in time may have been executed", async () => {
+	test("without a response in time has an unknown outcome", async () => {
 		await withServer(
 			(request, response) => {
 				if (request.url === "/connect") response.end();
 			},
 			async (client) => {
-				// The connection is kept: a busy machine may take longer than the deadline to make one.
+				// Establishes the connection, which is then reused: on a busy machine a new connection may take
+				// longer than the timeout.
 				await client.call("GET", "/connect", undefined, 5000);
 				await assert.rejects(client.call("GET", "/never", undefined, 50), {
 					outcome: "unknown",
@@ -58,7 +59,7 @@
 		);
 	});
 
-	test("whose response is not JSON, or is cut off, may have been executed", async () => {
+	test("whose response is not JSON or is truncated has an unknown outcome", async () => {
 		await withServer(
 			(request, response) => {
 				if (request.url === "/text") response.end("not JSON");
@@ -83,7 +84,7 @@
 		);
 	});
 
-	test("to an address where nobody listens was not executed, and says why", async () => {
+	test("to an address without a listener was not executed, and its error contains the cause", async () => {
 		const client = new HttpClient("127.0.0.1:1", 2);
 		await assert.rejects(client.call("GET", "/", undefined, 5000), (error) => {
 			assert.ok(error instanceof CallError);
@@ -94,11 +95,11 @@
 		client.close();
 	});
 
-	test("that is open when the client is closed rejects, whether it was sent or waits for a connection", async () => {
+	test("that is pending when the client is closed rejects, both after it was sent and while it waits for a connection", async () => {
 		await withServer(
 			() => undefined,
 			async (client) => {
-				// The client has two connections, so the third call waits for one of them.
+				// The client allows two connections, so the third call waits for one of them.
 				const calls = [1, 2, 3].map((i) => client.call("GET", `/${i}`, undefined, 60_000));
 				const settled = Promise.allSettled(calls);
 				await new Promise((resolve) => setTimeout(resolve, 50));
@@ -115,7 +116,7 @@
 });
 
 describe("the deadline of a call", () => {
-	test("does not count against a response that came while the process stood still", async () => {
+	test("is extended for a response that arrived during a process pause", async () => {
 		const source = `
 			const { parentPort } = require("node:worker_threads");
 			const server = require("node:http").createServer((request, response) => {
@@ -126,17 +127,17 @@
 		const worker = new Worker(source, { eval: true });
 		const port = await new Promise<number>((resolve) => worker.once("message", resolve));
 		const client = new HttpClient(`127.0.0.1:${port}`, 2);
-		const standStill = (ms: number) => Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, ms);
+		const pauseProcess = (ms: number) => Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, ms);
 		try {
 			await client.call("GET", "/", undefined, 5000);
 			const answered = client.call("GET", "/", undefined, 1500);
 			const unanswered = client.call("GET", "/never", undefined, 1500);
 			const failed = assert.rejects(unanswered, { outcome: "unknown" });
-			// The requests leave before the process stands still, and both deadlines pass meanwhile.
+			// Lets the requests be sent before the process pause, during which both deadlines pass.
 			await new Promise((resolve) => setTimeout(resolve, 30));
-			// Between an immediate and the next look at sockets timers come first.
+			// Timers run after an immediate and before the next poll of sockets.
 			await new Promise((resolve) => setImmediate(resolve));
-			standStill(2500);
+			pauseProcess(2500);
 			assert.equal((await answered).status, 200);
 			await failed;
 		} finally {
--- a/tests/transport/clients/store-client.test.ts
+++ b/tests/transport/clients/store-client.test.ts
@@ -23,7 +23,7 @@
 const rateExceeded: HttpResponse = { status: 429, body: {} };
 
 describe("reading rows", () => {
-	test("below a prefix takes as many pages as there are, and the revision of the first", async () => {
+	test("below a prefix requests all pages, and returns the revision of the first page", async () => {
 		const row = (key: string) => ({ key, v: 1, stamp: 5 });
 		const { http, store } = storeWith([
 			{ status: 200, body: { rows: [row("c/1"), row("c/2")], truncated: true, epoch: 10 } },
@@ -41,7 +41,7 @@
 		);
 	});
 
-	test("of a key that is absent tells so only by the store's own 404", async () => {
+	test("of an absent key returns null only for a 404 response of the store itself", async () => {
 		const { store } = storeWith([
 			{ status: 404, body: { epoch: 7 } },
 			{ status: 404, body: null },
@@ -58,7 +58,7 @@
 		assert.deepEqual(await swap("normal"), { swapped: false, conflicts: ["a"], revision: 433 });
 	});
 
-	test("that is refused for its rate is sent again if a user waits for it", async () => {
+	test("that is rejected with 429 is retried if a user waits for it", async () => {
 		const { http, clock, swap } = storeWith([rateExceeded, rateExceeded, accepted]);
 		const result = swap("user");
 		await clock.advance(1000);
@@ -66,7 +66,7 @@
 		assert.equal(http.requests.length, 3);
 	});
 
-	test("that is refused for its rate again and again is not executed", async () => {
+	test("that is rejected with 429 at every retry is not executed", async () => {
 		const { http, clock, swap } = storeWith(Array.from({ length: 5 }, () => rateExceeded));
 		const failed = assert.rejects(swap("user"), { outcome: "not executed", status: 429 });
 		await clock.advance(2000);
@@ -74,13 +74,13 @@
 		assert.equal(http.requests.length, 5);
 	});
 
-	test("that is refused for its rate is not sent again if no user waits for it", async () => {
+	test("that is rejected with 429 is not retried if no user waits for it", async () => {
 		const { http, swap } = storeWith([rateExceeded]);
 		await assert.rejects(swap("normal"), { outcome: "not executed", status: 429 });
 		assert.equal(http.requests.length, 1);
 	});
 
-	test("of a user is sent at once, and the others wait until it is paid for", async () => {
+	test("of a user is sent at once, and others are rejected until the tokens are refilled", async () => {
 		const rates = { requestsPerS: 1000, writesPerS: 20 };
 		const { http, clock, swap } = storeWith([accepted, accepted, accepted], rates);
 		await swap("user", 12);
@@ -94,7 +94,7 @@
 		assert.deepEqual(await third, { swapped: true, revision: 432 });
 	});
 
-	test("in the background leaves half of the rate to others", async () => {
+	test("in the background leaves half of the rate to other writes", async () => {
 		const rates = { requestsPerS: 1000, writesPerS: 20 };
 		const { swap } = storeWith([accepted, accepted], rates);
 		await swap("background", 6);
--- a/tests/transport/clients/token-bucket.test.ts
+++ b/tests/transport/clients/token-bucket.test.ts
@@ -3,7 +3,7 @@
 import { TokenBucket } from "../../../src/transport/clients/token-bucket.js";
 
 describe("a token bucket", () => {
-	test("keeps a rate and a reserve", () => {
+	test("limits the rate and keeps a reserve", () => {
 		let now = 0;
 		const bucket = new TokenBucket(10, 5, { now: () => now });
 		for (let i = 0; i < 3; i++) assert.ok(bucket.tryTake(1, 2));
@@ -14,7 +14,7 @@
 		assert.ok(bucket.tryTake(1));
 	});
 
-	test("tells how long a request has to wait, and never holds more than a burst", () => {
+	test("returns the waiting time of a request, and never has more tokens than one burst", () => {
 		let now = 0;
 		const bucket = new TokenBucket(10, 5, { now: () => now });
 		assert.equal(bucket.waitMs(5), 1, "there are enough");
@@ -24,7 +24,7 @@
 		assert.equal(bucket.waitMs(6), 100);
 	});
 
-	test("goes into debt by one burst at most, which later requests wait for", () => {
+	test("allows a debt of at most one burst, which delays later requests", () => {
 		const bucket = new TokenBucket(10, 5, { now: () => 0 });
 		bucket.debit(8);
 		assert.equal(bucket.waitMs(1), 400);
--- a/tests/transport/close.test.ts
+++ b/tests/transport/close.test.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from "node:url";
 import type { CloseReport } from "../support/close-transport.js";
 
-/** Longer than the process takes, shorter than the timers that it must not wait for. */
+/** Longer than the process needs to exit, and shorter than the timers for which it must not wait. */
 const processTimeoutMs = 20_000;
 
 function runProcess(): Promise<CloseReport> {
@@ -17,8 +17,8 @@
 	});
 }
 
-describe("servers, links and clients that are closed", () => {
-	test("settle what is pending, leave no timer, socket or listener, and let the process end", async () => {
+describe("closed servers, links and clients", () => {
+	test("settle pending calls, leave no timer, socket or listener, and let the process exit", async () => {
 		const report = await runProcess();
 		assert.match(report.heartbeat, /^POST \/v1\/report: /, "the open call has failed");
 		assert.equal(report.storeCall, "GET /store/a: the client was closed");
--- a/tests/transport/public/public-api.test.ts
+++ b/tests/transport/public/public-api.test.ts
@@ -17,8 +17,8 @@
 	};
 }
 
-describe("the load balancer's question whether the controller is ready", () => {
-	test("is answered 200 or 503", async () => {
+describe("the load balancer's readiness check", () => {
+	test("gets 200 if the controller is ready, and 503 otherwise", async () => {
 		assert.equal((await apiOf().get("/ready")).status, 200);
 		const starting = await apiOf({ ready: () => false }).get("/ready");
 		assert.deepEqual([starting.status, await starting.json()], [503, { error: "the node is starting" }]);
@@ -42,19 +42,19 @@
 		assert.equal((await apiOf().submit(submissionBody({ desk: "green" }))).status, 422);
 	});
 
-	test("with a faulty field gets 400 and the field's name", async () => {
+	test("with an invalid field gets 400 and the field's name", async () => {
 		const response = await apiOf().submit(submissionBody({ cores: null }));
 		assert.equal(response.status, 400);
 		assert.match(((await response.json()) as { error: string }).error, /"cores"/);
 	});
 
-	test("with a field that names what does not exist gets 400 and the reason", async () => {
+	test("with a field that names a nonexistent object gets 400 and the reason", async () => {
 		const service = { submit: async () => ({ kind: "malformed", reason: "no such zone" }) as const };
 		const response = await apiOf(service).submit(submissionBody());
 		assert.deepEqual([response.status, await response.json()], [400, { error: "no such zone" }]);
 	});
 
-	test("with a faulty field of a job that was accepted earlier gets 200 and the job's state", async () => {
+	test("with an invalid field, of a job that was accepted earlier, gets 200 and the job's state", async () => {
 		assert.equal((await apiOf().submit(submissionBody({ id: "j-2", pieces: 0 }))).status, 400);
 		const known = await apiOf().submit(submissionBody({ id: "j-1", pieces: 0 }));
 		assert.deepEqual([known.status, await known.json()], [200, { id: "j-1", status: "running" }]);
@@ -65,8 +65,8 @@
 	});
 });
 
-describe("a question about a job", () => {
-	test("is answered with its state and the numbers of its tasks", async () => {
+describe("a query for a job", () => {
+	test("gets the job's state and the numbers of its done and running tasks", async () => {
 		assert.deepEqual(await (await apiOf().get("/v1/jobs/j-1")).json(), {
 			id: "j-1",
 			status: "running",
@@ -75,26 +75,26 @@
 		});
 	});
 
-	test("that does not exist, or has no valid id, is answered 404", async () => {
+	test("that does not exist, or with an invalid id, gets 404", async () => {
 		assert.equal((await apiOf().get("/v1/jobs/j-2")).status, 404);
 		assert.equal((await apiOf().get("/v1/jobs/nonsense")).status, 404);
 	});
 });
 
 describe("a cancellation", () => {
-	test("that is uncertain gets 503 and the time to try again", async () => {
+	test("with an uncertain result gets 503 and the retry delay", async () => {
 		const response = await apiOf().post("/v1/jobs/j-1/abort", "");
 		assert.equal(response.status, 503);
 		assert.equal(response.headers.get("retry-after"), "1");
 	});
 
-	test("that is certain gets 200 and the job's state", async () => {
+	test("with a certain result gets 200 and the job's state", async () => {
 		const cancelled = { kind: "found", status: "cancelled", done: 1, running: 0 } as const;
 		const response = await apiOf({ cancel: async () => cancelled }).post("/v1/jobs/j-1/abort", "");
 		assert.deepEqual([response.status, await response.json()], [200, { id: "j-1", status: "cancelled" }]);
 	});
 
-	test("of a job that does not exist, or has no valid id, gets 404", async () => {
+	test("of a job that does not exist, or with an invalid id, gets 404", async () => {
 		const service = { cancel: async () => ({ kind: "not-found" }) as const };
 		assert.equal((await apiOf(service).post("/v1/jobs/j-2/abort", "")).status, 404);
 		assert.equal((await apiOf().post("/v1/jobs/nonsense/abort", "")).status, 404);
@@ -102,7 +102,7 @@
 });
 
 describe("other requests", () => {
-	test("with a method that is not allowed get 405 and the one that is", async () => {
+	test("with a method that is not allowed get 405 and the allowed method", async () => {
 		const response = await apiOf().delete("/v1/jobs");
 		assert.equal(response.status, 405);
 		assert.equal(response.headers.get("allow"), "POST");
@@ -112,7 +112,7 @@
 		assert.equal((await apiOf().get("/elsewhere")).status, 404);
 	});
 
-	test("that fail by a fault of the service get 503 and the time to try again", async () => {
+	test("that fail by a fault of the service get 503 and the retry delay", async () => {
 		const failing = async () => {
 			throw new CallError("unknown", 0, "a fault");
 		};
--- a/tests/transport/public/public-server.test.ts
+++ b/tests/transport/public/public-server.test.ts
@@ -19,10 +19,10 @@
 }
 
 /** Sends bytes that are not HTTP and resolves once the server has closed the connection. */
-function sendNonsense(port: number): Promise<void> {
+function sendNonHttpBytes(port: number): Promise<void> {
 	return new Promise((resolve) => {
 		const socket = connect(port, "127.0.0.1", () => socket.write("nonsense\r\n\r\n"));
-		// The server may reset the connection; what counts is that it closes.
+		// The server may reset the connection; the test requires only that it is closed.
 		socket.on("error", () => undefined);
 		socket.resume();
 		socket.on("close", () => resolve());
@@ -42,12 +42,12 @@
 	});
 	const post = (path: string, body: object) => client.call("POST", path, body, 5000);
 
-	test("closes connections on which something else than HTTP comes, and goes on", async () => {
-		await sendNonsense(server.port);
+	test("closes connections with data that is not HTTP, and still responds to requests", async () => {
+		await sendNonHttpBytes(server.port);
 		assert.equal((await client.call("GET", "/v1/jobs/j-1", undefined, 5000)).status, 200);
 	});
 
-	test("refuses bodies larger than 64 KiB, and goes on", async () => {
+	test("rejects bodies larger than 64 KiB, and still responds to requests", async () => {
 		assert.equal((await post("/v1/jobs", { text: "x".repeat(70_000) })).status, 413);
 		const large = heartbeatBody({ endpoint: "x".repeat(70_000) });
 		assert.equal((await post("/v1/report", large)).status, 413);
@@ -60,18 +60,18 @@
 		assert.equal((await post("/v1/report?try=2", heartbeatBody())).status, 421);
 	});
 
-	test("refuses malformed heartbeats by the name of the faulty field", async () => {
+	test("rejects malformed heartbeats with the name of the invalid field", async () => {
 		const refused = await post("/v1/report", heartbeatBody({ shift: -1 }));
 		assert.equal(refused.status, 400);
 		assert.match((refused.body as { error: string }).error, /"shift"/);
 	});
 
-	test("takes heartbeats by POST only", async () => {
+	test("accepts heartbeats by POST only", async () => {
 		assert.equal((await client.call("GET", "/v1/report", undefined, 5000)).status, 405);
 	});
 });
 
-test("a public server that was closed refuses connections", async () => {
+test("a closed public server refuses connections", async () => {
 	const server = await start(50);
 	await server.close();
 	const client = new HttpClient(`127.0.0.1:${server.port}`, 2);
@@ -79,7 +79,7 @@
 	client.close();
 });
 
-describe("where connections are short", () => {
+describe("if most connections are in use", () => {
 	let server: PublicServer;
 	const idle: Socket[] = [];
 	const agent = new Agent({ keepAlive: true, maxSockets: 1 });
@@ -111,11 +111,11 @@
 			idle.push(socket);
 			await new Promise<void>((resolve) => socket.once("connect", resolve));
 		}
-		// The far end has connected before the server takes a connection up.
+		// The client side is connected before the server accepts the connection.
 		await new Promise((resolve) => setTimeout(resolve, 100));
 	}
 
-	test("workers are asked to close theirs after each heartbeat, users are not", async () => {
+	test("workers are asked to close their connections after each heartbeat, and users are not", async () => {
 		assert.notEqual(await connectionHeader("/v1/report", heartbeatBody()), "close");
 		await openIdleConnections(9);
 		assert.equal(await connectionHeader("/v1/report", heartbeatBody()), "close");
