--- a/src/protocol/peer/leadership-wire.ts
+++ b/src/protocol/peer/leadership-wire.ts
@@ -1,5 +1,5 @@
 /**
- * Messages of leadership: lease extension requests (`ask` on the wire) and votes (`promise`), leader queries
+ * Messages of the leadership protocol: lease extension requests (`ask` on the wire) and votes (`promise`), leader queries
  * (`who`) and their replies (`leading`).
  */
 
--- a/src/protocol/peer/messages.ts
+++ b/src/protocol/peer/messages.ts
@@ -199,7 +199,7 @@
 	| LeaderQuery
 	| LeaderQueryReply;
 
-/** The messages of leadership between controllers. */
+/** The messages of the leadership protocol between controllers. */
 export type LeadershipMessage = LeaseExtensionRequest | LeaseExtensionVote | LeaderQuery | LeaderQueryReply;
 
 /** A message with the controller that sent it. */
--- a/src/protocol/records/singleton-records.ts
+++ b/src/protocol/records/singleton-records.ts
@@ -32,9 +32,9 @@
  * removed.
  */
 export interface FeatureSet {
-	/** Service jobs, whose replicas run until the job is cancelled; since 0.5.0. */
+	/** Service jobs, whose replicas run until the job is cancelled; supported from version 0.5.0. */
 	serviceJobs: boolean;
-	/** Team quota: limits are divided among the controllers from the beginning of each term; since 0.8.0. */
+	/** Team quota: limits are divided among the controllers from the beginning of each term; supported from version 0.8.0. */
 	teamQuota: boolean;
 	/** Fields of later versions, which are written back unchanged. */
 	unknownFields: Readonly<Record<string, unknown>>;
--- a/src/transport/clients/response-deadline.ts
+++ b/src/transport/clients/response-deadline.ts
@@ -1,6 +1,6 @@
 /** The deadline of a call. It does not count a process pause as a missing response. */
 
-/** If the deadline's timer runs later than this, the process was paused. */
+/** If the timer runs later than this after the deadline, the process was paused. */
 const pauseThresholdMs = 500;
 
 /** Time after a process pause for reading a response that arrived during the pause. */
--- a/tests/protocol/peer/wire-examples.test.ts
+++ b/tests/protocol/peer/wire-examples.test.ts
@@ -12,7 +12,7 @@
 import type { PeerMessage } from "../../../src/protocol/peer/messages.js";
 
 interface WireExample<Message> {
-	/** What the example shows. */
+	/** The case that the example covers. */
 	description: string;
 	wire: object;
 	message: Message;
