--- a/src/main.ts
+++ b/src/main.ts
@@ -1,21 +1,21 @@
 #!/usr/bin/env node
-/** The command line: serves a controller, checks its settings, or shows and changes teams' quotas. */
+/** The command line: runs a controller, checks its settings, or shows and changes team quotas. */
 
 import { Command, CommanderError } from "commander";
 import { SettingsError } from "./protocol/errors.js";
-import { defaultOperator, parseOperator } from "./protocol/settings/operator.js";
-import { parsePlatform } from "./protocol/settings/platform.js";
+import { defaultOperatorSettings, parseOperatorSettings } from "./protocol/settings/operator.js";
+import { parsePlatformSettings } from "./protocol/settings/platform.js";
 import { readSettingsFile } from "./protocol/settings/settings-file.js";
 import { QuotaCommandError, quotaCommand } from "./quota-command.js";
 import { serve } from "./serve.js";
 import { systemClock } from "./system-clock.js";
 import { version } from "./version.js";
 
-/** Exit codes beside 0: a failure while running, and bad options or settings. */
+/** Exit codes other than 0: a failure at run time, and invalid options or settings. */
 const exitFailure = 1;
 const exitUsage = 2;
 
-interface ServeOptions {
+interface CommandLineOptions {
 	config: string;
 	operator?: string;
 	check?: boolean;
@@ -30,7 +30,7 @@
 		.version(version)
 		.enablePositionalOptions()
 		.exitOverride()
-		.action(async (options: Partial<ServeOptions>) => {
+		.action(async (options: Partial<CommandLineOptions>) => {
 			const { config } = options;
 			if (config === undefined) program.error("error: required option '--config <file>' not specified");
 			else await checkOrServe({ ...options, config });
@@ -39,19 +39,19 @@
 	await program.parseAsync(argv);
 }
 
-async function checkOrServe(options: ServeOptions): Promise<void> {
-	const platform = parsePlatform(options.config, readSettingsFile(options.config));
+async function checkOrServe(options: CommandLineOptions): Promise<void> {
+	const platform = parsePlatformSettings(options.config, readSettingsFile(options.config));
 	const operator =
 		options.operator === undefined
-			? defaultOperator()
-			: await parseOperator(options.operator, readSettingsFile(options.operator));
+			? defaultOperatorSettings()
+			: await parseOperatorSettings(options.operator, readSettingsFile(options.operator));
 	if (options.check) process.stdout.write(`${options.config}: settings are good\n`);
 	else await serve(platform, operator);
 }
 
-/** Says what went wrong on standard error and returns the exit code. */
+/** Writes the error to standard error and returns the exit code. */
 function reportFailure(error: unknown): number {
-	// Commander has said it already.
+	// Commander has already printed its message.
 	if (error instanceof CommanderError) return error.exitCode === 0 ? 0 : exitUsage;
 	process.stderr.write(`ramphub: ${error instanceof Error ? error.message : error}\n`);
 	if (error instanceof SettingsError) return exitUsage;
--- a/src/protocol/http/worker-api.ts
+++ b/src/protocol/http/worker-api.ts
@@ -1,5 +1,5 @@
 /**
- * The workers' API: heartbeats, and the commands in the responses to them and in direct requests.
+ * The workers' API: heartbeats, and the commands in responses to heartbeats and in direct requests.
  *
  * | on the wire | here |
  * | --- | --- |
@@ -42,56 +42,56 @@
 	no_such: "unknown",
 };
 
-/** Longest text in a heartbeat. */
+/** The maximum length of a string in a heartbeat. */
 const maxTextLength = 200;
 
 /**
- * Reads the body of a heartbeat. Throws a MalformedMessageError that names the first faulty field.
+ * Parses the body of a heartbeat. Throws a MalformedMessageError that names the first invalid field.
  *
- * Heartbeats come by the hundred a second and from our own machines, so the fields that are used are checked by
- * hand-written code, which costs a fraction of a schema's processor time.
+ * A controller receives hundreds of heartbeats per second, from machines that belong to the service. Hand-written
+ * code therefore checks only the fields that are used, at a fraction of a schema's CPU time.
  */
 export function parseHeartbeat(body: string): WorkerHeartbeat {
-	return heartbeatFrom(parseObject(body));
+	return readHeartbeat(parseObject(body));
 }
 
-/** Reads the response to direct commands, which is the worker's heartbeat after them. */
-export function directCommandsResponseFrom(raw: unknown): WorkerHeartbeat {
-	return heartbeatFrom((raw ?? {}) as Record<string, unknown>);
+/** Parses the response to direct commands, which is the worker's heartbeat after their execution. */
+export function parseDirectCommandsResponse(raw: unknown): WorkerHeartbeat {
+	return readHeartbeat((raw ?? {}) as Record<string, unknown>);
 }
 
-function heartbeatFrom(raw: Record<string, unknown>): WorkerHeartbeat {
+function readHeartbeat(raw: Record<string, unknown>): WorkerHeartbeat {
 	if (!Array.isArray(raw.pieces)) throw new MalformedMessageError('field "pieces" must be a list');
-	const reclaimInS = reclaimOf(raw.recall_s);
+	const reclaimInS = readReclaimTime(raw.recall_s);
 	return {
-		machineId: textOf(raw.host, "host"),
-		endpoint: textOf(raw.endpoint, "endpoint"),
-		machineType: textOf(raw.shape, "shape"),
-		zone: textOf(raw.hall, "hall"),
+		machineId: readText(raw.host, "host"),
+		endpoint: readText(raw.endpoint, "endpoint"),
+		machineType: readText(raw.shape, "shape"),
+		zone: readText(raw.hall, "hall"),
 		spot: raw.loaners === true,
-		agentEpoch: countOf(raw.shift, "shift"),
-		sequence: countOf(raw.tick, "tick"),
-		fencingToken: countOf(raw.baton ?? 0, "baton"),
+		agentEpoch: readCount(raw.shift, "shift"),
+		sequence: readCount(raw.tick, "tick"),
+		fencingToken: readCount(raw.baton ?? 0, "baton"),
 		reclaimInS,
-		tasks: raw.pieces.map(taskFrom),
+		tasks: raw.pieces.map(readTask),
 	};
 }
 
-function countOf(value: unknown, field: string): number {
+function readCount(value: unknown, field: string): number {
 	if (typeof value !== "number" || !Number.isSafeInteger(value) || value < 0) {
 		throw new MalformedMessageError(`field "${field}" must be a whole number`);
 	}
 	return value;
 }
 
-function textOf(value: unknown, field: string): string {
+function readText(value: unknown, field: string): string {
 	if (typeof value !== "string" || value === "" || value.length > maxTextLength) {
 		throw new MalformedMessageError(`field "${field}" must be a string of 1 to ${maxTextLength} characters`);
 	}
 	return value;
 }
 
-function reclaimOf(value: unknown): number | null {
+function readReclaimTime(value: unknown): number | null {
 	if (value === null || value === undefined) return null;
 	if (typeof value !== "number" || !Number.isFinite(value)) {
 		throw new MalformedMessageError('field "recall_s" must be a number or null');
@@ -99,28 +99,28 @@
 	return value;
 }
 
-function taskFrom(raw: unknown): TaskStatus {
+function readTask(raw: unknown): TaskStatus {
 	const item = (raw ?? {}) as Record<string, unknown>;
-	const task = parseTaskId(textOf(item.piece, "pieces.piece"));
+	const task = parseTaskId(readText(item.piece, "pieces.piece"));
 	if (!task) throw new MalformedMessageError('field "pieces.piece" must look like "j-000412/3"');
 	const state = taskStates[String(item.status)];
 	if (!state) throw new MalformedMessageError('field "pieces.status" is not a known state');
 	return {
 		...task,
-		attempt: countOf(item.try, "pieces.try"),
+		attempt: readCount(item.try, "pieces.try"),
 		state,
-		exitCause: state === "exited" ? exitCauseOf(item.cause) : null,
+		exitCause: state === "exited" ? readExitCause(item.cause) : null,
 		checkpointed: item.stored === true,
 	};
 }
 
-/** A cause that is missing or not known still means that the attempt has ended without success. */
-function exitCauseOf(cause: unknown): ExitCause {
+/** A missing or unknown cause counts as `error`, because the attempt has ended without success. */
+function readExitCause(cause: unknown): ExitCause {
 	if (cause === undefined || cause === null) return "error";
 	return exitCauses[String(cause)] ?? "error";
 }
 
-/** Reads a task's name, such as `j-000412/3`; null: it does not have that form. */
+/** Parses a task id such as `j-000412/3`; null: the text does not have that form. */
 function parseTaskId(taskId: string): { jobId: JobId; taskIndex: number } | null {
 	const slash = taskId.indexOf("/");
 	const taskIndex = Number(taskId.slice(slash + 1));
@@ -129,17 +129,17 @@
 	return { jobId: taskId.slice(0, slash), taskIndex };
 }
 
-/** The response to a heartbeat that was accepted. */
+/** Returns the response body for an accepted heartbeat. */
 export function heartbeatResponseBody(fencingToken: FencingToken, commands: WorkerCommand[]) {
 	return { baton: fencingToken, orders: commands.map(commandBody) };
 }
 
-/** The response to a heartbeat that another controller should receive; null: any other. */
+/** Returns the response body that redirects a worker to another controller; null: to any other controller. */
 export function redirectBody(controller: NodeId | null) {
 	return controller === null ? {} : { foreman: controller };
 }
 
-/** The request that brings commands straight to a worker. */
+/** Returns the request body for direct commands to a worker. */
 export function directCommandsBody(
 	fencingToken: FencingToken,
 	agentEpoch: AgentEpoch,
--- a/src/protocol/peer/leader-heartbeat-wire.ts
+++ b/src/protocol/peer/leader-heartbeat-wire.ts
@@ -1,7 +1,7 @@
 /** Leader heartbeats (`running` on the wire) and their replies (`pong`). */
 
 import * as v from "valibot";
-import { count, name } from "../schema-checks.js";
+import { name, nonNegativeInteger } from "../schema-checks.js";
 import type { LeaderHeartbeat, LeaderHeartbeatReply } from "./messages.js";
 import { teamQuota, term } from "./wire-fields.js";
 
@@ -9,7 +9,7 @@
 export const LeaderHeartbeatSchema = v.object({
 	kind: v.literal("running"),
 	epoch: term,
-	counts: v.array(v.tuple([name, count])),
+	counts: v.array(v.tuple([name, nonNegativeInteger])),
 	served: v.boolean(),
 	hearing: v.boolean(),
 	relay: v.boolean(),
@@ -20,12 +20,12 @@
 export const LeaderHeartbeatReplySchema = v.object({
 	kind: v.literal("pong"),
 	epoch: term,
-	strays: count,
+	strays: nonNegativeInteger,
 	standing: v.optional(v.boolean()),
 	quota: teamQuota,
 });
 
-/** Maps a leader heartbeat to the wire. */
+/** Encodes a leader heartbeat. */
 export function encodeLeaderHeartbeat(message: LeaderHeartbeat): v.InferInput<typeof LeaderHeartbeatSchema> {
 	const { term, runningTasks, storeReachable, workersReachable, forwardHeartbeats, teamQuota } = message;
 	return {
@@ -39,7 +39,7 @@
 	};
 }
 
-/** Reads a leader heartbeat that has the form of its schema. */
+/** Decodes a leader heartbeat that was checked by its schema. */
 export function decodeLeaderHeartbeat(wire: v.InferOutput<typeof LeaderHeartbeatSchema>): LeaderHeartbeat {
 	const { epoch, counts, served, hearing, relay, quota } = wire;
 	return {
@@ -53,7 +53,7 @@
 	};
 }
 
-/** Maps the reply to a leader heartbeat to the wire. */
+/** Encodes the reply to a leader heartbeat. */
 export function encodeLeaderHeartbeatReply(
 	message: LeaderHeartbeatReply,
 ): v.InferInput<typeof LeaderHeartbeatReplySchema> {
@@ -67,7 +67,7 @@
 	};
 }
 
-/** Reads the reply to a leader heartbeat that has the form of its schema. */
+/** Decodes the reply to a leader heartbeat that was checked by its schema. */
 export function decodeLeaderHeartbeatReply(
 	wire: v.InferOutput<typeof LeaderHeartbeatReplySchema>,
 ): LeaderHeartbeatReply {
--- a/src/protocol/peer/leadership-wire.ts
+++ b/src/protocol/peer/leadership-wire.ts
@@ -1,10 +1,10 @@
 /**
- * What leadership exchanges: lease-extension requests (`ask` on the wire) and votes (`promise`), leader
- * queries (`who`) and their replies (`leading`).
+ * Messages of the leadership protocol: lease extension requests (`ask` on the wire) and votes (`promise`), leader queries
+ * (`who`) and their replies (`leading`).
  */
 
 import * as v from "valibot";
-import { count, name } from "../schema-checks.js";
+import { name, nonNegativeInteger } from "../schema-checks.js";
 import type {
 	Cancellation,
 	LeaderQuery,
@@ -12,35 +12,35 @@
 	LeaseExtensionRequest,
 	LeaseExtensionVote,
 } from "./messages.js";
-import { term, text } from "./wire-fields.js";
+import { shortText, term } from "./wire-fields.js";
 
-/** A lease-extension request on the wire. */
+/** A lease extension request on the wire. */
 export const LeaseExtensionRequestSchema = v.object({
 	kind: v.literal("ask"),
 	epoch: term,
-	number: count,
+	number: nonNegativeInteger,
 	known: v.optional(v.pipe(v.number(), v.integer())),
 });
 
-const CancellationSchema = v.tuple([name, count, count, count]);
+const CancellationSchema = v.tuple([name, nonNegativeInteger, nonNegativeInteger, nonNegativeInteger]);
 
-/** A lease-extension vote on the wire. */
+/** A lease extension vote on the wire. */
 export const LeaseExtensionVoteSchema = v.object({
 	kind: v.literal("promise"),
 	epoch: term,
-	number: count,
+	number: nonNegativeInteger,
 	cancelled: v.optional(v.array(CancellationSchema)),
 });
 
 /** A leader query on the wire. */
-export const LeaderQuerySchema = v.object({ kind: v.literal("who"), epoch: term, asker: text });
+export const LeaderQuerySchema = v.object({ kind: v.literal("who"), epoch: term, asker: shortText });
 
 /** The reply to a leader query on the wire. */
 export const LeaderQueryReplySchema = v.object({
 	kind: v.literal("leading"),
 	epoch: term,
 	leading: v.boolean(),
-	asker: text,
+	asker: shortText,
 });
 
 const encodeCancellation = (cancellation: Cancellation): v.InferInput<typeof CancellationSchema> => {
@@ -52,20 +52,20 @@
 	typeof CancellationSchema
 >): Cancellation => ({ jobId, revision, taskCount, doneCount });
 
-/** Maps a lease-extension request to the wire. */
+/** Encodes a lease extension request. */
 export function encodeLeaseExtensionRequest(
 	message: LeaseExtensionRequest,
 ): v.InferInput<typeof LeaseExtensionRequestSchema> {
-	const { term, requestNumber, knownRevision } = message;
+	const { term, requestNumber, replicaRevision } = message;
 	return {
 		kind: "ask",
 		epoch: term,
 		number: requestNumber,
-		...(knownRevision !== undefined && { known: knownRevision }),
+		...(replicaRevision !== undefined && { known: replicaRevision }),
 	};
 }
 
-/** Reads a lease-extension request that has the form of its schema. */
+/** Decodes a lease extension request that was checked by its schema. */
 export function decodeLeaseExtensionRequest(
 	wire: v.InferOutput<typeof LeaseExtensionRequestSchema>,
 ): LeaseExtensionRequest {
@@ -74,11 +74,11 @@
 		kind: "lease-extension-request",
 		term: epoch,
 		requestNumber: number,
-		...(known !== undefined && { knownRevision: known }),
+		...(known !== undefined && { replicaRevision: known }),
 	};
 }
 
-/** Maps a lease-extension vote to the wire. */
+/** Encodes a lease extension vote. */
 export function encodeLeaseExtensionVote(
 	message: LeaseExtensionVote,
 ): v.InferInput<typeof LeaseExtensionVoteSchema> {
@@ -91,7 +91,7 @@
 	};
 }
 
-/** Reads a lease-extension vote that has the form of its schema. */
+/** Decodes a lease extension vote that was checked by its schema. */
 export function decodeLeaseExtensionVote(
 	wire: v.InferOutput<typeof LeaseExtensionVoteSchema>,
 ): LeaseExtensionVote {
@@ -104,7 +104,7 @@
 	};
 }
 
-/** Maps a leader query to the wire. */
+/** Encodes a leader query. */
 export function encodeLeaderQuery({
 	term,
 	incarnation,
@@ -112,12 +112,12 @@
 	return { kind: "who", epoch: term, asker: incarnation };
 }
 
-/** Reads a leader query that has the form of its schema. */
+/** Decodes a leader query that was checked by its schema. */
 export function decodeLeaderQuery({ epoch, asker }: v.InferOutput<typeof LeaderQuerySchema>): LeaderQuery {
 	return { kind: "leader-query", term: epoch, incarnation: asker };
 }
 
-/** Maps the reply to a leader query to the wire. */
+/** Encodes the reply to a leader query. */
 export function encodeLeaderQueryReply(
 	message: LeaderQueryReply,
 ): v.InferInput<typeof LeaderQueryReplySchema> {
@@ -125,7 +125,7 @@
 	return { kind: "leading", epoch: term, leading: isLeader, asker: incarnation };
 }
 
-/** Reads the reply to a leader query that has the form of its schema. */
+/** Decodes the reply to a leader query that was checked by its schema. */
 export function decodeLeaderQueryReply(wire: v.InferOutput<typeof LeaderQueryReplySchema>): LeaderQueryReply {
 	const { epoch, leading, asker } = wire;
 	return { kind: "leader-query-reply", term: epoch, isLeader: leading, incarnation: asker };
--- a/src/protocol/peer/placement-wire.ts
+++ b/src/protocol/peer/placement-wire.ts
@@ -1,11 +1,11 @@
 /** Placement requests (`view` on the wire) and proposals (`placed`). */
 
 import * as v from "valibot";
-import { amount, count, name } from "../schema-checks.js";
+import { name, nonNegative, nonNegativeInteger } from "../schema-checks.js";
 import type { Grant, Placement, PlacementProposal, PlacementRequest } from "./messages.js";
 import { teamQuota, term } from "./wire-fields.js";
 
-/** The fields of a machine's capacity have the same names on the wire, so a list of them passes as it is. */
+/** The fields of a machine's capacity have the same names on the wire, so lists of machines are not converted. */
 const MachineCapacitySchema = v.object({
 	id: name,
 	type: name,
@@ -14,26 +14,26 @@
 	cpus: v.number(),
 	gpus: v.number(),
 	memory: v.number(),
-	slots: amount,
+	slots: nonNegative,
 	images: v.array(v.string()),
 });
 
 const GrantSchema = v.object({
 	job: name,
-	count,
+	count: nonNegativeInteger,
 	avoid: v.array(v.string()),
 	zones: v.record(v.string(), v.number()),
 	beside: v.optional(v.array(v.string())),
 });
 
-const PlacementSchema = v.object({ job: name, machine: name, count });
+const PlacementSchema = v.object({ job: name, machine: name, count: nonNegativeInteger });
 
 /** A placement request on the wire. */
 export const PlacementRequestSchema = v.object({
 	kind: v.literal("view"),
 	epoch: term,
-	cycle: count,
-	start: count,
+	cycle: nonNegativeInteger,
+	start: nonNegativeInteger,
 	machines: v.array(MachineCapacitySchema),
 	grants: v.array(GrantSchema),
 	quota: teamQuota,
@@ -43,9 +43,9 @@
 export const PlacementProposalSchema = v.object({
 	kind: v.literal("placed"),
 	epoch: term,
-	cycle: count,
+	cycle: nonNegativeInteger,
 	placements: v.array(PlacementSchema),
-	/** The first versions did not say which jobs they lack. */
+	/** The first versions omit this field. */
 	unknown: v.optional(v.array(v.string()), []),
 	quota: teamQuota,
 });
@@ -85,7 +85,7 @@
 	count,
 });
 
-/** Maps a placement request to the wire. */
+/** Encodes a placement request. */
 export function encodePlacementRequest(
 	message: PlacementRequest,
 ): v.InferInput<typeof PlacementRequestSchema> {
@@ -101,7 +101,7 @@
 	};
 }
 
-/** Reads a placement request that has the form of its schema. */
+/** Decodes a placement request that was checked by its schema. */
 export function decodePlacementRequest(wire: v.InferOutput<typeof PlacementRequestSchema>): PlacementRequest {
 	const { epoch, cycle, start, machines, grants, quota } = wire;
 	return {
@@ -115,7 +115,7 @@
 	};
 }
 
-/** Maps a placement proposal to the wire. */
+/** Encodes a placement proposal. */
 export function encodePlacementProposal(
 	message: PlacementProposal,
 ): v.InferInput<typeof PlacementProposalSchema> {
@@ -130,7 +130,7 @@
 	};
 }
 
-/** Reads a placement proposal that has the form of its schema. */
+/** Decodes a placement proposal that was checked by its schema. */
 export function decodePlacementProposal(
 	wire: v.InferOutput<typeof PlacementProposalSchema>,
 ): PlacementProposal {
--- a/src/serve.ts
+++ b/src/serve.ts
@@ -1,4 +1,4 @@
-/** Runs a controller in this process: wires it to the network, the clocks and the log, until it is told to stop. */
+/** Runs a controller in this process, connected to the network, the clocks and the log, until a signal stops it. */
 
 import { randomBytes } from "node:crypto";
 import { type Logger, pino } from "pino";
@@ -23,50 +23,52 @@
 const defaultLogLevel = "info";
 const standardErrorFd = 2;
 
-/** Most connections to the store and to the cloud. */
-const storeConnections = 40;
-const cloudConnections = 8;
+const maxStoreConnections = 40;
+const maxCloudConnections = 8;
 
-/** Of the sockets that the process may have, this part is for users and workers, less those kept back. */
-const publicSocketsPart = 0.8;
-/** Sockets kept back for the store, the cloud, direct commands and the other controllers. */
-const socketsKeptBack = 60;
-const leastPublicSockets = 16;
+/**
+ * The fraction of the process's file descriptor limit that connections of users and workers may use, before the
+ * reserved sockets are subtracted.
+ */
+const publicSocketsFraction = 0.8;
+/** Sockets reserved for the store, the cloud, direct commands and the other controllers. */
+const reservedSockets = 60;
+const minPublicSockets = 16;
 
-/** After this the process ends, whatever is still open. */
+/** The process exits this long after a stop signal, even if connections are still open. */
 const exitDelayMs = 200;
 
-/** Starts a controller and returns once it listens. The process then runs until SIGTERM or SIGINT. */
+/** Starts a controller and resolves once it listens. The process then runs until SIGTERM or SIGINT. */
 export async function serve(platform: PlatformSettings, operator: OperatorSettings): Promise<void> {
 	const log = createLog(platform.node);
 	logUncaughtErrors(log);
 	const peers = new PeerLinks({
-		self: platform.node,
+		localNode: platform.node,
 		peers: platform.others,
 		onMessage: (from, message) => controller.receivePeerMessage(from, message),
 		log,
 	});
 	const controller = buildController(platform, operator, peers, log);
 	const server = await startPublicServer({
-		service: publicService(controller),
+		service: createPublicService(controller),
 		log,
 		...parseAddress(platform.front),
-		maxConnections: publicSockets(platform),
+		maxConnections: maxPublicConnections(platform),
 	});
-	const back = parseAddress(platform.back);
-	await peers.listen(back.host, back.port);
+	const peerAddress = parseAddress(platform.back);
+	await peers.listen(peerAddress.host, peerAddress.port);
 	controller.start();
 	log.info({ front: platform.front, back: platform.back, version }, "controller started");
 
-	const stop = () => {
+	const shutDown = () => {
 		log.info({}, "controller stopping");
 		controller.stop();
 		void server.close();
 		void peers.close();
 		setTimeout(() => process.exit(0), exitDelayMs);
 	};
-	process.once("SIGTERM", stop);
-	process.once("SIGINT", stop);
+	process.once("SIGTERM", shutDown);
+	process.once("SIGINT", shutDown);
 }
 
 function createLog(node: string): Logger {
@@ -77,7 +79,7 @@
 	);
 }
 
-/** A fault in one request or answer must not end the process. */
+/** Logs uncaught errors, because a fault in one request or response must not end the process. */
 function logUncaughtErrors(log: Logger): void {
 	process.on("uncaughtException", (error) => log.error({ err: error }, "uncaught exception"));
 	process.on("unhandledRejection", (reason) => log.error({ err: reason }, "unhandled promise rejection"));
@@ -93,7 +95,7 @@
 	const incarnation = randomBytes(6).toString("hex");
 	const seed = randomBytes(4).readInt32LE(0);
 	const store = new StoreClient({
-		http: new HttpClient(endpoints.state, storeConnections),
+		http: new HttpClient(endpoints.state, maxStoreConnections),
 		clock: systemClock,
 		requestsPerS: cluster.state.rps,
 		writesPerS: cluster.state.write_rps,
@@ -101,7 +103,11 @@
 	});
 	const ports = {
 		store,
-		cloud: new CloudClient(new HttpClient(endpoints.cloud, cloudConnections), systemClock, cluster.cloud.rps),
+		cloud: new CloudClient(
+			new HttpClient(endpoints.cloud, maxCloudConnections),
+			systemClock,
+			cluster.cloud.rps,
+		),
 		workers: new WorkerClient(),
 		peers,
 		clock: systemClock,
@@ -114,7 +120,7 @@
 	return createController({ platform, operator, incarnation, ports });
 }
 
-function publicService(controller: Controller): PublicService {
+function createPublicService(controller: Controller): PublicService {
 	return {
 		submit: (spec) => controller.jobs.submit(spec),
 		status: (id) => controller.jobs.status(id),
@@ -124,7 +130,7 @@
 	};
 }
 
-function publicSockets({ cluster }: PlatformSettings): number {
-	const sockets = Math.floor(cluster.resources.fd_limit * publicSocketsPart) - socketsKeptBack;
-	return Math.max(leastPublicSockets, sockets);
+function maxPublicConnections({ cluster }: PlatformSettings): number {
+	const sockets = Math.floor(cluster.resources.fd_limit * publicSocketsFraction) - reservedSockets;
+	return Math.max(minPublicSockets, sockets);
 }
--- a/src/transport/clients/store-client.ts
+++ b/src/transport/clients/store-client.ts
@@ -1,4 +1,4 @@
-/** Client of the key-value store, which keeps below the controller's share of the store's limits. */
+/** Client of the key-value store, which stays below this controller's share of the store's limits. */
 
 import { CallError } from "../../coordination/ports/call-error.js";
 import { type Clock, delay } from "../../coordination/ports/clock.js";
@@ -6,17 +6,17 @@
 import { paths } from "../../protocol/http/paths.js";
 import {
 	compareAndSwapBody,
-	conflictsFrom,
-	eventsFrom,
 	grantLeaseBody,
-	leaseIdFrom,
 	leasePath,
+	parseConflicts,
+	parseEvents,
+	parseLeaseId,
+	parseRevision,
+	parseRow,
+	parseRows,
 	renewLeaseBody,
 	renewLeasePath,
-	revisionFrom,
-	rowFrom,
 	rowPath,
-	rowsFrom,
 	rowsPath,
 	type StoreChange,
 	type StoreCondition,
@@ -30,34 +30,40 @@
 import { TokenBucket } from "./token-bucket.js";
 
 const callTimeoutMs = 1500;
-/** Reading many rows takes the store longer than other calls do. */
+/** Reading many rows takes the store longer than other calls. */
 const rowsTimeoutMs = 4000;
 const renewalTimeoutMs = 1000;
-/** How much longer than asked for a watch may take. */
+/** Time that a watch may take beyond its requested wait. */
 const watchGraceMs = 3000;
 
-/** Rows on one page of a prefix. */
+/** Rows per page in reads of a prefix. */
 const pageSize = 200;
 
-/** How long calls wait for their share of a rate. */
+/** Maximum waiting times of calls for their share of a rate limit. */
 const maxRequestWaitMs = 300;
 const maxPageWaitMs = 1000;
 const maxWriteWaitMs = 200;
 
-/** Part of the store's limit on changes that a controller uses. */
-const writeShare = 0.6;
-/** Part of that which background writes leave to others, and changes that normal ones leave. */
-const backgroundReservePart = 0.5;
+/** The fraction of the store's limit on changes that one controller uses. */
+const writeRateFraction = 0.6;
+/**
+ * The reserve that background writes leave to other writes, as a fraction of that rate, and the reserve that normal
+ * writes leave, as a number of changes.
+ */
+const backgroundReserveFraction = 0.5;
 const normalReserve = 1;
 
-/** How often, and after how long each time, a write that a user waits for is sent again after a 429. */
+/**
+ * The number of retries after 429 responses to a write for which a user waits, and the delay per retry, which grows
+ * by this step each time.
+ */
 const maxRateRetries = 4;
 const rateRetryMs = 100;
 /** Spreads the retries of simultaneous writes. */
 const retryJitterSteps = 7;
 const retryJitterMs = 20;
 
-/** What a store client needs. */
+/** Dependencies and limits of a store client. */
 export interface StoreClientOptions {
 	http: HttpCaller;
 	clock: Clock;
@@ -70,62 +76,66 @@
 }
 
 /**
- * The part of the limit on requests that one controller uses. A controller may be busier than the others, so it
- * is somewhat more than an equal part; what exceeds the common limit is refused with 429 and tried again.
+ * Returns the fraction of the store's limit on requests that one controller uses. It is somewhat more than an equal
+ * share, because one controller may be busier than the others. The store rejects requests beyond the common limit
+ * with 429, and they are retried.
  */
-function requestShare(controllers: number): number {
+function requestRateFraction(controllers: number): number {
 	return controllers > 1 ? 1.4 / controllers : 0.9;
 }
 
-/** The key-value store over HTTP. Rates are this controller's share of limits that all controllers draw on. */
+/**
+ * The key-value store over HTTP. Its rates are this controller's shares of limits that apply to all controllers
+ * together.
+ */
 export class StoreClient implements KeyValueStore {
 	private readonly http: HttpCaller;
 	private readonly clock: Clock;
-	private readonly requests: TokenBucket;
+	private readonly requestTokens: TokenBucket;
 	/**
-	 * Users' writes may come to any controller, all at once, and draw on the whole limit; what a leader writes
-	 * besides keeps to a part of it, and waits while users' writes use it up.
+	 * Tokens for changes. Any controller may receive a burst of users' writes, which may use the whole rate. A
+	 * leader's other writes leave a reserve, and wait while users' writes use up the tokens.
 	 */
-	private readonly writes: TokenBucket;
+	private readonly writeTokens: TokenBucket;
 	private readonly backgroundReserve: number;
 	private rateRetries = 0;
 
 	constructor({ http, clock, requestsPerS, writesPerS, controllers }: StoreClientOptions) {
 		this.http = http;
 		this.clock = clock;
-		const requestRate = requestsPerS * requestShare(controllers);
-		this.requests = new TokenBucket(requestRate, requestRate, clock);
-		const writeRate = writesPerS * writeShare;
-		this.writes = new TokenBucket(writeRate, writeRate, clock);
-		this.backgroundReserve = writeRate * backgroundReservePart;
+		const requestRate = requestsPerS * requestRateFraction(controllers);
+		this.requestTokens = new TokenBucket(requestRate, requestRate, clock);
+		const writeRate = writesPerS * writeRateFraction;
+		this.writeTokens = new TokenBucket(writeRate, writeRate, clock);
+		this.backgroundReserve = writeRate * backgroundReserveFraction;
 	}
 
 	async read(key: string): Promise<{ row: StoreRow | null }> {
-		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		await this.acquireTokens(this.requestTokens, 1, 0, maxRequestWaitMs);
 		const response = await this.http.call("GET", rowPath(key), undefined, callTimeoutMs);
 		expectStatus(response, "read", 200, 404);
-		if (response.status === 200) return { row: parseResponse(response, "read", rowFrom) };
-		// A 404 without a revision does not come from the store and does not tell that the key is absent.
-		parseResponse(response, "read", revisionFrom);
+		if (response.status === 200) return { row: parseResponse(response, "read", parseRow) };
+		// A 404 without a revision does not come from the store, and does not prove that the key is absent.
+		parseResponse(response, "read", parseRevision);
 		return { row: null };
 	}
 
 	async readPrefix(prefix: string): Promise<{ rows: StoreRow[]; revision: Revision }> {
-		const all: StoreRow[] = [];
-		let after: string | null = null;
+		const allRows: StoreRow[] = [];
+		let afterKey: string | null = null;
 		let firstRevision: Revision | null = null;
 		for (;;) {
-			await this.admit(this.requests, 1, 0, maxPageWaitMs);
-			const path = rowsPath(prefix, after, pageSize);
+			await this.acquireTokens(this.requestTokens, 1, 0, maxPageWaitMs);
+			const path = rowsPath(prefix, afterKey, pageSize);
 			const response = await this.http.call("GET", path, undefined, rowsTimeoutMs);
 			expectStatus(response, "rows", 200);
-			const { rows, more, revision } = parseResponse(response, "rows", rowsFrom);
-			// Later pages may hold later changes. A watch from the revision of the first page repeats those.
+			const { rows, hasMore, revision } = parseResponse(response, "rows", parseRows);
+			// Later pages may contain later changes. A watch from the revision of the first page repeats those.
 			firstRevision ??= revision;
-			all.push(...rows);
+			allRows.push(...rows);
 			const last = rows.at(-1);
-			if (!more || !last) return { rows: all, revision: firstRevision };
-			after = last.key;
+			if (!hasMore || !last) return { rows: allRows, revision: firstRevision };
+			afterKey = last.key;
 		}
 	}
 
@@ -134,19 +144,19 @@
 		changes: StoreChange[],
 		priority: WritePriority,
 	): Promise<CompareAndSwapResult> {
-		await this.admitWrite(changes.length, priority);
-		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		await this.acquireWriteTokens(changes.length, priority);
+		await this.acquireTokens(this.requestTokens, 1, 0, maxRequestWaitMs);
 		const response = await this.transact(compareAndSwapBody(conditions, changes), priority);
 		expectStatus(response, "transaction", 200, 409);
 		return response.status === 200
-			? { swapped: true, revision: parseResponse(response, "transaction", revisionFrom) }
-			: { swapped: false, ...parseResponse(response, "transaction", conflictsFrom) };
+			? { swapped: true, revision: parseResponse(response, "transaction", parseRevision) }
+			: { swapped: false, ...parseResponse(response, "transaction", parseConflicts) };
 	}
 
 	async grantLease(ttlMs: number): Promise<LeaseId> {
 		const response = await this.http.call("POST", paths.leases, grantLeaseBody(ttlMs), callTimeoutMs);
 		expectStatus(response, "lease", 200, 201);
-		return parseResponse(response, "lease", leaseIdFrom);
+		return parseResponse(response, "lease", parseLeaseId);
 	}
 
 	async renewLease(lease: LeaseId): Promise<void> {
@@ -161,47 +171,63 @@
 
 	async watch(
 		prefix: string,
-		from: Revision,
+		afterRevision: Revision,
 		waitMs: number,
 	): Promise<{ events: StoreEvent[]; revision: Revision }> {
-		await this.admit(this.requests, 1, 0, maxRequestWaitMs);
+		await this.acquireTokens(this.requestTokens, 1, 0, maxRequestWaitMs);
 		const timeoutMs = waitMs + (waitMs === 0 ? callTimeoutMs : watchGraceMs);
-		const response = await this.http.call("GET", watchPath(prefix, from, waitMs), undefined, timeoutMs);
+		const response = await this.http.call(
+			"GET",
+			watchPath(prefix, afterRevision, waitMs),
+			undefined,
+			timeoutMs,
+		);
 		expectStatus(response, "watch", 200);
-		return parseResponse(response, "watch", eventsFrom);
+		return parseResponse(response, "watch", parseEvents);
 	}
 
-	/** Closes the connections. Calls that are still open reject. */
+	/** Closes the connections. Pending calls reject. */
 	close(): void {
 		this.http.close();
 	}
 
-	/** Waits for a request's share of a rate, beyond the reserve, but no longer than given. */
-	private async admit(bucket: TokenBucket, count: number, reserve: number, maxWaitMs: number): Promise<void> {
-		if (bucket.take(count, reserve)) return;
+	/**
+	 * Takes tokens and leaves the reserve, after a wait of at most `maxWaitMs` if necessary. Throws a CallError if
+	 * the tokens are not available in time.
+	 */
+	private async acquireTokens(
+		bucket: TokenBucket,
+		count: number,
+		reserve: number,
+		maxWaitMs: number,
+	): Promise<void> {
+		if (bucket.tryTake(count, reserve)) return;
 		const waitMs = bucket.waitMs(count, reserve);
 		if (waitMs <= maxWaitMs) {
 			await delay(this.clock, waitMs + 1);
-			if (bucket.take(count, reserve)) return;
+			if (bucket.tryTake(count, reserve)) return;
 		}
 		throw new CallError("not executed", 429, "this controller's share of the store's rate is used up");
 	}
 
-	/** A write that a user waits for is sent at once, whatever the rate; the others wait for it to be paid for. */
-	private async admitWrite(changes: number, priority: WritePriority): Promise<void> {
+	/**
+	 * A write for which a user waits is sent at once and may overdraw the bucket; other writes wait until the
+	 * bucket has recovered.
+	 */
+	private async acquireWriteTokens(changes: number, priority: WritePriority): Promise<void> {
 		switch (priority) {
 			case "user":
-				return this.writes.debit(changes);
+				return this.writeTokens.debit(changes);
 			case "normal":
-				return this.admit(this.writes, changes, normalReserve, maxWriteWaitMs);
+				return this.acquireTokens(this.writeTokens, changes, normalReserve, maxWriteWaitMs);
 			case "background":
-				return this.admit(this.writes, changes, this.backgroundReserve, maxWriteWaitMs);
+				return this.acquireTokens(this.writeTokens, changes, this.backgroundReserve, maxWriteWaitMs);
 		}
 	}
 
 	/**
-	 * Sends a transaction. One that was refused for its rate was not executed: if a user waits for it, it is sent
-	 * again a few times within a second before the user is told to come back.
+	 * Sends a transaction. If the store rejects it with 429, it was not executed. If a user waits for it, it is
+	 * then retried a few times within about a second before the user gets an error.
 	 */
 	private async transact(body: object, priority: WritePriority): Promise<HttpResponse> {
 		let response = await this.http.call("POST", paths.transaction, body, callTimeoutMs);
--- a/src/transport/public/heartbeat-listener.ts
+++ b/src/transport/public/heartbeat-listener.ts
@@ -8,30 +8,30 @@
 import type { PublicService } from "./public-service.js";
 import { bodyTooLargeMessage, maxBodyBytes } from "./request-body.js";
 
-/** What the listener needs. */
+/** Dependencies of the listener. */
 export interface HeartbeatListenerOptions {
 	service: Pick<PublicService, "handleHeartbeat">;
 	log: Log;
 	/**
-	 * Whether sockets are short. A worker is then asked to close its connection after each heartbeat, so that
-	 * users get connections; users are not asked.
+	 * True if few sockets are left. Workers are then asked to close their connections after each heartbeat, so that
+	 * users can connect; users are not asked.
 	 */
 	socketsScarce(): boolean;
 }
 
-/** Whether a request is a heartbeat. */
+/** True if the request is a heartbeat. */
 export function isHeartbeat({ method, url }: IncomingMessage): boolean {
-	return method === "POST" && (url === paths.report || url?.startsWith(`${paths.report}?`) === true);
+	return method === "POST" && (url === paths.heartbeats || url?.startsWith(`${paths.heartbeats}?`) === true);
 }
 
 /**
- * Handles heartbeats without the routes and objects that users' requests pass through: heartbeats are most of
- * what a leader receives, hundreds a second for a small share of a core.
+ * Handles heartbeats without the router and the request objects of users' requests: most requests that a leader
+ * receives are heartbeats, hundreds per second on a small share of a core.
  */
 export class HeartbeatListener {
 	constructor(private readonly options: HeartbeatListenerOptions) {}
 
-	/** Reads the body of a heartbeat within the bound and responds to it. */
+	/** Reads the body of a heartbeat up to the maximum size and responds to it. */
 	handle(request: IncomingMessage, response: ServerResponse): void {
 		const chunks: Buffer[] = [];
 		let bytes = 0;
@@ -40,25 +40,25 @@
 			if (bytes <= maxBodyBytes) chunks.push(chunk);
 			else this.respond(response, 413, { error: bodyTooLargeMessage }, { connection: "close" });
 		});
-		// The worker has closed the connection within its request: there is nobody to respond to, and the worker
-		// sends its next heartbeat in any case.
-		request.on("error", (err) => this.options.log.debug({ path: paths.report, err }, "request aborted"));
+		// The worker closed the connection during its request: no response can be sent, and the worker sends its
+		// next heartbeat in any case.
+		request.on("error", (err) => this.options.log.debug({ path: paths.heartbeats, err }, "request aborted"));
 		request.on("end", () => {
-			if (bytes <= maxBodyBytes) void this.answer(joined(chunks).toString("utf8"), response);
+			if (bytes <= maxBodyBytes) void this.processHeartbeat(concatChunks(chunks).toString("utf8"), response);
 		});
 	}
 
-	private async answer(body: string, response: ServerResponse): Promise<void> {
+	private async processHeartbeat(body: string, response: ServerResponse): Promise<void> {
 		try {
 			const result = await this.options.service.handleHeartbeat(parseHeartbeat(body));
 			if (result.kind === "redirect") this.respond(response, 421, redirectBody(result.node));
 			else this.respond(response, 200, heartbeatResponseBody(result.fencingToken, result.commands));
 		} catch (error) {
-			this.fail(error, response);
+			this.respondWithError(error, response);
 		}
 	}
 
-	private fail(error: unknown, response: ServerResponse): void {
+	private respondWithError(error: unknown, response: ServerResponse): void {
 		if (error instanceof MalformedMessageError) {
 			this.respond(response, 400, { error: error.message });
 			return;
@@ -74,7 +74,8 @@
 		body: object,
 		headers?: OutgoingHttpHeaders,
 	): void {
-		// A body that is too large is answered once, and a response may come after the worker has gone.
+		// A body that is too large gets only one response, and the worker may close its connection before the
+		// response is ready.
 		if (response.headersSent || response.destroyed) return;
 		const text = JSON.stringify(body);
 		response.writeHead(status, {
@@ -87,7 +88,7 @@
 	}
 }
 
-function joined(chunks: Buffer[]): Buffer {
+function concatChunks(chunks: Buffer[]): Buffer {
 	const [first] = chunks;
 	return first && chunks.length === 1 ? first : Buffer.concat(chunks);
 }
--- a/tests/protocol/http/cloud-api.test.ts
+++ b/tests/protocol/http/cloud-api.test.ts
@@ -1,17 +1,17 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import {
-	createdMachinesFrom,
 	createMachinesBody,
 	deleteMachinesBody,
 	isNoCapacity,
-	machineListFrom,
 	machineListPath,
-	machineTypesFrom,
+	parseCreatedMachines,
+	parseMachineList,
+	parseMachineTypes,
 } from "../../../src/protocol/http/cloud-api.js";
 
-describe("the cloud's API", () => {
-	test("machine types, with all that the cloud says", () => {
+describe("the cloud's API encoding", () => {
+	test("machine types with all fields are parsed", () => {
 		const wire = {
 			sku: "g8",
 			cores: 96,
@@ -24,7 +24,7 @@
 			boot_s: 45,
 			halls: ["a", "b"],
 		};
-		assert.deepStrictEqual(machineTypesFrom({ shapes: [wire] }), [
+		assert.deepStrictEqual(parseMachineTypes({ shapes: [wire] }), [
 			{
 				name: "g8",
 				cpus: 96,
@@ -40,9 +40,9 @@
 		]);
 	});
 
-	test("machine types, with what is assumed where the cloud says nothing", () => {
+	test("machine types with missing fields are parsed with defaults", () => {
 		const wire = { sku: "c4", cores: 4, ram_gb: 16, rate: 0.5, halls: [], accelerators: null };
-		assert.deepStrictEqual(machineTypesFrom({ shapes: [wire] }), [
+		assert.deepStrictEqual(parseMachineTypes({ shapes: [wire] }), [
 			{
 				name: "c4",
 				cpus: 4,
@@ -58,7 +58,7 @@
 		]);
 	});
 
-	test("creation of machines, and its refusal for want of capacity", () => {
+	test("a creation request is encoded, and its response and the no-capacity response are recognized", () => {
 		const request = { name: "r-17", machineType: "g8", zone: "a", spot: true, count: 12 };
 		assert.deepStrictEqual(createMachinesBody(request), {
 			hire: "r-17",
@@ -67,18 +67,18 @@
 			loaners: true,
 			count: 12,
 		});
-		assert.deepStrictEqual(createdMachinesFrom({ hosts: ["n-000231"] }), ["n-000231"]);
+		assert.deepStrictEqual(parseCreatedMachines({ hosts: ["n-000231"] }), ["n-000231"]);
 		assert.equal(isNoCapacity({ error: "no capacity" }), true);
 		for (const body of [null, undefined, "no capacity", {}, { error: "trouble" }, { error: 7 }]) {
 			assert.equal(isNoCapacity(body), false, JSON.stringify(body));
 		}
 	});
 
-	test("deletion of machines", () => {
+	test("a deletion request is encoded", () => {
 		assert.deepStrictEqual(deleteMachinesBody(["n-000231"]), { hosts: ["n-000231"] });
 	});
 
-	test("the list of machines, page by page", () => {
+	test("the machine list is requested and parsed page by page, with defaults for missing fields", () => {
 		assert.equal(machineListPath("", 500), "/hosts?limit=500");
 		assert.equal(machineListPath("n-000230", 500), "/hosts?from=n-000230&limit=500");
 		const wire = { id: "n-000231", endpoint: "10.1.0.232:9000", shape: "g8", hall: "a", loaners: true };
@@ -96,7 +96,7 @@
 			{ ...wire, status: "of a later version" },
 			{ id: "n-000232", shape: "c4", hall: "b" },
 		];
-		assert.deepStrictEqual(machineListFrom({ hosts, truncated: true }), {
+		assert.deepStrictEqual(parseMachineList({ hosts, truncated: true }), {
 			machines: [
 				{ ...machine, status: "running", ageS: 61.5 },
 				{ ...machine, status: "booting", ageS: 2 },
@@ -112,8 +112,8 @@
 					ageS: 0,
 				},
 			],
-			more: true,
+			hasMore: true,
 		});
-		assert.equal(machineListFrom({ hosts: [] }).more, false);
+		assert.equal(parseMachineList({ hosts: [] }).hasMore, false);
 	});
 });
