--- a/tests/coordination/fleet/cloud-inventory.test.ts
+++ b/tests/coordination/fleet/cloud-inventory.test.ts
@@ -34,7 +34,7 @@
 					status: "running" as const,
 					ageS: 100,
 				}));
-				return { machines, more: from + count < size };
+				return { machines, hasMore: from + count < size };
 			};
 			const hooks = { post: (run: () => void) => run(), isDeleted: () => false };
 			const inventory = new CloudInventory(
