--- a/src/transport/peers/outgoing-peer-link.ts
+++ b/src/transport/peers/outgoing-peer-link.ts
@@ -14,7 +14,7 @@
 const retryDelayStepMs = 200;
 const maxRetryDelayMs = 2000;
 
-/** If more than this is queued, the other controller has stopped reading. */
+/** If more than this is queued, the other controller has stopped reading and the connection is closed. */
 const maxQueuedBytes = 2 * 1024 * 1024;
 
 /** Dependencies of an outgoing link. */
