--- a/tests/coordination/fleet/drain.test.ts
+++ b/tests/coordination/fleet/drain.test.ts
@@ -6,12 +6,12 @@
 import { defaultOperator } from "../../../src/protocol/settings/operator.js";
 import { FakeTime } from "../../support/fake-time.js";
 import { silentLog } from "../../support/silent-log.js";
-import { tablesWith } from "../../support/small-cluster.js";
+import { clusterStateWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
 test("draining of a machine is cancelled for a job that fits on it and has waited for 20 s", async () => {
 	const time = new FakeTime();
-	const clusterState = tablesWith(4, 16);
+	const clusterState = clusterStateWith(4, 16);
 	const [drainingMachine] = [...clusterState.machines.values()] as [Machine];
 	const runningJob = clusterState.addJob(
 		"j-1",
--- a/tests/coordination/fleet/hill-climb.test.ts
+++ b/tests/coordination/fleet/hill-climb.test.ts
@@ -9,7 +9,7 @@
 } from "../../../src/coordination/fleet/hill-climb.js";
 import type { MachineType } from "../../../src/protocol/model/machine.js";
 import { largeFleetSizes } from "../../support/large-fleets.js";
-import { small } from "../../support/small-cluster.js";
+import { smallType } from "../../support/small-cluster.js";
 import { mediumType, specOf } from "../../support/specs.js";
 
 test("the counters trigger once enough rounds are beyond a threshold, and clear in a round between the thresholds", () => {
@@ -69,10 +69,10 @@
 });
 
 test("offers are ranked by the cost per needed core", () => {
-	const big: MachineType = { ...small, name: "big", cpus: 64, memoryGb: 128, price: 4, spotPrice: 1 };
+	const big: MachineType = { ...smallType, name: "big", cpus: 64, memoryGb: 128, price: 4, spotPrice: 1 };
 	const offer = (type: MachineType) => ({ type, zone: "a", spot: true, hourlyPrice: type.spotPrice });
 	const ranked = (needed: number) =>
-		rankOffers([offer(small), offer(big)], specOf("j"), needed).map((o) => o.type.name);
+		rankOffers([offer(smallType), offer(big)], specOf("j"), needed).map((o) => o.type.name);
 	assert.deepEqual(ranked(64), ["big", "small"]);
 	assert.deepEqual(ranked(4), ["small", "big"]);
 });
--- a/tests/coordination/leadership/leadership.test.ts
+++ b/tests/coordination/leadership/leadership.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { candidate, inOutage } from "../../support/leadership-candidate.js";
+import { candidate, electedInOutage } from "../../support/leadership-candidate.js";
 
 test("a new process campaigns once any vote of an earlier one has expired, or all others reply that they do not lead", async () => {
 	const unanswered = candidate(["a", "b"]);
 	await unanswered.run(2900);
-	assert.deepEqual(unanswered.won, []);
+	assert.deepEqual(unanswered.wonTerms, []);
 	await unanswered.run(500);
-	assert.equal(unanswered.won.length, 1);
+	assert.equal(unanswered.wonTerms.length, 1);
 
 	const answered = candidate(["a", "b"]);
 	answered.leadership.handleMessage("a", {
@@ -17,7 +17,7 @@
 		incarnation: "inc",
 	});
 	await answered.run(300);
-	assert.deepEqual(answered.won, [], "one of two controllers has replied");
+	assert.deepEqual(answered.wonTerms, [], "one of two controllers has replied");
 	// A late copy of a reply to an earlier process of this node, which may have voted after the reply.
 	answered.leadership.handleMessage("b", {
 		kind: "leader-query-reply",
@@ -26,7 +26,7 @@
 		incarnation: "before",
 	});
 	await answered.run(300);
-	assert.deepEqual(answered.won, []);
+	assert.deepEqual(answered.wonTerms, []);
 	answered.leadership.handleMessage("b", {
 		kind: "leader-query-reply",
 		term: 0,
@@ -34,14 +34,14 @@
 		incarnation: "inc",
 	});
 	await answered.run(300);
-	assert.equal(answered.won.length, 1);
+	assert.equal(answered.wonTerms.length, 1);
 });
 
 test("after a process pause a leader has authority only once a renewal or all votes requested since arrive", async () => {
 	const controller = candidate(["a", "b"]);
 	controller.leadership.endStartupHoldoff();
 	await controller.run(500);
-	const term = controller.won[0] as number;
+	const term = controller.wonTerms[0] as number;
 	await controller.time.advance(2100);
 	assert.equal(controller.leadership.authorizedTerm(), term, "by its clock its lease is valid");
 	controller.leadership.onProcessPause();
@@ -59,7 +59,10 @@
 			cancellations: [],
 		});
 	const latestRequestNumber = () =>
-		Math.max(0, ...controller.told.map((m) => (m.kind === "lease-extension-request" ? m.requestNumber : 0)));
+		Math.max(
+			0,
+			...controller.sentMessages.map((m) => (m.kind === "lease-extension-request" ? m.requestNumber : 0)),
+		);
 	await controller.run(1200);
 	const requestBeforePause = latestRequestNumber();
 	for (const node of ["a", "b"]) receiveVote(node, requestBeforePause);
@@ -89,23 +92,23 @@
 	controller.leadership.endStartupHoldoff();
 	await controller.run(500);
 	await controller.run(5000);
-	controller.copy.stuck = true;
+	controller.replica.watchStalled = true;
 	await controller.run(19_500);
 	assert.notEqual(controller.leadership.authorizedTerm(), null);
 	await controller.run(1000);
 	assert.equal(controller.leadership.authorizedTerm(), null);
-	assert.deepEqual(controller.lost, ["store changes do not arrive"]);
+	assert.deepEqual(controller.resignationReasons, ["store changes do not arrive"]);
 });
 
 test("where cancel_s hardly exceeds a worker's lease authority is possible with the store but not without", async () => {
 	const controller = candidate(["a"], 0);
-	const { epoch: term, answer } = await inOutage(controller);
-	await answer(3500, { a: [] });
+	const { term, vote } = await electedInOutage(controller);
+	await vote(3500, { a: [] });
 	assert.equal(controller.leadership.authorizedTerm(), null, "in spite of the vote");
 	controller.service.setOutage(false);
 	await controller.run(1000);
 	assert.equal(controller.leadership.authorizedTerm(), term);
-	controller.copy.stuck = true;
+	controller.replica.watchStalled = true;
 	await controller.run(8500);
 	assert.equal(controller.leadership.authorizedTerm(), null);
 });
@@ -113,18 +116,22 @@
 test("a campaign whose write got no response is decided by reading the leader key back", async () => {
 	const applied = candidate([]);
 	applied.leadership.endStartupHoldoff();
-	applied.faults.loseAnswers = true;
+	applied.faults.dropResponses = true;
 	await applied.run(300);
-	assert.equal(applied.won[0], applied.service.rows.get("r/one/leader")?.stamp, "the put had been applied");
+	assert.equal(
+		applied.wonTerms[0],
+		applied.service.rows.get("r/one/leader")?.stamp,
+		"the put had been applied",
+	);
 
 	const notApplied = candidate([]);
 	notApplied.leadership.endStartupHoldoff();
-	notApplied.faults.loseAnswers = true;
+	notApplied.faults.dropResponses = true;
 	const changes = [{ put: "r/one/leader", v: { node: "a" } }];
 	// biome-ignore lint/suspicious/noThenProperty: the state service's own word for the changes
 	await notApplied.service.handle("POST", "/multi", { when: [], then: changes }, "a");
 	notApplied.leadership.tick(null, true);
 	await notApplied.time.advance(500);
-	assert.deepEqual(notApplied.won, [], "another node holds the leader key");
+	assert.deepEqual(notApplied.wonTerms, [], "another node holds the leader key");
 	assert.deepEqual(notApplied.service.rows.get("r/one/leader")?.v, { node: "a" });
 });
--- a/tests/coordination/leadership/lease-extension.test.ts
+++ b/tests/coordination/leadership/lease-extension.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { candidate, inOutage } from "../../support/leadership-candidate.js";
+import { candidate, electedInOutage } from "../../support/leadership-candidate.js";
 
 test("a controller that has voted does not campaign until its vote has expired", async () => {
 	const controller = candidate(["a"]);
@@ -8,12 +8,16 @@
 	controller.service.setOutage(true);
 	controller.leadership.handleMessage("a", { kind: "lease-extension-request", term: 9, requestNumber: 1 });
 	await controller.time.advance(100);
-	assert.deepEqual(controller.told.at(-1), { kind: "lease-extension-vote", term: 9, requestNumber: 1 });
+	assert.deepEqual(controller.sentMessages.at(-1), {
+		kind: "lease-extension-vote",
+		term: 9,
+		requestNumber: 1,
+	});
 	controller.service.setOutage(false);
 	await controller.run(2700);
-	assert.deepEqual(controller.won, []);
+	assert.deepEqual(controller.wonTerms, []);
 	await controller.run(1000);
-	assert.equal(controller.won.length, 1);
+	assert.equal(controller.wonTerms.length, 1);
 });
 
 test("a controller that the store serves does not vote", async () => {
@@ -21,20 +25,20 @@
 	controller.leadership.endStartupHoldoff();
 	controller.leadership.handleMessage("a", { kind: "lease-extension-request", term: 9, requestNumber: 1 });
 	await controller.time.advance(500);
-	assert.deepEqual(controller.told, []);
+	assert.deepEqual(controller.sentMessages, []);
 });
 
 test("authority outlasts the lease only while every other controller votes", async () => {
 	const controller = candidate(["a", "b"]);
 	controller.leadership.endStartupHoldoff();
 	await controller.run(500);
-	const term = controller.won[0] as number;
+	const term = controller.wonTerms[0] as number;
 	assert.equal(controller.leadership.authorizedTerm(), term);
 	controller.service.setOutage(true);
 	const answerRequests = async (ms: number, from: string[]) => {
 		for (let t = 0; t < ms; t += 100) {
 			await controller.run(100);
-			for (const request of controller.told.splice(0)) {
+			for (const request of controller.sentMessages.splice(0)) {
 				if (request.kind !== "lease-extension-request") continue;
 				for (const node of from)
 					controller.leadership.handleMessage(node, {
@@ -60,10 +64,10 @@
 
 test("votes do not restore authority once it has lapsed; a renewal does", async () => {
 	const controller = candidate(["a", "b"]);
-	const { epoch: term, answer } = await inOutage(controller);
-	await answer(4000, {});
+	const { term, vote } = await electedInOutage(controller);
+	await vote(4000, {});
 	assert.equal(controller.leadership.authorizedTerm(), null, "no controller has voted");
-	await answer(2000, { a: [], b: [] });
+	await vote(2000, { a: [], b: [] });
 	assert.equal(
 		controller.leadership.authorizedTerm(),
 		null,
@@ -76,13 +80,13 @@
 
 test("votes that list every cancellation extend authority through an outage of any length", async () => {
 	const controller = candidate(["a", "b"]);
-	const { epoch: term, answer } = await inOutage(controller);
-	await answer(30_000, { a: [], b: [{ jobId: "j-000007", revision: 9, taskCount: 1, doneCount: 0 }] });
+	const { term, vote } = await electedInOutage(controller);
+	await vote(30_000, { a: [], b: [{ jobId: "j-000007", revision: 9, taskCount: 1, doneCount: 0 }] });
 	assert.equal(controller.leadership.authorizedTerm(), term, "30 s, with a staleness bound of 20 s");
-	assert.ok(controller.learnt.includes("j-000007"));
+	assert.ok(controller.recordedCancellations.includes("j-000007"));
 	// From here on b's votes list no cancellations, so the staleness bound counts from here.
-	await answer(19_000, { a: [], b: undefined });
+	await vote(19_000, { a: [], b: undefined });
 	assert.equal(controller.leadership.authorizedTerm(), term);
-	await answer(2000, { a: [], b: undefined });
+	await vote(2000, { a: [], b: undefined });
 	assert.equal(controller.leadership.authorizedTerm(), null);
 });
--- a/tests/coordination/placement/job-order.test.ts
+++ b/tests/coordination/placement/job-order.test.ts
@@ -2,11 +2,11 @@
 import { test } from "node:test";
 import { schedulingOrder } from "../../../src/coordination/placement/job-order.js";
 import type { Priority } from "../../../src/protocol/model/job.js";
-import { tablesWith } from "../../support/small-cluster.js";
+import { clusterStateWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
 test("scheduling order is by priority tier, due time and shortest remaining time; best effort follows normal work of equal length", () => {
-	const clusterState = tablesWith(0);
+	const clusterState = clusterStateWith(0);
 	const add = (id: string, priority: Priority, tasks: number, deadlineS: number | null = null) =>
 		clusterState.addJob(id, specOf(id, { priority, taskCount: tasks, deadlineS }), 0, 1);
 	add("j-long", "normal", 40);
@@ -24,7 +24,7 @@
 });
 
 test("a job that can no longer meet its deadline does not delay jobs that can meet theirs", () => {
-	const clusterState = tablesWith(0);
+	const clusterState = clusterStateWith(0);
 	const add = (id: string, deadlineS: number) =>
 		clusterState.addJob(id, specOf(id, { priority: "urgent", deadlineS, estimatedRunS: 10 }), 0, 1);
 	add("j-soon", 20);
--- a/tests/coordination/placement/starvation.test.ts
+++ b/tests/coordination/placement/starvation.test.ts
@@ -6,13 +6,13 @@
 import { isStarved, schedulingOrder } from "../../../src/coordination/placement/job-order.js";
 import { ClusterState } from "../../../src/coordination/state/cluster-state.js";
 import type { Priority } from "../../../src/protocol/model/job.js";
-import { tablesWith } from "../../support/small-cluster.js";
+import { clusterStateWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
 test("under a continuous stream of small jobs, the largest job starts within four minutes and most of its tasks start", () => {
 	for (const seed of [1, 2, 3, 4]) {
 		const random = xoroshiro128plus(seed);
-		const clusterState = tablesWith(0);
+		const clusterState = clusterStateWith(0);
 		const jobs = new Map<string, { job: Job; unstarted: number; startedAtS: number | null }>();
 		const add = (id: string, tasks: number, at: number, priority: Priority) => {
 			const job = clusterState.addJob(id, specOf(id, { taskCount: tasks, cpus: 1, priority }), at * 1000, 1);
--- a/tests/coordination/preemption/preemption-planner.test.ts
+++ b/tests/coordination/preemption/preemption-planner.test.ts
@@ -5,13 +5,13 @@
 import type { ClusterState } from "../../../src/coordination/state/cluster-state.js";
 import type { JobSpec } from "../../../src/protocol/model/job.js";
 import { makeSchedulable } from "../../support/machines.js";
-import { small, tablesWith } from "../../support/small-cluster.js";
+import { clusterStateWith, smallType } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
 test("victims for a job with machine constraints are searched on the machines that it allows, whatever a sample of all contains", () => {
-	const clusterState = tablesWith(30, 400);
+	const clusterState = clusterStateWith(30, 400);
 	const ordinary = new Machine(
-		{ id: "n-ordinary", type: small, zone: "a", spot: false, origin: "heartbeat" },
+		{ id: "n-ordinary", type: smallType, zone: "a", spot: false, origin: "heartbeat" },
 		0,
 	);
 	makeSchedulable(ordinary);
@@ -69,7 +69,7 @@
 }
 
 test("an urgent task preempts lower-priority tasks of its own team, and no more than it needs", () => {
-	const clusterState = tablesWith(2);
+	const clusterState = clusterStateWith(2);
 	fillMachines(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
 	const urgent = clusterState.addJob(
 		"j-2",
@@ -89,7 +89,7 @@
 });
 
 test("a task of the same priority is preempted only if it is beyond its team's guarantee, for a task within its own team's", () => {
-	const clusterState = tablesWith(2);
+	const clusterState = clusterStateWith(2);
 	fillMachines(clusterState, "j-1", { team: "blue", estimatedRunS: 100 }, 4, 0);
 	const other = clusterState.addJob("j-2", specOf("j-2", { taskCount: 4 }), 0, 1);
 	other.resetWaitingTasks();
@@ -97,7 +97,7 @@
 	assert.equal(victims.length, 2, "blue uses 8 cores and is guaranteed 4, red uses none and is guaranteed 4");
 	assert.ok(victims.every((v) => v.job.id === "j-1"));
 
-	const withinGuarantee = tablesWith(1);
+	const withinGuarantee = clusterStateWith(1);
 	fillMachines(withinGuarantee, "j-1", { team: "blue", estimatedRunS: 100 }, 2, 0);
 	const waiting = withinGuarantee.addJob("j-2", specOf("j-2"), 0, 1);
 	waiting.resetWaitingTasks();
@@ -105,7 +105,7 @@
 });
 
 test("a task that is more than half done is not preempted", () => {
-	const clusterState = tablesWith(2);
+	const clusterState = clusterStateWith(2);
 	fillMachines(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
 	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", taskCount: 1 }), 0, 1);
 	urgent.resetWaitingTasks();
@@ -118,7 +118,7 @@
 		[100, 2],
 		[2, 0],
 	] as const) {
-		const clusterState = tablesWith(2);
+		const clusterState = clusterStateWith(2);
 		fillMachines(clusterState, "j-1", { cpus: 1, team: "blue", estimatedRunS }, 8, 0);
 		const urgent = clusterState.addJob(
 			"j-2",
@@ -130,7 +130,7 @@
 		assert.equal(chooseVictims(clusterState, [urgent], 1000).length, stopped, `runs of ${estimatedRunS} s`);
 	}
 	// For a team at its limit only the ends of its own tasks count.
-	const clusterState = tablesWith(2);
+	const clusterState = clusterStateWith(2);
 	fillMachines(clusterState, "j-1", { cpus: 1, estimatedRunS: 100 }, 8, 0);
 	fillMachines(clusterState, "j-3", { cpus: 1, team: "blue", estimatedRunS: 1 }, 8, 0);
 	const urgent = clusterState.addJob("j-2", specOf("j-2", { priority: "urgent", taskCount: 1 }), 0, 1);
--- a/tests/coordination/replication/chunked-records.test.ts
+++ b/tests/coordination/replication/chunked-records.test.ts
@@ -122,7 +122,7 @@
 test("a chunk larger than the limit is split when it is next written; every read meanwhile finds all entries", async () => {
 	const { records, run, service, time, rejectedKeys } = await createChunkedRecords(undefined, 800);
 	const { names, row } = await storeLargeChunk(service);
-	service.limits = { valueBytes: 1000, changes: 4 };
+	service.limits = { valueBytes: 1000, operations: 4 };
 	records.load([["r/x/0-1", { value: row.v as { entries: Record<string, string> }, revision: row.stamp }]]);
 	await run(2000);
 	assert.equal(service.rows.get("r/x/0-1"), row, "the chunk is unchanged until an entry in it changes");
@@ -148,7 +148,7 @@
 test("a leader that ends while a chunk is split leaves every latest entry for the next leader to read", async () => {
 	const first = await createChunkedRecords(undefined, 800);
 	const { names, row } = await storeLargeChunk(first.service);
-	first.service.limits = { valueBytes: 1000, changes: 4 };
+	first.service.limits = { valueBytes: 1000, operations: 4 };
 	first.records.load([
 		["r/x/0-1", { value: row.v as { entries: Record<string, string> }, revision: row.stamp }],
 	]);
@@ -186,7 +186,7 @@
 
 test("chunks that the store rejects for their size are split; one that cannot be split is reported and blocks no other", async () => {
 	const { records, confirmed, run, service, rejectedKeys } = await createChunkedRecords(undefined, 1000);
-	service.limits = { valueBytes: 400, changes: 1 };
+	service.limits = { valueBytes: 400, operations: 1 };
 	for (let i = 0; i < 30; i++) records.set(`n-${i}`, "x".repeat(60));
 	records.set("huge", "x".repeat(2000));
 	await run(60_000);
--- a/tests/coordination/state/assignment-rules.test.ts
+++ b/tests/coordination/state/assignment-rules.test.ts
@@ -7,7 +7,7 @@
 import type { ClusterState } from "../../../src/coordination/state/cluster-state.js";
 import type { JobSpec } from "../../../src/protocol/model/job.js";
 import { jobOf } from "../../support/machines.js";
-import { tablesWith } from "../../support/small-cluster.js";
+import { clusterStateWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
 interface Setup {
@@ -21,7 +21,7 @@
 
 /** Creates two machines with four CPUs each and a job of team red, whose limit is eight CPUs. */
 function setUp(specOverrides: Partial<JobSpec> = {}): Setup {
-	const clusterState = tablesWith(2);
+	const clusterState = clusterStateWith(2);
 	const [machine, other] = [...clusterState.machines.values()] as [Machine, Machine];
 	const job = clusterState.addJob("j-1", specOf("j-1", specOverrides), 0, 1);
 	job.resetWaitingTasks();
--- a/tests/coordination/state/cluster-state.test.ts
+++ b/tests/coordination/state/cluster-state.test.ts
@@ -6,7 +6,7 @@
 import type { Job } from "../../../src/bookkeeping/job.js";
 import type { Machine } from "../../../src/bookkeeping/machine.js";
 import type { ClusterState } from "../../../src/coordination/state/cluster-state.js";
-import { tablesWith } from "../../support/small-cluster.js";
+import { clusterStateWith } from "../../support/small-cluster.js";
 import { specOf } from "../../support/specs.js";
 
 /** Returns the machines of the cluster; the type lets a test use the first two without a check. */
@@ -42,7 +42,7 @@
 	test("never exceeds a team's limit or a machine's capacity, in any order of starts and ends", () => {
 		const random = xoroshiro128plus(5);
 		for (let round = 0; round < 50; round++) {
-			const clusterState = tablesWith(4);
+			const clusterState = clusterStateWith(4);
 			const jobs = ["j-1", "j-2", "j-3"].map((id, i) =>
 				addJob(clusterState, id, {
 					taskCount: 10,
@@ -71,7 +71,7 @@
 	});
 
 	test("is refused while a machine of an earlier leader is unreconciled", () => {
-		const clusterState = tablesWith(2);
+		const clusterState = clusterStateWith(2);
 		const job = addJob(clusterState, "j-1");
 		const [first, second] = machinesOf(clusterState);
 		clusterState.markUnreconciled(second);
@@ -81,7 +81,7 @@
 	});
 
 	test("numbers attempts in the range of the term", () => {
-		const clusterState = tablesWith(1);
+		const clusterState = clusterStateWith(1);
 		const attempt = clusterState.assignNextTask(addJob(clusterState, "j-1"), machinesOf(clusterState)[0]);
 		assert.equal(clusterState.term, 7);
 		assert.equal(attempt?.number, 7 * 2 ** 22 + 1);
@@ -90,7 +90,7 @@
 
 describe("the end of an attempt", () => {
 	test("releases its resources and quota and requeues its task, once", () => {
-		const clusterState = tablesWith(1);
+		const clusterState = clusterStateWith(1);
 		const job = addJob(clusterState, "j-1", { taskCount: 1 });
 		const [machine] = machinesOf(clusterState);
 		const attempt = clusterState.assignNextTask(job, machine);
@@ -105,7 +105,7 @@
 	});
 
 	test("of a relocated replica assigns the next one to the machine reserved for it", () => {
-		const clusterState = tablesWith(2);
+		const clusterState = clusterStateWith(2);
 		const job = addJob(clusterState, "j-1", { form: "service", taskCount: 1 });
 		const [from, to] = machinesOf(clusterState);
 		const attempt = clusterState.assignNextTask(job, from);
@@ -120,7 +120,7 @@
 	});
 
 	test("of a relocated replica whose job has ended releases the reservation", () => {
-		const clusterState = tablesWith(2);
+		const clusterState = clusterStateWith(2);
 		const job = addJob(clusterState, "j-1", { form: "service", taskCount: 1 });
 		const [from, to] = machinesOf(clusterState);
 		const attempt = clusterState.assignNextTask(job, from);
@@ -138,7 +138,7 @@
 
 describe("the machines of the cluster", () => {
 	test("are removed with their attempts, orphaned tasks and exited tasks", () => {
-		const clusterState = tablesWith(1);
+		const clusterState = clusterStateWith(1);
 		const job = addJob(clusterState, "j-1");
 		const [machine] = machinesOf(clusterState);
 		clusterState.assignNextTask(job, machine);
@@ -157,14 +157,14 @@
 	});
 
 	test("count as schedulable CPUs while they accept new tasks", () => {
-		const clusterState = tablesWith(2);
+		const clusterState = clusterStateWith(2);
 		assert.equal(clusterState.schedulableCpus, 8);
 		machinesOf(clusterState)[0].lifecycle.startDraining();
 		assert.equal(clusterState.schedulableCpus, 4);
 	});
 
 	test("are removed without a placement request if they are known only from an out-of-date cloud list", () => {
-		const clusterState = tablesWith(1);
+		const clusterState = clusterStateWith(1);
 		clusterState.clearPlacementRequest();
 		clusterState.removeNonexistentMachine(machinesOf(clusterState)[0]);
 		assert.equal(clusterState.machines.size, 0);
--- a/tests/service/cancellation-races.test.ts
+++ b/tests/service/cancellation-races.test.ts
@@ -8,7 +8,7 @@
 
 /** Delays the store transactions that certain processes send from now on beyond the processes' timeouts. */
 function delayTransactions(world: World, isDelayed: (process: string) => boolean, delayMs: number): void {
-	world.network.fault = (sender, to, _method, path) =>
+	world.network.faultFor = (sender, to, _method, path) =>
 		to === "state" && path === "/multi" && isDelayed(sender) ? { delayMs } : {};
 }
 
@@ -19,13 +19,13 @@
 	await world.time.advance(10_000);
 	const follower = nodeNames.find((n) => n !== world.leaderNode()) as string;
 	delayTransactions(world, (sender) => sender.startsWith(follower), 12_000);
-	const response = await world.abort(follower, job.id);
+	const response = await world.cancel(follower, job.id);
 	assert.equal(response.status, 503, "the outcome is unknown");
 	await world.time.advance(20_000);
 	assert.equal(finalRecord(world)?.status, "done");
-	world.network.fault = () => ({});
+	world.network.faultFor = () => ({});
 	for (const node of nodeNames) assert.equal((await world.poll(node, job.id)).body.status, "done");
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
 
 test("a leader's final record of a done job does not replace a cancellation that the store applied first", async () => {
@@ -36,18 +36,18 @@
 	const leader = world.leaderNode() as string;
 	const follower = nodeNames.find((n) => n !== leader) as string;
 	delayTransactions(world, (sender) => sender.startsWith(leader), 6_000);
-	for (let i = 0; i < 200 && (world.running("j-000001/0") || world.running("j-000001/1")); i++) {
+	for (let i = 0; i < 200 && (world.isRunning("j-000001/0") || world.isRunning("j-000001/1")); i++) {
 		await world.time.advance(100);
 	}
 	// Both tasks have ended, and the leader's write of the final record is in flight.
 	await world.time.advance(1000);
 	assert.equal(finalRecord(world), undefined);
-	assert.equal((await world.abort(follower, job.id)).body.status, "cancelled");
+	assert.equal((await world.cancel(follower, job.id)).body.status, "cancelled");
 	await world.time.advance(20_000);
 	assert.equal(finalRecord(world)?.status, "cancelled");
-	world.network.fault = () => ({});
+	world.network.faultFor = () => ({});
 	for (const node of nodeNames) assert.equal((await world.poll(node, job.id)).body.status, "cancelled");
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
 
 test("cancellations, status requests and repeated submissions around the end of the last task all report one final status", async () => {
@@ -56,18 +56,18 @@
 		const world = new World();
 		await world.time.advance(2000);
 		await world.submit("runner-0", { ...job, pieces: 1 });
-		for (let i = 0; i < 2000 && !world.running("j-000001/0"); i++) await world.time.advance(10);
+		for (let i = 0; i < 2000 && !world.isRunning("j-000001/0"); i++) await world.time.advance(10);
 		await world.time.advance(8000 + offsetMs);
 		const requests = nodeNames.flatMap((node) =>
 			(["poll", "abort", "repeat", "poll"] as const).map((kind) => ({ node, id: job.id, kind })),
 		);
-		const statuses = await world.together(requests);
+		const statuses = await world.requestConcurrently(requests);
 		assert.ok(
 			statuses.every((status) => status === 200),
 			`offset ${offsetMs}: ${statuses}`,
 		);
 		for (const node of nodeNames) await world.poll(node, job.id);
-		assert.deepEqual(world.broken, [], `offset ${offsetMs}`);
+		assert.deepEqual(world.violations, [], `offset ${offsetMs}`);
 		finalStatuses.add(finalRecord(world)?.status ?? "none");
 	}
 	assert.deepEqual(
--- a/tests/service/late-heartbeats.test.ts
+++ b/tests/service/late-heartbeats.test.ts
@@ -5,7 +5,7 @@
 
 test("late copies of heartbeats do not add a deleted machine again", async () => {
 	const world = new World();
-	world.copiesAfterS = [30];
+	world.duplicateHeartbeatsAfterS = [30];
 	await world.time.advance(2000);
 	await world.submit("runner-0", job);
 	await world.time.advance(120_000);
--- a/tests/service/malformed-input.test.ts
+++ b/tests/service/malformed-input.test.ts
@@ -29,7 +29,7 @@
 	assert.equal((await world.poll("runner-2", "j-000001")).body.status, "done");
 	assert.equal(logLinesWith(world, "malformed message from a controller").length, 3 * 5);
 	assert.deepEqual(logLinesWith(world, "state action failed"), []);
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
 
 test("requests for a job whose record cannot be decoded are answered 503, not 404, and other jobs are unaffected", async () => {
@@ -60,12 +60,12 @@
 	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 60 });
 	await world.time.advance(7000);
 	assert.equal(
-		world.running("j-000001/0"),
+		world.isRunning("j-000001/0"),
 		false,
 		"a machine whose record cannot be decoded may still run it",
 	);
 	await world.time.advance(14_000);
-	assert.equal(world.running("j-000001/0"), true);
+	assert.equal(world.isRunning("j-000001/0"), true);
 });
 
 test("no controller becomes leader while the store holds a leader key that cannot be decoded", async () => {
--- a/tests/service/production-compatibility.test.ts
+++ b/tests/service/production-compatibility.test.ts
@@ -8,7 +8,7 @@
 
 /**
  * Versions in production whose stored values and messages are recorded in a fixture, each taken from a run of that
- * version by tests/support/take-fixture.ts: 0.4.0, from which the machines are upgraded, and 0.5.0, the first version
+ * version by tests/support/record-fixture.ts: 0.4.0, from which the machines are upgraded, and 0.5.0, the first version
  * with service jobs.
  */
 const versions = ["0.4.0", "0.5.0"];
@@ -52,12 +52,12 @@
 		const world = new World();
 		for (const { key, v, stamp } of fixture.rows)
 			if (key !== "r/one/leader") world.state.rows.set(key, { v, stamp });
-		world.state.epoch = 20;
-		world.expectJob({ id: "j-000001", pieces: 3, cores: 1, runs: 1000 });
-		world.expectJob({ id: "j-000002", pieces: 1, cores: 1, desk: "blue" });
-		world.expectJob({ id: "j-000003", pieces: 1, cores: 1, desk: "blue" });
+		world.state.revision = 20;
+		world.trackJob({ id: "j-000001", pieces: 3, cores: 1, runs: 1000 });
+		world.trackJob({ id: "j-000002", pieces: 1, cores: 1, desk: "blue" });
+		world.trackJob({ id: "j-000003", pieces: 1, cores: 1, desk: "blue" });
 		if (hasServiceJob)
-			world.expectJob({ id: "j-000004", pieces: 2, cores: 1, desk: "blue", form: "standing" });
+			world.trackJob({ id: "j-000004", pieces: 2, cores: 1, desk: "blue", form: "standing" });
 		await world.time.advance(3000);
 		const machines = fixture.rows
 			.filter(({ key }) => keyPrefixOf(key) === "r/machs")
@@ -75,10 +75,10 @@
 		}
 		await world.time.advance(25_000);
 		assert.equal(world.starts.get("j-000001/0"), undefined, "its task 0 was done");
-		assert.ok(world.running("j-000001/1") && world.running("j-000001/2"));
-		if (hasServiceJob) assert.ok(world.running("j-000004/0") && world.running("j-000004/1"));
+		assert.ok(world.isRunning("j-000001/1") && world.isRunning("j-000001/2"));
+		if (hasServiceJob) assert.ok(world.isRunning("j-000004/0") && world.isRunning("j-000004/1"));
 		assert.deepEqual(
-			world.broken.filter((line) => !line.startsWith("not_done: j-000003")),
+			world.violations.filter((line) => !line.startsWith("not_done: j-000003")),
 			[],
 		);
 	});
@@ -114,8 +114,8 @@
 			world.logs.filter((line) => line.includes("state action failed") || line.includes("malformed")),
 			[],
 		);
-		assert.ok(world.running("j-000001/0"));
-		assert.deepEqual(world.broken, []);
+		assert.ok(world.isRunning("j-000001/0"));
+		assert.deepEqual(world.violations, []);
 	});
 }
 
--- a/tests/service/replica-repair.test.ts
+++ b/tests/service/replica-repair.test.ts
@@ -11,13 +11,13 @@
 	const record = world.state.rows.get("r/job/j-000002");
 	assert.ok(record);
 	const body = { ...job, id: "j-000003" };
-	world.expectJob(body);
+	world.trackJob(body);
 	const spec = { ...(record.v as { spec: object }).spec, id: "j-000003" };
-	world.state.epoch += 1;
-	world.state.rows.set("r/job/j-000003", { v: { spec, at: 0 }, stamp: world.state.epoch });
+	world.state.revision += 1;
+	world.state.rows.set("r/job/j-000003", { v: { spec, at: 0 }, stamp: world.state.revision });
 	await world.time.advance(100_000);
 	assert.equal((await world.poll("runner-1", "j-000003")).body.status, "done");
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
 
 test("a job in the leader's store replica without a change notification is found within seconds", async () => {
@@ -28,12 +28,12 @@
 	const leader = world.controllerOf(world.leaderNode() as string);
 	const existingJob = leader.replica.jobs.get("j-000002");
 	assert.ok(existingJob);
-	world.expectJob({ ...job, id: "j-000003" });
+	world.trackJob({ ...job, id: "j-000003" });
 	const value = { ...existingJob.value, spec: { ...existingJob.value.spec, id: "j-000003" } };
-	world.state.epoch += 1;
-	world.state.rows.set("r/job/j-000003", { v: encodeJobRecord(value), stamp: world.state.epoch });
+	world.state.revision += 1;
+	world.state.rows.set("r/job/j-000003", { v: encodeJobRecord(value), stamp: world.state.revision });
 	// Adds the job to the store replica without calling the listeners.
-	(leader.replica.jobs as Map<string, unknown>).set("j-000003", { value, revision: world.state.epoch });
+	(leader.replica.jobs as Map<string, unknown>).set("j-000003", { value, revision: world.state.revision });
 	await world.time.advance(30_000);
 	assert.equal((world.state.rows.get("r/fin/j-000003")?.v as { status: string } | undefined)?.status, "done");
 });
--- a/tests/service/store-outages.test.ts
+++ b/tests/service/store-outages.test.ts
@@ -8,7 +8,8 @@
 	await world.time.advance(2000);
 	const isolatedNode = nodeNames.find((n) => n !== world.leaderNode()) as string;
 	assert.equal(world.ready(isolatedNode), true);
-	world.network.fault = (from, to) => (to === "state" && from.startsWith(isolatedNode) ? { cut: true } : {});
+	world.network.faultFor = (from, to) =>
+		to === "state" && from.startsWith(isolatedNode) ? { dropRequest: true } : {};
 	await world.time.advance(12_000);
 	assert.equal(world.ready(isolatedNode), false);
 	for (let i = 0; i < 10; i++) {
@@ -16,7 +17,7 @@
 		assert.equal((await world.submit(isolatedNode, { ...job, id: `j-00010${i}` })).status, 503);
 		assert.ok(world.time.now() - submittedAt <= 50, "the response was not immediate");
 	}
-	world.network.fault = () => ({});
+	world.network.faultFor = () => ({});
 	await world.time.advance(8000);
 	assert.equal(world.ready(isolatedNode), true);
 	// If the store answers no node, a node taken out of rotation would only return late.
--- a/tests/service/submissions.test.ts
+++ b/tests/service/submissions.test.ts
@@ -29,7 +29,7 @@
 		(await world.submit("runner-1", { ...serviceJob, id: "j-000007", hall: "a", spread: true })).status,
 		422,
 	);
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
 
 test("submissions of one job to all nodes create one job; a repeated id is answered before validation", async () => {
--- a/tests/support/cloud.ts
+++ b/tests/support/cloud.ts
@@ -13,30 +13,30 @@
 
 export interface FakeHost {
 	id: string;
-	shape: string;
-	hall: string;
-	loaners: boolean;
+	machineType: string;
+	zone: string;
+	spot: boolean;
 	rentedAt: number;
 }
 
 /** Rents stand-in machines; tells the world when one comes up or goes. */
 export class FakeCloud {
 	readonly hosts = new Map<string, FakeHost>();
-	private readonly answered = new Map<string, string[]>();
-	private next = 0;
+	private readonly hostsByRequest = new Map<string, string[]>();
+	private nextHostNumber = 0;
 	outage = false;
 	/** Zones in which nothing is to be had. */
-	readonly full = new Set<string>();
+	readonly zonesWithoutCapacity = new Set<string>();
 	/** What is rented from now on takes so many times its boot time; infinite: it never comes up. */
-	bootTimes = 1;
+	bootTimeFactor = 1;
 	/** Every rental request name ever seen, with how often it rented. */
-	readonly requests = new Map<string, number>();
+	readonly rentalsByRequest = new Map<string, number>();
 
 	constructor(
 		private readonly time: FakeTime,
 		readonly types: FakeType[],
 		private readonly capacity: number,
-		private readonly hooks: { up(host: FakeHost, type: FakeType): void; gone(id: string): void },
+		private readonly hooks: { booted(host: FakeHost, type: FakeType): void; removed(id: string): void },
 	) {}
 
 	handle(method: string, path: string, body: unknown): HttpResponse {
@@ -54,9 +54,9 @@
 			const hosts = [...this.hosts.values()].map((h) => ({
 				id: h.id,
 				endpoint: `${h.id}:9000`,
-				shape: h.shape,
-				hall: h.hall,
-				loaners: h.loaners,
+				shape: h.machineType,
+				hall: h.zone,
+				loaners: h.spot,
 				status: "running",
 				age_s: (this.time.now() - h.rentedAt) / 1000,
 			}));
@@ -70,7 +70,7 @@
 	}
 
 	remove(id: string): void {
-		if (this.hosts.delete(id)) this.hooks.gone(id);
+		if (this.hosts.delete(id)) this.hooks.removed(id);
 	}
 
 	private rent(request: {
@@ -80,30 +80,32 @@
 		loaners: boolean;
 		count: number;
 	}): HttpResponse {
-		const before = this.answered.get(request.hire);
-		if (before) return { status: 200, body: { hosts: before } };
+		const rentedEarlier = this.hostsByRequest.get(request.hire);
+		if (rentedEarlier) return { status: 200, body: { hosts: rentedEarlier } };
 		const type = this.types.find((t) => t.sku === request.shape);
 		if (!type) return { status: 400, body: {} };
-		const n = this.full.has(request.hall) ? 0 : Math.min(request.count, this.capacity - this.hosts.size);
-		if (n <= 0) return { status: 503, body: { error: "no capacity" } };
-		this.requests.set(request.hire, (this.requests.get(request.hire) ?? 0) + 1);
+		const rentedCount = this.zonesWithoutCapacity.has(request.hall)
+			? 0
+			: Math.min(request.count, this.capacity - this.hosts.size);
+		if (rentedCount <= 0) return { status: 503, body: { error: "no capacity" } };
+		this.rentalsByRequest.set(request.hire, (this.rentalsByRequest.get(request.hire) ?? 0) + 1);
 		const ids: string[] = [];
-		for (let i = 0; i < n; i++) {
+		for (let i = 0; i < rentedCount; i++) {
 			const host: FakeHost = {
-				id: `n-${String(this.next++).padStart(6, "0")}`,
-				shape: request.shape,
-				hall: request.hall,
-				loaners: request.loaners,
+				id: `n-${String(this.nextHostNumber++).padStart(6, "0")}`,
+				machineType: request.shape,
+				zone: request.hall,
+				spot: request.loaners,
 				rentedAt: this.time.now(),
 			};
 			this.hosts.set(host.id, host);
 			ids.push(host.id);
-			if (!Number.isFinite(this.bootTimes)) continue;
-			this.time.after(type.boot_s * this.bootTimes * 1000, () => {
-				if (this.hosts.has(host.id)) this.hooks.up(host, type);
+			if (!Number.isFinite(this.bootTimeFactor)) continue;
+			this.time.after(type.boot_s * this.bootTimeFactor * 1000, () => {
+				if (this.hosts.has(host.id)) this.hooks.booted(host, type);
 			});
 		}
-		this.answered.set(request.hire, ids);
+		this.hostsByRequest.set(request.hire, ids);
 		return { status: 200, body: { hosts: ids } };
 	}
 }
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -12,24 +12,29 @@
 
 /** One Leadership against the stand-in store, with what it tells others kept. */
 export function candidate(
-	others: string[],
-	unknowingMs = 20_000,
+	otherControllers: string[],
+	maxCancellationStalenessMs = 20_000,
 	state = { time: new FakeTime() as FakeTime, service: null as StateService | null },
 ) {
 	const time = state.time;
 	const service = state.service ?? new StateService(time);
-	const told: PeerMessage[] = [];
-	const won: number[] = [];
-	const lost: string[] = [];
-	const learnt: string[] = [];
+	const sentMessages: PeerMessage[] = [];
+	const wonTerms: number[] = [];
+	const resignationReasons: string[] = [];
+	const recordedCancellations: string[] = [];
 	/** What its local copy knows: all up to now, while the store answers its watch. */
-	const copy = { knownAt: 0, stuck: false, epoch: 5, cancelled: null as Cancellation[] | null };
-	const faults = { loseAnswers: false };
+	const replica = {
+		syncedAt: 0,
+		watchStalled: false,
+		revision: 5,
+		cancellationsSince: null as Cancellation[] | null,
+	};
+	const faults = { dropResponses: false };
 	const store: KeyValueStore = new StoreClient({
 		http: {
 			call: async (method, path, body) => {
 				const answer = await service.handle(method, path, body, "me");
-				if (faults.loseAnswers && path === "/multi") throw new CallError("unknown", 0, "no answer");
+				if (faults.dropResponses && path === "/multi") throw new CallError("unknown", 0, "no answer");
 				return answer;
 			},
 			close() {},
@@ -42,24 +47,24 @@
 	const leadership = new Leadership({
 		node: "me",
 		incarnation: "inc",
-		otherControllers: others,
-		settings: { leaseTtlMs: 3000, marginMs: 300, maxCancellationStalenessMs: unknowingMs },
+		otherControllers,
+		settings: { leaseTtlMs: 3000, marginMs: 300, maxCancellationStalenessMs },
 		store,
 		clock: time,
 		log: silentLog,
 		post: (action) => action(),
 		jitter: () => 0,
-		broadcast: (message) => told.push(message),
-		onElected: (term) => won.push(term),
-		onLeadershipLost: (_term, reason) => lost.push(reason),
+		broadcast: (message) => sentMessages.push(message),
+		onElected: (term) => wonTerms.push(term),
+		onLeadershipLost: (_term, reason) => resignationReasons.push(reason),
 		cancellations: {
 			syncedAt: () => {
-				if (!service.outage && !copy.stuck) copy.knownAt = time.now();
-				return copy.knownAt;
+				if (!service.outage && !replica.watchStalled) replica.syncedAt = time.now();
+				return replica.syncedAt;
 			},
-			replicaRevision: () => copy.epoch,
-			since: () => copy.cancelled,
-			record: (cancelled) => learnt.push(...cancelled.map(({ jobId }) => jobId)),
+			replicaRevision: () => replica.revision,
+			since: () => replica.cancellationsSince,
+			record: (cancelled) => recordedCancellations.push(...cancelled.map(({ jobId }) => jobId)),
 		},
 	});
 	const key = () => {
@@ -72,26 +77,37 @@
 			await time.advance(100);
 		}
 	};
-	return { time, service, told, won, lost, learnt, copy, faults, leadership, run };
+	return {
+		time,
+		service,
+		sentMessages,
+		wonTerms,
+		resignationReasons,
+		recordedCancellations,
+		replica,
+		faults,
+		leadership,
+		run,
+	};
 }
 
 /** Wins the key, then answers every question as the others would, for so long. */
-export async function inOutage(c: ReturnType<typeof candidate>) {
+export async function electedInOutage(c: ReturnType<typeof candidate>) {
 	c.leadership.endStartupHoldoff();
 	await c.run(500);
-	const epoch = c.won[0] as number;
-	assert.equal(c.leadership.authorizedTerm(), epoch);
+	const term = c.wonTerms[0] as number;
+	assert.equal(c.leadership.authorizedTerm(), term);
 	c.service.setOutage(true);
-	const answer = async (ms: number, answers: Record<string, Cancellation[] | undefined>) => {
+	const vote = async (ms: number, answers: Record<string, Cancellation[] | undefined>) => {
 		for (let t = 0; t < ms; t += 100) {
 			await c.run(100);
-			for (const ask of c.told.splice(0)) {
+			for (const ask of c.sentMessages.splice(0)) {
 				if (ask.kind !== "lease-extension-request") continue;
 				for (const [node, cancelled] of Object.entries(answers)) {
 					const { requestNumber: number } = ask;
 					c.leadership.handleMessage(node, {
 						kind: "lease-extension-vote",
-						term: epoch,
+						term,
 						requestNumber: number,
 						...(cancelled && { cancellations: cancelled }),
 					});
@@ -99,5 +115,5 @@
 			}
 		}
 	};
-	return { epoch, answer };
+	return { term, vote };
 }
--- a/tests/support/network.ts
+++ b/tests/support/network.ts
@@ -13,9 +13,9 @@
 
 export interface LinkFault {
 	/** The request never arrives. */
-	cut?: boolean;
+	dropRequest?: boolean;
 	/** The request is carried out, the answer is lost. */
-	loseAnswer?: boolean;
+	dropResponse?: boolean;
 	/** The request arrives this much later, after its sender has given up. */
 	delayMs?: number;
 }
@@ -23,13 +23,13 @@
 /** Calls between hosts in fake time, with the faults a network has. */
 export class FakeNetwork {
 	/** Asked for every call; tests set it. */
-	fault: (from: string, to: string, method: string, path: string) => LinkFault = () => ({});
+	faultFor: (from: string, to: string, method: string, path: string) => LinkFault = () => ({});
 	/** Transactions that get no answer and are carried out so much later; asked for each. */
-	lateWrites: () => number | null = () => null;
+	transactionDelayMs: () => number | null = () => null;
 	/** Direct orders arrive so much later; questions without orders do not. */
-	lateOrdersMs = 0;
+	directCommandDelayMs = 0;
 	/** Every answer of the state service takes so much longer. */
-	slowStateMs = 0;
+	storeDelayMs = 0;
 	private readonly down = new Set<string>();
 
 	constructor(
@@ -62,28 +62,29 @@
 		body: unknown,
 		deadlineMs: number,
 	): Promise<HttpResponse> {
-		const lateMs = to === "state" && path === "/multi" ? this.lateWrites() : null;
-		const lateWrite = lateMs === null ? null : { delayMs: lateMs, loseAnswer: true };
-		const fault: LinkFault = lateWrite ?? { ...this.fault(from, to, method, path) };
-		const orders = (body as { orders?: unknown[] } | undefined)?.orders?.length ?? 0;
-		if (path === "/commands" && orders > 0 && this.lateOrdersMs > 0) fault.delayMs ??= this.lateOrdersMs;
-		const slowMs = to === "state" ? this.slowStateMs : 0;
-		const copy = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
+		const delayMs = to === "state" && path === "/multi" ? this.transactionDelayMs() : null;
+		const transactionFault = delayMs === null ? null : { delayMs, dropResponse: true };
+		const fault: LinkFault = transactionFault ?? { ...this.faultFor(from, to, method, path) };
+		const commandCount = (body as { orders?: unknown[] } | undefined)?.orders?.length ?? 0;
+		if (path === "/commands" && commandCount > 0 && this.directCommandDelayMs > 0)
+			fault.delayMs ??= this.directCommandDelayMs;
+		const responseDelayMs = to === "state" ? this.storeDelayMs : 0;
+		const receivedBody = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
 		return new Promise((resolve, reject) => {
-			const fail = (outcome: CallOutcome, why: string) =>
-				reject(new CallError(outcome, 0, `${method} ${path}: ${why}`));
+			const fail = (outcome: CallOutcome, reason: string) =>
+				reject(new CallError(outcome, 0, `${method} ${path}: ${reason}`));
 			this.time.after(deadlineMs, () => fail("unknown", "no answer in time"));
-			if (fault.cut || this.down.has(from)) return;
+			if (fault.dropRequest || this.down.has(from)) return;
 			if (this.down.has(to)) {
 				this.time.after(this.latencyMs, () => fail("not executed", "connection refused"));
 				return;
 			}
 			this.time.after(this.latencyMs + (fault.delayMs ?? 0), async () => {
 				if (this.down.has(to)) return;
-				const answer = await handler(method, path, copy, from);
-				if (fault.loseAnswer || this.down.has(from)) return;
-				const wire = JSON.parse(JSON.stringify(answer)) as HttpResponse;
-				this.time.after(this.latencyMs + slowMs, () => resolve(wire));
+				const response = await handler(method, path, receivedBody, from);
+				if (fault.dropResponse || this.down.has(from)) return;
+				const receivedResponse = JSON.parse(JSON.stringify(response)) as HttpResponse;
+				this.time.after(this.latencyMs + responseDelayMs, () => resolve(receivedResponse));
 			});
 		});
 	}
--- a/tests/support/play-traces.ts
+++ b/tests/support/play-traces.ts
@@ -5,7 +5,7 @@
 import { TracePlayer } from "./trace-player.js";
 
 // Compiled tests run from target/tests/tests; traces stay in the source tree.
-const folder = new URL("../../../../tests/traces/", import.meta.url);
+const tracesFolder = new URL("../../../../tests/traces/", import.meta.url);
 
 /** How the controllers of a trace are set up. */
 export type TraceMode = "plain" | "team quota" | "forwarded heartbeats";
@@ -14,7 +14,7 @@
 export type TraceHalf = "first" | "second";
 
 function filesOf(half: TraceHalf): string[] {
-	const files = readdirSync(folder)
+	const files = readdirSync(tracesFolder)
 		.filter((file) => file.endsWith(".yaml"))
 		.sort();
 	const middle = Math.ceil(files.length / 2);
@@ -24,13 +24,13 @@
 /** Defines one test for each story of each kept trace; a trace with variants is one story for each. */
 export function defineTraceTests(mode: TraceMode, half: TraceHalf): void {
 	for (const file of filesOf(half)) {
-		const trace = parse(readFileSync(new URL(file, folder), "utf8")) as Trace;
+		const trace = parse(readFileSync(new URL(file, tracesFolder), "utf8")) as Trace;
 		if (mode === "forwarded heartbeats" && !trace.relayed) continue;
-		for (const [variant, more] of Object.entries(trace.variants ?? { "": [] })) {
-			const steps = [...trace.steps, ...more].sort((a, b) => a.at - b.at);
-			const story = variant === "" ? trace.title : `${trace.title}; ${variant}`;
+		for (const [variant, variantSteps] of Object.entries(trace.variants ?? { "": [] })) {
+			const steps = [...trace.steps, ...variantSteps].sort((a, b) => a.at - b.at);
+			const title = variant === "" ? trace.title : `${trace.title}; ${variant}`;
 			const options = { forwarding: mode === "forwarded heartbeats", teamQuota: mode === "team quota" };
-			test(`${file}: ${story} (${mode})`, () => new TracePlayer({ ...trace, steps }, options).play());
+			test(`${file}: ${title} (${mode})`, () => new TracePlayer({ ...trace, steps }, options).play());
 		}
 	}
 }
--- a/tests/support/recorded-run.ts
+++ b/tests/support/recorded-run.ts
@@ -10,19 +10,19 @@
 type Message = Record<string, unknown> & { kind: string };
 
 /** Hears what the processes that now run on the nodes receive from the others. */
-function listen(world: World, nodes: string[], hear: (message: Message) => void): void {
+function interceptPeerMessages(world: World, nodes: string[], record: (message: Message) => void): void {
 	for (const node of nodes) {
 		const controller = world.controllerOf(node);
 		const receive = controller.receivePeerMessage.bind(controller);
 		controller.receivePeerMessage = (from, message) => {
-			hear(message as Message);
+			record(message as Message);
 			receive(from, message);
 		};
 	}
 }
 
 /** Of several messages of a kind the one that says most is kept. */
-function keepFuller(messages: Map<string, Message>, message: Message): void {
+function keepLargest(messages: Map<string, Message>, message: Message): void {
 	const old = messages.get(message.kind);
 	const size = (m: Message) => JSON.stringify(m).length;
 	if (!old || size(message) > size(old)) messages.set(message.kind, message);
@@ -32,36 +32,36 @@
  * Jobs that run, are done and are cancelled, replicas, an outage with promises, and controllers
  * that start again: every kind of stored value and, with `relayed`, every kind of message.
  */
-export async function recordRun(relayed: boolean, standing = true): Promise<RecordedRun> {
-	const world = new World(4, nodeNames, relayed);
+export async function recordRun(forwarding: boolean, withServiceJob = true): Promise<RecordedRun> {
+	const world = new World(4, nodeNames, forwarding);
 	const messages = new Map<string, Message>();
-	const hear = (message: Message) => keepFuller(messages, message);
-	listen(world, nodeNames, hear);
+	const record = (message: Message) => keepLargest(messages, message);
+	interceptPeerMessages(world, nodeNames, record);
 	await world.time.advance(2000);
 	await world.submit("runner-0", { id: "j-000001", pieces: 3, cores: 1, runs: [6, 300, 300] });
 	await world.submit("runner-0", { id: "j-000002", pieces: 1, cores: 1, runs: 300, desk: "blue" });
 	await world.submit("runner-0", { id: "j-000003", pieces: 1, cores: 1, runs: 3, desk: "blue" });
-	if (standing) {
+	if (withServiceJob) {
 		await world.submit("runner-0", { id: "j-000004", pieces: 2, cores: 1, form: "standing", desk: "blue" });
 	}
 	await world.time.advance(20_000);
 	// Cancelled where the leader cannot hear of it from the store, so that promises name it.
 	const leader = world.leaderNode() as string;
-	world.state.refused.add(leader);
+	world.state.unavailableTo.add(leader);
 	await world.time.advance(300);
-	await world.abort(nodeNames.find((node) => node !== leader) as string, "j-000002");
+	await world.cancel(nodeNames.find((node) => node !== leader) as string, "j-000002");
 	await world.time.advance(100);
 	world.state.setOutage(true);
 	await world.time.advance(2500);
-	world.state.refused.clear();
+	world.state.unavailableTo.clear();
 	world.state.setOutage(false);
 	await world.time.advance(2000);
 	world.crash(leader);
 	await world.time.advance(500);
 	world.start(leader);
-	listen(world, [leader], hear);
+	interceptPeerMessages(world, [leader], record);
 	await world.time.advance(500);
-	if (world.broken.length > 0) throw new Error(world.broken.join("; "));
+	if (world.violations.length > 0) throw new Error(world.violations.join("; "));
 	return {
 		rows: [...world.state.rows].map(([key, { v, stamp }]) => ({ key, v, stamp })),
 		messages: Object.fromEntries(messages),
--- a/tests/support/small-cluster.ts
+++ b/tests/support/small-cluster.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from "../../src/protocol/model/machine.js";
 import { makeSchedulable } from "./machines.js";
 
-export const small: MachineType = {
+export const smallType: MachineType = {
 	name: "small",
 	cpus: 4,
 	gpus: 0,
@@ -16,7 +16,7 @@
 	zones: ["a", "b"],
 };
 
-export function tablesWith(machines: number, cpusMax = 8): ClusterState {
+export function clusterStateWith(machines: number, cpusMax = 8): ClusterState {
 	const clusterState = new ClusterState({
 		term: 7,
 		teams: ["red", "blue"].map((name) => ({
@@ -24,11 +24,11 @@
 			guaranteed: { cpus: 4, gpus: 0 },
 			limit: { cpus: cpusMax, gpus: 0 },
 		})),
-		machineTypes: [small],
+		machineTypes: [smallType],
 	});
 	for (let i = 0; i < machines; i++) {
 		const m = new Machine(
-			{ id: `n-${i}`, type: small, zone: i % 2 ? "b" : "a", spot: true, origin: "heartbeat" },
+			{ id: `n-${i}`, type: smallType, zone: i % 2 ? "b" : "a", spot: true, origin: "heartbeat" },
 			0,
 		);
 		makeSchedulable(m);
--- a/tests/support/state-service.ts
+++ b/tests/support/state-service.ts
@@ -16,7 +16,7 @@
 
 /** A small in-process state service that speaks the published protocol. */
 export class StateService {
-	epoch = 0;
+	revision = 0;
 	readonly rows = new Map<string, Row>();
 	private readonly changes: Change[] = [];
 	private readonly leases = new Map<number, { ttlMs: number; endsAt: number }>();
@@ -24,19 +24,19 @@
 	/** Nobody is served, and leases do not run out. */
 	outage = false;
 	/** These are refused while the others are served; their leases run out. */
-	readonly refused = new Set<string>();
+	readonly unavailableTo = new Set<string>();
 
 	/** Larger values and longer transactions get 400; what is stored stays readable. */
-	limits = { valueBytes: 16 * 1024, changes: 12 };
+	limits = { valueBytes: 16 * 1024, operations: 12 };
 	/** Puts and deletes a second, with bursts of a second's worth; those beyond get 429. */
 	writesPerS = Number.POSITIVE_INFINITY;
-	private writesLeft = 0;
-	private writesCountedAt = 0;
+	private writeTokens = 0;
+	private writeTokensUpdatedAt = 0;
 	/** Transactions that got 429. */
-	refusedForRate = 0;
+	rateLimitedCount = 0;
 
 	constructor(private readonly time: Pick<FakeTime, "now" | "after">) {
-		this.expireOften();
+		this.expireLeasesPeriodically();
 	}
 
 	setOutage(on: boolean): void {
@@ -46,34 +46,34 @@
 		this.outage = on;
 	}
 
-	private expireOften(): void {
+	private expireLeasesPeriodically(): void {
 		this.time.after(20, () => {
 			if (!this.outage) {
 				for (const [id, lease] of this.leases) if (lease.endsAt <= this.time.now()) this.endLease(id);
 			}
-			this.expireOften();
+			this.expireLeasesPeriodically();
 		});
 	}
 
 	private endLease(id: number): void {
 		this.leases.delete(id);
-		const gone = [...this.rows].filter(([, row]) => row.permit === id).map(([key]) => key);
-		if (gone.length === 0) return;
-		this.epoch += 1;
-		for (const key of gone) this.drop(key);
+		const expiredKeys = [...this.rows].filter(([, row]) => row.permit === id).map(([key]) => key);
+		if (expiredKeys.length === 0) return;
+		this.revision += 1;
+		for (const key of expiredKeys) this.removeRow(key);
 	}
 
-	private drop(key: string): void {
-		if (this.rows.delete(key)) this.changes.push({ key, stamp: this.epoch, dropped: true });
+	private removeRow(key: string): void {
+		if (this.rows.delete(key)) this.changes.push({ key, stamp: this.revision, dropped: true });
 	}
 
 	async handle(method: string, path: string, body: unknown, from: string): Promise<HttpResponse> {
 		const url = new URL(path, "http://state");
-		if (this.outage || this.refused.has(from)) {
+		if (this.outage || this.unavailableTo.has(from)) {
 			if (url.pathname !== "/watch" || url.searchParams.get("block_ms") === "0")
 				return { status: 503, body: {} };
 		}
-		if (url.pathname === "/multi") return this.multi(body as Record<string, unknown>);
+		if (url.pathname === "/multi") return this.executeTransaction(body as Record<string, unknown>);
 		if (url.pathname === "/leases") {
 			const id = this.nextLease++;
 			const ttlMs = (body as { ttl_ms: number }).ttl_ms;
@@ -83,10 +83,10 @@
 		const lease = /^\/leases\/(\d+)(\/renew)?$/.exec(url.pathname);
 		if (lease) {
 			const id = Number(lease[1]);
-			const held = this.leases.get(id);
-			if (!held) return { status: 404, body: {} };
+			const grantedLease = this.leases.get(id);
+			if (!grantedLease) return { status: 404, body: {} };
 			if (method === "DELETE") this.endLease(id);
-			else held.endsAt = this.time.now() + held.ttlMs;
+			else grantedLease.endsAt = this.time.now() + grantedLease.ttlMs;
 			return { status: 200, body: {} };
 		}
 		if (url.pathname === "/watch") return this.watch(url, from);
@@ -96,26 +96,26 @@
 			const limit = Number(url.searchParams.get("limit") ?? 1000);
 			const all = [...this.rows].filter(([key]) => key.startsWith(prefix) && key > after).sort();
 			const rows = all.slice(0, limit).map(([key, row]) => ({ key, v: row.v, stamp: row.stamp }));
-			return { status: 200, body: { rows, truncated: all.length > limit, epoch: this.epoch } };
+			return { status: 200, body: { rows, truncated: all.length > limit, epoch: this.revision } };
 		}
 		const key = url.pathname.slice("/store/".length);
 		const row = this.rows.get(key);
 		return row
 			? { status: 200, body: { key, v: row.v, stamp: row.stamp } }
-			: { status: 404, body: { epoch: this.epoch } };
+			: { status: 404, body: { epoch: this.revision } };
 	}
 
-	private admits(writes: number): boolean {
+	private admitsWrites(writes: number): boolean {
 		if (this.writesPerS === Number.POSITIVE_INFINITY) return true;
 		const now = this.time.now();
-		const earned = ((now - this.writesCountedAt) / 1000) * this.writesPerS;
-		this.writesLeft = Math.min(this.writesPerS, this.writesLeft + earned);
-		this.writesCountedAt = now;
-		if (writes > this.writesLeft) {
-			this.refusedForRate += 1;
+		const earned = ((now - this.writeTokensUpdatedAt) / 1000) * this.writesPerS;
+		this.writeTokens = Math.min(this.writesPerS, this.writeTokens + earned);
+		this.writeTokensUpdatedAt = now;
+		if (writes > this.writeTokens) {
+			this.rateLimitedCount += 1;
 			return false;
 		}
-		this.writesLeft -= writes;
+		this.writeTokens -= writes;
 		return true;
 	}
 
@@ -130,10 +130,10 @@
 
 	private change(change: object): void {
 		// biome-ignore lint/suspicious/noThenProperty: the state service's own word for the changes
-		this.multi({ then: [change] });
+		this.executeTransaction({ then: [change] });
 	}
 
-	private multi(body: Record<string, unknown>): HttpResponse {
+	private executeTransaction(body: Record<string, unknown>): HttpResponse {
 		const when = (body.when ?? []) as { key: string; stamp: number }[];
 		const then = (body.then ?? []) as { put?: string; drop?: string; v?: unknown; permit?: number }[];
 		for (const op of then) {
@@ -141,26 +141,26 @@
 				return { status: 400, body: { error: "no such lease" } };
 			}
 		}
-		if (!this.admits(then.length)) return { status: 429, body: {} };
+		if (!this.admitsWrites(then.length)) return { status: 429, body: {} };
 		const tooLarge = then.some(
 			(op) => Buffer.byteLength(JSON.stringify(op.v ?? null)) > this.limits.valueBytes,
 		);
-		if (tooLarge || then.length > this.limits.changes || when.length > 4 * this.limits.changes)
+		if (tooLarge || then.length > this.limits.operations || when.length > 4 * this.limits.operations)
 			return { status: 400, body: { error: "over the limits" } };
 		const failed = when.filter((c) => (this.rows.get(c.key)?.stamp ?? 0) !== c.stamp).map((c) => c.key);
-		if (failed.length > 0) return { status: 409, body: { failed, epoch: this.epoch } };
-		if (then.length > 0) this.epoch += 1;
+		if (failed.length > 0) return { status: 409, body: { failed, epoch: this.revision } };
+		if (then.length > 0) this.revision += 1;
 		for (const op of then) {
 			if (op.put !== undefined) {
 				this.rows.set(op.put, {
 					v: op.v,
-					stamp: this.epoch,
+					stamp: this.revision,
 					...(op.permit === undefined ? {} : { permit: op.permit }),
 				});
-				this.changes.push({ key: op.put, v: op.v, stamp: this.epoch, dropped: false });
-			} else if (op.drop !== undefined) this.drop(op.drop);
+				this.changes.push({ key: op.put, v: op.v, stamp: this.revision, dropped: false });
+			} else if (op.drop !== undefined) this.removeRow(op.drop);
 		}
-		return { status: 200, body: { epoch: this.epoch } };
+		return { status: 200, body: { epoch: this.revision } };
 	}
 
 	private watch(url: URL, from: string): Promise<HttpResponse> {
@@ -168,18 +168,18 @@
 		const after = Number(url.searchParams.get("from"));
 		const until = this.time.now() + Number(url.searchParams.get("block_ms") ?? 0);
 		return new Promise((resolve) => {
-			const look = () => {
+			const check = () => {
 				// An open watch only waits while its node is not served.
-				const served = !this.outage && !this.refused.has(from);
+				const available = !this.outage && !this.unavailableTo.has(from);
 				const events = this.changes.filter((c) => c.stamp > after && c.key.startsWith(prefix));
-				if (served && (events.length > 0 || this.time.now() >= until)) {
-					const wire = events.map((c) =>
+				if (available && (events.length > 0 || this.time.now() >= until)) {
+					const wireEvents = events.map((c) =>
 						c.dropped ? { drop: c.key, stamp: c.stamp } : { put: c.key, v: c.v, stamp: c.stamp },
 					);
-					resolve({ status: 200, body: { epoch: this.epoch, events: wire } });
-				} else this.time.after(10, look);
+					resolve({ status: 200, body: { epoch: this.revision, events: wireEvents } });
+				} else this.time.after(10, check);
 			};
-			look();
+			check();
 		});
 	}
 }
--- a/tests/support/worker.ts
+++ b/tests/support/worker.ts
@@ -1,20 +1,24 @@
 import type { HttpResponse } from "../../src/transport/clients/http-response.js";
 import type { FakeTime } from "./fake-time.js";
 
-export interface WorkerWorld {
-	reportS: number;
+export interface WorkerEnvironment {
+	heartbeatIntervalS: number;
 	leaseS: number;
 	/** Sends a report to a controller; undefined: no answer. */
-	send(worker: FakeWorker, node: string, body: Record<string, unknown>): Promise<HttpResponse | undefined>;
+	sendHeartbeat(
+		worker: FakeWorker,
+		node: string,
+		body: Record<string, unknown>,
+	): Promise<HttpResponse | undefined>;
 	nodes: string[];
 	runSeconds(piece: string): number | null;
 	/** The task was submitted with a mistake and fails on this machine. */
-	fails(worker: FakeWorker, piece: string): boolean;
-	started(worker: FakeWorker, piece: string): void;
-	ended(worker: FakeWorker, piece: string): void;
+	failsTask(worker: FakeWorker, piece: string): boolean;
+	taskStarted(worker: FakeWorker, piece: string): void;
+	taskEnded(worker: FakeWorker, piece: string): void;
 }
 
-interface Piece {
+interface AttemptStatus {
 	piece: string;
 	try: number;
 	status: "running" | "exited";
@@ -23,220 +27,238 @@
 
 /** A machine's worker after the published protocol; image fetches take no time. */
 export class FakeWorker {
-	private shift = 1;
-	private tick = 0;
-	baton = 0;
-	private pieces = new Map<string, Piece>();
-	private leaseFrom: number;
-	private node = 0;
-	private inFlight = false;
-	private nextAt = 0;
-	private lastAt = -Infinity;
-	dead = false;
+	private agentEpoch = 1;
+	private sequence = 0;
+	fencingToken = 0;
+	private attempts = new Map<string, AttemptStatus>();
+	private leaseRenewedAt: number;
+	private nodeIndex = 0;
+	private heartbeatInFlight = false;
+	private nextHeartbeatAt = 0;
+	private lastHeartbeatAt = -Infinity;
+	terminated = false;
 	/** Cut off from all controllers. */
-	cut = false;
+	partitioned = false;
 	/** Its reports arrive, but neither answers nor orders reach it. */
-	deaf = false;
+	inboundDropped = false;
 	/** Reaches no controller, while direct orders reach it. */
-	mute = false;
+	heartbeatsDropped = false;
 	/** Fails every task at once. */
-	sick = false;
-	recallAt: number | null = null;
+	failsAllTasks = false;
+	reclaimAt: number | null = null;
 	/** While it hangs, what comes in and what falls due is done only when it goes on. */
-	private hung: (() => void)[] | null = null;
+	private queuedWhileHung: (() => void)[] | null = null;
 
 	constructor(
 		readonly host: string,
-		readonly shape: string,
-		readonly hall: string,
-		readonly loaners: boolean,
+		readonly machineType: string,
+		readonly zone: string,
+		readonly spot: boolean,
 		private readonly time: FakeTime,
-		private readonly world: WorkerWorld,
+		private readonly environment: WorkerEnvironment,
 	) {
-		this.leaseFrom = time.now();
+		this.leaseRenewedAt = time.now();
 		this.step();
 	}
 
 	/** Up, and to be reached both ways. */
-	get well(): boolean {
-		return !this.dead && !this.cut && !this.mute && !this.deaf && !this.sick && this.hung === null;
+	get healthy(): boolean {
+		return (
+			!this.terminated &&
+			!this.partitioned &&
+			!this.heartbeatsDropped &&
+			!this.inboundDropped &&
+			!this.failsAllTasks &&
+			this.queuedWhileHung === null
+		);
 	}
 
 	hang(): void {
-		this.hung ??= [];
+		this.queuedWhileHung ??= [];
 	}
 
-	goOn(): void {
-		const late = this.hung ?? [];
-		this.hung = null;
-		if (late.length > 0 && !this.dead) {
+	resume(): void {
+		const queued = this.queuedWhileHung ?? [];
+		this.queuedWhileHung = null;
+		if (queued.length > 0 && !this.terminated) {
 			// Its lease is looked at before anything else is done.
-			if (this.time.now() - this.leaseFrom > this.world.leaseS * 1000) this.expire();
-			for (const run of late) run();
+			if (this.time.now() - this.leaseRenewedAt > this.environment.leaseS * 1000) this.expireLease();
+			for (const run of queued) run();
 		}
 	}
 
-	private awake(run: () => void): void {
-		if (this.hung) this.hung.push(run);
+	private runOrQueue(run: () => void): void {
+		if (this.queuedWhileHung) this.queuedWhileHung.push(run);
 		else run();
 	}
 
 	private step(): void {
-		if (this.dead) return;
-		if (this.hung) {
+		if (this.terminated) return;
+		if (this.queuedWhileHung) {
 			this.time.after(50, () => this.step());
 			return;
 		}
 		const now = this.time.now();
-		if (now - this.leaseFrom > this.world.leaseS * 1000) this.expire();
-		if (!this.inFlight && now >= this.nextAt) void this.report();
+		if (now - this.leaseRenewedAt > this.environment.leaseS * 1000) this.expireLease();
+		if (!this.heartbeatInFlight && now >= this.nextHeartbeatAt) void this.sendHeartbeat();
 		this.time.after(50, () => this.step());
 	}
 
-	private expire(): void {
-		this.clear();
-		this.shift += 1;
-		this.leaseFrom = this.time.now();
-		this.changed();
+	private expireLease(): void {
+		this.endAllTasks();
+		this.agentEpoch += 1;
+		this.leaseRenewedAt = this.time.now();
+		this.advanceNextHeartbeat();
 	}
 
-	private clear(): void {
-		for (const p of this.pieces.values()) if (p.status === "running") this.world.ended(this, p.piece);
-		this.pieces.clear();
+	private endAllTasks(): void {
+		for (const p of this.attempts.values())
+			if (p.status === "running") this.environment.taskEnded(this, p.piece);
+		this.attempts.clear();
 	}
 
-	die(): void {
-		this.dead = true;
-		this.clear();
+	terminate(): void {
+		this.terminated = true;
+		this.endAllTasks();
 	}
 
-	private changed(): void {
-		this.nextAt = Math.min(this.nextAt, Math.max(this.time.now(), this.lastAt + 500));
+	private advanceNextHeartbeat(): void {
+		this.nextHeartbeatAt = Math.min(
+			this.nextHeartbeatAt,
+			Math.max(this.time.now(), this.lastHeartbeatAt + 500),
+		);
 	}
 
-	show(): Record<string, unknown> {
-		this.tick += 1;
+	heartbeatBody(): Record<string, unknown> {
+		this.sequence += 1;
 		return {
 			host: this.host,
 			endpoint: `${this.host}:9000`,
-			shape: this.shape,
-			hall: this.hall,
-			loaners: this.loaners,
-			shift: this.shift,
-			tick: this.tick,
-			baton: this.baton,
-			recall_s: this.recallAt === null ? null : Math.max(0, (this.recallAt - this.time.now()) / 1000),
-			pieces: [...this.pieces.values()].map((p) => ({ ...p })),
+			shape: this.machineType,
+			hall: this.zone,
+			loaners: this.spot,
+			shift: this.agentEpoch,
+			tick: this.sequence,
+			baton: this.fencingToken,
+			recall_s: this.reclaimAt === null ? null : Math.max(0, (this.reclaimAt - this.time.now()) / 1000),
+			pieces: [...this.attempts.values()].map((p) => ({ ...p })),
 		};
 	}
 
-	private async report(): Promise<void> {
-		this.inFlight = true;
+	private async sendHeartbeat(): Promise<void> {
+		this.heartbeatInFlight = true;
 		const sentAt = this.time.now();
-		const shift = this.shift;
-		this.lastAt = sentAt;
-		this.nextAt = sentAt + this.world.reportS * 1000;
-		const node = this.world.nodes[this.node % this.world.nodes.length] as string;
-		const body = this.show();
-		const unreached = this.cut || this.mute;
-		const answer = unreached ? await this.silence() : await this.world.send(this, node, body);
-		await new Promise<void>((resolve) => this.awake(resolve));
+		const agentEpoch = this.agentEpoch;
+		this.lastHeartbeatAt = sentAt;
+		this.nextHeartbeatAt = sentAt + this.environment.heartbeatIntervalS * 1000;
+		const node = this.environment.nodes[this.nodeIndex % this.environment.nodes.length] as string;
+		const body = this.heartbeatBody();
+		const dropped = this.partitioned || this.heartbeatsDropped;
+		const response = dropped
+			? await this.waitForResponseTimeout()
+			: await this.environment.sendHeartbeat(this, node, body);
+		await new Promise<void>((resolve) => this.runOrQueue(resolve));
 		// Hearing nothing, it gives up after the time it waits for an answer.
-		const deaf = this.deaf;
-		if (deaf) await this.silence();
-		this.inFlight = false;
-		if (this.dead) return;
-		if (deaf) {
-			this.node += 1;
-			this.nextAt = this.time.now() + 1000;
+		const inboundDropped = this.inboundDropped;
+		if (inboundDropped) await this.waitForResponseTimeout();
+		this.heartbeatInFlight = false;
+		if (this.terminated) return;
+		if (inboundDropped) {
+			this.nodeIndex += 1;
+			this.nextHeartbeatAt = this.time.now() + 1000;
 			return;
 		}
-		if (answer?.status === 200) {
-			if (shift === this.shift) this.obey(answer.body as Record<string, unknown>, sentAt);
+		if (response?.status === 200) {
+			if (agentEpoch === this.agentEpoch)
+				this.handleResponse(response.body as Record<string, unknown>, sentAt);
 			return;
 		}
-		const named = answer?.status === 421 ? (answer.body as { foreman?: string }).foreman : undefined;
-		const at = named === undefined ? -1 : this.world.nodes.indexOf(named);
-		if (at >= 0 && at !== this.node % this.world.nodes.length) {
-			this.node = at;
-			this.nextAt = this.time.now() + 100;
+		const redirectNode =
+			response?.status === 421 ? (response.body as { foreman?: string }).foreman : undefined;
+		const redirectIndex = redirectNode === undefined ? -1 : this.environment.nodes.indexOf(redirectNode);
+		if (redirectIndex >= 0 && redirectIndex !== this.nodeIndex % this.environment.nodes.length) {
+			this.nodeIndex = redirectIndex;
+			this.nextHeartbeatAt = this.time.now() + 100;
 		} else {
-			this.node += 1;
-			this.nextAt = this.time.now() + 1000;
+			this.nodeIndex += 1;
+			this.nextHeartbeatAt = this.time.now() + 1000;
 		}
 	}
 
-	private silence(): Promise<undefined> {
+	private waitForResponseTimeout(): Promise<undefined> {
 		return new Promise((resolve) => this.time.after(4000, () => resolve(undefined)));
 	}
 
-	private obey(body: Record<string, unknown>, sentAt: number): void {
-		const baton = typeof body.baton === "number" ? body.baton : -1;
-		if (baton < this.baton) return;
-		if (baton > this.baton) {
-			this.baton = baton;
-			this.changed();
+	private handleResponse(body: Record<string, unknown>, sentAt: number): void {
+		const fencingToken = typeof body.baton === "number" ? body.baton : -1;
+		if (fencingToken < this.fencingToken) return;
+		if (fencingToken > this.fencingToken) {
+			this.fencingToken = fencingToken;
+			this.advanceNextHeartbeat();
 		}
-		this.leaseFrom = Math.max(this.leaseFrom, sentAt);
-		this.carryOut(body.orders as Record<string, unknown>[]);
+		this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
+		this.executeCommands(body.orders as Record<string, unknown>[]);
 	}
 
 	/** Orders that come to a machine that hangs are carried out when it goes on. */
-	ordered(body: Record<string, unknown>): Promise<HttpResponse> {
-		return new Promise((resolve) => this.awake(() => resolve(this.commands(body))));
+	receiveCommands(body: Record<string, unknown>): Promise<HttpResponse> {
+		return new Promise((resolve) => this.runOrQueue(() => resolve(this.handleCommands(body))));
 	}
 
 	/** POST /commands. */
-	commands(body: Record<string, unknown>): HttpResponse {
+	handleCommands(body: Record<string, unknown>): HttpResponse {
 		if (typeof body.baton !== "number" || typeof body.shift !== "number") return { status: 400, body: {} };
-		if (body.baton < this.baton || body.shift !== this.shift) return { status: 409, body: this.show() };
-		if (body.baton > this.baton) {
-			this.baton = body.baton;
-			this.changed();
+		if (body.baton < this.fencingToken || body.shift !== this.agentEpoch)
+			return { status: 409, body: this.heartbeatBody() };
+		if (body.baton > this.fencingToken) {
+			this.fencingToken = body.baton;
+			this.advanceNextHeartbeat();
 		}
-		this.carryOut(body.orders as Record<string, unknown>[]);
-		return { status: 200, body: this.show() };
-	}
-
-	private carryOut(orders: Record<string, unknown>[]): void {
-		for (const order of orders) {
-			const piece = String(order.piece);
-			const attempt = Number(order.try);
-			const key = `${piece}#${attempt}`;
-			const held = this.pieces.get(key);
-			if (order.verb === "run") {
-				if (held) continue;
-				this.run(piece, attempt, key);
-			} else if (order.verb === "halt" && held?.status === "running") this.exit(key, "stopped");
-			else if (order.verb === "forget" && held?.status === "exited") {
-				this.pieces.delete(key);
-				this.changed();
+		this.executeCommands(body.orders as Record<string, unknown>[]);
+		return { status: 200, body: this.heartbeatBody() };
+	}
+
+	private executeCommands(commands: Record<string, unknown>[]): void {
+		for (const command of commands) {
+			const task = String(command.piece);
+			const attempt = Number(command.try);
+			const key = `${task}#${attempt}`;
+			const entry = this.attempts.get(key);
+			if (command.verb === "run") {
+				if (entry) continue;
+				this.runTask(task, attempt, key);
+			} else if (command.verb === "halt" && entry?.status === "running") this.endAttempt(key, "stopped");
+			else if (command.verb === "forget" && entry?.status === "exited") {
+				this.attempts.delete(key);
+				this.advanceNextHeartbeat();
 			}
 		}
 	}
 
-	private run(piece: string, attempt: number, key: string): void {
-		const seconds = this.world.runSeconds(piece);
-		const busy = [...this.pieces.values()].some((p) => p.piece === piece && p.status === "running");
-		const entry: Piece = { piece, try: attempt, status: "running" };
-		this.pieces.set(key, entry);
-		this.changed();
-		if (busy || seconds === null) {
+	private runTask(task: string, attempt: number, key: string): void {
+		const seconds = this.environment.runSeconds(task);
+		const alreadyRunning = [...this.attempts.values()].some(
+			(p) => p.piece === task && p.status === "running",
+		);
+		const entry: AttemptStatus = { piece: task, try: attempt, status: "running" };
+		this.attempts.set(key, entry);
+		this.advanceNextHeartbeat();
+		if (alreadyRunning || seconds === null) {
 			entry.status = "exited";
-			entry.cause = busy ? "busy" : "no_such";
+			entry.cause = alreadyRunning ? "busy" : "no_such";
 			return;
 		}
-		this.world.started(this, piece);
-		if (this.sick || this.world.fails(this, piece)) this.exit(key, "error");
-		else this.time.after(seconds * 1000, () => this.awake(() => this.exit(key, "done")));
+		this.environment.taskStarted(this, task);
+		if (this.failsAllTasks || this.environment.failsTask(this, task)) this.endAttempt(key, "error");
+		else this.time.after(seconds * 1000, () => this.runOrQueue(() => this.endAttempt(key, "done")));
 	}
 
-	private exit(key: string, cause: string): void {
-		const entry = this.pieces.get(key);
-		if (this.dead || entry?.status !== "running") return;
+	private endAttempt(key: string, cause: string): void {
+		const entry = this.attempts.get(key);
+		if (this.terminated || entry?.status !== "running") return;
 		entry.status = "exited";
 		entry.cause = cause;
-		this.world.ended(this, entry.piece);
-		this.changed();
+		this.environment.taskEnded(this, entry.piece);
+		this.advanceNextHeartbeat();
 	}
 }
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -18,7 +18,7 @@
 import { FakeTime } from "./fake-time.js";
 import { FakeNetwork } from "./network.js";
 import { StateService } from "./state-service.js";
-import { FakeWorker, type WorkerWorld } from "./worker.js";
+import { FakeWorker, type WorkerEnvironment } from "./worker.js";
 
 export interface JobBody {
 	id: string;
@@ -42,99 +42,100 @@
 }
 
 /** What users read of an answer. */
-export interface UserAnswer {
+export interface UserResponse {
 	status?: string;
 	error?: string;
 }
 
-interface KnownJob {
+interface TrackedJob {
 	body: Record<string, unknown> & { pieces: number; cores: number };
 	runs: number | number[];
 	failsOn: string[];
 	cancelledAt: number | null;
-	told: Set<string>;
+	reportedStatuses: Set<string>;
 }
 
-interface Process {
+interface ControllerProcess {
 	id: string;
 	controller: Controller;
 	app: ReturnType<typeof publicApi>;
-	gate: Gate;
+	executor: PausableExecutor;
 }
 
 /**
  * What a process does goes through here. While it stands still, its timers and all that
  * comes in pile up, though its clocks run on; when it goes on, they come in their order.
  */
-class Gate {
-	private held: (() => void)[] | null = null;
+class PausableExecutor {
+	private queued: (() => void)[] | null = null;
 
-	pass(run: () => void): void {
-		if (this.held) this.held.push(run);
+	runOrQueue(run: () => void): void {
+		if (this.queued) this.queued.push(run);
 		else run();
 	}
 
-	freeze(): void {
-		this.held ??= [];
+	pause(): void {
+		this.queued ??= [];
 	}
 
-	thaw(): void {
-		const held = this.held ?? [];
-		this.held = null;
-		for (const run of held) run();
+	resume(): void {
+		const queued = this.queued ?? [];
+		this.queued = null;
+		for (const run of queued) run();
 	}
 
-	settled<T>(answer: Promise<T>): Promise<T> {
+	settleWhenRunning<T>(result: Promise<T>): Promise<T> {
 		return new Promise((resolve, reject) =>
-			answer.then(
-				(value) => this.pass(() => resolve(value)),
-				(error) => this.pass(() => reject(error)),
+			result.then(
+				(value) => this.runOrQueue(() => resolve(value)),
+				(error) => this.runOrQueue(() => reject(error)),
 			),
 		);
 	}
 
-	time(time: Clock): Clock {
+	clock(time: Clock): Clock {
 		return {
 			now: () => time.now(),
 			date: () => time.date(),
-			after: (ms, run) => time.after(ms, () => this.pass(run)),
+			after: (ms, run) => time.after(ms, () => this.runOrQueue(run)),
 		};
 	}
 
 	caller(http: HttpCaller): HttpCaller {
 		return {
-			call: (method, path, body, deadlineMs) => this.settled(http.call(method, path, body, deadlineMs)),
+			call: (method, path, body, deadlineMs) =>
+				this.settleWhenRunning(http.call(method, path, body, deadlineMs)),
 			close: () => http.close(),
 		};
 	}
 }
 
 /** Most cores of each team; guests have neither guarantee nor limit. */
-const teams: Record<string, number> = { red: 8, blue: 8, guest: Number.POSITIVE_INFINITY };
+const teamCpuLimits: Record<string, number> = { red: 8, blue: 8, guest: Number.POSITIVE_INFINITY };
 export const nodeNames = ["runner-0", "runner-1", "runner-2"];
 
 /** With so small a share of a core any number of reports is many, and all controllers receive them. */
-const tinyShare = "[cluster.resources]\ncores = 0.0005\n";
+const tinyCpuSettings = "[cluster.resources]\ncores = 0.0005\n";
 
 /** Limits that the state service may come to have in a trace. */
-const nextLimits = "[cluster.state.next]\nvalue_kb = 0.6\ntxn_ops = 4\n";
+const nextLimitSettings = "[cluster.state.next]\nvalue_kb = 0.6\ntxn_ops = 4\n";
 
-interface SettingsParts {
+interface PlatformOptions {
 	node: string;
 	nodes: string[];
-	relayed: boolean;
-	nextKnown: boolean;
+	forwarding: boolean;
+	nextLimitsAnnounced: boolean;
 	state?: string;
 }
 
 /** The platform's settings file of a node. */
-export function settingsText(parts: SettingsParts): string {
-	const { node, nodes, relayed, nextKnown, state = "127.0.0.1:4" } = parts;
+export function platformSettingsText(options: PlatformOptions): string {
+	const { node, nodes, forwarding, nextLimitsAnnounced, state = "127.0.0.1:4" } = options;
 	const others = nodes
 		.filter((n) => n !== node)
 		.map((n) => `[[others]]\nnode = "${n}"\ndomain = "z"\naddr = "127.0.0.1:1"\n`);
-	const teamText = Object.entries(teams).map(([name, most]) => {
-		const cpus = Number.isFinite(most) ? most : 0;
+	const teamText = Object.entries(teamCpuLimits).map(([name, maxCpus]) => {
+		const cpus = Number.isFinite(maxCpus) ? maxCpus : 0;
 		return `[[cluster.teams]]\nname = "${name}"\ncpus = ${cpus / 2}\ncpus_max = ${cpus}\n`;
 	});
 	return `node = "${node}"
@@ -161,7 +162,7 @@
 [cluster.cloud]
 rps = 5.0
 list_lag_s = 1.0
-${relayed ? tinyShare : ""}${nextKnown ? nextLimits : ""}`;
+${forwarding ? tinyCpuSettings : ""}${nextLimitsAnnounced ? nextLimitSettings : ""}`;
 }
 
 /** Controllers, three if not said otherwise, between stand-ins of all that is around them, in fake time, with the rules watched. */
@@ -171,33 +172,33 @@
 	readonly state = new StateService(this.time);
 	readonly cloud: FakeCloud;
 	readonly workers = new Map<string, FakeWorker>();
-	readonly jobs = new Map<string, KnownJob>();
-	readonly broken: string[] = [];
+	readonly jobs = new Map<string, TrackedJob>();
+	readonly violations: string[] = [];
 	/** Starts of each task, in order. */
 	readonly starts = new Map<string, string[]>();
 	readonly logs: string[] = [];
-	private readonly on = new Map<string, string>();
-	private readonly finished = new Set<string>();
-	private readonly processes = new Map<string, Process>();
-	private readonly cutLinks = new Set<string>();
+	private readonly machineByTask = new Map<string, string>();
+	private readonly doneTasks = new Set<string>();
+	private readonly processes = new Map<string, ControllerProcess>();
+	private readonly peerIsolatedNodes = new Set<string>();
 	private incarnation = 0;
 
 	/** Seconds after which copies of every report arrive once more, at the node it was sent to. */
-	copiesAfterS: number[] = [];
+	duplicateHeartbeatsAfterS: number[] = [];
 
 	/** Since when a job waits though something could run, troubles aside. */
 	private readonly waitingSince = new Map<string, number>();
 	/** By trace: troubles that no stand-in shows, such as faults on links. */
-	troubled = false;
+	linkFaultsActive = false;
 	/** Limits of teams that were changed, and when they were in force. */
-	readonly changedLimits = new Map<string, number>();
+	readonly teamLimitOverrides = new Map<string, number>();
 	/** Whether processes that start from now on are told of the limits to come. */
-	nextKnown = false;
+	nextLimitsAnnounced = false;
 
 	constructor(
 		capacity = 4,
 		readonly nodes: string[] = nodeNames,
-		private readonly relayed = false,
+		private readonly forwarding = false,
 		/** Whether processes that start from now on divide limits. */
 		public teamQuota = false,
 	) {
@@ -211,26 +212,26 @@
 			halls: ["a", "b"],
 		});
 		this.cloud = new FakeCloud(this.time, [type("small", 4, 0.2), type("large", 8, 0.4)], capacity, {
-			up: (host) => {
+			booted: (host) => {
 				const worker = new FakeWorker(
 					host.id,
-					host.shape,
-					host.hall,
-					host.loaners,
+					host.machineType,
+					host.zone,
+					host.spot,
 					this.time,
-					this.workerWorld,
+					this.workerEnvironment,
 				);
 				this.workers.set(host.id, worker);
 			},
-			gone: (id) => this.workers.get(id)?.die(),
+			removed: (id) => this.workers.get(id)?.terminate(),
 		});
-		this.workerWorld.nodes.push(...nodes);
+		this.workerEnvironment.nodes.push(...nodes);
 		for (const node of nodes) this.start(node);
-		this.watchWaiting();
+		this.checkWaitingPeriodically();
 	}
 
-	private readonly workerWorld: WorkerWorld = {
-		reportS: 1,
+	private readonly workerEnvironment: WorkerEnvironment = {
+		heartbeatIntervalS: 1,
 		leaseS: 10,
 		nodes: [],
 		runSeconds: (piece) => {
@@ -238,11 +239,11 @@
 			const runs = this.jobs.get(id)?.runs ?? null;
 			return Array.isArray(runs) ? (runs[Number(index)] ?? null) : runs;
 		},
-		fails: (worker, piece) =>
-			this.jobs.get(piece.split("/")[0] as string)?.failsOn.includes(worker.shape) ?? false,
-		started: (worker, piece) => this.started(worker, piece),
-		ended: (worker, piece) => this.ended(worker, piece),
-		send: (worker, node, body) => this.sendReport(worker, node, body),
+		failsTask: (worker, piece) =>
+			this.jobs.get(piece.split("/")[0] as string)?.failsOn.includes(worker.machineType) ?? false,
+		taskStarted: (worker, piece) => this.recordStart(worker, piece),
+		taskEnded: (worker, piece) => this.recordEnd(worker, piece),
+		sendHeartbeat: (worker, node, body) => this.sendHeartbeat(worker, node, body),
 	};
 
 	// --- controllers ---
@@ -251,18 +252,21 @@
 		if (this.processes.has(node)) return;
 		this.incarnation += 1;
 		const id = `${node}#${this.incarnation}`;
-		const { nodes, relayed, nextKnown } = this;
-		const settings = parsePlatform("test settings", settingsText({ node, nodes, relayed, nextKnown }));
-		const note =
+		const { nodes, forwarding, nextLimitsAnnounced } = this;
+		const settings = parsePlatform(
+			"test settings",
+			platformSettingsText({ node, nodes, forwarding, nextLimitsAnnounced }),
+		);
+		const logAt =
 			(level: string) =>
 			(fields: object, message: string): void => {
 				if (level !== "debug")
 					this.logs.push(`${this.time.now()} ${id} ${message} ${JSON.stringify(fields)}`);
 			};
-		const log: Log = { error: note("error"), info: note("info"), debug: note("debug") };
-		const gate = new Gate();
-		const time = gate.time(this.time);
-		const store = gate.caller(
+		const log: Log = { error: logAt("error"), info: logAt("info"), debug: logAt("debug") };
+		const executor = new PausableExecutor();
+		const clock = executor.clock(this.time);
+		const store = executor.caller(
 			this.network.caller(id, "state", (m, p, b) => this.state.handle(m, p, b, node)),
 		);
 		const operator = defaultOperator();
@@ -270,7 +274,7 @@
 		const incarnation = `inc${this.incarnation}`;
 		const storeClient = new StoreClient({
 			http: store,
-			clock: time,
+			clock: clock,
 			requestsPerS: 300,
 			writesPerS: 60,
 			controllers: this.nodes.length,
@@ -278,26 +282,35 @@
 		const ports: ControllerPorts = {
 			store: storeClient,
 			cloud: new CloudClient(
-				gate.caller(this.network.caller(id, "cloud", (m, p, b) => this.cloud.handle(m, p, b))),
-				time,
+				executor.caller(this.network.caller(id, "cloud", (m, p, b) => this.cloud.handle(m, p, b))),
+				clock,
 				5,
 			),
 			workers: new WorkerClient((endpoint) => {
 				const host = endpoint.split(":")[0] as string;
 				const caller = this.network.caller(id, host, (_m, _p, body) => {
 					const worker = this.workers.get(host);
-					if (!worker || worker.dead || worker.cut || worker.deaf) return new Promise<HttpResponse>(() => {});
-					return worker.ordered(body as Record<string, unknown>);
+					if (!worker || worker.terminated || worker.partitioned || worker.inboundDropped)
+						return new Promise<HttpResponse>(() => {});
+					return worker.receiveCommands(body as Record<string, unknown>);
 				});
-				return gate.caller(caller);
+				return executor.caller(caller);
 			}),
-			peers: { send: (to, message) => this.peer(id, node, to, message) },
-			clock: time,
+			peers: { send: (to, message) => this.sendPeerMessage(id, node, to, message) },
+			clock: clock,
 			log,
 			random: xoroshiro128plus(this.incarnation),
 			schedule: queueMicrotask,
 			createTeamQuota: (post) =>
-				createTeamQuota({ platform: settings, operator, incarnation, store: storeClient, time, log, post }),
+				createTeamQuota({
+					platform: settings,
+					operator,
+					incarnation,
+					store: storeClient,
+					time: clock,
+					log,
+					post,
+				}),
 		};
 		const controller = createController({ platform: settings, operator, incarnation, ports });
 		const app = publicApi(
@@ -310,7 +323,7 @@
 			},
 			log,
 		);
-		this.processes.set(node, { id, controller, app, gate });
+		this.processes.set(node, { id, controller, app, executor: executor });
 		controller.start();
 	}
 
@@ -324,12 +337,12 @@
 	}
 
 	/** The process stands still; its clocks, and the world, go on. */
-	freeze(node: string): void {
-		this.processes.get(node)?.gate.freeze();
+	pauseProcess(node: string): void {
+		this.processes.get(node)?.executor.pause();
 	}
 
-	thaw(node: string): void {
-		this.processes.get(node)?.gate.thaw();
+	resumeProcess(node: string): void {
+		this.processes.get(node)?.executor.resume();
 	}
 
 	controllerOf(node: string): Controller {
@@ -342,20 +355,21 @@
 		return this.processes.get(node)?.controller.ready() ?? false;
 	}
 
-	private peer(fromId: string, from: string, to: string, message: unknown): void {
+	private sendPeerMessage(fromId: string, from: string, to: string, message: unknown): void {
 		const bytes = encodeFrame(message);
 		this.time.after(2, () => {
-			if (this.network.isDown(fromId) || this.cutLinks.has(from) || this.cutLinks.has(to)) return;
+			if (this.network.isDown(fromId) || this.peerIsolatedNodes.has(from) || this.peerIsolatedNodes.has(to))
+				return;
 			const process = this.processes.get(to);
 			for (const m of new FrameReader().push(bytes))
-				process?.gate.pass(() => process.controller.receivePeerMessage(from, m));
+				process?.executor.runOrQueue(() => process.controller.receivePeerMessage(from, m));
 		});
 	}
 
 	/** Cuts a controller off from the other controllers only. */
-	cutPeer(node: string, cut: boolean): void {
-		if (cut) this.cutLinks.add(node);
-		else this.cutLinks.delete(node);
+	setPeerIsolation(node: string, isolated: boolean): void {
+		if (isolated) this.peerIsolatedNodes.add(node);
+		else this.peerIsolatedNodes.delete(node);
 	}
 
 	/** The node whose process acts for the controllers, by the worker's view: the key in the store. */
@@ -366,12 +380,12 @@
 
 	// --- workers ---
 
-	private async sendReport(worker: FakeWorker, node: string, body: Record<string, unknown>) {
-		const sent = JSON.stringify(body);
-		for (const seconds of this.copiesAfterS) {
+	private async sendHeartbeat(worker: FakeWorker, node: string, body: Record<string, unknown>) {
+		const sentBody = JSON.stringify(body);
+		for (const seconds of this.duplicateHeartbeatsAfterS) {
 			this.time.after(seconds * 1000, () => {
 				const process = this.processes.get(node);
-				process?.gate.pass(() => void process.controller.handleHeartbeat(parseHeartbeat(sent)));
+				process?.executor.runOrQueue(() => void process.controller.handleHeartbeat(parseHeartbeat(sentBody)));
 			});
 		}
 		return new Promise<HttpResponse | undefined>((resolve) => {
@@ -381,50 +395,51 @@
 				this.time.after(2, () => resolve({ status: 0, body: {} }));
 				return;
 			}
-			const fault = this.network.fault(worker.host, node, "POST", "/v1/report");
-			if (fault.cut) return;
+			const fault = this.network.faultFor(worker.host, node, "POST", "/v1/report");
+			if (fault.dropRequest) return;
 			this.time.after(2 + (fault.delayMs ?? 0), () => {
-				const now = this.processes.get(node);
-				now?.gate.pass(async () => {
-					const result = await now.controller.handleHeartbeat(parseHeartbeat(sent));
-					if (fault.loseAnswer || this.network.isDown(now.id)) return;
-					const answer: HttpResponse =
+				const current = this.processes.get(node);
+				current?.executor.runOrQueue(async () => {
+					const result = await current.controller.handleHeartbeat(parseHeartbeat(sentBody));
+					if (fault.dropResponse || this.network.isDown(current.id)) return;
+					const response: HttpResponse =
 						result.kind === "commands"
 							? { status: 200, body: heartbeatResponseBody(result.fencingToken, result.commands) }
 							: { status: 421, body: redirectBody(result.node) };
-					this.time.after(2, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpResponse));
+					this.time.after(2, () => resolve(JSON.parse(JSON.stringify(response)) as HttpResponse));
 				});
 			});
 		});
 	}
 
-	workerOf(piece: string): FakeWorker {
-		const worker = this.workers.get(this.on.get(piece) ?? "");
-		if (!worker) throw new Error(`${piece} is on no machine`);
+	workerOf(task: string): FakeWorker {
+		const worker = this.workers.get(this.machineByTask.get(task) ?? "");
+		if (!worker) throw new Error(`${task} is on no machine`);
 		return worker;
 	}
 
-	running(piece: string): boolean {
-		return this.on.has(piece);
+	isRunning(task: string): boolean {
+		return this.machineByTask.has(task);
 	}
 
-	private started(worker: FakeWorker, piece: string): void {
-		const id = piece.split("/")[0] as string;
+	private recordStart(worker: FakeWorker, task: string): void {
+		const id = task.split("/")[0] as string;
 		const job = this.jobs.get(id);
-		this.starts.set(piece, [...(this.starts.get(piece) ?? []), worker.host]);
-		if (!job) return void this.broken.push(`${piece} started, but nobody submitted ${id}`);
-		const other = this.on.get(piece);
-		if (other !== undefined) this.broken.push(`ran_twice: ${piece} on ${worker.host} while on ${other}`);
+		this.starts.set(task, [...(this.starts.get(task) ?? []), worker.host]);
+		if (!job) return void this.violations.push(`${task} started, but nobody submitted ${id}`);
+		const runningOn = this.machineByTask.get(task);
+		if (runningOn !== undefined)
+			this.violations.push(`ran_twice: ${task} on ${worker.host} while on ${runningOn}`);
 		const { body } = job;
-		if (Array.isArray(body.shapes) && !body.shapes.includes(worker.shape))
-			this.broken.push(`wrong_place: ${piece} type`);
-		if (typeof body.hall === "string" && body.hall !== worker.hall)
-			this.broken.push(`wrong_place: ${piece} zone`);
-		if (worker.loaners && body.loaners !== true) this.broken.push(`wrong_place: ${piece} kind`);
+		if (Array.isArray(body.shapes) && !body.shapes.includes(worker.machineType))
+			this.violations.push(`wrong_place: ${task} type`);
+		if (typeof body.hall === "string" && body.hall !== worker.zone)
+			this.violations.push(`wrong_place: ${task} zone`);
+		if (worker.spot && body.loaners !== true) this.violations.push(`wrong_place: ${task} kind`);
 		if (job.cancelledAt !== null && this.time.now() - job.cancelledAt > 37_000) {
-			this.broken.push(`ran_cancelled: ${piece}`);
+			this.violations.push(`ran_cancelled: ${task}`);
 		}
-		this.on.set(piece, worker.host);
+		this.machineByTask.set(task, worker.host);
 		this.checkZones(id, body);
 		this.checkQuota(String(body.desk));
 	}
@@ -433,123 +448,123 @@
 	 * Troubles over, no job waits for 90 s while a machine that fits has room and its team
 	 * is under its limit. What counts is the machines themselves, not what a leader thinks of them.
 	 */
-	private watchWaiting(): void {
+	private checkWaitingPeriodically(): void {
 		this.time.after(1000, () => {
 			const now = this.time.now();
-			const troubled =
-				this.troubled ||
+			const faultsActive =
+				this.linkFaultsActive ||
 				this.state.outage ||
-				this.state.refused.size > 0 ||
+				this.state.unavailableTo.size > 0 ||
 				this.cloud.outage ||
-				this.cutLinks.size > 0 ||
+				this.peerIsolatedNodes.size > 0 ||
 				this.processes.size === 0;
 			for (const [id, job] of this.jobs) {
-				if (troubled || !this.couldStart(id, job)) this.waitingSince.delete(id);
+				if (faultsActive || !this.canStart(id, job)) this.waitingSince.delete(id);
 				else if (!this.waitingSince.has(id)) this.waitingSince.set(id, now);
 				else if (now - (this.waitingSince.get(id) as number) > 90_000) {
 					this.waitingSince.delete(id);
-					this.broken.push(`waited: ${id} for 90 s, though a machine has room`);
+					this.violations.push(`waited: ${id} for 90 s, though a machine has room`);
 				}
 			}
-			this.watchWaiting();
+			this.checkWaitingPeriodically();
 		});
 	}
 
 	/** Of an array nothing runs, or of a standing job some replicas do not, though they could. */
-	private couldStart(id: string, { body, told, cancelledAt }: KnownJob): boolean {
-		if (told.size === 0 || cancelledAt !== null) return false;
-		const pieces = Array.from({ length: body.pieces }, (_, i) => `${id}/${i}`);
-		if (body.form !== "standing" && pieces.some((piece) => this.on.has(piece))) return false;
-		if (pieces.every((piece) => this.on.has(piece) || this.finished.has(piece))) return false;
-		const used = this.coresUsed();
-		const ofTeam = used.byTeam.get(String(body.desk)) ?? 0;
-		if (ofTeam + body.cores > (teams[String(body.desk)] ?? 0)) return false;
+	private canStart(id: string, { body, reportedStatuses, cancelledAt }: TrackedJob): boolean {
+		if (reportedStatuses.size === 0 || cancelledAt !== null) return false;
+		const tasks = Array.from({ length: body.pieces }, (_, i) => `${id}/${i}`);
+		if (body.form !== "standing" && tasks.some((piece) => this.machineByTask.has(piece))) return false;
+		if (tasks.every((piece) => this.machineByTask.has(piece) || this.doneTasks.has(piece))) return false;
+		const used = this.cpusInUse();
+		const teamCpus = used.byTeam.get(String(body.desk)) ?? 0;
+		if (teamCpus + body.cores > (teamCpuLimits[String(body.desk)] ?? 0)) return false;
 		return [...this.workers].some(([host, worker]) => {
-			const cores = this.cloud.types.find((t) => t.sku === worker.shape)?.cores ?? 0;
-			const room = (used.byHost.get(host) ?? 0) + body.cores <= cores;
-			return room && this.isUsable(host, worker) && this.isAllowed(id, body, worker);
+			const cores = this.cloud.types.find((t) => t.sku === worker.machineType)?.cores ?? 0;
+			const fits = (used.byMachine.get(host) ?? 0) + body.cores <= cores;
+			return fits && this.isUsable(host, worker) && this.meetsConstraints(id, body, worker);
 		});
 	}
 
-	private coresUsed(): { byHost: Map<string, number>; byTeam: Map<string, number> } {
-		const byHost = new Map<string, number>();
+	private cpusInUse(): { byMachine: Map<string, number>; byTeam: Map<string, number> } {
+		const byMachine = new Map<string, number>();
 		const byTeam = new Map<string, number>();
-		for (const [piece, host] of this.on) {
+		for (const [piece, host] of this.machineByTask) {
 			const body = this.jobs.get(piece.split("/")[0] as string)?.body;
 			if (!body) continue;
-			byHost.set(host, (byHost.get(host) ?? 0) + body.cores);
+			byMachine.set(host, (byMachine.get(host) ?? 0) + body.cores);
 			byTeam.set(String(body.desk), (byTeam.get(String(body.desk)) ?? 0) + body.cores);
 		}
-		return { byHost, byTeam };
+		return { byMachine: byMachine, byTeam };
 	}
 
 	private isUsable(host: string, worker: FakeWorker): boolean {
-		return worker.well && worker.recallAt === null && this.cloud.hosts.has(host);
+		return worker.healthy && worker.reclaimAt === null && this.cloud.hosts.has(host);
 	}
 
-	private isAllowed(id: string, body: KnownJob["body"], worker: FakeWorker): boolean {
-		const zones = this.zonesOf(id);
-		const others = [...zones.keys()].some((hall) => hall !== worker.hall);
+	private meetsConstraints(id: string, body: TrackedJob["body"], worker: FakeWorker): boolean {
+		const zones = this.taskCountByZone(id);
+		const hasTasksInOtherZone = [...zones.keys()].some((hall) => hall !== worker.zone);
 		return (
-			(!Array.isArray(body.shapes) || body.shapes.includes(worker.shape)) &&
-			(typeof body.hall !== "string" || body.hall === worker.hall) &&
-			(body.loaners === true || !worker.loaners) &&
-			!(body.one_zone === true && others) &&
-			!(body.spread === true && (zones.get(worker.hall) ?? 0) >= Math.ceil(body.pieces / 2))
+			(!Array.isArray(body.shapes) || body.shapes.includes(worker.machineType)) &&
+			(typeof body.hall !== "string" || body.hall === worker.zone) &&
+			(body.loaners === true || !worker.spot) &&
+			!(body.one_zone === true && hasTasksInOtherZone) &&
+			!(body.spread === true && (zones.get(worker.zone) ?? 0) >= Math.ceil(body.pieces / 2))
 		);
 	}
 
 	/** Tasks of the job that are on machines, by zone. */
-	private zonesOf(id: string): Map<string, number> {
+	private taskCountByZone(id: string): Map<string, number> {
 		const zones = new Map<string, number>();
-		for (const [piece, host] of this.on) {
+		for (const [piece, host] of this.machineByTask) {
 			if (!piece.startsWith(`${id}/`)) continue;
-			const hall = this.workers.get(host)?.hall ?? "?";
+			const hall = this.workers.get(host)?.zone ?? "?";
 			zones.set(hall, (zones.get(hall) ?? 0) + 1);
 		}
 		return zones;
 	}
 
-	private checkZones(id: string, body: KnownJob["body"]): void {
-		const zones = this.zonesOf(id);
-		if (body.one_zone === true && zones.size > 1) this.broken.push(`wrong_place: ${id} in two zones`);
-		const most = Math.max(...zones.values());
-		if (body.spread === true && most > Math.ceil(body.pieces / 2))
-			this.broken.push(`wrong_place: ${id} not spread`);
+	private checkZones(id: string, body: TrackedJob["body"]): void {
+		const zones = this.taskCountByZone(id);
+		if (body.one_zone === true && zones.size > 1) this.violations.push(`wrong_place: ${id} in two zones`);
+		const maxInZone = Math.max(...zones.values());
+		if (body.spread === true && maxInZone > Math.ceil(body.pieces / 2))
+			this.violations.push(`wrong_place: ${id} not spread`);
 	}
 
 	private checkQuota(team: string): void {
 		let used = 0;
-		for (const piece of this.on.keys()) {
+		for (const piece of this.machineByTask.keys()) {
 			const body = this.jobs.get(piece.split("/")[0] as string)?.body;
 			if (body?.desk === team) used += body.cores;
 		}
-		if (used > (this.changedLimits.get(team) ?? teams[team] ?? 0) + 1e-9)
-			this.broken.push(`quota: ${team} uses ${used}`);
+		if (used > (this.teamLimitOverrides.get(team) ?? teamCpuLimits[team] ?? 0) + 1e-9)
+			this.violations.push(`quota: ${team} uses ${used}`);
 	}
 
 	/** Tasks of the job that run. */
-	runningOf(job: string): number {
-		return [...this.on.keys()].filter((piece) => piece.startsWith(`${job}/`)).length;
+	runningTaskCount(job: string): number {
+		return [...this.machineByTask.keys()].filter((piece) => piece.startsWith(`${job}/`)).length;
 	}
 
-	private ended(worker: FakeWorker, piece: string): void {
-		if (this.on.get(piece) === worker.host) this.on.delete(piece);
-		const done = worker.show().pieces as { piece: string; cause?: string }[];
-		if (done.some((p) => p.piece === piece && p.cause === "done")) this.finished.add(piece);
+	private recordEnd(worker: FakeWorker, task: string): void {
+		if (this.machineByTask.get(task) === worker.host) this.machineByTask.delete(task);
+		const reported = worker.heartbeatBody().pieces as { piece: string; cause?: string }[];
+		if (reported.some((p) => p.piece === task && p.cause === "done")) this.doneTasks.add(task);
 	}
 
 	/** A cancelled job's tasks must be gone; called at the end of a trace, and in time after each cancellation. */
 	checkCancelled(): void {
-		for (const piece of this.on.keys()) {
+		for (const piece of this.machineByTask.keys()) {
 			const job = this.jobs.get(piece.split("/")[0] as string);
 			if (job?.cancelledAt != null && this.time.now() - job.cancelledAt > 37_000) {
-				this.broken.push(`ran_cancelled: ${piece} is still there`);
+				this.violations.push(`ran_cancelled: ${piece} is still there`);
 			}
 		}
 	}
 
-	private noteCancelled(job: KnownJob): void {
+	private recordCancellation(job: TrackedJob): void {
 		if (job.cancelledAt !== null) return;
 		job.cancelledAt = this.time.now();
 		this.time.after(37_001, () => this.checkCancelled());
@@ -558,16 +573,16 @@
 	// --- users ---
 
 	/** Troubles over, every job that was accepted is answered for within 75 s, each for itself. */
-	async checkKnown(): Promise<void> {
+	async checkAllJobsFound(): Promise<void> {
 		for (const [id, job] of this.jobs) {
-			if (job.told.size === 0) continue;
+			if (job.reportedStatuses.size === 0) continue;
 			const until = this.time.now() + 75_000;
-			let known = false;
-			while (!known && this.time.now() < until) {
-				for (const node of this.processes.keys()) known ||= (await this.poll(node, id)).status === 200;
-				if (!known) await this.time.advance(1000);
+			let found = false;
+			while (!found && this.time.now() < until) {
+				for (const node of this.processes.keys()) found ||= (await this.poll(node, id)).status === 200;
+				if (!found) await this.time.advance(1000);
 			}
-			if (!known) this.broken.push(`forgotten: no answer about ${id}`);
+			if (!found) this.violations.push(`forgotten: no answer about ${id}`);
 		}
 	}
 
@@ -575,21 +590,21 @@
 		node: string,
 		path: string,
 		init?: RequestInit,
-	): Promise<{ status: number; body: UserAnswer }> {
+	): Promise<{ status: number; body: UserResponse }> {
 		const process = this.processes.get(node);
 		if (!process) return { status: 0, body: {} };
-		let answer: { status: number; body: UserAnswer } | null = null;
-		process.gate.pass(() => {
+		let result: { status: number; body: UserResponse } | null = null;
+		process.executor.runOrQueue(() => {
 			Promise.resolve(process.app.request(path, init)).then(async (response) => {
-				answer = { status: response.status, body: (await response.json()) as UserAnswer };
+				result = { status: response.status, body: (await response.json()) as UserResponse };
 			});
 		});
-		for (let waited = 0; answer === null && waited < 5000; waited += 10) await this.time.advance(10);
-		return answer ?? { status: 0, body: {} };
+		for (let waited = 0; result === null && waited < 5000; waited += 10) await this.time.advance(10);
+		return result ?? { status: 0, body: {} };
 	}
 
 	/** Requests of one moment to several nodes; each answer is told to the checker as it comes. */
-	async together(
+	async requestConcurrently(
 		requests: { node: string; id: string; kind: "poll" | "abort" | "repeat" }[],
 	): Promise<number[]> {
 		const statuses: number[] = requests.map(() => 0);
@@ -601,12 +616,12 @@
 				abort: [`/v1/jobs/${id}/abort`, { method: "POST" }],
 				repeat: ["/v1/jobs", { method: "POST", body }],
 			}[kind] as [string, RequestInit];
-			process?.gate.pass(() => {
+			process?.executor.runOrQueue(() => {
 				Promise.resolve(process.app.request(path, init)).then(async (response) => {
 					statuses[i] = response.status;
-					const answer = (await response.json()) as UserAnswer;
-					if (response.status === 200) this.tell(id, answer.status ?? "");
-					else if (response.status !== 503) this.broken.push(`${kind} of ${id}: ${response.status}`);
+					const userResponse = (await response.json()) as UserResponse;
+					if (response.status === 200) this.recordStatus(id, userResponse.status ?? "");
+					else if (response.status !== 503) this.violations.push(`${kind} of ${id}: ${response.status}`);
 				});
 			});
 		});
@@ -615,13 +630,19 @@
 	}
 
 	/** Makes a job known to the checker that comes into the store by another way. */
-	expectJob(job: JobBody): void {
+	trackJob(job: JobBody): void {
 		const body = { desk: "red", loaners: true, ...job };
-		this.jobs.set(job.id, { body, runs: job.runs ?? 5, failsOn: [], cancelledAt: null, told: new Set() });
+		this.jobs.set(job.id, {
+			body,
+			runs: job.runs ?? 5,
+			failsOn: [],
+			cancelledAt: null,
+			reportedStatuses: new Set(),
+		});
 	}
 
-	async submit(node: string, job: JobBody): Promise<{ status: number; body: UserAnswer }> {
-		const { runs = job.form === "standing" ? 1e6 : 5, fails_on: failsOn = [], ...given } = job;
+	async submit(node: string, job: JobBody): Promise<{ status: number; body: UserResponse }> {
+		const { runs = job.form === "standing" ? 1e6 : 5, fails_on: failsOn = [], ...submitted } = job;
 		const body = {
 			lane: "test",
 			desk: "red",
@@ -636,45 +657,47 @@
 			loaners: true,
 			bundle: "img",
 			image_gb: 1,
-			guess_s: given.form === "standing" ? 0 : Array.isArray(runs) ? Math.max(...runs) : runs,
+			guess_s: submitted.form === "standing" ? 0 : Array.isArray(runs) ? Math.max(...runs) : runs,
 			bookmark_s: 0,
 			bookmark_cost_s: 0,
 			due_s: null,
-			...given,
+			...submitted,
 		};
-		const known = this.jobs.get(job.id);
-		if (!known) this.jobs.set(job.id, { body, runs, failsOn, cancelledAt: null, told: new Set() });
-		const answer = await this.request(node, "/v1/jobs", { method: "POST", body: JSON.stringify(body) });
-		if (answer.status === 200 || answer.status === 201) this.tell(job.id, answer.body.status ?? "");
-		return answer;
+		const tracked = this.jobs.get(job.id);
+		if (!tracked)
+			this.jobs.set(job.id, { body, runs, failsOn, cancelledAt: null, reportedStatuses: new Set() });
+		const response = await this.request(node, "/v1/jobs", { method: "POST", body: JSON.stringify(body) });
+		if (response.status === 200 || response.status === 201)
+			this.recordStatus(job.id, response.body.status ?? "");
+		return response;
 	}
 
-	async poll(node: string, id: string): Promise<{ status: number; body: UserAnswer }> {
-		const answer = await this.request(node, `/v1/jobs/${id}`);
-		if (answer.status === 200) this.tell(id, answer.body.status ?? "");
-		if (answer.status === 404 && (this.jobs.get(id)?.told.size ?? 0) > 0)
-			this.broken.push(`forgotten: ${id}`);
-		return answer;
+	async poll(node: string, id: string): Promise<{ status: number; body: UserResponse }> {
+		const response = await this.request(node, `/v1/jobs/${id}`);
+		if (response.status === 200) this.recordStatus(id, response.body.status ?? "");
+		if (response.status === 404 && (this.jobs.get(id)?.reportedStatuses.size ?? 0) > 0)
+			this.violations.push(`forgotten: ${id}`);
+		return response;
 	}
 
-	async abort(node: string, id: string): Promise<{ status: number; body: UserAnswer }> {
-		const answer = await this.request(node, `/v1/jobs/${id}/abort`, { method: "POST" });
-		if (answer.status === 200) this.tell(id, answer.body.status ?? "");
-		return answer;
+	async cancel(node: string, id: string): Promise<{ status: number; body: UserResponse }> {
+		const response = await this.request(node, `/v1/jobs/${id}/abort`, { method: "POST" });
+		if (response.status === 200) this.recordStatus(id, response.body.status ?? "");
+		return response;
 	}
 
-	private tell(id: string, status: string): void {
+	private recordStatus(id: string, status: string): void {
 		const job = this.jobs.get(id);
-		if (!job) return void this.broken.push(`invented: ${id}`);
-		for (const final of ["done", "cancelled"]) {
-			if (job.told.has(final) && status !== final)
-				this.broken.push(`went_back: ${id} ${final} then ${status}`);
+		if (!job) return void this.violations.push(`invented: ${id}`);
+		for (const finalStatus of ["done", "cancelled"]) {
+			if (job.reportedStatuses.has(finalStatus) && status !== finalStatus)
+				this.violations.push(`went_back: ${id} ${finalStatus} then ${status}`);
 		}
-		job.told.add(status);
-		if (status === "cancelled") this.noteCancelled(job);
+		job.reportedStatuses.add(status);
+		if (status === "cancelled") this.recordCancellation(job);
 		if (status !== "done") return;
 		for (let i = 0; i < job.body.pieces; i++) {
-			if (!this.finished.has(`${id}/${i}`)) this.broken.push(`not_done: ${id}/${i}`);
+			if (!this.doneTasks.has(`${id}/${i}`)) this.violations.push(`not_done: ${id}/${i}`);
 		}
 	}
 }
--- a/tests/team-quota/quota-command.test.ts
+++ b/tests/team-quota/quota-command.test.ts
@@ -10,7 +10,7 @@
 import { fileURLToPath } from "node:url";
 import type { ShownTeam } from "#team-quota";
 import { worldWithJob } from "../support/quota-world.js";
-import { nodeNames, settingsText } from "../support/world.js";
+import { nodeNames, platformSettingsText } from "../support/world.js";
 
 test("ramphub quota shows and sets limits, gives the reason for a refusal, and exits with 0, 1 or 2", async () => {
 	const world = await worldWithJob(2);
@@ -28,7 +28,13 @@
 	const config = join(mkdtempSync(join(tmpdir(), "ramphub-")), "settings.toml");
 	writeFileSync(
 		config,
-		settingsText({ node: "runner-0", nodes: nodeNames, relayed: false, nextKnown: false, state }),
+		platformSettingsText({
+			node: "runner-0",
+			nodes: nodeNames,
+			forwarding: false,
+			nextLimitsAnnounced: false,
+			state,
+		}),
 	);
 	const main = fileURLToPath(new URL("../../src/main.js", import.meta.url));
 	const quota = (...args: string[]) =>
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -27,44 +27,44 @@
 
 test("a lowered limit is pending until the tasks above it have ended or are stopped, then it is enforced", async () => {
 	const world = await worldWithJob(12);
-	assert.equal(world.runningOf("j-000001"), 8, "the platform's limit");
+	assert.equal(world.runningTaskCount("j-000001"), 8, "the platform's limit");
 	const answer = await setLimit(world, "red", { cpus: 3, guaranteedCpus: 1 });
 	assert.equal(answer.pending?.limit.cpus, 3);
 	await world.time.advance(40_000);
-	assert.equal(world.runningOf("j-000001"), 8, "preempt_after_s has not passed");
+	assert.equal(world.runningTaskCount("j-000001"), 8, "preempt_after_s has not passed");
 	await world.time.advance(40_000);
-	assert.equal(world.runningOf("j-000001"), 3);
+	assert.equal(world.runningTaskCount("j-000001"), 3);
 	const lowered = await shownTeam(world, "red");
 	assert.deepEqual([lowered.limit.cpus, lowered.pending], [3, null]);
-	world.changedLimits.set("red", 3);
+	world.teamLimitOverrides.set("red", 3);
 	// After a failover the new leader enforces the limit of the record.
 	world.crash(world.leaderNode() as string);
 	await world.time.advance(40_000);
-	assert.equal(world.runningOf("j-000001"), 3);
+	assert.equal(world.runningTaskCount("j-000001"), 3);
 	const refused = await world.submit(world.leaderNode() as string, { id: "j-000002", pieces: 1, cores: 4 });
 	assert.equal(refused.status, 422, "one task needs more than the limit in force");
-	world.changedLimits.set("red", 5);
+	world.teamLimitOverrides.set("red", 5);
 	await setLimit(world, "red", { cpus: 5 });
 	await world.time.advance(10_000);
-	assert.equal(world.runningOf("j-000001"), 5, "a higher limit is in force at once");
-	assert.deepEqual(world.broken, []);
+	assert.equal(world.runningTaskCount("j-000001"), 5, "a higher limit is in force at once");
+	assert.deepEqual(world.violations, []);
 });
 
 test("of two limit changes during a failover and while a controller is disconnected, the last one is enforced", async () => {
 	const world = await worldWithJob(12);
 	const leader = world.leaderNode() as string;
 	const other = nodeNames.find((node) => node !== leader) as string;
-	world.cutPeer(other, true);
+	world.setPeerIsolation(other, true);
 	await setLimit(world, "red", { cpus: 2, guaranteedCpus: 1 });
 	await setLimit(world, "red", { cpus: 4 });
 	world.crash(leader);
 	await world.time.advance(100_000);
-	world.cutPeer(other, false);
+	world.setPeerIsolation(other, false);
 	await world.time.advance(30_000);
-	assert.equal(world.runningOf("j-000001"), 4);
+	assert.equal(world.runningTaskCount("j-000001"), 4);
 	const { limit, guarantee, pending } = await shownTeam(world, "red");
 	assert.deepEqual([limit.cpus, guarantee.cpus, pending], [4, 1, null]);
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
 
 test("after every controller has restarted, teams use their whole limits: allotments of ended processes are reused", async () => {
@@ -78,11 +78,11 @@
 	await world.submit("runner-1", { id: "j-000002", pieces: 4, cores: 1, runs: 400 });
 	await world.submit("runner-1", { id: "j-000003", pieces: 8, cores: 1, runs: 400, desk: "blue" });
 	await world.time.advance(30_000);
-	assert.equal(world.runningOf("j-000002") + world.runningOf("j-000001"), 8);
-	assert.equal(world.runningOf("j-000003"), 8);
+	assert.equal(world.runningTaskCount("j-000002") + world.runningTaskCount("j-000001"), 8);
+	assert.equal(world.runningTaskCount("j-000003"), 8);
 	for (const team of ["red", "blue"])
 		assert.equal((await shownTeam(world, team)).unallotted.cpus, 0, "no part of a limit is lost");
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
 
 test("admission within allotments continues during an outage of the state service", async () => {
@@ -97,7 +97,7 @@
 	world.state.setOutage(false);
 	await world.time.advance(40_000);
 	assert.equal((await world.poll("runner-1", "j-000001")).body.status, "done");
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
 
 test("without team quota on every controller, limits hold as before: during an upgrade and after a downgrade", async () => {
@@ -111,19 +111,19 @@
 	await world.submit("runner-0", { id: "j-000001", pieces: 12, cores: 1, runs: 400 });
 	await world.time.advance(20_000);
 	const records = () => [...world.state.rows.keys()].filter((key) => key.startsWith(keys.quota));
-	assert.deepEqual([world.runningOf("j-000001"), records()], [8, []]);
+	assert.deepEqual([world.runningTaskCount("j-000001"), records()], [8, []]);
 	world.crash("runner-0");
 	world.start("runner-0");
 	await world.time.advance(20_000);
-	assert.deepEqual([world.runningOf("j-000001"), records().length], [8, 1]);
+	assert.deepEqual([world.runningTaskCount("j-000001"), records().length], [8, 1]);
 	world.teamQuota = false;
 	for (const node of nodeNames) {
 		world.crash(node);
 		world.start(node);
 		await world.time.advance(8000);
 	}
-	assert.equal(world.runningOf("j-000001"), 8);
-	assert.deepEqual(world.broken, []);
+	assert.equal(world.runningTaskCount("j-000001"), 8);
+	assert.deepEqual(world.violations, []);
 });
 
 test("malformed records are logged, never allow more than the limit, and crash no process", async () => {
@@ -144,7 +144,7 @@
 		await world.time.advance(12_000);
 		for (const node of nodeNames) world.start(node);
 		await world.time.advance(12_000);
-		assert.equal(world.runningOf("j-000001"), 8);
+		assert.equal(world.runningTaskCount("j-000001"), 8);
 	}
 	const reported = world.logs.filter((line) => line.includes("a stored team limit cannot be read"));
 	assert.ok(reported.some((line) => line.includes("allotments.0")));
@@ -153,5 +153,5 @@
 		world.logs.filter((line) => line.includes("state action failed")),
 		[],
 	);
-	assert.deepEqual(world.broken, []);
+	assert.deepEqual(world.violations, []);
 });
