--- a/tests/service/malformed-input.test.ts
+++ b/tests/service/malformed-input.test.ts
@@ -7,7 +7,7 @@
 test("malformed messages from a controller are dropped and logged once per kind, and jobs still complete", async () => {
 	const world = new World();
 	await world.time.advance(2000);
-	await world.submit("runner-0", { id: "j-000001", pieces: 2, cores: 1, runs: 30 });
+	await world.submit("runner-0", { id: "j-000001", pieces: 2, cores: 1, run_s: 30 });
 	for (let i = 0; i < 5; i++) {
 		for (const node of ["runner-0", "runner-1", "runner-2"]) {
 			const controller = world.controllerOf(node);
@@ -35,7 +35,7 @@
 test("requests for a job whose record cannot be decoded are answered 503, not 404, and other jobs are unaffected", async () => {
 	const world = new World();
 	await world.time.advance(2000);
-	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 30 });
+	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, run_s: 30 });
 	// A record of a later version, with a job form that this version does not support.
 	const { spec } = (world.state.rows.get("r/job/j-000001") as { v: { spec: object } }).v;
 	const laterRecord = { spec: { ...spec, id: "j-000002", form: "ensemble" }, at: 0 };
@@ -57,7 +57,7 @@
 	const world = new World();
 	world.state.write("r/machs/1-1", { entries: { "n-000099": "of another form" } });
 	await world.time.advance(2000);
-	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 60 });
+	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, run_s: 60 });
 	await world.time.advance(7000);
 	assert.equal(
 		world.isRunning("j-000001/0"),
--- a/tests/service/process-pauses.test.ts
+++ b/tests/service/process-pauses.test.ts
@@ -5,7 +5,7 @@
 test("a status request that arrives when a process pause ends is answered after a new read of the store", async () => {
 	const world = new World();
 	await world.time.advance(3000);
-	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, runs: 60 });
+	await world.submit("runner-0", { id: "j-000001", pieces: 1, cores: 1, run_s: 60 });
 	await world.time.advance(12_000);
 	world.pauseProcess("runner-1");
 	await world.time.advance(9000);
--- a/tests/service/production-compatibility.test.ts
+++ b/tests/service/production-compatibility.test.ts
@@ -53,7 +53,7 @@
 		for (const { key, v, stamp } of fixture.rows)
 			if (key !== "r/one/leader") world.state.rows.set(key, { v, stamp });
 		world.state.revision = 20;
-		world.trackJob({ id: "j-000001", pieces: 3, cores: 1, runs: 1000 });
+		world.trackJob({ id: "j-000001", pieces: 3, cores: 1, run_s: 1000 });
 		world.trackJob({ id: "j-000002", pieces: 1, cores: 1, desk: "blue" });
 		world.trackJob({ id: "j-000003", pieces: 1, cores: 1, desk: "blue" });
 		if (hasServiceJob)
@@ -105,7 +105,7 @@
 	test(`late copies of all messages of ${version} to every controller cause no errors and do not affect a running task`, async () => {
 		const world = new World();
 		await world.time.advance(2000);
-		await world.submit("runner-0", { id: "j-000001", pieces: 3, cores: 1, runs: 60 });
+		await world.submit("runner-0", { id: "j-000001", pieces: 3, cores: 1, run_s: 60 });
 		await world.time.advance(12_000);
 		for (const message of Object.values(fixture.messages))
 			for (const node of nodeNames) world.controllerOf(node).receivePeerMessage("runner-1", message);
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -8,7 +8,7 @@
 import { silentLog } from "./silent-log.js";
 import { StateService } from "./state-service.js";
 
-export const job = { id: "j-000001", pieces: 2, cores: 2, runs: 8 };
+export const job = { id: "j-000001", pieces: 2, cores: 2, run_s: 8 };
 
 /** One Leadership against the stand-in store, with what it tells others kept. */
 export function candidate(
--- a/tests/support/play-traces.ts
+++ b/tests/support/play-traces.ts
@@ -7,10 +7,10 @@
 // Compiled tests run from target/tests/tests; traces stay in the source tree.
 const tracesFolder = new URL("../../../../tests/traces/", import.meta.url);
 
-/** How the controllers of a trace are set up. */
+/** Configuration of the controllers in which the traces are played. */
 export type TraceMode = "plain" | "team quota" | "forwarded heartbeats";
 
-/** So that they run beside each other, the traces of a mode are played in two test files. */
+/** Each mode has two test files with half of the traces each, which the test runner can run in parallel. */
 export type TraceHalf = "first" | "second";
 
 function filesOf(half: TraceHalf): string[] {
@@ -21,11 +21,11 @@
 	return half === "first" ? files.slice(0, middle) : files.slice(middle);
 }
 
-/** Defines one test for each story of each kept trace; a trace with variants is one story for each. */
+/** Defines one test for each trace, or for each variant of a trace that has variants. */
 export function defineTraceTests(mode: TraceMode, half: TraceHalf): void {
 	for (const file of filesOf(half)) {
 		const trace = parse(readFileSync(new URL(file, tracesFolder), "utf8")) as Trace;
-		if (mode === "forwarded heartbeats" && !trace.relayed) continue;
+		if (mode === "forwarded heartbeats" && !trace.forwarded_heartbeats) continue;
 		for (const [variant, variantSteps] of Object.entries(trace.variants ?? { "": [] })) {
 			const steps = [...trace.steps, ...variantSteps].sort((a, b) => a.at - b.at);
 			const title = variant === "" ? trace.title : `${trace.title}; ${variant}`;
--- a/tests/support/quota-world.ts
+++ b/tests/support/quota-world.ts
@@ -3,7 +3,7 @@
 export async function worldWithJob(tasks: number, capacity = 6): Promise<World> {
 	const world = new World(capacity, nodeNames, false, true);
 	await world.time.advance(2000);
-	await world.submit("runner-0", { id: "j-000001", pieces: tasks, cores: 1, runs: 400 });
+	await world.submit("runner-0", { id: "j-000001", pieces: tasks, cores: 1, run_s: 400 });
 	await world.time.advance(20_000);
 	return world;
 }
--- a/tests/support/recorded-run.ts
+++ b/tests/support/recorded-run.ts
@@ -38,9 +38,9 @@
 	const record = (message: Message) => keepLargest(messages, message);
 	interceptPeerMessages(world, nodeNames, record);
 	await world.time.advance(2000);
-	await world.submit("runner-0", { id: "j-000001", pieces: 3, cores: 1, runs: [6, 300, 300] });
-	await world.submit("runner-0", { id: "j-000002", pieces: 1, cores: 1, runs: 300, desk: "blue" });
-	await world.submit("runner-0", { id: "j-000003", pieces: 1, cores: 1, runs: 3, desk: "blue" });
+	await world.submit("runner-0", { id: "j-000001", pieces: 3, cores: 1, run_s: [6, 300, 300] });
+	await world.submit("runner-0", { id: "j-000002", pieces: 1, cores: 1, run_s: 300, desk: "blue" });
+	await world.submit("runner-0", { id: "j-000003", pieces: 1, cores: 1, run_s: 3, desk: "blue" });
 	if (withServiceJob) {
 		await world.submit("runner-0", { id: "j-000004", pieces: 2, cores: 1, form: "standing", desk: "blue" });
 	}
--- a/tests/support/trace-player.ts
+++ b/tests/support/trace-player.ts
@@ -2,13 +2,13 @@
 import type { Expectation, Step, Trace } from "./trace.js";
 import { World } from "./world.js";
 
-/** Limits of the state service in traces where they become lower. */
+/** Limits of the state service after `apply_lower_limits`. */
 const reducedLimits = { valueBytes: 0.6 * 1024, operations: 4 };
 
-/** Steps that make links fail until `no_faults`. */
-const linkFaults = ["cut_workers", "lose_answers", "hold_zone"] as const;
+/** Step fields that make network links fail until `clear_link_faults`. */
+const linkFaults = ["isolate_from_workers", "drop_responses", "delay_zone"] as const;
 
-/** What each field of a step does. Fields of one step act in the order of the player's list. */
+/** The action of each field of a step. Fields of one step act in the order of this list. */
 type Actions = {
 	[Field in Exclude<keyof Step, "at" | "node">]-?: (
 		value: NonNullable<Step[Field]>,
@@ -16,7 +16,7 @@
 	) => void | Promise<void>;
 };
 
-/** How the controllers of a trace are set up. */
+/** Configuration of the controllers in a trace. */
 export interface TraceOptions {
 	/** All controllers receive heartbeats and forward them to the leader. */
 	forwarding: boolean;
@@ -24,7 +24,7 @@
 	teamQuota: boolean;
 }
 
-/** Plays one trace in fake time, with the rules watched all along. */
+/** Plays one trace in fake time while `World` checks its invariants. */
 export class TracePlayer {
 	private readonly nodes: string[];
 	private readonly world: World;
@@ -37,7 +37,7 @@
 		options: TraceOptions,
 	) {
 		this.nodes = Array.from({ length: trace.controllers ?? 3 }, (_, i) => `runner-${i}`);
-		this.world = new World(trace.capacity, this.nodes, options.forwarding, options.teamQuota);
+		this.world = new World(trace.cloud_capacity, this.nodes, options.forwarding, options.teamQuota);
 	}
 
 	async play(): Promise<void> {
@@ -51,15 +51,15 @@
 			this.world.logs.filter((line) => chargeMismatch.test(line)),
 			[],
 		);
-		assert.ok(this.expectationCount > 0, "a trace must expect something");
-		assert.ok(this.world.starts.size > 0, "nothing ran");
+		assert.ok(this.expectationCount > 0, "a trace needs at least one expectation");
+		assert.ok(this.world.starts.size > 0, "no task was started");
 	}
 
 	private async playStep(step: Step): Promise<void> {
 		const wait = step.at * 1000 - this.world.time.now();
 		if (wait > 0) await this.world.time.advance(wait);
 		for (const field of Object.keys(step))
-			assert.ok(field === "at" || field === "node" || field in this.actions, `no such step: ${field}`);
+			assert.ok(field === "at" || field === "node" || field in this.actions, `unknown step field: ${field}`);
 		for (const [field, act] of Object.entries(this.actions)) {
 			const value = step[field as keyof Step];
 			if (value === undefined) continue;
@@ -72,10 +72,10 @@
 	private recordLinkFaults(step: Step): void {
 		const { world } = this;
 		world.linkFaultsActive =
-			!step.no_faults && (world.linkFaultsActive || linkFaults.some((key) => key in step));
+			!step.clear_link_faults && (world.linkFaultsActive || linkFaults.some((key) => key in step));
 	}
 
-	/** Nodes by the name that a step gives them. */
+	/** Returns the controllers that a selector of a step names: a group, or one node by its name. */
 	private selectNodes(selector: string): string[] {
 		const { world, nodes } = this;
 		const leader = world.leaderNode();
@@ -83,21 +83,21 @@
 		switch (selector) {
 			case "all":
 				return nodes;
-			case "others_of_cut":
+			case "not_isolated_from_workers":
 				return nodes.filter((node) => !this.isolatedFromWorkers.includes(node));
-			case "refused":
+			case "without_store":
 				return [...world.state.unavailableTo];
-			case "other":
+			case "follower_with_store":
 				return followers.filter((node) => !world.state.unavailableTo.has(node));
-			case "two others":
+			case "two_followers":
 				return followers.slice(0, 2);
 			case "leader":
-				return [leader ?? "nobody"];
-			case "not frozen":
+				return [leader ?? "no leader"];
+			case "not_paused":
 				return nodes.filter((node) => !this.pausedNodes.includes(node));
-			case "one other":
+			case "one_follower":
 				return followers.slice(0, 1);
-			case "others":
+			case "followers":
 				return followers;
 			default:
 				return [selector];
@@ -114,42 +114,46 @@
 
 	private readonly actions: Actions = {
 		submit: async ({ node = "runner-0", ...job }) => {
-			const answer = await this.world.submit(this.selectNodes(node)[0] as string, job);
-			assert.equal(answer.status, 201, `${job.id}: ${JSON.stringify(answer.body)}`);
+			const response = await this.world.submit(this.selectNodes(node)[0] as string, job);
+			assert.equal(response.status, 201, `${job.id}: ${JSON.stringify(response.body)}`);
 		},
-		abort: async (job, step) => {
+		cancel: async (job, step) => {
 			const node = this.selectNodes(step.node ?? "runner-1")[0] as string;
 			assert.equal((await this.world.cancel(node, job)).status, 200);
 		},
-		crash: (who) => this.forEachNode(who, (node) => this.world.crash(node)),
-		restart: (who) => this.forEachNode(who, (node) => this.world.start(node)),
-		outage: (on) => this.world.state.setOutage(on),
-		refuse: (who) => this.forEachNode(who, (node) => this.world.state.unavailableTo.add(node)),
-		serve: (who) => this.forEachNode(who, (node) => this.world.state.unavailableTo.delete(node)),
-		cut_peer: (who) => this.forEachNode(who, (node) => this.world.setPeerIsolation(node, true)),
-		join_peer: (who) => this.forEachNode(who, (node) => this.world.setPeerIsolation(node, false)),
-		freeze: (who) =>
-			this.forEachNode(who, (node) => {
+		crash: (selector) => this.forEachNode(selector, (node) => this.world.crash(node)),
+		restart: (selector) => this.forEachNode(selector, (node) => this.world.start(node)),
+		store_outage: (active) => this.world.state.setOutage(active),
+		store_unavailable_to: (selector) =>
+			this.forEachNode(selector, (node) => this.world.state.unavailableTo.add(node)),
+		store_available_to: (selector) =>
+			this.forEachNode(selector, (node) => this.world.state.unavailableTo.delete(node)),
+		isolate_from_peers: (selector) =>
+			this.forEachNode(selector, (node) => this.world.setPeerIsolation(node, true)),
+		reconnect_to_peers: (selector) =>
+			this.forEachNode(selector, (node) => this.world.setPeerIsolation(node, false)),
+		pause_process: (selector) =>
+			this.forEachNode(selector, (node) => {
 				this.pausedNodes.push(node);
 				this.world.pauseProcess(node);
 			}),
-		thaw: () => {
+		resume_processes: () => {
 			for (const node of this.pausedNodes.splice(0)) this.world.resumeProcess(node);
 		},
-		hang: (pieces) => {
-			for (const piece of pieces) this.world.workerOf(piece).hang();
+		hang_workers: (tasks) => {
+			for (const task of tasks) this.world.workerOf(task).hang();
 		},
-		go_on: () => {
+		resume_workers: () => {
 			for (const machine of this.machines) machine.resume();
 		},
-		hold_zone: ({ zone, late_s }) => this.delayZone(zone, late_s),
-		cut: (piece) => {
-			this.world.workerOf(piece).partitioned = true;
+		delay_zone: ({ zone, delay_s }) => this.delayZone(zone, delay_s),
+		partition_machine: (task) => {
+			this.world.workerOf(task).partitioned = true;
 		},
-		cut_zone: (zone) => {
+		partition_zone: (zone) => {
 			for (const machine of this.machines) if (machine.zone === zone) machine.partitioned = true;
 		},
-		heal: () => {
+		restore_machines: () => {
 			for (const machine of this.machines)
 				machine.partitioned =
 					machine.inboundDropped =
@@ -157,60 +161,61 @@
 					machine.failsAllTasks =
 						false;
 		},
-		mute: (pieces) => {
-			for (const piece of pieces) this.world.workerOf(piece).heartbeatsDropped = true;
+		drop_heartbeats: (tasks) => {
+			for (const task of tasks) this.world.workerOf(task).heartbeatsDropped = true;
 		},
-		late_writes: ({ every, late_s }) => {
-			let n = 0;
-			this.world.network.transactionDelayMs = () => (every > 0 && ++n % every === 0 ? late_s * 1000 : null);
+		delay_transactions: ({ every, delay_s }) => {
+			let sent = 0;
+			this.world.network.transactionDelayMs = () =>
+				every > 0 && ++sent % every === 0 ? delay_s * 1000 : null;
 		},
-		late_orders_s: (seconds) => {
+		direct_command_delay_s: (seconds) => {
 			this.world.network.directCommandDelayMs = seconds * 1000;
 		},
-		limits_told: () => {
+		announce_lower_limits: () => {
 			this.world.nextLimitsAnnounced = true;
 		},
-		limits_come: () => {
+		apply_lower_limits: () => {
 			this.world.state.limits = reducedLimits;
 		},
-		writes_per_s: (rate) => {
+		store_writes_per_s: (rate) => {
 			this.world.state.writesPerS = rate;
 		},
-		slow_state_ms: (ms) => {
+		store_delay_ms: (ms) => {
 			this.world.network.storeDelayMs = ms;
 		},
-		deaf: (pieces) => {
-			for (const piece of [pieces].flat()) this.world.workerOf(piece).inboundDropped = true;
+		drop_inbound: (tasks) => {
+			for (const task of [tasks].flat()) this.world.workerOf(task).inboundDropped = true;
 		},
-		copies: (seconds) => {
+		duplicate_heartbeats_after_s: (seconds) => {
 			this.world.duplicateHeartbeatsAfterS = seconds;
 		},
-		die: (piece) => this.world.workerOf(piece).terminate(),
-		sick: (pieces) => {
-			for (const piece of [pieces].flat()) this.world.workerOf(piece).failsAllTasks = true;
+		terminate_machine: (task) => this.world.workerOf(task).terminate(),
+		fail_tasks: (tasks) => {
+			for (const task of [tasks].flat()) this.world.workerOf(task).failsAllTasks = true;
 		},
-		taken: ({ piece, in_s }) => {
-			const worker = this.world.workerOf(piece);
+		spot_reclaim: ({ task, in_s }) => {
+			const worker = this.world.workerOf(task);
 			worker.reclaimAt = this.world.time.now() + in_s * 1000;
 			this.world.time.after(in_s * 1000, () => this.world.cloud.remove(worker.host));
 		},
-		cloud_outage: (on) => {
-			this.world.cloud.outage = on;
+		cloud_outage: (active) => {
+			this.world.cloud.outage = active;
 		},
-		boot_times: (times) => {
-			this.world.cloud.bootTimeFactor = times === "never" ? Number.POSITIVE_INFINITY : times;
+		boot_time_factor: (factor) => {
+			this.world.cloud.bootTimeFactor = factor === "never" ? Number.POSITIVE_INFINITY : factor;
 		},
-		zone_full: (zone) => {
+		zone_without_capacity: (zone) => {
 			this.world.cloud.zonesWithoutCapacity.add(zone);
 		},
-		cut_workers: (who) => this.isolateFromWorkers(who),
-		lose_answers: ({ to, path, method }) => {
+		isolate_from_workers: (selector) => this.isolateFromWorkers(selector),
+		drop_responses: ({ to, path, method }) => {
 			this.world.network.faultFor = (_from, target, m, p) =>
 				(target === to || target.startsWith(to)) && p.startsWith(path) && (method ?? m) === m
 					? { dropResponse: true }
 					: {};
 		},
-		no_faults: () => {
+		clear_link_faults: () => {
 			this.world.network.faultFor = () => ({});
 		},
 		expect: async (expectation) => {
@@ -243,34 +248,34 @@
 		const { world } = this;
 		const tail = () => world.logs.slice(-25).join("\n");
 		if (expected.job) await this.checkJob(expected.job, expected, tail);
-		for (const piece of expected.running ?? [])
-			assert.ok(world.isRunning(piece), `${piece} should run\n${tail()}`);
-		for (const piece of expected.idle ?? [])
-			assert.ok(!world.isRunning(piece), `${piece} should not run\n${tail()}`);
-		for (const [piece, n] of Object.entries(expected.starts ?? {}))
-			assert.equal(world.starts.get(piece)?.length ?? 0, n, `starts of ${piece}\n${tail()}`);
+		for (const task of expected.running ?? [])
+			assert.ok(world.isRunning(task), `${task} should run\n${tail()}`);
+		for (const task of expected.not_running ?? [])
+			assert.ok(!world.isRunning(task), `${task} should not run\n${tail()}`);
+		for (const [task, count] of Object.entries(expected.starts ?? {}))
+			assert.equal(world.starts.get(task)?.length ?? 0, count, `starts of ${task}\n${tail()}`);
 		if (expected.leader) {
 			const leader = world.leaderNode();
 			assert.ok(leader !== null && this.selectNodes(expected.leader).includes(leader), `leader is ${leader}`);
 		}
-		if (expected.rentals !== undefined)
-			assert.equal(world.cloud.rentalsByRequest.size, expected.rentals, tail());
-		const { said } = expected;
-		if (said !== undefined)
+		if (expected.rental_requests !== undefined)
+			assert.equal(world.cloud.rentalsByRequest.size, expected.rental_requests, tail());
+		const { logged } = expected;
+		if (logged !== undefined)
 			assert.ok(
-				world.logs.some((line) => line.includes(said)),
-				`${said}\n${tail()}`,
+				world.logs.some((line) => line.includes(logged)),
+				`${logged}\n${tail()}`,
 			);
-		if (expected.refused_for_rate !== undefined)
-			assert.ok(world.state.rateLimitedCount >= expected.refused_for_rate, tail());
-		if (expected.machines_at_most !== undefined)
-			assert.ok(world.cloud.hosts.size <= expected.machines_at_most, tail());
+		if (expected.min_rate_limited !== undefined)
+			assert.ok(world.state.rateLimitedCount >= expected.min_rate_limited, tail());
+		if (expected.max_machines !== undefined)
+			assert.ok(world.cloud.hosts.size <= expected.max_machines, tail());
 	}
 
 	private async checkJob(job: string, expected: Expectation, tail: () => string): Promise<void> {
 		const node = expected.node ? (this.selectNodes(expected.node)[0] as string) : "runner-2";
 		const response = await this.world.poll(node, job);
-		assert.equal(response.status, expected.http ?? 200, tail());
+		assert.equal(response.status, expected.http_status ?? 200, tail());
 		if (expected.status) assert.equal(response.body.status, expected.status, tail());
 	}
 }
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -36,9 +36,9 @@
 	bookmark_s?: number;
 	due_s?: number | null;
 	/** Not on the wire: how long its tasks really run, all alike or one by one. */
-	runs?: number | number[];
+	run_s?: number | number[];
 	/** Not on the wire: submitted with a mistake, so that its tasks fail on machines of these types. */
-	fails_on?: string[];
+	fails_on_types?: string[];
 }
 
 /** What users read of an answer. */
@@ -49,7 +49,7 @@
 
 interface TrackedJob {
 	body: Record<string, unknown> & { pieces: number; cores: number };
-	runs: number | number[];
+	runS: number | number[];
 	failsOn: string[];
 	cancelledAt: number | null;
 	reportedStatuses: Set<string>;
@@ -236,7 +236,7 @@
 		nodes: [],
 		runSeconds: (piece) => {
 			const [id, index] = piece.split("/") as [string, string];
-			const runs = this.jobs.get(id)?.runs ?? null;
+			const runs = this.jobs.get(id)?.runS ?? null;
 			return Array.isArray(runs) ? (runs[Number(index)] ?? null) : runs;
 		},
 		failsTask: (worker, piece) =>
@@ -503,14 +503,14 @@
 	}
 
 	private meetsConstraints(id: string, body: TrackedJob["body"], worker: FakeWorker): boolean {
-		const zones = this.taskCountByZone(id);
-		const hasTasksInOtherZone = [...zones.keys()].some((hall) => hall !== worker.zone);
+		const taskCounts = this.taskCountByZone(id);
+		const hasTasksInOtherZone = [...taskCounts.keys()].some((hall) => hall !== worker.zone);
 		return (
 			(!Array.isArray(body.shapes) || body.shapes.includes(worker.machineType)) &&
 			(typeof body.hall !== "string" || body.hall === worker.zone) &&
 			(body.loaners === true || !worker.spot) &&
 			!(body.one_zone === true && hasTasksInOtherZone) &&
-			!(body.spread === true && (zones.get(worker.zone) ?? 0) >= Math.ceil(body.pieces / 2))
+			!(body.spread === true && (taskCounts.get(worker.zone) ?? 0) >= Math.ceil(body.pieces / 2))
 		);
 	}
 
@@ -526,21 +526,22 @@
 	}
 
 	private checkZones(id: string, body: TrackedJob["body"]): void {
-		const zones = this.taskCountByZone(id);
-		if (body.one_zone === true && zones.size > 1) this.violations.push(`wrong_place: ${id} in two zones`);
-		const maxInZone = Math.max(...zones.values());
+		const taskCounts = this.taskCountByZone(id);
+		if (body.one_zone === true && taskCounts.size > 1)
+			this.violations.push(`wrong_place: ${id} in two zones`);
+		const maxInZone = Math.max(...taskCounts.values());
 		if (body.spread === true && maxInZone > Math.ceil(body.pieces / 2))
 			this.violations.push(`wrong_place: ${id} not spread`);
 	}
 
 	private checkQuota(team: string): void {
-		let used = 0;
+		let usedCpus = 0;
 		for (const piece of this.machineByTask.keys()) {
 			const body = this.jobs.get(piece.split("/")[0] as string)?.body;
-			if (body?.desk === team) used += body.cores;
+			if (body?.desk === team) usedCpus += body.cores;
 		}
-		if (used > (this.teamLimitOverrides.get(team) ?? teamCpuLimits[team] ?? 0) + 1e-9)
-			this.violations.push(`quota: ${team} uses ${used}`);
+		if (usedCpus > (this.teamLimitOverrides.get(team) ?? teamCpuLimits[team] ?? 0) + 1e-9)
+			this.violations.push(`quota: ${team} uses ${usedCpus}`);
 	}
 
 	/** Tasks of the job that run. */
@@ -634,7 +635,7 @@
 		const body = { desk: "red", loaners: true, ...job };
 		this.jobs.set(job.id, {
 			body,
-			runs: job.runs ?? 5,
+			runS: job.run_s ?? 5,
 			failsOn: [],
 			cancelledAt: null,
 			reportedStatuses: new Set(),
@@ -642,7 +643,11 @@
 	}
 
 	async submit(node: string, job: JobBody): Promise<{ status: number; body: UserResponse }> {
-		const { runs = job.form === "standing" ? 1e6 : 5, fails_on: failsOn = [], ...submitted } = job;
+		const {
+			run_s: runS = job.form === "standing" ? 1e6 : 5,
+			fails_on_types: failsOn = [],
+			...submitted
+		} = job;
 		const body = {
 			lane: "test",
 			desk: "red",
@@ -657,7 +662,7 @@
 			loaners: true,
 			bundle: "img",
 			image_gb: 1,
-			guess_s: submitted.form === "standing" ? 0 : Array.isArray(runs) ? Math.max(...runs) : runs,
+			guess_s: submitted.form === "standing" ? 0 : Array.isArray(runS) ? Math.max(...runS) : runS,
 			bookmark_s: 0,
 			bookmark_cost_s: 0,
 			due_s: null,
@@ -665,7 +670,7 @@
 		};
 		const tracked = this.jobs.get(job.id);
 		if (!tracked)
-			this.jobs.set(job.id, { body, runs, failsOn, cancelledAt: null, reportedStatuses: new Set() });
+			this.jobs.set(job.id, { body, runS, failsOn, cancelledAt: null, reportedStatuses: new Set() });
 		const response = await this.request(node, "/v1/jobs", { method: "POST", body: JSON.stringify(body) });
 		if (response.status === 200 || response.status === 201)
 			this.recordStatus(job.id, response.body.status ?? "");
--- a/tests/team-quota/shared-limits.test.ts
+++ b/tests/team-quota/shared-limits.test.ts
@@ -75,8 +75,8 @@
 		world.start(node);
 		await world.time.advance(1000);
 	}
-	await world.submit("runner-1", { id: "j-000002", pieces: 4, cores: 1, runs: 400 });
-	await world.submit("runner-1", { id: "j-000003", pieces: 8, cores: 1, runs: 400, desk: "blue" });
+	await world.submit("runner-1", { id: "j-000002", pieces: 4, cores: 1, run_s: 400 });
+	await world.submit("runner-1", { id: "j-000003", pieces: 8, cores: 1, run_s: 400, desk: "blue" });
 	await world.time.advance(30_000);
 	assert.equal(world.runningTaskCount("j-000002") + world.runningTaskCount("j-000001"), 8);
 	assert.equal(world.runningTaskCount("j-000003"), 8);
@@ -88,7 +88,7 @@
 test("admission within allotments continues during an outage of the state service", async () => {
 	const world = new World(6, nodeNames, false, true);
 	await world.time.advance(2000);
-	await world.submit("runner-0", { id: "j-000001", pieces: 12, cores: 1, runs: 30 });
+	await world.submit("runner-0", { id: "j-000001", pieces: 12, cores: 1, run_s: 30 });
 	await world.time.advance(20_000);
 	assert.equal(world.starts.size, 8);
 	world.state.setOutage(true);
@@ -108,7 +108,7 @@
 	world.start("runner-1");
 	world.start("runner-2");
 	await world.time.advance(4000);
-	await world.submit("runner-0", { id: "j-000001", pieces: 12, cores: 1, runs: 400 });
+	await world.submit("runner-0", { id: "j-000001", pieces: 12, cores: 1, run_s: 400 });
 	await world.time.advance(20_000);
 	const records = () => [...world.state.rows.keys()].filter((key) => key.startsWith(keys.quota));
 	assert.deepEqual([world.runningTaskCount("j-000001"), records()], [8, []]);
