--- a/tests/support/close-transport.ts
+++ b/tests/support/close-transport.ts
@@ -1,7 +1,7 @@
 /**
- * Run as a process of its own by tests/transport/close.test.ts: opens everything that the transport can open,
- * closes it while calls are pending, and prints what was settled and which resources are left. The process ends
- * by itself only if nothing keeps it.
+ * Run as a separate process by tests/transport/close.test.ts: opens all kinds of servers, links and clients of the
+ * transport, closes them while calls are pending, and prints the outcomes of the calls and the remaining resources.
+ * The process exits by itself only if no resource keeps its event loop alive.
  */
 
 import { once } from "node:events";
@@ -13,17 +13,17 @@
 import { silentLog } from "./silent-log.js";
 import { stubPublicService } from "./stub-public-service.js";
 
-/** What the process prints. */
+/** The JSON output of the process. */
 export interface CloseReport {
-	/** How calls that were open have ended: one to the server that is closed, one to a system that never answers. */
+	/** Outcomes of the pending calls: a heartbeat to the closed server, and a store call to a server that never responds. */
 	heartbeat: string;
 	storeCall: string;
-	/** Resources that would keep the process, before and after closing. */
+	/** Resources that keep the event loop alive, before and after closing. */
 	resourcesBefore: string[];
 	resourcesAfter: string[];
 }
 
-/** Longer than the parent waits for the process. */
+/** Longer than the time for which the parent waits for the process. */
 const callTimeoutMs = 60_000;
 
 const host = "127.0.0.1";
@@ -41,14 +41,14 @@
 	);
 }
 
-/** Standard output is a pipe or a file to the parent, which is there before and after. */
+/** Excludes standard output (a pipe or a terminal), which is open before and after. */
 function resources(): string[] {
 	return process.getActiveResourcesInfo().filter((kind) => kind !== "PipeWrap" && kind !== "TTYWrap");
 }
 
 async function run(): Promise<CloseReport> {
 	const server = await startPublicServer({
-		// Responses to heartbeats are held back for good.
+		// Heartbeats never get a response.
 		service: { ...stubPublicService, handleHeartbeat: () => new Promise(() => undefined) },
 		log: silentLog,
 		host,
--- a/tests/support/cloud.ts
+++ b/tests/support/cloud.ts
@@ -19,17 +19,17 @@
 	rentedAt: number;
 }
 
-/** Rents stand-in machines; tells the world when one comes up or goes. */
+/** Stand-in for the cloud API; calls its hooks when a machine has booted and when one has been removed. */
 export class FakeCloud {
 	readonly hosts = new Map<string, FakeHost>();
 	private readonly hostsByRequest = new Map<string, string[]>();
 	private nextHostNumber = 0;
 	outage = false;
-	/** Zones in which nothing is to be had. */
+	/** Zones in which rental requests get no machine. */
 	readonly zonesWithoutCapacity = new Set<string>();
-	/** What is rented from now on takes so many times its boot time; infinite: it never comes up. */
+	/** Multiplies the boot time of machines rented from now on; infinity: they never boot. */
 	bootTimeFactor = 1;
-	/** Every rental request name ever seen, with how often it rented. */
+	/** Number of rentals that created machines, by the name of the request. */
 	readonly rentalsByRequest = new Map<string, number>();
 
 	constructor(
--- a/tests/support/fake-time.ts
+++ b/tests/support/fake-time.ts
@@ -7,8 +7,8 @@
 }
 
 /**
- * Steady time that moves only when a test says so. After each timer all promises
- * that can go on do so: a macrotask boundary lets the microtask queue run empty.
+ * Monotonic time that only `advance` moves. After each timer, all pending promise callbacks run:
+ * a macrotask boundary empties the microtask queue.
  */
 export class FakeTime implements Clock {
 	private clock = 0;
--- a/tests/support/forwarded-heartbeat.ts
+++ b/tests/support/forwarded-heartbeat.ts
@@ -2,7 +2,7 @@
 
 import type { WorkerHeartbeat } from "../../src/protocol/model/worker.js";
 
-/** A heartbeat with a task in each state that messages between controllers tell apart. */
+/** A heartbeat with a task in each state that messages between controllers distinguish. */
 export const forwardedHeartbeat: WorkerHeartbeat = {
 	machineId: "n-1",
 	endpoint: "10.1.0.1:9000",
--- a/tests/support/import-rules.ts
+++ b/tests/support/import-rules.ts
@@ -2,7 +2,7 @@
 import { dirname, posix } from "node:path";
 import ts from "typescript";
 
-/** Which folders of `src` the modules of a folder may import from, beside their own. */
+/** The folders of `src` from which the modules of a folder may import, besides their own folder. */
 export type ImportRules = Readonly<Record<string, readonly string[]>>;
 
 /** Source text of modules by their path below `src`, with forward slashes. */
@@ -15,20 +15,20 @@
 	return new Map(modules.map((file) => [file, readFileSync(new URL(file, folder), "utf8")]));
 }
 
-/** Every module specifier that the text imports or re-exports, types included. */
+/** Returns every module specifier that the text imports or re-exports, types included. */
 export function importsOf(text: string): string[] {
 	return ts.preProcessFile(text, true, true).importedFiles.map(({ fileName }) => fileName);
 }
 
 const folderOf = (file: string): string => dirname(file).replaceAll("\\", "/");
 
-/** The folder that a relative import of the file leads to; null: the import is of a package. */
+/** Returns the folder of a relative import in the file; null for an import of a package. */
 function importedFolder(file: string, specifier: string): string | null {
 	if (!specifier.startsWith(".")) return null;
 	return posix.dirname(posix.normalize(posix.join(folderOf(file), specifier)));
 }
 
-/** Each import that the rules do not permit, as "file imports folder". A folder without a rule is a violation too. */
+/** Returns each import that the rules do not permit, as "file imports folder". A folder without a rule is a violation too. */
 export function forbiddenImports(tree: SourceTree, rules: ImportRules): string[] {
 	const violations: string[] = [];
 	for (const [file, text] of tree) {
@@ -47,7 +47,7 @@
 	return violations;
 }
 
-/** The folders in an order in which each comes after all that it may import; throws where there is none. */
+/** Returns the folders, each after all folders that it may import; throws on cyclic rules. */
 export function layeredOrder(rules: ImportRules): string[] {
 	const order: string[] = [];
 	const visit = (folder: string, path: readonly string[]): void => {
--- a/tests/support/large-fleets.ts
+++ b/tests/support/large-fleets.ts
@@ -1,4 +1,4 @@
-/** Fleets of the sizes that the operators run, for tests that count the work which a size costs. */
+/** Fleets of the sizes in operation, for tests that measure cost by fleet size. */
 
 import { Machine } from "../../src/bookkeeping/machine.js";
 import { ClusterState } from "../../src/coordination/state/cluster-state.js";
@@ -8,15 +8,15 @@
 /** Machines of the largest fleet in operation, and twice as many. */
 export const largeFleetSizes = [4000, 8000] as const;
 
-/** A link between controllers is closed when more than this waits to be sent on it. */
+/** A link between controllers is closed when more than this many bytes are queued on it. */
 export const maxLinkBytes = 2 * 1024 * 1024;
 
-/** The ids of a fleet's machines, in the order of the cloud's list. */
+/** Returns the id of the machine at this index of the cloud's list. */
 export function largeFleetMachineId(index: number): string {
 	return `n-${String(index).padStart(6, "0")}`;
 }
 
-/** The cluster state of a leader with that many schedulable machines in three zones, every other one spot. */
+/** Returns the cluster state of a leader with `size` schedulable machines in three zones, every other one spot. */
 export function largeFleet(size: number): ClusterState {
 	const teams = [
 		{ name: "red", guaranteed: { cpus: 10 * size, gpus: 0 }, limit: { cpus: 10 * size, gpus: 0 } },
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -10,7 +10,7 @@
 
 export const job = { id: "j-000001", pieces: 2, cores: 2, run_s: 8 };
 
-/** One Leadership against the stand-in store, with what it tells others kept. */
+/** Creates a `Leadership` on the stand-in store that records its messages and callbacks. */
 export function candidate(
 	otherControllers: string[],
 	maxCancellationStalenessMs = 20_000,
@@ -22,7 +22,7 @@
 	const wonTerms: number[] = [];
 	const resignationReasons: string[] = [];
 	const recordedCancellations: string[] = [];
-	/** What its local copy knows: all up to now, while the store answers its watch. */
+	/** The store replica: synced up to now while the store is available, unless the watch has stalled. */
 	const replica = {
 		syncedAt: 0,
 		watchStalled: false,
@@ -33,9 +33,9 @@
 	const store: KeyValueStore = new StoreClient({
 		http: {
 			call: async (method, path, body) => {
-				const answer = await service.handle(method, path, body, "me");
+				const response = await service.handle(method, path, body, "me");
 				if (faults.dropResponses && path === "/multi") throw new CallError("unknown", 0, "no answer");
-				return answer;
+				return response;
 			},
 			close() {},
 		},
@@ -91,20 +91,20 @@
 	};
 }
 
-/** Wins the key, then answers every question as the others would, for so long. */
+/** Elects the candidate and starts an outage of the store; `vote` replies to its lease extension requests for `ms`. */
 export async function electedInOutage(c: ReturnType<typeof candidate>) {
 	c.leadership.endStartupHoldoff();
 	await c.run(500);
 	const term = c.wonTerms[0] as number;
 	assert.equal(c.leadership.authorizedTerm(), term);
 	c.service.setOutage(true);
-	const vote = async (ms: number, answers: Record<string, Cancellation[] | undefined>) => {
+	const vote = async (ms: number, votes: Record<string, Cancellation[] | undefined>) => {
 		for (let t = 0; t < ms; t += 100) {
 			await c.run(100);
-			for (const ask of c.sentMessages.splice(0)) {
-				if (ask.kind !== "lease-extension-request") continue;
-				for (const [node, cancelled] of Object.entries(answers)) {
-					const { requestNumber: number } = ask;
+			for (const request of c.sentMessages.splice(0)) {
+				if (request.kind !== "lease-extension-request") continue;
+				for (const [node, cancelled] of Object.entries(votes)) {
+					const { requestNumber: number } = request;
 					c.leadership.handleMessage(node, {
 						kind: "lease-extension-vote",
 						term,
--- a/tests/support/machine-types.ts
+++ b/tests/support/machine-types.ts
@@ -1,6 +1,6 @@
 import type { MachineType } from "../../src/protocol/model/machine.js";
 
-/** A machine type with what matters to a test; the rest is of no account. */
+/** Returns a machine type with the given fields and arbitrary values for the rest. */
 export function machineType(fields: Pick<MachineType, "name"> & Partial<MachineType>): MachineType {
 	return {
 		cpus: 4,
--- a/tests/support/machines.ts
+++ b/tests/support/machines.ts
@@ -7,24 +7,24 @@
 import type { WorkerHeartbeat } from "../../src/protocol/model/worker.js";
 import { mediumType, specOf } from "./specs.js";
 
-/** A spot machine of the medium type, known since steady time 0, with what a test wants otherwise. */
+/** Returns a spot machine of the medium type, added at monotonic time 0, with the given fields replaced. */
 export function machineOf(more: Partial<MachineDescription> = {}): Machine {
 	return new Machine({ id: "n-1", type: mediumType, zone: "a", spot: true, origin: "created", ...more }, 0);
 }
 
-/** A job whose tasks all wait, accepted at the beginning of 1970. */
+/** Returns a job whose tasks all wait, accepted at the beginning of 1970. */
 export function jobOf(id: string, more: Partial<JobSpec> = {}): Job {
 	const job = new Job(id, specOf(id, more), 0, 1);
 	job.resetWaitingTasks();
 	return job;
 }
 
-/** An attempt at the job's first task that has been assigned to the machine; neither of them knows of it. */
+/** Returns an assigned attempt at the job's first task that is registered neither with the job nor with the machine. */
 export function attemptOf(job: Job, machine: Machine, more: Partial<AttemptDescription> = {}): Attempt {
 	return new Attempt({ job, taskIndex: 0, number: 1, machine, phase: "assigned", ...more });
 }
 
-/** A heartbeat of the machine's worker without tasks, with what a test wants otherwise. */
+/** Returns a heartbeat of the machine's worker without tasks, with the given fields replaced. */
 export function heartbeatOf(machine: Machine, more: Partial<WorkerHeartbeat> = {}): WorkerHeartbeat {
 	return {
 		machineId: machine.id,
@@ -41,7 +41,7 @@
 	};
 }
 
-/** The machine's worker has shown the leader's fencing token, and its record is in the store. */
+/** Marks the leader's fencing token as confirmed by the machine's worker and the machine's record as stored. */
 export function makeSchedulable(machine: Machine, now = Number.NEGATIVE_INFINITY): void {
 	machine.agent.heartbeatReceived(heartbeatOf(machine), now);
 	machine.agent.fencingConfirmed();
--- a/tests/support/network.ts
+++ b/tests/support/network.ts
@@ -3,7 +3,7 @@
 import type { HttpResponse } from "../../src/transport/clients/http-response.js";
 import type { FakeTime } from "./fake-time.js";
 
-/** A stand-in's answer; undefined: it never answers. */
+/** Handles a request at a stand-in; a promise that never resolves means no response. */
 export type Handler = (
 	method: string,
 	path: string,
@@ -12,23 +12,23 @@
 ) => HttpResponse | Promise<HttpResponse>;
 
 export interface LinkFault {
-	/** The request never arrives. */
+	/** The request does not arrive. */
 	dropRequest?: boolean;
-	/** The request is carried out, the answer is lost. */
+	/** The request is carried out, but its response does not arrive. */
 	dropResponse?: boolean;
-	/** The request arrives this much later, after its sender has given up. */
+	/** Delays the request; it is carried out even if its sender has timed out by then. */
 	delayMs?: number;
 }
 
-/** Calls between hosts in fake time, with the faults a network has. */
+/** HTTP calls between hosts in fake time, with injected network faults. */
 export class FakeNetwork {
-	/** Asked for every call; tests set it. */
+	/** Returns the fault of a call; set by tests. */
 	faultFor: (from: string, to: string, method: string, path: string) => LinkFault = () => ({});
-	/** Transactions that get no answer and are carried out so much later; asked for each. */
+	/** Returns the delay of the next transaction, whose response is then dropped; null: neither. */
 	transactionDelayMs: () => number | null = () => null;
-	/** Direct orders arrive so much later; questions without orders do not. */
+	/** Delays direct commands; status requests without commands are not delayed. */
 	directCommandDelayMs = 0;
-	/** Every answer of the state service takes so much longer. */
+	/** Delays every response of the state service. */
 	storeDelayMs = 0;
 	private readonly down = new Set<string>();
 
--- a/tests/support/reconciliation-setup.ts
+++ b/tests/support/reconciliation-setup.ts
@@ -36,10 +36,10 @@
 /** The term of the leader, and its fencing token. */
 export const term = 41;
 
-/** A worker's lease that was renewed longer ago than this has certainly expired. */
+/** A worker's lease that was last renewed longer ago than this has expired. */
 export const workerLeaseExpiryMs = 12_000;
 
-/** A leader that knows the job and no machine. */
+/** Returns the cluster state of a leader with the job and no machine. */
 export function stateWithJob() {
 	const clusterState = new ClusterState({
 		term,
@@ -52,7 +52,7 @@
 	return { clusterState, job };
 }
 
-/** A heartbeat of `n-1` that shows the leader's fencing token, with what a test wants otherwise. */
+/** Returns a heartbeat of `n-1` that shows the leader's fencing token, with the given fields replaced. */
 export function heartbeat(
 	sequence: number,
 	tasks: TaskStatus[] = [],
@@ -73,7 +73,7 @@
 	};
 }
 
-/** An attempt at a task of `j-1`, as a heartbeat lists it. */
+/** Returns an attempt at a task of `j-1`, as a heartbeat lists it. */
 export function taskStatus(
 	taskIndex: number,
 	attempt: number,
@@ -83,7 +83,7 @@
 	return { jobId: "j-1", taskIndex, attempt, state, exitCause, checkpointed: false };
 }
 
-/** The machine after its first heartbeat and the write of its record: new tasks may be assigned to it. */
+/** Returns the state with a machine whose heartbeat has been received and whose record is stored: it is assignable. */
 export function stateWithMachine() {
 	const { clusterState, job } = stateWithJob();
 	reconcileHeartbeat(clusterState, heartbeat(1), 0);
@@ -93,7 +93,7 @@
 	return { clusterState, job, machine };
 }
 
-/** The same, with one start sent to the machine. */
+/** Returns the state with that machine and one start command sent to it. */
 export function stateWithSentStart() {
 	const { clusterState, job, machine } = stateWithMachine();
 	const attempt = clusterState.assignNextTask(job, machine);
--- a/tests/support/record-fixture.ts
+++ b/tests/support/record-fixture.ts
@@ -1,6 +1,6 @@
 import { recordRun } from "./recorded-run.js";
 
-/** Prints what this version stores and says, to be kept in tests/fixtures as that of a version in production. */
+/** Prints the stored values and peer messages of this version, for tests/fixtures when it goes into production. */
 const plain = await recordRun(false);
 const forwarding = await recordRun(true);
 const fixture = { rows: plain.rows, messages: { ...forwarding.messages, ...plain.messages } };
--- a/tests/support/recorded-run.ts
+++ b/tests/support/recorded-run.ts
@@ -1,6 +1,6 @@
 import { nodeNames, World } from "./world.js";
 
-/** What a version stores and says in one run on the stand-ins: a fixture, and what it is compared with. */
+/** The stored values and peer messages of one run on the stand-ins, recorded as a fixture or compared with one. */
 export interface RecordedRun {
 	rows: { key: string; v: unknown; stamp: number }[];
 	/** One message of each kind. */
@@ -9,7 +9,7 @@
 
 type Message = Record<string, unknown> & { kind: string };
 
-/** Hears what the processes that now run on the nodes receive from the others. */
+/** Passes each peer message that the current processes of the nodes receive to `record` as well. */
 function interceptPeerMessages(world: World, nodes: string[], record: (message: Message) => void): void {
 	for (const node of nodes) {
 		const controller = world.controllerOf(node);
@@ -21,7 +21,7 @@
 	}
 }
 
-/** Of several messages of a kind the one that says most is kept. */
+/** Keeps the longest message of each kind. */
 function keepLargest(messages: Map<string, Message>, message: Message): void {
 	const old = messages.get(message.kind);
 	const size = (m: Message) => JSON.stringify(m).length;
@@ -29,8 +29,8 @@
 }
 
 /**
- * Jobs that run, are done and are cancelled, replicas, an outage with promises, and controllers
- * that start again: every kind of stored value and, with `relayed`, every kind of message.
+ * Runs jobs that complete and jobs that are cancelled, a service job, a store outage with lease extension votes, and
+ * controller restarts. This yields every kind of stored value and, with `forwarding`, every kind of peer message.
  */
 export async function recordRun(forwarding: boolean, withServiceJob = true): Promise<RecordedRun> {
 	const world = new World(4, nodeNames, forwarding);
@@ -45,7 +45,7 @@
 		await world.submit("runner-0", { id: "j-000004", pieces: 2, cores: 1, form: "standing", desk: "blue" });
 	}
 	await world.time.advance(20_000);
-	// Cancelled where the leader cannot hear of it from the store, so that promises name it.
+	// The leader cannot read this cancellation from the store, so that lease extension votes carry it.
 	const leader = world.leaderNode() as string;
 	world.state.unavailableTo.add(leader);
 	await world.time.advance(300);
--- a/tests/support/request-bodies.ts
+++ b/tests/support/request-bodies.ts
@@ -26,7 +26,7 @@
 /** A field of a submission. */
 export type SubmissionField = keyof typeof submission;
 
-/** The submission of an array of team red that can run, but for the fields given. */
+/** Returns a valid submission of an array job of team red, with the given fields replaced. */
 export function submissionBody(fields: Partial<Record<SubmissionField, unknown>> = {}) {
 	return { ...submission, ...fields };
 }
@@ -44,7 +44,7 @@
 	| "recall_s"
 	| "pieces";
 
-/** The heartbeat of a worker without tasks, but for the fields given. */
+/** Returns the heartbeat of a worker without tasks, with the given fields replaced. */
 export function heartbeatBody(fields: Partial<Record<HeartbeatField, unknown>> = {}) {
 	return {
 		host: "n",
--- a/tests/support/scripted-http.ts
+++ b/tests/support/scripted-http.ts
@@ -8,7 +8,7 @@
 	body: unknown;
 }
 
-/** A stand-in for an outside system: gives the responses in their order, and records the requests. */
+/** A stand-in for an external service: returns the responses in order and records the requests. */
 export function scriptedHttp(responses: HttpResponse[]): HttpCaller & { requests: RecordedRequest[] } {
 	const requests: RecordedRequest[] = [];
 	return {
--- a/tests/support/silent-log.ts
+++ b/tests/support/silent-log.ts
@@ -1,4 +1,4 @@
 import type { Log } from "../../src/coordination/ports/log.js";
 
-/** For what is tested without regard to what it logs. */
+/** A log that discards everything. */
 export const silentLog: Log = { error() {}, info() {}, debug() {} };
--- a/tests/support/small-cluster.ts
+++ b/tests/support/small-cluster.ts
@@ -16,6 +16,7 @@
 	zones: ["a", "b"],
 };
 
+/** Returns a cluster state with schedulable spot machines in two zones, and two teams limited to `cpusMax`. */
 export function clusterStateWith(machines: number, cpusMax = 8): ClusterState {
 	const clusterState = new ClusterState({
 		term: 7,
--- a/tests/support/specs.ts
+++ b/tests/support/specs.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from "../../src/protocol/model/job.js";
 import type { MachineType } from "../../src/protocol/model/machine.js";
 
-/** A plain job of team red, with what a test wants otherwise. */
+/** Returns an array job of team red, with the given fields replaced. */
 export function specOf(id: string, more: Partial<JobSpec> = {}): JobSpec {
 	return {
 		id,
--- a/tests/support/state-service.ts
+++ b/tests/support/state-service.ts
@@ -21,18 +21,18 @@
 	private readonly changes: Change[] = [];
 	private readonly leases = new Map<number, { ttlMs: number; endsAt: number }>();
 	private nextLease = 1;
-	/** Nobody is served, and leases do not run out. */
+	/** All requests are refused, and leases do not expire. */
 	outage = false;
-	/** These are refused while the others are served; their leases run out. */
+	/** Controllers whose requests are refused; their leases expire. */
 	readonly unavailableTo = new Set<string>();
 
-	/** Larger values and longer transactions get 400; what is stored stays readable. */
+	/** Larger values and longer transactions get 400; larger values stored earlier stay readable. */
 	limits = { valueBytes: 16 * 1024, operations: 12 };
-	/** Puts and deletes a second, with bursts of a second's worth; those beyond get 429. */
+	/** Rate limit of puts and deletes, with a burst of one second's worth; transactions beyond it get 429. */
 	writesPerS = Number.POSITIVE_INFINITY;
 	private writeTokens = 0;
 	private writeTokensUpdatedAt = 0;
-	/** Transactions that got 429. */
+	/** Number of transactions that got 429. */
 	rateLimitedCount = 0;
 
 	constructor(private readonly time: Pick<FakeTime, "now" | "after">) {
@@ -119,7 +119,7 @@
 		return true;
 	}
 
-	/** A change by somebody else than the controllers. */
+	/** Writes a value as a client other than the controllers. */
 	write(key: string, v: unknown): void {
 		this.change({ put: key, v });
 	}
@@ -129,7 +129,7 @@
 	}
 
 	private change(change: object): void {
-		// biome-ignore lint/suspicious/noThenProperty: the state service's own word for the changes
+		// biome-ignore lint/suspicious/noThenProperty: the name of the field in the state service's API
 		this.executeTransaction({ then: [change] });
 	}
 
@@ -169,7 +169,7 @@
 		const until = this.time.now() + Number(url.searchParams.get("block_ms") ?? 0);
 		return new Promise((resolve) => {
 			const check = () => {
-				// An open watch only waits while its node is not served.
+				// A pending watch gets no response while requests of its controller are refused.
 				const available = !this.outage && !this.unavailableTo.has(from);
 				const events = this.changes.filter((c) => c.stamp > after && c.key.startsWith(prefix));
 				if (available && (events.length > 0 || this.time.now() >= until)) {
--- a/tests/support/stub-public-service.ts
+++ b/tests/support/stub-public-service.ts
@@ -1,8 +1,8 @@
 import type { PublicService } from "../../src/transport/public/public-service.js";
 
 /**
- * A service that accepts the jobs of team red, knows the running job j-1, cannot cancel now, and sends workers to
- * runner-2.
+ * A service that accepts jobs of team red, reports j-1 as running, rejects cancellations as unavailable, and
+ * redirects workers to runner-2.
  */
 export const stubPublicService: PublicService = {
 	submit: async (spec) =>
--- a/tests/support/worker.ts
+++ b/tests/support/worker.ts
@@ -4,20 +4,22 @@
 export interface WorkerEnvironment {
 	heartbeatIntervalS: number;
 	leaseS: number;
-	/** Sends a report to a controller; undefined: no answer. */
+	/** Sends a heartbeat to a controller; undefined: no response. */
 	sendHeartbeat(
 		worker: FakeWorker,
 		node: string,
 		body: Record<string, unknown>,
 	): Promise<HttpResponse | undefined>;
 	nodes: string[];
-	runSeconds(piece: string): number | null;
-	/** The task was submitted with a mistake and fails on this machine. */
-	failsTask(worker: FakeWorker, piece: string): boolean;
-	taskStarted(worker: FakeWorker, piece: string): void;
-	taskEnded(worker: FakeWorker, piece: string): void;
+	/** Returns the run time of a task; null for an unknown task. */
+	runSeconds(task: string): number | null;
+	/** True if the task fails on this machine because its job is faulty. */
+	failsTask(worker: FakeWorker, task: string): boolean;
+	taskStarted(worker: FakeWorker, task: string): void;
+	taskEnded(worker: FakeWorker, task: string): void;
 }
 
+/** An attempt as heartbeats list it, with the field names of the wire. */
 interface AttemptStatus {
 	piece: string;
 	try: number;
@@ -25,7 +27,7 @@
 	cause?: string;
 }
 
-/** A machine's worker after the published protocol; image fetches take no time. */
+/** A worker that follows the published protocol; image fetches take no time. */
 export class FakeWorker {
 	private agentEpoch = 1;
 	private sequence = 0;
@@ -39,14 +41,14 @@
 	terminated = false;
 	/** Cut off from all controllers. */
 	partitioned = false;
-	/** Its reports arrive, but neither answers nor orders reach it. */
+	/** Its heartbeats arrive, but neither responses nor commands reach it. */
 	inboundDropped = false;
-	/** Reaches no controller, while direct orders reach it. */
+	/** Its heartbeats reach no controller, while direct commands reach it. */
 	heartbeatsDropped = false;
-	/** Fails every task at once. */
+	/** Fails every task as soon as it starts. */
 	failsAllTasks = false;
 	reclaimAt: number | null = null;
-	/** While it hangs, what comes in and what falls due is done only when it goes on. */
+	/** Received commands, responses and due timers while the worker hangs, to be processed on `resume`; null: it runs. */
 	private queuedWhileHung: (() => void)[] | null = null;
 
 	constructor(
@@ -61,7 +63,7 @@
 		this.step();
 	}
 
-	/** Up, and to be reached both ways. */
+	/** True if the worker runs without any injected fault. */
 	get healthy(): boolean {
 		return (
 			!this.terminated &&
@@ -81,15 +83,15 @@
 		const queued = this.queuedWhileHung ?? [];
 		this.queuedWhileHung = null;
 		if (queued.length > 0 && !this.terminated) {
-			// Its lease is looked at before anything else is done.
+			// The lease is checked before anything queued is processed.
 			if (this.time.now() - this.leaseRenewedAt > this.environment.leaseS * 1000) this.expireLease();
-			for (const run of queued) run();
+			for (const action of queued) action();
 		}
 	}
 
-	private runOrQueue(run: () => void): void {
-		if (this.queuedWhileHung) this.queuedWhileHung.push(run);
-		else run();
+	private runOrQueue(action: () => void): void {
+		if (this.queuedWhileHung) this.queuedWhileHung.push(action);
+		else action();
 	}
 
 	private step(): void {
@@ -122,6 +124,7 @@
 		this.endAllTasks();
 	}
 
+	/** Sends the next heartbeat at once after a change, but at least 500 ms after the last one. */
 	private advanceNextHeartbeat(): void {
 		this.nextHeartbeatAt = Math.min(
 			this.nextHeartbeatAt,
@@ -129,6 +132,7 @@
 		);
 	}
 
+	/** Returns the next heartbeat in the form of the wire. */
 	heartbeatBody(): Record<string, unknown> {
 		this.sequence += 1;
 		return {
@@ -158,7 +162,7 @@
 			? await this.waitForResponseTimeout()
 			: await this.environment.sendHeartbeat(this, node, body);
 		await new Promise<void>((resolve) => this.runOrQueue(resolve));
-		// Hearing nothing, it gives up after the time it waits for an answer.
+		// With inbound traffic dropped, the request times out.
 		const inboundDropped = this.inboundDropped;
 		if (inboundDropped) await this.waitForResponseTimeout();
 		this.heartbeatInFlight = false;
@@ -200,12 +204,12 @@
 		this.executeCommands(body.orders as Record<string, unknown>[]);
 	}
 
-	/** Orders that come to a machine that hangs are carried out when it goes on. */
+	/** Handles direct commands, once the worker resumes if it hangs. */
 	receiveCommands(body: Record<string, unknown>): Promise<HttpResponse> {
 		return new Promise((resolve) => this.runOrQueue(() => resolve(this.handleCommands(body))));
 	}
 
-	/** POST /commands. */
+	/** Handles POST /commands. */
 	handleCommands(body: Record<string, unknown>): HttpResponse {
 		if (typeof body.baton !== "number" || typeof body.shift !== "number") return { status: 400, body: {} };
 		if (body.baton < this.fencingToken || body.shift !== this.agentEpoch)
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -35,18 +35,19 @@
 	form?: string;
 	bookmark_s?: number;
 	due_s?: number | null;
-	/** Not on the wire: how long its tasks really run, all alike or one by one. */
+	/** Not on the wire: actual run time of its tasks, for all or by task. */
 	run_s?: number | number[];
-	/** Not on the wire: submitted with a mistake, so that its tasks fail on machines of these types. */
+	/** Not on the wire: machine types on which its tasks fail because the job is faulty. */
 	fails_on_types?: string[];
 }
 
-/** What users read of an answer. */
+/** The fields of a response that users read. */
 export interface UserResponse {
 	status?: string;
 	error?: string;
 }
 
+/** A submitted job, as the invariant checks track it. */
 interface TrackedJob {
 	body: Record<string, unknown> & { pieces: number; cores: number };
 	runS: number | number[];
@@ -63,15 +64,15 @@
 }
 
 /**
- * What a process does goes through here. While it stands still, its timers and all that
- * comes in pile up, though its clocks run on; when it goes on, they come in their order.
+ * Runs the callbacks of a controller process and simulates a process pause: while paused, due timers and incoming
+ * messages are queued, though clocks run on; they are processed in order on `resume`.
  */
 class PausableExecutor {
 	private queued: (() => void)[] | null = null;
 
-	runOrQueue(run: () => void): void {
-		if (this.queued) this.queued.push(run);
-		else run();
+	runOrQueue(action: () => void): void {
+		if (this.queued) this.queued.push(action);
+		else action();
 	}
 
 	pause(): void {
@@ -81,7 +82,7 @@
 	resume(): void {
 		const queued = this.queued ?? [];
 		this.queued = null;
-		for (const run of queued) run();
+		for (const action of queued) action();
 	}
 
 	settleWhenRunning<T>(result: Promise<T>): Promise<T> {
@@ -110,14 +111,14 @@
 	}
 }
 
-/** Most cores of each team; guests have neither guarantee nor limit. */
+/** CPU limit of each team; team guest has neither guarantee nor limit. */
 const teamCpuLimits: Record<string, number> = { red: 8, blue: 8, guest: Number.POSITIVE_INFINITY };
 export const nodeNames = ["runner-0", "runner-1", "runner-2"];
 
-/** With so small a share of a core any number of reports is many, and all controllers receive them. */
+/** With this small a fraction of a core, any heartbeat rate makes all controllers receive and forward heartbeats. */
 const tinyCpuSettings = "[cluster.resources]\ncores = 0.0005\n";
 
-/** Limits that the state service may come to have in a trace. */
+/** Future limits of the state service. */
 const nextLimitSettings = "[cluster.state.next]\nvalue_kb = 0.6\ntxn_ops = 4\n";
 
 interface PlatformOptions {
@@ -128,7 +129,7 @@
 	state?: string;
 }
 
-/** The platform's settings file of a node. */
+/** Returns the platform settings file of a node. */
 export function platformSettingsText(options: PlatformOptions): string {
 	const { node, nodes, forwarding, nextLimitsAnnounced, state = "127.0.0.1:4" } = options;
 	const others = nodes
@@ -165,7 +166,10 @@
 ${forwarding ? tinyCpuSettings : ""}${nextLimitsAnnounced ? nextLimitSettings : ""}`;
 }
 
-/** Controllers, three if not said otherwise, between stand-ins of all that is around them, in fake time, with the rules watched. */
+/**
+ * Controllers, three by default, in fake time between stand-ins for workers, state service, cloud, network and users.
+ * Violations of the invariants are recorded: duplicate starts, wrong placement, exceeded limits, lost jobs.
+ */
 export class World {
 	readonly time = new FakeTime();
 	readonly network = new FakeNetwork(this.time);
@@ -173,8 +177,9 @@
 	readonly cloud: FakeCloud;
 	readonly workers = new Map<string, FakeWorker>();
 	readonly jobs = new Map<string, TrackedJob>();
+	/** Violated invariants, in order. */
 	readonly violations: string[] = [];
-	/** Starts of each task, in order. */
+	/** Machines on which each task was started, in order. */
 	readonly starts = new Map<string, string[]>();
 	readonly logs: string[] = [];
 	private readonly machineByTask = new Map<string, string>();
@@ -183,23 +188,23 @@
 	private readonly peerIsolatedNodes = new Set<string>();
 	private incarnation = 0;
 
-	/** Seconds after which copies of every report arrive once more, at the node it was sent to. */
+	/** Delays after which a copy of every heartbeat arrives at the node to which it was sent. */
 	duplicateHeartbeatsAfterS: number[] = [];
 
-	/** Since when a job waits though something could run, troubles aside. */
+	/** Time since which a job waits although one of its tasks could start and no fault is active. */
 	private readonly waitingSince = new Map<string, number>();
-	/** By trace: troubles that no stand-in shows, such as faults on links. */
+	/** Set by the trace player while link faults are injected, which no stand-in shows. */
 	linkFaultsActive = false;
-	/** Limits of teams that were changed, and when they were in force. */
+	/** Changed CPU limits of teams, which replace those of the settings. */
 	readonly teamLimitOverrides = new Map<string, number>();
-	/** Whether processes that start from now on are told of the limits to come. */
+	/** True if the settings of processes that start from now on name the future limits of the state service. */
 	nextLimitsAnnounced = false;
 
 	constructor(
 		capacity = 4,
 		readonly nodes: string[] = nodeNames,
 		private readonly forwarding = false,
-		/** Whether processes that start from now on divide limits. */
+		/** True if processes that start from now on run with team quota. */
 		public teamQuota = false,
 	) {
 		const type = (sku: string, cores: number, rate: number) => ({
@@ -234,15 +239,15 @@
 		heartbeatIntervalS: 1,
 		leaseS: 10,
 		nodes: [],
-		runSeconds: (piece) => {
-			const [id, index] = piece.split("/") as [string, string];
+		runSeconds: (task) => {
+			const [id, index] = task.split("/") as [string, string];
 			const runs = this.jobs.get(id)?.runS ?? null;
 			return Array.isArray(runs) ? (runs[Number(index)] ?? null) : runs;
 		},
-		failsTask: (worker, piece) =>
-			this.jobs.get(piece.split("/")[0] as string)?.failsOn.includes(worker.machineType) ?? false,
-		taskStarted: (worker, piece) => this.recordStart(worker, piece),
-		taskEnded: (worker, piece) => this.recordEnd(worker, piece),
+		failsTask: (worker, task) =>
+			this.jobs.get(task.split("/")[0] as string)?.failsOn.includes(worker.machineType) ?? false,
+		taskStarted: (worker, task) => this.recordStart(worker, task),
+		taskEnded: (worker, task) => this.recordEnd(worker, task),
 		sendHeartbeat: (worker, node, body) => this.sendHeartbeat(worker, node, body),
 	};
 
@@ -327,7 +332,7 @@
 		controller.start();
 	}
 
-	/** Without a signal: nothing that the process would still say is heard. */
+	/** Ends the process without a signal; none of its pending messages is delivered. */
 	crash(node: string): void {
 		const process = this.processes.get(node);
 		if (!process) return;
@@ -336,7 +341,7 @@
 		this.processes.delete(node);
 	}
 
-	/** The process stands still; its clocks, and the world, go on. */
+	/** Pauses the process, while its clocks run on. */
 	pauseProcess(node: string): void {
 		this.processes.get(node)?.executor.pause();
 	}
@@ -372,7 +377,7 @@
 		else this.peerIsolatedNodes.delete(node);
 	}
 
-	/** The node whose process acts for the controllers, by the worker's view: the key in the store. */
+	/** Returns the node in the leader key of the store. */
 	leaderNode(): string | null {
 		const row = this.state.rows.get("r/one/leader");
 		return row ? (row.v as { node: string }).node : null;
@@ -445,8 +450,8 @@
 	}
 
 	/**
-	 * Troubles over, no job waits for 90 s while a machine that fits has room and its team
-	 * is under its limit. What counts is the machines themselves, not what a leader thinks of them.
+	 * Checks that without active faults no job waits for 90 s while a suitable machine has capacity and its team is
+	 * under its limit. The state of the stand-in machines counts, not the leader's record of them.
 	 */
 	private checkWaitingPeriodically(): void {
 		this.time.after(1000, () => {
@@ -470,12 +475,12 @@
 		});
 	}
 
-	/** Of an array nothing runs, or of a standing job some replicas do not, though they could. */
+	/** True if no task of an array job runs, or some replica of a service job does not, although a machine could run it. */
 	private canStart(id: string, { body, reportedStatuses, cancelledAt }: TrackedJob): boolean {
 		if (reportedStatuses.size === 0 || cancelledAt !== null) return false;
 		const tasks = Array.from({ length: body.pieces }, (_, i) => `${id}/${i}`);
-		if (body.form !== "standing" && tasks.some((piece) => this.machineByTask.has(piece))) return false;
-		if (tasks.every((piece) => this.machineByTask.has(piece) || this.doneTasks.has(piece))) return false;
+		if (body.form !== "standing" && tasks.some((task) => this.machineByTask.has(task))) return false;
+		if (tasks.every((task) => this.machineByTask.has(task) || this.doneTasks.has(task))) return false;
 		const used = this.cpusInUse();
 		const teamCpus = used.byTeam.get(String(body.desk)) ?? 0;
 		if (teamCpus + body.cores > (teamCpuLimits[String(body.desk)] ?? 0)) return false;
@@ -489,8 +494,8 @@
 	private cpusInUse(): { byMachine: Map<string, number>; byTeam: Map<string, number> } {
 		const byMachine = new Map<string, number>();
 		const byTeam = new Map<string, number>();
-		for (const [piece, host] of this.machineByTask) {
-			const body = this.jobs.get(piece.split("/")[0] as string)?.body;
+		for (const [task, host] of this.machineByTask) {
+			const body = this.jobs.get(task.split("/")[0] as string)?.body;
 			if (!body) continue;
 			byMachine.set(host, (byMachine.get(host) ?? 0) + body.cores);
 			byTeam.set(String(body.desk), (byTeam.get(String(body.desk)) ?? 0) + body.cores);
@@ -514,11 +519,11 @@
 		);
 	}
 
-	/** Tasks of the job that are on machines, by zone. */
+	/** Returns the number of running tasks of the job by zone. */
 	private taskCountByZone(id: string): Map<string, number> {
 		const zones = new Map<string, number>();
-		for (const [piece, host] of this.machineByTask) {
-			if (!piece.startsWith(`${id}/`)) continue;
+		for (const [task, host] of this.machineByTask) {
+			if (!task.startsWith(`${id}/`)) continue;
 			const hall = this.workers.get(host)?.zone ?? "?";
 			zones.set(hall, (zones.get(hall) ?? 0) + 1);
 		}
@@ -536,17 +541,17 @@
 
 	private checkQuota(team: string): void {
 		let usedCpus = 0;
-		for (const piece of this.machineByTask.keys()) {
-			const body = this.jobs.get(piece.split("/")[0] as string)?.body;
+		for (const task of this.machineByTask.keys()) {
+			const body = this.jobs.get(task.split("/")[0] as string)?.body;
 			if (body?.desk === team) usedCpus += body.cores;
 		}
 		if (usedCpus > (this.teamLimitOverrides.get(team) ?? teamCpuLimits[team] ?? 0) + 1e-9)
 			this.violations.push(`quota: ${team} uses ${usedCpus}`);
 	}
 
-	/** Tasks of the job that run. */
+	/** Returns the number of running tasks of the job. */
 	runningTaskCount(job: string): number {
-		return [...this.machineByTask.keys()].filter((piece) => piece.startsWith(`${job}/`)).length;
+		return [...this.machineByTask.keys()].filter((task) => task.startsWith(`${job}/`)).length;
 	}
 
 	private recordEnd(worker: FakeWorker, task: string): void {
@@ -555,12 +560,12 @@
 		if (reported.some((p) => p.piece === task && p.cause === "done")) this.doneTasks.add(task);
 	}
 
-	/** A cancelled job's tasks must be gone; called at the end of a trace, and in time after each cancellation. */
+	/** Checks that no task of a job runs 37 s (`cancel_s`) after its cancellation; also called at the end of a trace. */
 	checkCancelled(): void {
-		for (const piece of this.machineByTask.keys()) {
-			const job = this.jobs.get(piece.split("/")[0] as string);
+		for (const task of this.machineByTask.keys()) {
+			const job = this.jobs.get(task.split("/")[0] as string);
 			if (job?.cancelledAt != null && this.time.now() - job.cancelledAt > 37_000) {
-				this.violations.push(`ran_cancelled: ${piece} is still there`);
+				this.violations.push(`ran_cancelled: ${task} is still there`);
 			}
 		}
 	}
@@ -573,7 +578,7 @@
 
 	// --- users ---
 
-	/** Troubles over, every job that was accepted is answered for within 75 s, each for itself. */
+	/** Checks that without active faults a controller finds every accepted job within 75 s, each job separately. */
 	async checkAllJobsFound(): Promise<void> {
 		for (const [id, job] of this.jobs) {
 			if (job.reportedStatuses.size === 0) continue;
@@ -604,7 +609,7 @@
 		return result ?? { status: 0, body: {} };
 	}
 
-	/** Requests of one moment to several nodes; each answer is told to the checker as it comes. */
+	/** Sends requests to several nodes at the same time; each response is checked when it arrives. */
 	async requestConcurrently(
 		requests: { node: string; id: string; kind: "poll" | "abort" | "repeat" }[],
 	): Promise<number[]> {
@@ -630,7 +635,7 @@
 		return statuses;
 	}
 
-	/** Makes a job known to the checker that comes into the store by another way. */
+	/** Tracks a job that enters the store by another way than a submission. */
 	trackJob(job: JobBody): void {
 		const body = { desk: "red", loaners: true, ...job };
 		this.jobs.set(job.id, {
