--- a/tests/support/close-transport.ts
+++ b/tests/support/close-transport.ts
@@ -15,7 +15,7 @@
 
 /** The JSON output of the process. */
 export interface CloseReport {
-	/** Outcomes of the pending calls: a heartbeat to the closed server, and a store call to a server that never responds. */
+	/** Outcomes of the pending calls: a heartbeat to the closed server, and a call to a store that never responds. */
 	heartbeat: string;
 	storeCall: string;
 	/** Resources that keep the event loop alive, before and after closing. */
--- a/tests/support/import-rules.ts
+++ b/tests/support/import-rules.ts
@@ -28,7 +28,7 @@
 	return posix.dirname(posix.normalize(posix.join(folderOf(file), specifier)));
 }
 
-/** Returns each import that the rules do not permit, as "file imports folder". A folder without a rule is a violation too. */
+/** Returns each import that the rules do not permit, as "file imports folder", and each folder without a rule. */
 export function forbiddenImports(tree: SourceTree, rules: ImportRules): string[] {
 	const violations: string[] = [];
 	for (const [file, text] of tree) {
--- a/tests/support/machines.ts
+++ b/tests/support/machines.ts
@@ -19,7 +19,7 @@
 	return job;
 }
 
-/** Returns an assigned attempt at the job's first task that is registered neither with the job nor with the machine. */
+/** Returns an assigned attempt at the job's first task that is in neither the job's nor the machine's records. */
 export function attemptOf(job: Job, machine: Machine, more: Partial<AttemptDescription> = {}): Attempt {
 	return new Attempt({ job, taskIndex: 0, number: 1, machine, phase: "assigned", ...more });
 }
--- a/tests/support/reconciliation-setup.ts
+++ b/tests/support/reconciliation-setup.ts
@@ -83,7 +83,7 @@
 	return { jobId: "j-1", taskIndex, attempt, state, exitCause, checkpointed: false };
 }
 
-/** Returns the state with a machine whose heartbeat has been received and whose record is stored: it is assignable. */
+/** Returns the state with a machine to which tasks may be assigned: it has sent a heartbeat, and its record is stored. */
 export function stateWithMachine() {
 	const { clusterState, job } = stateWithJob();
 	reconcileHeartbeat(clusterState, heartbeat(1), 0);
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -279,7 +279,7 @@
 		const incarnation = `inc${this.incarnation}`;
 		const storeClient = new StoreClient({
 			http: store,
-			clock: clock,
+			clock,
 			requestsPerS: 300,
 			writesPerS: 60,
 			controllers: this.nodes.length,
@@ -302,7 +302,7 @@
 				return executor.caller(caller);
 			}),
 			peers: { send: (to, message) => this.sendPeerMessage(id, node, to, message) },
-			clock: clock,
+			clock,
 			log,
 			random: xoroshiro128plus(this.incarnation),
 			schedule: queueMicrotask,
@@ -323,12 +323,12 @@
 				submit: (spec) => controller.jobs.submit(spec),
 				status: (job) => controller.jobs.status(job),
 				cancel: (job) => controller.jobs.cancel(job),
-				handleHeartbeat: (report) => controller.handleHeartbeat(report),
+				handleHeartbeat: (heartbeat) => controller.handleHeartbeat(heartbeat),
 				ready: () => controller.ready(),
 			},
 			log,
 		);
-		this.processes.set(node, { id, controller, app, executor: executor });
+		this.processes.set(node, { id, controller, app, executor });
 		controller.start();
 	}
 
@@ -475,7 +475,7 @@
 		});
 	}
 
-	/** True if no task of an array job runs, or some replica of a service job does not, although a machine could run it. */
+	/** True if no task of the array job (or not every replica of the service job) runs, although a machine could run one. */
 	private canStart(id: string, { body, reportedStatuses, cancelledAt }: TrackedJob): boolean {
 		if (reportedStatuses.size === 0 || cancelledAt !== null) return false;
 		const tasks = Array.from({ length: body.pieces }, (_, i) => `${id}/${i}`);
@@ -500,7 +500,7 @@
 			byMachine.set(host, (byMachine.get(host) ?? 0) + body.cores);
 			byTeam.set(String(body.desk), (byTeam.get(String(body.desk)) ?? 0) + body.cores);
 		}
-		return { byMachine: byMachine, byTeam };
+		return { byMachine, byTeam };
 	}
 
 	private isUsable(host: string, worker: FakeWorker): boolean {
