--- a/packages/team-quota/tests/manager.test.ts
+++ b/packages/team-quota/tests/manager.test.ts
@@ -118,7 +118,7 @@
 	assert.equal(holder.admit("red", oneCpu).kind, "refused");
 });
 
-test("a write conflicts if the leader's key or the stored value has changed since", async () => {
+test("a write conflicts if the leader's key or the stored value has changed since it was prepared", async () => {
 	const cluster = new TestCluster();
 	const holder = cluster.startProcess("b");
 	const { manager } = await cluster.allotAllTo(holder);
@@ -161,9 +161,9 @@
 	next.handleReply("b", holder.reply());
 	for (let i = 0; i < 3; i++) cluster.exchangeMessages(next, nextManager, "b", holder, 2);
 	assert.equal(silent.admit("red", oneCpu, 2).kind, "admitted", "by its allotment of the previous term");
-	const more = holder.admit("red", oneCpu, 4);
-	const inAll = 2 + 2 + (more.kind === "admitted" ? more.count : 0);
-	assert.ok(inAll <= 4, `${inAll} of 4`);
+	const further = holder.admit("red", oneCpu, 4);
+	const total = 2 + 2 + (further.kind === "admitted" ? further.count : 0);
+	assert.ok(total <= 4, `${total} of 4`);
 });
 
 test("if a holder is charged more than its allotment, other holders leave the same amount unused", async () => {
@@ -289,24 +289,24 @@
 	const cluster = new TestCluster();
 	const holder = cluster.startProcess("b");
 	const { manager } = await cluster.allotAllTo(holder);
-	const running = (cpus: number) =>
+	const verifyWithRunning = (cpus: number) =>
 		manager.verifyCharges(new Map([["red", { amount: { cpus, gpus: 0 }, tolerance: { cpus: 1, gpus: 1 } }]]));
 	const takeErrorMessages = () => cluster.errorMessages.splice(0);
 	const charge = manager.charges.add("red", "b", oneCpu);
-	for (let i = 0; i < 3; i++) running(1000);
+	for (let i = 0; i < 3; i++) verifyWithRunning(1000);
 	assert.deepEqual(takeErrorMessages(), []);
 	// A task is missing in one of the two counts.
-	running(2000);
+	verifyWithRunning(2000);
 	assert.deepEqual(takeErrorMessages(), [], "a difference in a single check is not reported");
-	running(2000);
-	running(2000);
+	verifyWithRunning(2000);
+	verifyWithRunning(2000);
 	assert.deepEqual(takeErrorMessages(), ["charged amount differs from running tasks"]);
-	running(1000);
+	verifyWithRunning(1000);
 	manager.charges.add("red", "c", oneCpu);
-	for (let i = 0; i < 3; i++) running(2000);
+	for (let i = 0; i < 3; i++) verifyWithRunning(2000);
 	assert.deepEqual(takeErrorMessages(), ["allotment holder is charged more than its allotment"]);
 	manager.charges.release(charge);
-	for (let i = 0; i < 5; i++) running(1000 + i * 100);
+	for (let i = 0; i < 5; i++) verifyWithRunning(1000 + i * 100);
 	assert.deepEqual(takeErrorMessages(), ["charged amount differs from running tasks"]);
 });
 
--- a/packages/team-quota/tests/planner.test.ts
+++ b/packages/team-quota/tests/planner.test.ts
@@ -64,16 +64,19 @@
 test("the smallest share among holders that request more equals the optimum of a linear program", () => {
 	fc.assert(
 		fc.property(holderDemands, fc.nat(12_000), (demands, limit) => {
-			const plain = demands.map(({ used, requested }) => ({ used: used.cpus, requested: requested.cpus }));
-			const used = plain.reduce((sum, demand) => sum + demand.used, 0);
-			if (used > limit || plain.every((demand) => demand.requested <= demand.used)) return;
+			const cpuDemands = demands.map(({ used, requested }) => ({
+				used: used.cpus,
+				requested: requested.cpus,
+			}));
+			const used = cpuDemands.reduce((sum, demand) => sum + demand.used, 0);
+			if (used > limit || cpuDemands.every((demand) => demand.requested <= demand.used)) return;
 			const plan = planAllotments({ cpus: limit, gpus: 0 }, demands);
-			const served = demands
+			const shares = demands
 				.filter((demand) => demand.requested.cpus > demand.used.cpus)
 				.map((demand) => Math.min(demand.requested.cpus, plan.get(demand.node)?.cpus ?? 0));
-			const best = fairLevel(limit, plain);
+			const best = fairLevel(limit, cpuDemands);
 			// Shares are whole thousandths, so they may differ from the program's by one.
-			assert.ok(Math.abs(Math.min(...served) - best) <= 1, `${Math.min(...served)} of ${best}`);
+			assert.ok(Math.abs(Math.min(...shares) - best) <= 1, `${Math.min(...shares)} of ${best}`);
 		}),
 		{ seed: 11, numRuns: 300 },
 	);
--- a/packages/team-quota/tests/simulation.test.ts
+++ b/packages/team-quota/tests/simulation.test.ts
@@ -37,7 +37,7 @@
 	assert.deepEqual(duplicateIds(history.tasks), []);
 }
 
-test("controllers that admit continuously stay within limits, and none waits long", async () => {
+test("controllers that admit continuously stay within limits, and none waits 5 s for a slot", async () => {
 	const cluster = createCluster(1);
 	await cluster.run(20_000);
 	assertHistoryValid(cluster, 1);
@@ -76,7 +76,7 @@
 const seeds = Number(process.env.QUOTA_SEEDS ?? 24);
 
 for (let seed = 1; seed <= seeds; seed++) {
-	test(`limits hold under crashes, pauses, lost messages, outages, failovers and limit changes: seed ${seed}`, async () => {
+	test(`limits hold under crashes, pauses, lost messages, outages, failovers and limit changes, and admissions continue afterwards: seed ${seed}`, async () => {
 		const cluster = createCluster(seed);
 		await cluster.run(500);
 		for (let i = 0; i < 40; i++) {
@@ -98,7 +98,7 @@
 		assertHistoryValid(cluster, seed);
 		assert.ok(
 			cluster.startedTaskCount - before > 100,
-			`admissions go on: ${cluster.startedTaskCount - before}`,
+			`admissions after the faults: ${cluster.startedTaskCount - before}`,
 		);
 	});
 }
--- a/src/coordination/leadership/cancellation-staleness.ts
+++ b/src/coordination/leadership/cancellation-staleness.ts
@@ -34,7 +34,7 @@
 /**
  * Returns the staleness bound that the leader applies. Where `cancel_s` exceeds a worker's lease by so little that
  * the bound is below the usual age of a watch response, that age is the bound while the store renews the leader's
- * lease, since no leader could act at all otherwise. Without the store there is no such allowance. Test: "where
+ * lease, since no leader could act at all otherwise. Without the store there is no such allowance. Test: "if
  * cancel_s hardly exceeds a worker's lease ..." in leadership.test.ts.
  */
 export function stalenessBoundMs(maxStalenessMs: number, renewedByStore: boolean): number {
--- a/tests/bookkeeping/attempt.test.ts
+++ b/tests/bookkeeping/attempt.test.ts
@@ -115,7 +115,7 @@
 });
 
 describe("the charge of an attempt", () => {
-	test("is null until it is charged to an allotment", () => {
+	test("is null until the attempt is charged to an allotment", () => {
 		const attempt = attemptOf(jobOf("j-1"), machineOf());
 		assert.equal(attempt.charge, null);
 		const charge = { team: "red", node: "runner-0", amount: { cpus: 2000, gpus: 0 } };
--- a/tests/bookkeeping/exited-tasks.test.ts
+++ b/tests/bookkeeping/exited-tasks.test.ts
@@ -8,6 +8,7 @@
 	attempt: 1,
 	done,
 });
+/** Only the outcomes of tasks that are not done count as recorded; those of done tasks are still being stored. */
 const isRecorded = ({ done }: ExitedTask) => !done;
 
 describe("the exited tasks that a machine lists", () => {
@@ -39,7 +40,7 @@
 		assert.equal(tasks.heartbeatTrigger, null);
 	});
 
-	test("are only those of the latest heartbeat after the list was cleared", () => {
+	test("are only those added since the list was last cleared, as each heartbeat lists them anew", () => {
 		const tasks = new ExitedTasks();
 		tasks.add(exited(0));
 		tasks.clear();
--- a/tests/bookkeeping/machine-health.test.ts
+++ b/tests/bookkeeping/machine-health.test.ts
@@ -131,7 +131,7 @@
 		assert.ok(Math.abs(health.slowdown - 1) < 0.001);
 	});
 
-	test("counts as much slower within 20 runs if it is far below that of others with the same work, and not for ordinary variance", () => {
+	test("counts as much slower after 10 to 20 runs if it is far below that of others with the same work, and not for ordinary variance", () => {
 		const random = xoroshiro128plus(21);
 		const machines = ["n-1", "n-2", "n-3", "n-slow"].map((id) => machineOf({ id }));
 		const [first, , , slow] = machines;
--- a/tests/bookkeeping/store-replica.test.ts
+++ b/tests/bookkeeping/store-replica.test.ts
@@ -25,7 +25,7 @@
 	assert.equal(replica.jobs.has("j-1"), false);
 });
 
-test("cancellationsSince returns every cancellation after a revision that the node may have reported, or null if some may be missing", () => {
+test("cancellationsSince returns every cancellation after a revision, or null if the replica may lack some that the node has reported", () => {
 	const replica = new StoreReplica();
 	const cancelled = (id: string, revision: number) =>
 		replica.applyConfirmedWrite(keys.final(id), { status: "cancelled", tasks: 2, done: 0 }, revision);
--- a/tests/bookkeeping/worker-agent.test.ts
+++ b/tests/bookkeeping/worker-agent.test.ts
@@ -5,9 +5,9 @@
 
 const leaseMs = 10_000;
 
-const noEffect: ResponseEffects = { leaseExpired: false, startMissing: false, startListed: false };
-const startMissing: ResponseEffects = { ...noEffect, startMissing: true };
-const startListed: ResponseEffects = { ...noEffect, startListed: true };
+const noEvidence: ResponseEffects = { leaseExpired: false, startMissing: false, startListed: false };
+const startMissing: ResponseEffects = { ...noEvidence, startMissing: true };
+const startListed: ResponseEffects = { ...noEvidence, startListed: true };
 
 /** An agent that has sent its first heartbeat. */
 function runningAgent(agentEpoch = 1): WorkerAgent {
@@ -88,7 +88,7 @@
 		const agent = runningAgent();
 		agent.updateReachability(startMissing, leaseMs, 1000);
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [1, null]);
-		agent.updateReachability({ ...noEffect, leaseExpired: true }, leaseMs, 2000);
+		agent.updateReachability({ ...noEvidence, leaseExpired: true }, leaseMs, 2000);
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [2, 2000]);
 		agent.updateReachability(startMissing, leaseMs, 3000);
 		assert.equal(agent.unreachableSince, 2000, "unreachable since the second response");
@@ -102,10 +102,10 @@
 		assert.deepEqual([agent.ineffectiveResponses, agent.unreachableSince], [1, null]);
 	});
 
-	test("also if a heartbeat without evidence comes between the two, which itself does not count", () => {
+	test("also if a heartbeat without evidence, which does not count itself, comes between two ineffective responses", () => {
 		const agent = runningAgent();
 		agent.updateReachability(startMissing, leaseMs, 1000);
-		agent.updateReachability(noEffect, leaseMs, 2000);
+		agent.updateReachability(noEvidence, leaseMs, 2000);
 		assert.equal(agent.unreachableSince, null);
 		agent.updateReachability(startMissing, leaseMs, 3000);
 		assert.equal(agent.unreachableSince, 3000);
@@ -121,9 +121,9 @@
 	test("until its lease has held for 1.5 times the lease duration", () => {
 		const agent = runningAgent();
 		for (const at of [1000, 2000]) agent.updateReachability(startMissing, leaseMs, at);
-		agent.updateReachability(noEffect, leaseMs, 2000 + 1.5 * leaseMs);
+		agent.updateReachability(noEvidence, leaseMs, 2000 + 1.5 * leaseMs);
 		assert.equal(agent.unreachableSince, 2000);
-		agent.updateReachability(noEffect, leaseMs, 2001 + 1.5 * leaseMs);
+		agent.updateReachability(noEvidence, leaseMs, 2001 + 1.5 * leaseMs);
 		assert.deepEqual([agent.unreachableSince, agent.ineffectiveResponses], [null, 0]);
 	});
 
--- a/tests/coordination/fleet/drain.test.ts
+++ b/tests/coordination/fleet/drain.test.ts
@@ -50,7 +50,8 @@
 		hooks: { post: (run) => run(), active: () => true, onMachineDeleted() {} },
 		log: silentLog,
 	});
-	// A running task keeps the draining machine from being deleted.
+	// A running task keeps the draining machine from being deleted. Its resources are released below, so that the
+	// waiting job fits on the machine.
 	const running = new Attempt({
 		job: runningJob,
 		taskIndex: 99,
--- a/tests/coordination/fleet/hill-climb.test.ts
+++ b/tests/coordination/fleet/hill-climb.test.ts
@@ -12,7 +12,7 @@
 import { small } from "../../support/small-cluster.js";
 import { mediumType, specOf } from "../../support/specs.js";
 
-test("the counters trigger once enough rounds are beyond a threshold, and clear in a round between the thresholds", () => {
+test("the counters trigger after enough rounds beyond a threshold, a multiple of the high one counting as several, and clear in a round between them", () => {
 	const settings = { high: 1.2, low: 0.6, up_past: 3, down_at: 3, cap_s: 600 };
 	let counters = { up: 0, down: 2 };
 	const step = (load: number, machines = 4) => {
@@ -40,27 +40,28 @@
 test("a scale-out adds just enough machines to bring the load down to the high threshold", () => {
 	const highPerCpu = 12;
 	for (const work of [100, 500, 2000]) {
-		const k = machinesToAdd(work, 2, 8, 4, highPerCpu, 50);
-		const load = (extra: number) => loadOf(work, 2 + extra) / ((8 + extra * 4) / (2 + extra));
-		assert.ok(load(k) <= highPerCpu);
-		if (k > 0) assert.ok(load(k - 1) > highPerCpu);
+		const added = machinesToAdd(work, 2, 8, 4, highPerCpu, 50);
+		const loadPerCpu = (addedCount: number) =>
+			loadOf(work, 2 + addedCount) / ((8 + addedCount * 4) / (2 + addedCount));
+		assert.ok(loadPerCpu(added) <= highPerCpu);
+		if (added > 0) assert.ok(loadPerCpu(added - 1) > highPerCpu);
 	}
 	assert.equal(machinesToAdd(1e9, 0, 0, 4, highPerCpu, 50), 50);
 });
 
-test("scale-in removes as many machines as keep the load within the low threshold, at most an eighth of the fleet at once", () => {
+test("scale-in removes as many machines as keep the load within the low threshold, at least one and at most an eighth of the fleet", () => {
 	const fourCpusEach = (n: number) => Array.from({ length: n }, () => 4);
 	assert.equal(machinesToRemove(0, 400, 1600, fourCpusEach(400), 10), 50);
 	assert.equal(machinesToRemove(0, 3, 12, fourCpusEach(3), 10), 1);
 	assert.equal(
 		machinesToRemove(0, 1, 4, fourCpusEach(1), 10),
 		1,
-		"the counter has decided on the first removal",
+		"the first removal is decided by the counter alone",
 	);
 	// 100 machines of 4 cores at 10 core seconds each: the threshold is reached with 95 of them.
-	const k = machinesToRemove(3780, 100, 400, fourCpusEach(100), 10);
-	assert.equal(k, 5);
-	assert.ok(loadOf(3780, 100 - k) <= 40 && loadOf(3780, 100 - k - 1) > 40);
+	const removed = machinesToRemove(3780, 100, 400, fourCpusEach(100), 10);
+	assert.equal(removed, 5);
+	assert.ok(loadOf(3780, 100 - removed) <= 40 && loadOf(3780, 100 - removed - 1) > 40);
 	assert.equal(
 		machinesToRemove(5000, 100, 400, fourCpusEach(100), 10),
 		1,
@@ -83,7 +84,7 @@
 			const cpus = size * mediumType.cpus;
 			const typeCpus = mediumType.cpus;
 			assert.equal(machinesToAdd(cpus * 12, size, cpus, typeCpus, 10, 50), 50, "the limit of one call");
-			const leaving = Array.from({ length: size }, () => typeCpus);
-			assert.equal(machinesToRemove(cpus, size, cpus, leaving, 10), size / 8);
+			const removableCpus = Array.from({ length: size }, () => typeCpus);
+			assert.equal(machinesToRemove(cpus, size, cpus, removableCpus, 10), size / 8);
 		});
 });
--- a/tests/coordination/fleet/provisioning-times.test.ts
+++ b/tests/coordination/fleet/provisioning-times.test.ts
@@ -8,9 +8,9 @@
 
 const otherType = { ...unknownMachineType("u"), bootS: 40 };
 
-function requestedMachine(requestedAtS: number, of = type): Machine {
+function requestedMachine(requestedAtS: number, machineType = type): Machine {
 	return new Machine(
-		{ id: `n-${requestedAtS}`, type: of, zone: "a", spot: true, origin: "heartbeat" },
+		{ id: `n-${requestedAtS}`, type: machineType, zone: "a", spot: true, origin: "heartbeat" },
 		requestedAtS * 1000,
 	);
 }
--- a/tests/coordination/fleet/replica-capacity.test.ts
+++ b/tests/coordination/fleet/replica-capacity.test.ts
@@ -53,10 +53,15 @@
 		return machine;
 	}
 
-	job(more: Partial<JobSpec>) {
+	job(specOverrides: Partial<JobSpec>) {
 		this.jobs += 1;
 		const id = `j-${this.jobs}`;
-		const job = this.clusterState.addJob(id, specOf(id, more), this.time.date().getTime(), this.jobs);
+		const job = this.clusterState.addJob(
+			id,
+			specOf(id, specOverrides),
+			this.time.date().getTime(),
+			this.jobs,
+		);
 		job.resetWaitingTasks();
 		return job;
 	}
@@ -92,7 +97,7 @@
 	share: 0.9,
 });
 
-test("on-demand machines are created for the first job of a class whose tasks must start sooner than any machine boots", async () => {
+test("on-demand machines are created before the first job of a class whose tasks must start sooner than any machine boots", async () => {
 	const setup = new Setup([startWithin("live", 12), startWithin("batch", 12), startWithin("slow", 40)]);
 	addBusyMachines(setup);
 	await setup.run(10);
@@ -106,7 +111,7 @@
 	assert.equal(zones().length, 3, "and no more than that");
 });
 
-test("no capacity is created in advance for array jobs, for classes that may wait for a boot, or while no job is live", async () => {
+test("no capacity is created in advance for array jobs, for classes that may wait for a boot, or while there are no jobs", async () => {
 	const arrays = new Setup([startWithin("batch", 12), startWithin("slow", 40)]);
 	addBusyMachines(arrays);
 	await arrays.run(10);
--- a/tests/coordination/jobs/job-feasibility.test.ts
+++ b/tests/coordination/jobs/job-feasibility.test.ts
@@ -23,7 +23,7 @@
 		assert.equal(reasonFor({ cpus: 16, zone: "a" }), null);
 	});
 
-	test("as an array job under any zone rules, since its tasks need not run at the same time", () => {
+	test("as an array job that must be spread over zones and run in a single one, since its tasks need not run at the same time", () => {
 		// The tasks run in two halves in the single zone; trace 47 has such a job.
 		assert.equal(reasonFor({ zone: "a", spreadZones: true, singleZone: true }), null);
 	});
@@ -35,7 +35,7 @@
 		assert.match(String(reasonFor({ gpus: 1, machineTypes: ["wide"] })), /fits no/);
 	});
 
-	test("if the types that fit are not offered in its zone, or in no zone at all", () => {
+	test("if the types that fit are not offered in its zone, or not in any zone", () => {
 		assert.match(String(reasonFor({ cpus: 16, zone: "b" })), /fits no/);
 		assert.match(String(reasonFor({ machineTypes: ["nowhere"] })), /fits no/);
 	});
--- a/tests/coordination/leadership/cancellation-staleness.test.ts
+++ b/tests/coordination/leadership/cancellation-staleness.test.ts
@@ -4,7 +4,7 @@
 import { parsePlatform } from "../../../src/protocol/settings/platform.js";
 import { platformSettingsToml as settings } from "../../support/platform-settings.js";
 
-test("the staleness bound, a worker's lease and a margin fit into cancel_s; the bound is 0 where the others do not", () => {
+test("the staleness bound, a worker's lease and a margin fit into cancel_s; the bound is 0 if lease and margin alone do not", () => {
 	const platform = parsePlatform("s.toml", settings);
 	const { cancel_s, lease_s } = platform.cluster.workers;
 	assert.ok(maxCancellationStalenessMs(platform.cluster.workers) / 1000 + lease_s * 1.001 + 2 < cancel_s);
--- a/tests/coordination/leadership/leadership.test.ts
+++ b/tests/coordination/leadership/leadership.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { candidate, inOutage } from "../../support/leadership-candidate.js";
 
-test("a new process campaigns once any vote of an earlier one has expired, or all others reply that they do not lead", async () => {
+test("a new process campaigns once any vote of the node's earlier process has expired, or all other controllers reply that they do not lead", async () => {
 	const unanswered = candidate(["a", "b"]);
 	await unanswered.run(2900);
 	assert.deepEqual(unanswered.won, []);
@@ -49,7 +49,7 @@
 	await controller.run(200);
 	assert.equal(controller.leadership.authorizedTerm(), term, "a renewal succeeded after the pause");
 
-	// While the store refuses it, it needs a vote of every other controller that was requested since the pause.
+	// In a store outage the leader needs a vote of every other controller that was requested since the pause.
 	controller.service.setOutage(true);
 	const receiveVote = (from: string, number: number) =>
 		controller.leadership.handleMessage(from, {
@@ -73,7 +73,7 @@
 	assert.equal(controller.leadership.authorizedTerm(), term);
 });
 
-test("a leader without other controllers loses its authority within the staleness bound of a store outage", async () => {
+test("a leader without other controllers loses its authority in a store outage at the staleness bound", async () => {
 	const controller = candidate([]);
 	controller.leadership.endStartupHoldoff();
 	await controller.run(500);
@@ -84,7 +84,7 @@
 	assert.equal(controller.leadership.authorizedTerm(), null);
 });
 
-test("a leader whose watch is stuck while its renewals succeed resigns within the staleness bound", async () => {
+test("a leader whose watch is stuck while its renewals succeed resigns at the staleness bound", async () => {
 	const controller = candidate(["a"]);
 	controller.leadership.endStartupHoldoff();
 	await controller.run(500);
@@ -97,7 +97,7 @@
 	assert.deepEqual(controller.lost, ["store changes do not arrive"]);
 });
 
-test("where cancel_s hardly exceeds a worker's lease authority is possible with the store but not without", async () => {
+test("if cancel_s hardly exceeds a worker's lease, a leader has authority while the store serves it, but not in an outage", async () => {
 	const controller = candidate(["a"], 0);
 	const { epoch: term, answer } = await inOutage(controller);
 	await answer(3500, { a: [] });
--- a/tests/coordination/placement/first-fit.test.ts
+++ b/tests/coordination/placement/first-fit.test.ts
@@ -72,7 +72,7 @@
 });
 
 test("first fit prefers machines that have the image cached", () => {
-	const view = (id: string, images: string[]): MachineCapacity => ({
+	const capacityOf = (id: string, images: string[]): MachineCapacity => ({
 		id,
 		type: "small",
 		zone: "a",
@@ -84,7 +84,7 @@
 		images,
 	});
 	const placed = placeFirstFit(
-		[view("n-1", []), view("n-2", ["img"])],
+		[capacityOf("n-1", []), capacityOf("n-2", ["img"])],
 		[{ jobId: "j", count: 1, avoidedMachines: [], tasksByZone: {} }],
 		() => specOf("j"),
 	);
@@ -92,7 +92,7 @@
 });
 
 test("the number of placeable tasks respects all demands and zone constraints of the job together", () => {
-	const view = (zone: string, cpus: number, memory: number, spot = true): MachineCapacity => ({
+	const capacityOf = (zone: string, cpus: number, memory: number, spot = true): MachineCapacity => ({
 		id: `${zone}-${cpus}`,
 		type: "small",
 		zone,
@@ -103,9 +103,13 @@
 		slots: 100,
 		images: [],
 	});
-	const views = [view("a", 4, 16), view("a", 2, 1), view("b", 3, 16, false)];
-	const count = (more: Partial<JobSpec>, zones = {}) =>
-		placeableTasks(specOf("j-1", { taskCount: 8, cpus: 1, memoryGb: 2, ...more }), zones, views);
+	const capacities = [capacityOf("a", 4, 16), capacityOf("a", 2, 1), capacityOf("b", 3, 16, false)];
+	const count = (specOverrides: Partial<JobSpec>, tasksByZone = {}) =>
+		placeableTasks(
+			specOf("j-1", { taskCount: 8, cpus: 1, memoryGb: 2, ...specOverrides }),
+			tasksByZone,
+			capacities,
+		);
 	assert.equal(count({}), 7, "none on the machine without enough memory");
 	assert.equal(count({ zone: "c" }), 0);
 	assert.equal(count({ allowSpot: false }), 3);
--- a/tests/coordination/placement/job-order.test.ts
+++ b/tests/coordination/placement/job-order.test.ts
@@ -35,11 +35,15 @@
 			(j) => j.id,
 		);
 	assert.deepEqual(order(0), ["j-soon", "j-later", "j-last"]);
-	assert.deepEqual(order(15_000), ["j-later", "j-soon", "j-last"], "j-soon is now ordered by 30 s");
+	assert.deepEqual(
+		order(15_000),
+		["j-later", "j-soon", "j-last"],
+		"j-soon can no longer end within 20 s, so it is ordered as if due at 30 s",
+	);
 	assert.deepEqual(
 		order(25_000),
 		["j-later", "j-last", "j-soon"],
-		"j-later is ordered by 43.5 s, j-soon comes last",
+		"j-later is ordered as if due at 43.5 s, and j-soon comes last",
 	);
 	assert.deepEqual(order(45_000), ["j-last", "j-soon", "j-later"]);
 });
--- a/tests/coordination/placement/machine-reservations-large-fleets.test.ts
+++ b/tests/coordination/placement/machine-reservations-large-fleets.test.ts
@@ -8,7 +8,7 @@
 
 describe("reservations in a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines with as many waiting jobs: an update searches the fleet only a few times`, () => {
+		test(`${size} machines with as many waiting jobs: an update reserves at most a twentieth of them, with at most eight more searches than reservations`, () => {
 			const clusterState = largeFleet(size);
 			for (let i = 0; i < size; i++) {
 				const id = `j-${i}`;
@@ -21,9 +21,9 @@
 			const wide = clusterState.addJob("j-wide", specOf("j-wide", { cpus: 8 }), 0, 1);
 			wide.resetWaitingTasks();
 			let searches = 0;
-			const sample = (machines: Machine[], most: number) => {
+			const sample = (machines: Machine[], maxCount: number) => {
 				searches += 1;
-				return machines.slice(0, most);
+				return machines.slice(0, maxCount);
 			};
 			const reservations = new MachineReservations(clusterState, 600, sample, silentLog);
 
--- a/tests/coordination/placement/placement-cycle-large-fleets.test.ts
+++ b/tests/coordination/placement/placement-cycle-large-fleets.test.ts
@@ -15,7 +15,7 @@
 
 describe("placement cycles of a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines: placement requests stay within the message size limit of links, and the tasks start`, async () => {
+		test(`${size} machines: every message stays below a quarter of the links' size limit, and as many tasks as machines start`, async () => {
 			const clock = new FakeTime();
 			const clusterState = largeFleet(size);
 			const settings = defaultOperator();
--- a/tests/coordination/preemption/preemption-planner.test.ts
+++ b/tests/coordination/preemption/preemption-planner.test.ts
@@ -10,12 +10,12 @@
 
 test("victims for a job with machine constraints are searched on the machines that it allows, whatever a sample of all contains", () => {
 	const clusterState = tablesWith(30, 400);
-	const ordinary = new Machine(
+	const onDemand = new Machine(
 		{ id: "n-ordinary", type: small, zone: "a", spot: false, origin: "heartbeat" },
 		0,
 	);
-	makeSchedulable(ordinary);
-	clusterState.addMachine(ordinary);
+	makeSchedulable(onDemand);
+	clusterState.addMachine(onDemand);
 	const batch = clusterState.addJob(
 		"j-1",
 		specOf("j-1", { taskCount: 40, cpus: 4, estimatedRunS: 100 }),
@@ -49,20 +49,21 @@
 	);
 });
 
+/** Adds a job and starts its tasks on every machine until the machine is full or no task is left. */
 function fillMachines(
 	clusterState: ClusterState,
 	id: string,
-	more: Partial<JobSpec>,
-	n: number,
-	since: number,
+	specOverrides: Partial<JobSpec>,
+	taskCount: number,
+	runningSince: number,
 ) {
-	const job = clusterState.addJob(id, specOf(id, { taskCount: n, ...more }), 0, 1);
+	const job = clusterState.addJob(id, specOf(id, { taskCount, ...specOverrides }), 0, 1);
 	job.resetWaitingTasks();
 	for (const machine of clusterState.machines.values()) {
 		for (;;) {
 			const attempt = clusterState.assignNextTask(job, machine);
 			if (!attempt) break;
-			attempt.updatePhase("running", since);
+			attempt.updatePhase("running", runningSince);
 		}
 	}
 	return job;
@@ -88,7 +89,7 @@
 	);
 });
 
-test("a task of the same priority is preempted only if it is beyond its team's guarantee, for a task within its own team's", () => {
+test("a task of the same priority is preempted only if its team exceeds its guarantee, and for a task within the guarantee of its team", () => {
 	const clusterState = tablesWith(2);
 	fillMachines(clusterState, "j-1", { team: "blue", estimatedRunS: 100 }, 4, 0);
 	const other = clusterState.addJob("j-2", specOf("j-2", { taskCount: 4 }), 0, 1);
@@ -114,7 +115,7 @@
 });
 
 test("nothing is preempted for tasks that can take the places of tasks about to end", () => {
-	for (const [estimatedRunS, stopped] of [
+	for (const [estimatedRunS, victimCount] of [
 		[100, 2],
 		[2, 0],
 	] as const) {
@@ -127,7 +128,11 @@
 			1,
 		);
 		urgent.resetWaitingTasks();
-		assert.equal(chooseVictims(clusterState, [urgent], 1000).length, stopped, `runs of ${estimatedRunS} s`);
+		assert.equal(
+			chooseVictims(clusterState, [urgent], 1000).length,
+			victimCount,
+			`runs of ${estimatedRunS} s`,
+		);
 	}
 	// For a team at its limit only the ends of its own tasks count.
 	const clusterState = tablesWith(2);
--- a/tests/coordination/replication/chunked-records-large-fleets.test.ts
+++ b/tests/coordination/replication/chunked-records-large-fleets.test.ts
@@ -5,7 +5,7 @@
 import { largeFleetMachineId, largeFleetSizes } from "../../support/large-fleets.js";
 
 interface WrittenValue {
-	put: string;
+	key: string;
 	bytes: number;
 }
 
@@ -32,7 +32,7 @@
 					compareAndSwap: async (_conditions: unknown, changes: { put?: string; value?: unknown }[]) => {
 						writes.push(
 							changes.map(({ put, value }) => ({
-								put: put ?? "",
+								key: put ?? "",
 								bytes: JSON.stringify(value ?? null).length,
 							})),
 						);
@@ -56,7 +56,7 @@
 
 			for (let i = 0; i < size; i++) records.set(largeFleetMachineId(i), recordOf(i));
 			await run(20);
-			const keys = new Set(writes.flat().map(({ put }) => put));
+			const keys = new Set(writes.flat().map(({ key }) => key));
 			const totalBytes = size * JSON.stringify({ [largeFleetMachineId(1)]: recordOf(1) }).length;
 			assert.ok(keys.size <= Math.ceil((totalBytes / maxChunkBytes) * 1.3), `${keys.size} values`);
 			for (const { bytes } of writes.flat()) assert.ok(bytes <= 16 * 1024, `a value of ${bytes} bytes`);
--- a/tests/coordination/replication/replica-sync.test.ts
+++ b/tests/coordination/replication/replica-sync.test.ts
@@ -9,7 +9,7 @@
 import { silentLog } from "../../support/silent-log.js";
 import { StateService } from "../../support/state-service.js";
 
-test("calls that time out in a process pause do not make the store unresponsive", async () => {
+test("calls that time out in a process pause do not make the store count as unresponsive", async () => {
 	const time = new FakeTime();
 	const pendingRejections: ((error: Error) => void)[] = [];
 	const store = {
--- a/tests/coordination/runtime/pause-detector.test.ts
+++ b/tests/coordination/runtime/pause-detector.test.ts
@@ -3,7 +3,8 @@
 import { PauseDetector } from "../../../src/coordination/runtime/pause-detector.js";
 import { FakeTime } from "../../support/fake-time.js";
 
-test("a gap of 6 s on the monotonic clock is reported as a pause once, and one of 1.9 s is none", async () => {
+// A process that is only short of processor time causes gaps of less than 2 s, which are not pauses.
+test("a gap of 6 s on the monotonic clock is reported as a pause once, and a gap of 1.9 s is not reported", async () => {
 	const time = new FakeTime();
 	const detector = new PauseDetector(time);
 	await time.advance(1900);
--- a/tests/coordination/state/cluster-state.test.ts
+++ b/tests/coordination/state/cluster-state.test.ts
@@ -50,7 +50,7 @@
 					team: i % 2 ? "red" : "blue",
 				}),
 			);
-			const seen = new Set<number>();
+			const usedNumbers = new Set<number>();
 			const endAttempt = (attempt: Attempt, done: boolean) => {
 				if (done) clusterState.markTaskDone(attempt.job, attempt.taskIndex);
 				clusterState.endAttempt(attempt);
@@ -60,7 +60,7 @@
 				const machine = clusterState.machines.get(`n-${uniformInt(random, 0, 3)}`) as Machine;
 				if (uniformInt(random, 0, 2) > 0) {
 					const attempt = clusterState.assignNextTask(job, machine);
-					if (attempt) assertNewNumber(attempt, seen);
+					if (attempt) assertNewNumber(attempt, usedNumbers);
 				} else {
 					const attempt = [...machine.attempts.values()][0];
 					if (attempt) endAttempt(attempt, uniformInt(random, 0, 1) === 1);
--- a/tests/coordination/state/quota-accounting.test.ts
+++ b/tests/coordination/state/quota-accounting.test.ts
@@ -27,8 +27,8 @@
 		return charge;
 	}
 
-	chargeUnattributed(found: TaskDemand): QuotaCharge {
-		return this.charge(found, "nobody");
+	chargeUnattributed(unattributed: TaskDemand): QuotaCharge {
+		return this.charge(unattributed, "nobody");
 	}
 
 	release(charge: QuotaCharge): void {
@@ -61,11 +61,11 @@
 		assert.equal(accounting.leaderNode, "runner-0");
 		assert.equal(accounting.mayStart(demand, "runner-1"), false);
 		const admitted = accounting.allocateAdmitted(demand, "runner-2");
-		const found = accounting.allocateUnattributed(demand);
+		const unattributed = accounting.allocateUnattributed(demand);
 		assert.deepEqual(allotments.nodes, ["runner-2", "nobody"]);
 		assert.equal(ledger.usage("red").cpus, 4);
 		accounting.release(demand, admitted);
-		accounting.release(demand, found);
+		accounting.release(demand, unattributed);
 		assert.deepEqual(allotments.nodes, []);
 		assert.equal(ledger.usage("red").cpus, 0);
 	});
--- a/tests/coordination/workers/heartbeat-service.test.ts
+++ b/tests/coordination/workers/heartbeat-service.test.ts
@@ -123,7 +123,7 @@
 		assert.deepEqual(outdated.commands, []);
 	});
 
-	test("is sent at once to a machine that cannot receive tasks yet, whose record is then written", async () => {
+	test("is sent at once to a machine that cannot receive tasks yet, and the machine's record is written", async () => {
 		const setup = new Setup();
 		const first = setup.handle(heartbeat(1));
 		await setup.clock.advance(1);
@@ -195,7 +195,7 @@
 		return machine;
 	}
 
-	test("is sent earlier by a direct command to forget the heartbeat trigger, which is sent only once", async () => {
+	test("causes one direct command to forget the heartbeat trigger, so that the worker's next heartbeat comes early", async () => {
 		const setup = new Setup();
 		const machine = await machineWithTrigger(setup);
 		const trigger = machine.exitedTasks.heartbeatTrigger;
--- a/tests/coordination/workers/pending-heartbeats.test.ts
+++ b/tests/coordination/workers/pending-heartbeats.test.ts
@@ -43,7 +43,7 @@
 		assert.deepEqual([earlier.commands, later.commands], [[], [start]]);
 	});
 
-	test("for a placement are answered when those are released; responses to idle machines are held further", async () => {
+	test("for a placement are answered by releaseAwaitingPlacement, while those of idle machines stay held", async () => {
 		const { clock, pending, hold } = setUp();
 		const placement = hold("n-1", 1000, "placement");
 		const idle = hold("n-2", 1000, "idle");
--- a/tests/log-messages.test.ts
+++ b/tests/log-messages.test.ts
@@ -5,8 +5,8 @@
 import { readSourceTree } from "./support/import-rules.js";
 
 /**
- * Compares the tables of log messages in the operators' pages with the log calls of the sources. Without this check
- * the tables kept messages that the code had long replaced, so that operators searched the logs in vain.
+ * Compares the tables of log messages in the operators' pages with the log calls of the sources. Without this check, a
+ * message that changes in the code stays in the tables, and operators search the logs for it in vain.
  */
 
 // Compiled tests run from target/tests/tests; the sources and pages stay in the source tree.
--- a/tests/service/production-compatibility.test.ts
+++ b/tests/service/production-compatibility.test.ts
@@ -74,7 +74,7 @@
 			assert.equal((await world.poll(node, "j-000002")).body.status, "cancelled");
 		}
 		await world.time.advance(25_000);
-		assert.equal(world.starts.get("j-000001/0"), undefined, "its task 0 was done");
+		assert.equal(world.starts.get("j-000001/0"), undefined, "task 0 is done according to its record");
 		assert.ok(world.running("j-000001/1") && world.running("j-000001/2"));
 		if (hasServiceJob) assert.ok(world.running("j-000004/0") && world.running("j-000004/1"));
 		assert.deepEqual(
@@ -97,7 +97,7 @@
 		for (const [kind, message] of Object.entries(fixture.messages)) {
 			assert.ok(currentMessages[kind], kind);
 			assertFieldsKept(message, currentMessages[kind], kind);
-			// Decoding and encoding preserves every name and value on the wire.
+			// Decoding and encoding preserve every name and value on the wire.
 			assert.deepEqual(encodePeerMessage(decodePeerMessage(message)), message, kind);
 		}
 	});
--- a/tests/service/replica-repair.test.ts
+++ b/tests/service/replica-repair.test.ts
@@ -13,6 +13,7 @@
 	const body = { ...job, id: "j-000003" };
 	world.expectJob(body);
 	const spec = { ...(record.v as { spec: object }).spec, id: "j-000003" };
+	// Stores the job without notifying the watches.
 	world.state.epoch += 1;
 	world.state.rows.set("r/job/j-000003", { v: { spec, at: 0 }, stamp: world.state.epoch });
 	await world.time.advance(100_000);
@@ -20,7 +21,7 @@
 	assert.deepEqual(world.broken, []);
 });
 
-test("a job in the leader's store replica without a change notification is found within seconds", async () => {
+test("a job in the leader's store replica of which no listener was notified is done within 30 s", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	await world.submit("runner-0", { ...job, id: "j-000002" });
