--- a/packages/team-quota/tests/history.test.ts
+++ b/packages/team-quota/tests/history.test.ts
@@ -26,10 +26,10 @@
 });
 
 test("an admission above the limit is found in either dimension, even if it lasts for one instant", () => {
-	const once = [task("a", 1, 50), task("b", 2, 60), task("c", 49, 70)];
-	assert.match(findViolations(history(once))[0] ?? "", /^49 red: 3000,0 above 2000,1000 at c/);
-	const accelerators = [task("a", 1, 50, [0, 1000]), task("b", 2, 3, [0, 1])];
-	assert.match(findViolations(history(accelerators))[0] ?? "", /^2 red: 0,1001 above/);
+	const aboveCpuLimit = [task("a", 1, 50), task("b", 2, 60), task("c", 49, 70)];
+	assert.match(findViolations(history(aboveCpuLimit))[0] ?? "", /^49 red: 3000,0 above 2000,1000 at c/);
+	const aboveGpuLimit = [task("a", 1, 50, [0, 1000]), task("b", 2, 3, [0, 1])];
+	assert.match(findViolations(history(aboveGpuLimit))[0] ?? "", /^2 red: 0,1001 above/);
 });
 
 test("a task that still runs above a lower limit when that comes into force is found", () => {
@@ -49,7 +49,7 @@
 });
 
 test("a slot granted twice and an id admitted twice are found", () => {
-	const twice = [task("a", 1, 20), task("b", 1, 20), task("c", 1, 20)];
-	assert.equal(findViolations(history(twice)).length, 1);
+	const slotGrantedTwice = [task("a", 1, 20), task("b", 1, 20), task("c", 1, 20)];
+	assert.equal(findViolations(history(slotGrantedTwice)).length, 1);
 	assert.deepEqual(duplicateIds([task("a", 1, 20), task("a", 30, 40)]), ["a"]);
 });
--- a/packages/team-quota/tests/manager.test.ts
+++ b/packages/team-quota/tests/manager.test.ts
@@ -139,16 +139,16 @@
 
 test("a new leader allots nothing that a holder without a message of the new term may still be using", async () => {
 	const cluster = new TestCluster();
-	const silent = cluster.startProcess("c");
+	const unresponsive = cluster.startProcess("c");
 	const holder = cluster.startProcess("b");
 	const { leader, manager } = await cluster.allotAllTo(holder);
 	// Half of the limit moves to c, which then sends no more replies.
-	leader.handleReply("c", silent.reply());
+	leader.handleReply("c", unresponsive.reply());
 	manager.setRequestedAmount("b", "red", oneCpu);
 	manager.setRequestedAmount("c", "red", { cpus: 2000, gpus: 0 });
 	for (let i = 0; i < 8; i++) {
 		cluster.exchangeMessages(leader, manager, "b", holder, 1);
-		cluster.exchangeMessages(leader, manager, "c", silent, 1);
+		cluster.exchangeMessages(leader, manager, "c", unresponsive, 1);
 		await cluster.runTicks(manager, 1);
 	}
 	assert.equal(holder.admit("red", oneCpu, 2).kind, "admitted");
@@ -160,7 +160,11 @@
 	nextManager.start();
 	next.handleReply("b", holder.reply());
 	for (let i = 0; i < 3; i++) cluster.exchangeMessages(next, nextManager, "b", holder, 2);
-	assert.equal(silent.admit("red", oneCpu, 2).kind, "admitted", "by its allotment of the previous term");
+	assert.equal(
+		unresponsive.admit("red", oneCpu, 2).kind,
+		"admitted",
+		"by its allotment of the previous term",
+	);
 	const further = holder.admit("red", oneCpu, 4);
 	const total = 2 + 2 + (further.kind === "admitted" ? further.count : 0);
 	assert.ok(total <= 4, `${total} of 4`);
--- a/packages/team-quota/tests/simulation.test.ts
+++ b/packages/team-quota/tests/simulation.test.ts
@@ -72,7 +72,7 @@
 	}
 }
 
-/** More seeds run by a command of their own: see the README. */
+/** The README has the command that runs more seeds. */
 const seeds = Number(process.env.QUOTA_SEEDS ?? 24);
 
 for (let seed = 1; seed <= seeds; seed++) {
--- a/tests/coordination/fleet/cloud-inventory.test.ts
+++ b/tests/coordination/fleet/cloud-inventory.test.ts
@@ -14,7 +14,7 @@
 
 describe("reading the machine list of a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines: the whole list is read at one call a second, then not read for as long`, async () => {
+		test(`${size} machines: the whole list is read at one call a second, then not read again for as long as that took`, async () => {
 			const clock = new FakeTime();
 			const clusterState = new ClusterState({ term: 1, teams: [], machineTypes: [mediumType] });
 			let calls = 0;
--- a/tests/coordination/fleet/provisioning-times.test.ts
+++ b/tests/coordination/fleet/provisioning-times.test.ts
@@ -25,7 +25,11 @@
 	);
 	assert.equal(provisioningTimes.isOverdue(overdue, 65_000), true);
 	assert.equal(provisioningTimes.isBootTimedOut(overdue, 200_000), false, "the whole type may boot slowly");
-	assert.equal(provisioningTimes.isBootTimedOut(overdue, 241_000), true, "the wait is limited");
+	assert.equal(
+		provisioningTimes.isBootTimedOut(overdue, 241_000),
+		true,
+		"the boot times out at twice the configured timeout",
+	);
 	overdue.lifecycle.setOverdue(true);
 	assert.equal(overdue.countsAsCapacity, false);
 	overdue.agent.heartbeatReceived(heartbeatOf(overdue), 64_000);
--- a/tests/coordination/workers/reachability.test.ts
+++ b/tests/coordination/workers/reachability.test.ts
@@ -39,9 +39,9 @@
 		machine.agent.responseSent(33_000);
 		reconcileHeartbeat(clusterState, heartbeat(1, [], { agentEpoch: 3 }), 34_000);
 		assert.equal(machine.agent.unreachableSince, 34_000);
-		const silent = stateWithSentStart();
-		silent.machine.agent.responseSent(0);
-		reconcileHeartbeat(silent.clusterState, heartbeat(1, [], { agentEpoch: 2 }), 21_000);
-		assert.equal(silent.machine.agent.ineffectiveResponses, 0, "its heartbeats did not arrive either");
+		const disconnected = stateWithSentStart();
+		disconnected.machine.agent.responseSent(0);
+		reconcileHeartbeat(disconnected.clusterState, heartbeat(1, [], { agentEpoch: 2 }), 21_000);
+		assert.equal(disconnected.machine.agent.ineffectiveResponses, 0, "its heartbeats did not arrive either");
 	});
 });
--- a/tests/coordination/workers/worker-commands.test.ts
+++ b/tests/coordination/workers/worker-commands.test.ts
@@ -9,7 +9,7 @@
 	taskStatus,
 } from "../../support/reconciliation-setup.js";
 
-describe("starts", () => {
+describe("start commands", () => {
 	test("a machine that starts draining after an assignment still gets the start; a quarantined machine does not", () => {
 		const { clusterState, job, machine } = stateWithMachine();
 		clusterState.assignNextTask(job, machine);
@@ -42,7 +42,7 @@
 	});
 });
 
-describe("stops and forgets", () => {
+describe("stop and forget commands", () => {
 	test("a completed task is forgotten only after its completion is stored", () => {
 		const { clusterState, job, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2, [taskStatus(0, attempt.number, "exited", "done")]), 100);
--- a/tests/service/store-outages.test.ts
+++ b/tests/service/store-outages.test.ts
@@ -3,7 +3,7 @@
 import { job } from "../support/leadership-candidate.js";
 import { nodeNames, World } from "../support/world.js";
 
-test("a node cut off from the store answers 503 at once, and is not ready while the store answers other nodes", async () => {
+test("a node cut off from the store answers 503 at once and is not ready, but all nodes are ready if the store answers none", async () => {
 	const world = new World();
 	await world.time.advance(2000);
 	const isolatedNode = nodeNames.find((n) => n !== world.leaderNode()) as string;
--- a/tests/team-quota/processes.test.ts
+++ b/tests/team-quota/processes.test.ts
@@ -4,7 +4,7 @@
 import { duplicateIds, findViolations } from "../../packages/team-quota/tests/support/history.js";
 import { operatorStore, QuotaProcesses } from "../support/quota-processes.js";
 
-/** Longer runs are a command of their own: see the README. */
+/** The README has the command for longer runs. */
 const rounds = Number(process.env.QUOTA_ROUNDS ?? 300);
 
 const faultCount = Number(process.env.QUOTA_TROUBLES ?? 8);
