--- a/tests/coordination/placement/machine-reservations-large-fleets.test.ts
+++ b/tests/coordination/placement/machine-reservations-large-fleets.test.ts
@@ -8,7 +8,7 @@
 
 describe("reservations in a large fleet", () => {
 	for (const size of largeFleetSizes)
-		test(`${size} machines with as many waiting jobs: an update reserves at most a twentieth of them, with at most eight more searches than reservations`, () => {
+		test(`${size} machines with as many waiting jobs: an update reserves at most a twentieth of the fleet, with at most eight more searches than reservations`, () => {
 			const clusterState = largeFleet(size);
 			for (let i = 0; i < size; i++) {
 				const id = `j-${i}`;
--- a/tests/coordination/workers/reachability.test.ts
+++ b/tests/coordination/workers/reachability.test.ts
@@ -23,7 +23,7 @@
 		assert.notEqual(clusterState.assignNextTask(job, machine), null);
 	});
 
-	test("has its count of ineffective responses reset when it lists a start that was sent again", () => {
+	test("has its count of ineffective responses reset when it lists a start that was sent again, since a response has arrived", () => {
 		const { clusterState, machine, attempt } = stateWithSentStart();
 		reconcileHeartbeat(clusterState, heartbeat(2), 1000);
 		issueCommands(clusterState, machine);
