--- a/tests/coordination/fleet/provisioning-times.test.ts
+++ b/tests/coordination/fleet/provisioning-times.test.ts
@@ -8,9 +8,9 @@
 
 const otherType = { ...unknownMachineType("u"), bootS: 40 };
 
-function requestedMachine(requestedAtS: number, of = type): Machine {
+function requestedMachine(requestedAtS: number, machineType = type): Machine {
 	return new Machine(
-		{ id: `n-${requestedAtS}`, type: of, zone: "a", spot: true, origin: "heartbeat" },
+		{ id: `n-${requestedAtS}`, type: machineType, zone: "a", spot: true, origin: "heartbeat" },
 		requestedAtS * 1000,
 	);
 }
@@ -25,7 +25,11 @@
 	);
 	assert.equal(provisioningTimes.isOverdue(overdue, 65_000), true);
 	assert.equal(provisioningTimes.isBootTimedOut(overdue, 200_000), false, "the whole type may boot slowly");
-	assert.equal(provisioningTimes.isBootTimedOut(overdue, 241_000), true, "the wait is limited");
+	assert.equal(
+		provisioningTimes.isBootTimedOut(overdue, 241_000),
+		true,
+		"the boot times out at twice the configured timeout",
+	);
 	overdue.lifecycle.setOverdue(true);
 	assert.equal(overdue.countsAsCapacity, false);
 	overdue.agent.heartbeatReceived(heartbeatOf(overdue), 64_000);
