--- a/tests/service/cancellation-races.test.ts
+++ b/tests/service/cancellation-races.test.ts
@@ -59,7 +59,7 @@
 		for (let i = 0; i < 2000 && !world.isRunning("j-000001/0"); i++) await world.time.advance(10);
 		await world.time.advance(8000 + offsetMs);
 		const requests = nodeNames.flatMap((node) =>
-			(["poll", "abort", "repeat", "poll"] as const).map((kind) => ({ node, id: job.id, kind })),
+			(["poll", "cancel", "resubmit", "poll"] as const).map((kind) => ({ node, id: job.id, kind })),
 		);
 		const statuses = await world.requestConcurrently(requests);
 		assert.ok(
--- a/tests/support/leadership-candidate.ts
+++ b/tests/support/leadership-candidate.ts
@@ -34,7 +34,7 @@
 		http: {
 			call: async (method, path, body) => {
 				const response = await service.handle(method, path, body, "me");
-				if (faults.dropResponses && path === "/multi") throw new CallError("unknown", 0, "no answer");
+				if (faults.dropResponses && path === "/multi") throw new CallError("unknown", 0, "no response");
 				return response;
 			},
 			close() {},
--- a/tests/support/network.ts
+++ b/tests/support/network.ts
@@ -73,7 +73,7 @@
 		return new Promise((resolve, reject) => {
 			const fail = (outcome: CallOutcome, reason: string) =>
 				reject(new CallError(outcome, 0, `${method} ${path}: ${reason}`));
-			this.time.after(deadlineMs, () => fail("unknown", "no answer in time"));
+			this.time.after(deadlineMs, () => fail("unknown", "no response in time"));
 			if (fault.dropRequest || this.down.has(from)) return;
 			if (this.down.has(to)) {
 				this.time.after(this.latencyMs, () => fail("not executed", "connection refused"));
--- a/tests/support/state-service.ts
+++ b/tests/support/state-service.ts
@@ -14,7 +14,7 @@
 	dropped: boolean;
 }
 
-/** A small in-process state service that speaks the published protocol. */
+/** An in-process state service that implements the published API. */
 export class StateService {
 	revision = 0;
 	readonly rows = new Map<string, Row>();
--- a/tests/support/world.ts
+++ b/tests/support/world.ts
@@ -51,7 +51,7 @@
 interface TrackedJob {
 	body: Record<string, unknown> & { pieces: number; cores: number };
 	runS: number | number[];
-	failsOn: string[];
+	failsOnTypes: string[];
 	cancelledAt: number | null;
 	reportedStatuses: Set<string>;
 }
@@ -193,7 +193,7 @@
 
 	/** Time since which a job waits although one of its tasks could start and no fault is active. */
 	private readonly waitingSince = new Map<string, number>();
-	/** Set by the trace player while link faults are injected, which no stand-in shows. */
+	/** True while the trace player injects link faults; no stand-in records these. */
 	linkFaultsActive = false;
 	/** Changed CPU limits of teams, which replace those of the settings. */
 	readonly teamLimitOverrides = new Map<string, number>();
@@ -245,7 +245,7 @@
 			return Array.isArray(runs) ? (runs[Number(index)] ?? null) : runs;
 		},
 		failsTask: (worker, task) =>
-			this.jobs.get(task.split("/")[0] as string)?.failsOn.includes(worker.machineType) ?? false,
+			this.jobs.get(task.split("/")[0] as string)?.failsOnTypes.includes(worker.machineType) ?? false,
 		taskStarted: (worker, task) => this.recordStart(worker, task),
 		taskEnded: (worker, task) => this.recordEnd(worker, task),
 		sendHeartbeat: (worker, node, body) => this.sendHeartbeat(worker, node, body),
@@ -431,7 +431,7 @@
 		const id = task.split("/")[0] as string;
 		const job = this.jobs.get(id);
 		this.starts.set(task, [...(this.starts.get(task) ?? []), worker.host]);
-		if (!job) return void this.violations.push(`${task} started, but nobody submitted ${id}`);
+		if (!job) return void this.violations.push(`${task} started, but ${id} was not submitted`);
 		const runningOn = this.machineByTask.get(task);
 		if (runningOn !== undefined)
 			this.violations.push(`ran_twice: ${task} on ${worker.host} while on ${runningOn}`);
@@ -468,7 +468,7 @@
 				else if (!this.waitingSince.has(id)) this.waitingSince.set(id, now);
 				else if (now - (this.waitingSince.get(id) as number) > 90_000) {
 					this.waitingSince.delete(id);
-					this.violations.push(`waited: ${id} for 90 s, though a machine has room`);
+					this.violations.push(`waited: ${id} for 90 s, although a machine has capacity`);
 				}
 			}
 			this.checkWaitingPeriodically();
@@ -509,7 +509,7 @@
 
 	private meetsConstraints(id: string, body: TrackedJob["body"], worker: FakeWorker): boolean {
 		const taskCounts = this.taskCountByZone(id);
-		const hasTasksInOtherZone = [...taskCounts.keys()].some((hall) => hall !== worker.zone);
+		const hasTasksInOtherZone = [...taskCounts.keys()].some((zone) => zone !== worker.zone);
 		return (
 			(!Array.isArray(body.shapes) || body.shapes.includes(worker.machineType)) &&
 			(typeof body.hall !== "string" || body.hall === worker.zone) &&
@@ -521,13 +521,13 @@
 
 	/** Returns the number of running tasks of the job by zone. */
 	private taskCountByZone(id: string): Map<string, number> {
-		const zones = new Map<string, number>();
+		const counts = new Map<string, number>();
 		for (const [task, host] of this.machineByTask) {
 			if (!task.startsWith(`${id}/`)) continue;
-			const hall = this.workers.get(host)?.zone ?? "?";
-			zones.set(hall, (zones.get(hall) ?? 0) + 1);
+			const zone = this.workers.get(host)?.zone ?? "?";
+			counts.set(zone, (counts.get(zone) ?? 0) + 1);
 		}
-		return zones;
+		return counts;
 	}
 
 	private checkZones(id: string, body: TrackedJob["body"]): void {
@@ -565,7 +565,7 @@
 		for (const task of this.machineByTask.keys()) {
 			const job = this.jobs.get(task.split("/")[0] as string);
 			if (job?.cancelledAt != null && this.time.now() - job.cancelledAt > 37_000) {
-				this.violations.push(`ran_cancelled: ${task} is still there`);
+				this.violations.push(`ran_cancelled: ${task} still runs`);
 			}
 		}
 	}
@@ -588,7 +588,7 @@
 				for (const node of this.processes.keys()) found ||= (await this.poll(node, id)).status === 200;
 				if (!found) await this.time.advance(1000);
 			}
-			if (!found) this.violations.push(`forgotten: no answer about ${id}`);
+			if (!found) this.violations.push(`forgotten: no controller found ${id}`);
 		}
 	}
 
@@ -611,7 +611,7 @@
 
 	/** Sends requests to several nodes at the same time; each response is checked when it arrives. */
 	async requestConcurrently(
-		requests: { node: string; id: string; kind: "poll" | "abort" | "repeat" }[],
+		requests: { node: string; id: string; kind: "poll" | "cancel" | "resubmit" }[],
 	): Promise<number[]> {
 		const statuses: number[] = requests.map(() => 0);
 		requests.forEach(({ node, id, kind }, i) => {
@@ -619,8 +619,8 @@
 			const body = JSON.stringify(this.jobs.get(id)?.body);
 			const [path, init] = {
 				poll: [`/v1/jobs/${id}`, {}],
-				abort: [`/v1/jobs/${id}/abort`, { method: "POST" }],
-				repeat: ["/v1/jobs", { method: "POST", body }],
+				cancel: [`/v1/jobs/${id}/abort`, { method: "POST" }],
+				resubmit: ["/v1/jobs", { method: "POST", body }],
 			}[kind] as [string, RequestInit];
 			process?.executor.runOrQueue(() => {
 				Promise.resolve(process.app.request(path, init)).then(async (response) => {
@@ -635,13 +635,13 @@
 		return statuses;
 	}
 
-	/** Tracks a job that enters the store by another way than a submission. */
+	/** Tracks a job that enters the store other than by a submission. */
 	trackJob(job: JobBody): void {
 		const body = { desk: "red", loaners: true, ...job };
 		this.jobs.set(job.id, {
 			body,
 			runS: job.run_s ?? 5,
-			failsOn: [],
+			failsOnTypes: [],
 			cancelledAt: null,
 			reportedStatuses: new Set(),
 		});
@@ -650,7 +650,7 @@
 	async submit(node: string, job: JobBody): Promise<{ status: number; body: UserResponse }> {
 		const {
 			run_s: runS = job.form === "standing" ? 1e6 : 5,
-			fails_on_types: failsOn = [],
+			fails_on_types: failsOnTypes = [],
 			...submitted
 		} = job;
 		const body = {
@@ -675,7 +675,7 @@
 		};
 		const tracked = this.jobs.get(job.id);
 		if (!tracked)
-			this.jobs.set(job.id, { body, runS, failsOn, cancelledAt: null, reportedStatuses: new Set() });
+			this.jobs.set(job.id, { body, runS, failsOnTypes, cancelledAt: null, reportedStatuses: new Set() });
 		const response = await this.request(node, "/v1/jobs", { method: "POST", body: JSON.stringify(body) });
 		if (response.status === 200 || response.status === 201)
 			this.recordStatus(job.id, response.body.status ?? "");
