--- a/tests/support/state-service.ts
+++ b/tests/support/state-service.ts
@@ -1,12 +1,14 @@
 import type { HttpResponse } from "../../src/transport/clients/http-response.js";
 import type { FakeTime } from "./fake-time.js";
 
+/** A stored value, with the field names of the API. */
 interface Row {
 	v: unknown;
 	stamp: number;
 	permit?: number;
 }
 
+/** A put or delete, as watches deliver it. */
 interface Change {
 	key: string;
 	v?: unknown;
@@ -39,11 +41,11 @@
 		this.expireLeasesPeriodically();
 	}
 
-	setOutage(on: boolean): void {
-		if (this.outage && !on) {
+	setOutage(active: boolean): void {
+		if (this.outage && !active) {
 			for (const lease of this.leases.values()) lease.endsAt = this.time.now() + lease.ttlMs;
 		}
-		this.outage = on;
+		this.outage = active;
 	}
 
 	private expireLeasesPeriodically(): void {
--- a/tests/support/trace.ts
+++ b/tests/support/trace.ts
@@ -57,7 +57,7 @@
 	/** Announces the reclaim of the spot machine that runs this task, and reclaims it after so many seconds. */
 	spot_reclaim?: { task: string; in_s: number };
 	cloud_outage?: boolean;
-	/** Multiplies the boot time of machines rented from now on; "never": they do not come up. */
+	/** Multiplies the boot time of machines rented from now on; "never": they do not boot. */
 	boot_time_factor?: number | "never";
 	/** From now on the cloud has no capacity in this zone. */
 	zone_without_capacity?: string;
